--- a/common/src/main/java/org/woadvale/common/membership/Wire.java
+++ b/common/src/main/java/org/woadvale/common/membership/Wire.java
@@ -18,11 +18,16 @@
     private Wire() {}
 
     public static Codec codec(int ownFirst, List<Class<?>> own) {
+        return new Codec(numbers(ownFirst, own));
+    }
+
+    /** The types of a program by the number of the first of each list. */
+    public static Map<Integer, List<Class<?>>> numbers(int ownFirst, List<Class<?>> own) {
         List<Class<?>> shared = new ArrayList<>();
         shared.addAll(Messages.types());
         shared.addAll(ControlMessages.types());
         shared.addAll(AdmissionTokens.types());
         shared.addAll(ControlMessages.later());
-        return new Codec(Map.of(SHARED, shared, SNAPSHOTS, SnapshotMessages.types(), ownFirst, own));
+        return Map.of(SHARED, shared, SNAPSHOTS, SnapshotMessages.types(), ownFirst, own);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -10,6 +10,7 @@
 import org.woadvale.testkit.capacity.CapacityCommand;
 import org.woadvale.testkit.explore.ExploreCommand;
 import org.woadvale.testkit.simulation.SeededPlatformDays;
+import org.woadvale.testkit.simulation.TraceCommand;
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.TestConfiguration;
 
@@ -29,6 +30,7 @@
             System.out.println(
                     "capacity [--only MECHANISM] [--nodes 30,60,120,240] [--largest 960]  slopes for docs/CAPACITY.md");
             System.out.println("platform --seeds A..B [SECONDS]  simulated days behind the platform's doors");
+            System.out.println("trace [SEEDS]                    digests of simulated days, to compare two builds");
             System.out.println("explore [--nodes 3] [--depth 60] [--deviations D] [--seconds S] [--seed N] "
                     + "[--start empty|led] [--mutant NAME]  schedules of the replication engine");
             System.out.println("SHAPE is small, lankavidya or rotterdam.");
@@ -47,6 +49,9 @@
                             ? 0
                             : 1);
         }
+        if (args[0].equals("trace")) {
+            System.exit(new TraceCommand(System.out).run(args.length > 1 ? Long.parseLong(args[1]) : 3));
+        }
         if (args[0].equals("explore")) {
             System.exit(new ExploreCommand(System.out).run(java.util.Arrays.copyOfRange(args, 1, args.length)));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -8,7 +8,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentSkipListMap;
+import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
+import org.woadvale.common.http.Answer;
+import org.woadvale.common.http.Request;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
@@ -121,6 +124,14 @@
         return out;
     }
 
+    void watchAnswers(BiConsumer<Request, Answer> watcher) {
+        w.watchAnswers(watcher);
+    }
+
+    TraceDigest trace() {
+        return w.sim.trace();
+    }
+
     public List<String> log() {
         return log;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -11,9 +11,11 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.woadvale.common.http.Answer;
+import org.woadvale.common.http.Request;
 import org.woadvale.testkit.stub.Observations;
 import reactor.core.publisher.Mono;
 
@@ -29,6 +31,7 @@
     final Set<String> lost = new HashSet<>();
     private final Map<String, String> zones = new HashMap<>();
     private final int zoneCount;
+    private BiConsumer<Request, Answer> answers = (request, answer) -> {};
 
     Machines(Sim sim, int zoneCount) {
         this.sim = sim;
@@ -78,8 +81,14 @@
         return List.copyOf(hosts.keySet());
     }
 
+    /** Sees each answer that a machine makes to a request from outside. */
+    public void watchAnswers(BiConsumer<Request, Answer> watcher) {
+        answers = watcher;
+    }
+
     /** A request from outside to one machine; no answer at all if it dies or stays away. */
-    void reach(String to, Supplier<Mono<Answer>> door, Duration limit, Consumer<Optional<Answer>> then) {
+    void reach(
+            String to, Request request, Supplier<Mono<Answer>> door, Duration limit, Consumer<Optional<Answer>> then) {
         Host h = hosts.get(to);
         AtomicBoolean over = new AtomicBoolean();
         Consumer<Optional<Answer>> once = a -> {
@@ -94,7 +103,11 @@
                 sim.after(CONNECT, () -> once.accept(Optional.empty()));
                 return;
             }
-            h.soon(() -> door.get().subscribe(a -> sim.after(net.delay(), () -> once.accept(Optional.of(a)))));
+            h.soon(() -> door.get().subscribe(a -> {
+                sim.trace().add(sim.now(), to + " " + a.status());
+                answers.accept(request, a);
+                sim.after(net.delay(), () -> once.accept(Optional.of(a)));
+            }));
         });
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -162,7 +162,7 @@
 
     /** A request of a client, a fetching processor or the operator to one node. */
     public void request(String to, Request q, Duration limit, Consumer<Optional<Answer>> then) {
-        reach(to, () -> doors.get(to).apply(q), limit, then);
+        reach(to, q, () -> doors.get(to).apply(q), limit, then);
     }
 
     /** The same, waited for: nobody else waits meanwhile. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -8,7 +8,10 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentSkipListMap;
+import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
+import org.woadvale.common.http.Answer;
+import org.woadvale.common.http.Request;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ObservationLog;
 
@@ -202,6 +205,14 @@
         return p.end(Duration.ofSeconds(10));
     }
 
+    void watchAnswers(BiConsumer<Request, Answer> watcher) {
+        r.watchAnswers(watcher);
+    }
+
+    TraceDigest trace() {
+        return r.sim.trace();
+    }
+
     public List<String> log() {
         return log;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
@@ -15,6 +15,7 @@
     private Duration now = Duration.ofSeconds(1000);
     private long seq;
     private long ran;
+    private final TraceDigest trace = new TraceDigest();
 
     public Sim(long seed) {
         random = new Random(seed);
@@ -24,6 +25,11 @@
         return now;
     }
 
+    /** What the simulated machines have done so far. */
+    public TraceDigest trace() {
+        return trace;
+    }
+
     public Random random() {
         return random;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -1,5 +1,7 @@
 package org.woadvale.testkit.simulation;
 
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -81,6 +83,7 @@
             public void write(long pos, byte[] bytes, int length) throws IOException {
                 failIfFull();
                 written += length;
+                sim.trace().add(sim.now(), name);
                 p.loose.add(new Write((int) pos, Arrays.copyOf(bytes, length)));
             }
 
@@ -151,6 +154,32 @@
         });
     }
 
+    /** Writes the synced bytes of all files, for a later {@link #load}. */
+    public void save(DataOutputStream out) throws IOException {
+        out.writeInt(files.size());
+        for (String name : list()) {
+            Platter file = files.get(name);
+            out.writeUTF(name);
+            out.writeBoolean(file.allocated);
+            out.writeInt(file.synced.length);
+            out.write(file.synced);
+        }
+    }
+
+    /** Replaces all files by what {@link #save} wrote. */
+    public void load(DataInputStream in) throws IOException {
+        files.clear();
+        int count = in.readInt();
+        for (int i = 0; i < count; i++) {
+            String name = in.readUTF();
+            boolean allocated = in.readBoolean();
+            Platter file = new Platter(in.readInt());
+            file.allocated = allocated;
+            in.readFully(file.synced);
+            files.put(name, file);
+        }
+    }
+
     /** Bytes go bad in the middle of what was synced. */
     public void damage(String name, int at) {
         files.get(name).synced[at] ^= 0x55;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -104,6 +104,11 @@
         eye = e;
     }
 
+    private void sent(String from, String to, Frame frame, byte[] bytes) {
+        sim.trace().add(sim.now(), from + ">" + to);
+        eye.sent(from, to, frame, bytes.length);
+    }
+
     public long frames() {
         return frames;
     }
@@ -144,7 +149,7 @@
                                         new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time.")));
                         Frame ask = new Frame(1, Frame.Kind.ASK, body);
                         byte[] bytes = codec.write(ask);
-                        eye.sent(self.address, to, ask, bytes.length);
+                        sent(self.address, to, ask, bytes);
                         long life = self.life();
                         deliver(to, bytes, sink, life);
                         if (sim.luck(twice)) {
@@ -191,7 +196,7 @@
 
         private void reply(Host from, Frame f, Sinks.One<Frame> sink, long life) {
             byte[] bytes = codec.write(f);
-            eye.sent(from.address, self.address, f, bytes.length);
+            sent(from.address, self.address, f, bytes);
             if (from.alive() && (from == self || !lost(from.address, self.address))) {
                 travel(
                         from.address,
--- /dev/null
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -0,0 +1,86 @@
+package org.woadvale.testkit.simulation;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import org.woadvale.common.http.Answer;
+import org.woadvale.common.http.Request;
+import org.woadvale.common.runtime.ServiceException;
+
+/** Simulated fleets that are played to see what they answer and store, in the ordinary course and under faults. */
+public final class SimulatedFleets {
+    /** The control node whose folder {@link #folders} returns. */
+    public static final String CONTROL_ADDRESS = "10.0.0.1:1";
+    /** The store whose folder {@link #folders} returns. */
+    public static final String STORE_ADDRESS = "10.0.1.1:1";
+
+    private static final Duration DAY = Duration.ofSeconds(20);
+    private static final long SEED = 3;
+    private static final int REQUESTS_PER_SECOND = 30;
+
+    private SimulatedFleets() {}
+
+    /** Data folders of two machines of one fleet. */
+    public record Folders(SimDisk control, SimDisk store) {}
+
+    /** Plays one day behind each of the two HTTP interfaces and asks each place that no client of them asks. */
+    public static void play(BiConsumer<Request, Answer> watcher) throws ServiceException {
+        SeededPlatformDays day = new SeededPlatformDays(SEED);
+        day.watchAnswers(watcher);
+        day.run(DAY);
+        FaultStorm storm = new FaultStorm(SEED);
+        storm.watchAnswers(watcher);
+        storm.run();
+        FleetSimulation fleet = new FleetSimulation(SEED, 3, 3, 2).embark();
+        fleet.w.watchAnswers(watcher);
+        for (String node : fleet.w.all()) {
+            for (String path : new String[] {
+                "GET /v1/liveness",
+                "GET /v1/readiness",
+                "GET /v1/status",
+                "GET /v1/layout",
+                "GET /v1/layout/1",
+                "GET /v1/layout/77",
+                "GET /v1/layout/history",
+                "PUT /v1/layout",
+                "GET /v1/services/desk/processors",
+                "DELETE /v1/services/desk/processors/none",
+                "PUT /v1/core",
+                "GET /v1/nowhere",
+                "POST /v1/lanes/hold/messages",
+                "GET /v1/messages/m0-1",
+                "GET /v1/messages",
+                "POST /v1/services/desk/fetch",
+                "POST /v1/messages/m0-1/outcome"
+            }) {
+                String[] words = path.split(" ");
+                Request request = new Request(words[0], words[1], Map.of(), new byte[0]);
+                fleet.w.request(node, request, Duration.ofSeconds(4), answer -> {});
+                fleet.w.sim.run(Duration.ofMillis(200));
+            }
+        }
+        fleet.w.sim.run(Duration.ofSeconds(4));
+    }
+
+    /**
+     * The folders of a control node and a store that lost their disks under traffic, so that they hold a snapshot from a
+     * leader and entries after it.
+     */
+    public static Folders folders() throws ServiceException {
+        PlatformSimulation day = new PlatformSimulation(SEED, 3, 3, Seams.none()).embark();
+        day.clients.start(REQUESTS_PER_SECOND);
+        NetworkSimulation network = day.network;
+        network.sim.run(DAY);
+        for (String address : List.of(CONTROL_ADDRESS, STORE_ADDRESS)) {
+            network.kill(address);
+            network.host(address).disk.wipe();
+            network.restart(address);
+            day.operator.change();
+            network.sim.run(DAY);
+        }
+        return new Folders(
+                network.host(CONTROL_ADDRESS).disk.copy(),
+                network.host(STORE_ADDRESS).disk.copy());
+    }
+}
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -199,6 +199,7 @@
     public void request(String to, Request q, Duration limit, java.util.function.Consumer<Optional<Answer>> then) {
         reach(
                 to,
+                q,
                 () -> lighthouses.contains(to)
                         ? operators.get(to).answer(q)
                         : pilots.get(to).answer(q),
--- /dev/null
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/SampleValues.java
@@ -0,0 +1,91 @@
+package org.woadvale.testkit.compatibility;
+
+import java.lang.reflect.Constructor;
+import java.lang.reflect.ParameterizedType;
+import java.lang.reflect.RecordComponent;
+import java.lang.reflect.Type;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/** Makes one instance of a type from the types and positions of its components alone, so that names do not matter. */
+final class SampleValues {
+    private static final int DEEPEST = 4;
+
+    private SampleValues() {}
+
+    static Object of(Type type) throws ReflectiveOperationException {
+        return of(type, 1, 0);
+    }
+
+    private static Object of(Type type, int position, int depth) throws ReflectiveOperationException {
+        if (type instanceof ParameterizedType generic) {
+            return collection(generic, position, depth);
+        }
+        Class<?> plain = (Class<?>) type;
+        if (plain.isRecord()) {
+            return record(plain, depth);
+        }
+        if (plain.isEnum()) {
+            Object[] constants = plain.getEnumConstants();
+            return constants[constants.length - 1];
+        }
+        return simple(plain, position);
+    }
+
+    private static Object simple(Class<?> type, int position) {
+        if (type == boolean.class || type == Boolean.class) {
+            return true;
+        } else if (type == int.class || type == Integer.class) {
+            return position;
+        } else if (type == byte.class) {
+            return (byte) position;
+        } else if (type == long.class || type == Long.class) {
+            return 1000L + position;
+        } else if (type == double.class || type == Double.class) {
+            return 0.5 + position;
+        } else if (type == byte[].class) {
+            return new byte[] {(byte) position, 1};
+        } else if (type == Duration.class) {
+            return Duration.ofMillis(position);
+        } else if (type == Instant.class) {
+            return Instant.ofEpochSecond(position);
+        } else if (type == String.class || type == Object.class) {
+            return "v" + position;
+        }
+        throw new IllegalArgumentException("no sample for " + type);
+    }
+
+    private static Object collection(ParameterizedType type, int position, int depth)
+            throws ReflectiveOperationException {
+        Type[] of = type.getActualTypeArguments();
+        boolean deep = depth >= DEEPEST;
+        Class<?> raw = (Class<?>) type.getRawType();
+        if (raw == Map.class) {
+            return deep ? Map.of() : Map.of(of(of[0], position, depth + 1), of(of[1], position, depth + 1));
+        } else if (raw == List.class) {
+            return deep ? List.of() : List.of(of(of[0], position, depth + 1));
+        } else if (raw == Set.class) {
+            return deep ? Set.of() : Set.of(of(of[0], position, depth + 1));
+        } else if (raw == Optional.class) {
+            return deep ? Optional.empty() : Optional.of(of(of[0], position, depth + 1));
+        }
+        throw new IllegalArgumentException("no sample for " + type);
+    }
+
+    private static Object record(Class<?> type, int depth) throws ReflectiveOperationException {
+        RecordComponent[] components = type.getRecordComponents();
+        Object[] values = new Object[components.length];
+        for (int i = 0; i < components.length; i++) {
+            values[i] = of(components[i].getGenericType(), i + 1, depth + 1);
+        }
+        Constructor<?> constructor = type.getDeclaredConstructor(
+                Arrays.stream(components).map(RecordComponent::getType).toArray(Class[]::new));
+        constructor.setAccessible(true);
+        return constructor.newInstance(values);
+    }
+}
--- /dev/null
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -0,0 +1,115 @@
+package org.woadvale.testkit.compatibility;
+
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.zip.GZIPInputStream;
+import java.util.zip.GZIPOutputStream;
+import org.woadvale.common.config.Configurations;
+import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.LogEntry;
+import org.woadvale.common.replication.Replica;
+import org.woadvale.common.replication.ReplicaProbe;
+import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.common.replication.StateMachine;
+import org.woadvale.common.rpc.Codec;
+import org.woadvale.common.rpc.RpcRouter;
+import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.controlplane.partition.ControlStateMachine;
+import org.woadvale.dataplane.queue.MessageStateMachine;
+import org.woadvale.testkit.simulation.Harness;
+import org.woadvale.testkit.simulation.Sim;
+import org.woadvale.testkit.simulation.SimDisk;
+import org.woadvale.testkit.simulation.SimNet;
+
+/** What replicas recover from a data folder, partition by partition. */
+final class StoredFolder {
+    private static final int RING_FILES = 8;
+    private static final int RING_BYTES = 4 << 20;
+    private static final int HISTORY_BYTES = 512 << 10;
+
+    /** Digits of a checksum that are kept. */
+    private static final int DIGITS = 16;
+
+    private StoredFolder() {}
+
+    static void save(SimDisk disk, OutputStream out) throws IOException {
+        try (DataOutputStream data = new DataOutputStream(new GZIPOutputStream(out))) {
+            disk.save(data);
+        }
+    }
+
+    /** A line for each partition: log position, term, identity, members and a checksum of the state machine. */
+    static List<String> recover(InputStream folder, String address, StoredFrames.Program program)
+            throws IOException, ServiceException, ReflectiveOperationException {
+        Sim sim = new Sim(1);
+        Harness machine = new Harness(address, sim, new SimNet(sim));
+        machine.boot(new RpcRouter());
+        try (DataInputStream data = new DataInputStream(new GZIPInputStream(folder))) {
+            machine.disk().load(data);
+        }
+        RingWriteAheadLog wal = RingWriteAheadLog.open(machine.disk(), machine.host(), RING_FILES, RING_BYTES);
+        Codec codec = program.codec();
+        Env env = new Env(
+                machine.host(),
+                machine.host(),
+                machine.rpc(codec),
+                codec,
+                wal,
+                sim.random()::nextLong,
+                ReplicationTiming.core());
+        List<String> out = new ArrayList<>();
+        for (Map.Entry<String, List<Entry>> part : new TreeMap<>(wal.recovered()).entrySet()) {
+            StateMachine state = part.getKey().startsWith("c")
+                    ? new ControlStateMachine(codec, HISTORY_BYTES)
+                    : new MessageStateMachine(part.getKey(), codec);
+            Replica replica = new Replica(part.getKey(), List.of(), state, env);
+            replica.start(part.getValue());
+            ReplicaProbe.ReplicaState recovered = ReplicaProbe.state(replica);
+            applyLog(recovered, state, codec);
+            out.add(line(part, recovered, codec.read(state.view(), Object.class)));
+        }
+        sim.run(Duration.ofSeconds(1));
+        return out;
+    }
+
+    /** As if a leader had confirmed all that is stored. */
+    private static void applyLog(ReplicaProbe.ReplicaState recovered, StateMachine state, Codec codec)
+            throws ServiceException {
+        for (long index = recovered.applied() + 1; index <= recovered.lastIndex(); index++) {
+            LogEntry entry = recovered.entry(index);
+            if (entry.kind() == LogEntry.Kind.COMMAND) {
+                state.apply(index, codec.read(entry.bytes(), Object.class));
+            }
+        }
+    }
+
+    private static String line(Map.Entry<String, List<Entry>> part, ReplicaProbe.ReplicaState recovered, Object state)
+            throws ReflectiveOperationException {
+        return String.join(
+                " ",
+                part.getKey(),
+                "records=" + part.getValue().size(),
+                "term=" + recovered.term(),
+                "identity=" + recovered.identity(),
+                "voter=" + recovered.voter(),
+                "applied=" + recovered.applied(),
+                "last=" + recovered.lastIndex(),
+                "log=" + checksum(CanonicalText.of(recovered.log())),
+                "members=" + recovered.group(),
+                "state=" + checksum(CanonicalText.of(state)));
+    }
+
+    private static String checksum(String text) {
+        return Configurations.sha256(text).substring(0, DIGITS);
+    }
+}
