--- a/common/src/main/java/org/woadvale/common/cli/KnownFile.java
+++ b/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
@@ -11,12 +11,12 @@
 import org.woadvale.common.membership.CoreMembers;
 
 /** Peers learned, kept beside the ring so that the seeds may be down at the next start. */
-public final class KnownFile {
+public final class CoreMembersFile {
     private static final Logger LOG = LogManager.getLogger("helm");
     private static final String EPOCH = "epoch ";
     private final Path file;
 
-    public KnownFile(String folder) {
+    public CoreMembersFile(String folder) {
         this.file = Path.of(folder, "neighbours");
     }
 
--- a/common/src/main/java/org/woadvale/common/discovery/Followed.java
+++ b/common/src/main/java/org/woadvale/common/discovery/SubscribedView.java
@@ -4,16 +4,16 @@
 import org.woadvale.common.membership.ServiceView;
 
 /** One service that a node follows: what is known of it, and how it is asked for. */
-final class Followed {
+final class SubscribedView {
     ServiceView view;
-    boolean any;
+    boolean received;
     Duration confirmed = Duration.ZERO;
-    Duration wantedUntil = Duration.ZERO;
-    boolean always;
-    Duration hurried = Duration.ZERO;
-    Duration directUntil = Duration.ZERO;
+    Duration interestUntil = Duration.ZERO;
+    boolean permanent;
+    Duration lastEarlyPoll = Duration.ZERO;
+    Duration bypassHomeUntil = Duration.ZERO;
 
-    Followed(String service) {
+    SubscribedView(String service) {
         view = ServiceView.blank(service);
     }
 }
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -27,8 +27,9 @@
     private volatile Deflated latest = new Deflated(-1, new byte[0]);
 
     /** The reply with its configurations deflated, where the asker reads that and it is smaller. */
-    public ControlMessages.ViewReply pack(ControlMessages.ViewAsk ask, ControlMessages.ViewReply reply) {
-        if (!ask.inflates() || reply.views().stream().noneMatch(ViewCompression::isWorthwhile)) {
+    public ControlMessages.ServiceViewResponse pack(
+            ControlMessages.ServiceViewRequest ask, ControlMessages.ServiceViewResponse reply) {
+        if (!ask.acceptsDeflated() || reply.views().stream().noneMatch(ViewCompression::isWorthwhile)) {
             return reply;
         }
         List<ServiceView> views = new ArrayList<>();
@@ -41,11 +42,12 @@
                 views.add(view);
             }
         }
-        return new ControlMessages.ViewReply(views, reply.ages(), reply.coreEpoch(), deflated);
+        return new ControlMessages.ServiceViewResponse(views, reply.ages(), reply.coreEpoch(), deflated);
     }
 
     /** The reply as it was before it was packed; fails with BAD_REQUEST if the bytes cannot be inflated. */
-    public static ControlMessages.ViewReply unpack(ControlMessages.ViewReply reply) throws ServiceException {
+    public static ControlMessages.ServiceViewResponse unpack(ControlMessages.ServiceViewResponse reply)
+            throws ServiceException {
         if (reply.deflated().isEmpty()) {
             return reply;
         }
@@ -57,7 +59,7 @@
                             ? view
                             : view.withConfiguration(view.version(), inflate(bytes), view.configurationVersion()));
         }
-        return new ControlMessages.ViewReply(views, reply.ages(), reply.coreEpoch());
+        return new ControlMessages.ServiceViewResponse(views, reply.ages(), reply.coreEpoch());
     }
 
     private static boolean isWorthwhile(ServiceView view) {
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -12,30 +12,30 @@
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.LockedShard;
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 
 /** A node's views of services, each with the proven age of its confirmation: design 7. */
 public final class ViewSubscriptions {
-    public static final Duration FRESH = Duration.ofSeconds(2);
-    private static final Duration PERIOD = Duration.ofMillis(250);
-    private static final Duration INTEREST = Duration.ofSeconds(5);
-    private static final Duration HOME_ASK = Duration.ofMillis(300);
-    private static final Duration HURRY = Duration.ofMillis(100);
-    private static final Duration DISTRUST = Duration.ofSeconds(1);
-
-    private final Env env;
+    public static final Duration MAX_AGE = Duration.ofSeconds(2);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
+    private static final Duration INTEREST_TTL = Duration.ofSeconds(5);
+    private static final Duration HOME_REQUEST_TIMEOUT = Duration.ofMillis(300);
+    private static final Duration EARLY_POLL_LIMIT = Duration.ofMillis(100);
+    private static final Duration HOME_BYPASS = Duration.ofSeconds(1);
+
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final String zone;
     private final LockedShard shard = new LockedShard();
     private final ViewCompression compression = new ViewCompression();
-    private final Map<String, Followed> all = new HashMap<>();
+    private final Map<String, SubscribedView> subscriptions = new HashMap<>();
     private final List<BiConsumer<String, ServiceView>> listeners = new ArrayList<>();
     private TimerHandle polling = () -> {};
 
-    public ViewSubscriptions(Env env, CoreClient core, String zone) {
+    public ViewSubscriptions(NodeEnvironment env, CoreClient core, String zone) {
         this.env = env;
         this.core = core;
         this.zone = zone;
@@ -43,9 +43,9 @@
 
     public void start() {
         List.of(ServiceNames.CONFIGURATION, ServiceNames.INTAKES, ServiceNames.STORES)
-                .forEach(this::always);
+                .forEach(this::subscribe);
         poll();
-        polling = env.schedules().every(PERIOD, this::poll);
+        polling = env.timers().every(POLL_INTERVAL, this::poll);
     }
 
     public void stop() {
@@ -56,33 +56,33 @@
         listeners.add(l);
     }
 
-    public void always(String service) {
-        shard.run(() -> all.computeIfAbsent(service, Followed::new).always = true);
+    public void subscribe(String service) {
+        shard.run(() -> subscriptions.computeIfAbsent(service, SubscribedView::new).permanent = true);
     }
 
     /** The view if its age is proven to be under the limit; empty otherwise. Wants the service from now on. */
     public Optional<ServiceView> fresh(String service) {
         return shard.get(() -> {
-            Followed f = want(service);
-            boolean ok = f.any && age(f).compareTo(FRESH) < 0;
+            SubscribedView f = touch(service);
+            boolean ok = f.received && age(f).compareTo(MAX_AGE) < 0;
             return ok ? Optional.of(f.view) : Optional.empty();
         });
     }
 
     /** Whatever is known, however old; only for guesses that are checked elsewhere. */
     public ServiceView latest(String service) {
-        return shard.get(() -> want(service).view);
+        return shard.get(() -> touch(service).view);
     }
 
     /** ControlMessages the core for one service at once, when waiting for the next poll would refuse somebody. */
-    public void hurry(String service) {
+    public void pollSoon(String service) {
         Map<String, Long> known = shard.get(() -> {
-            Followed f = want(service);
-            if (!f.hurried.isZero() && now().minus(f.hurried).compareTo(HURRY) < 0) {
+            SubscribedView f = touch(service);
+            if (!f.lastEarlyPoll.isZero() && now().minus(f.lastEarlyPoll).compareTo(EARLY_POLL_LIMIT) < 0) {
                 return Map.<String, Long>of();
             }
-            f.hurried = now();
-            return Map.of(service, f.any ? f.view.version() : -1L);
+            f.lastEarlyPoll = now();
+            return Map.of(service, f.received ? f.view.version() : -1L);
         });
         if (!known.isEmpty()) {
             fetch(service, known);
@@ -99,27 +99,27 @@
 
     private void fetch(String service, Map<String, Long> known) {
         Duration sent = now();
-        askCore(ServiceNames.controlPart(service), known).subscribe(r -> took(r, sent), e -> {});
+        pollCore(ServiceNames.controlPart(service), known).subscribe(r -> adopt(r, sent), e -> {});
     }
 
-    private Followed want(String service) {
-        Followed f = all.computeIfAbsent(service, Followed::new);
-        f.wantedUntil = now().plus(INTEREST);
+    private SubscribedView touch(String service) {
+        SubscribedView f = subscriptions.computeIfAbsent(service, SubscribedView::new);
+        f.interestUntil = now().plus(INTEREST_TTL);
         return f;
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
-    private Duration age(Followed f) {
+    private Duration age(SubscribedView f) {
         return now().minus(f.confirmed);
     }
 
-    private Optional<String> home(String service) {
+    private Optional<String> homeNode(String service) {
         Map<String, MemberLease> members = new HashMap<>(members(ServiceNames.INTAKES));
         members.putAll(members(ServiceNames.STORES));
-        return ServiceNames.draw(
+        return ServiceNames.rendezvousOwner(
                 "home/" + ServiceNames.controlPart(service),
                 members.entrySet().stream()
                         .filter(e -> e.getValue().zone().equals(zone))
@@ -128,88 +128,96 @@
     }
 
     private Map<String, MemberLease> members(String role) {
-        return Optional.ofNullable(all.get(role)).map(f -> f.view.members()).orElse(Map.of());
+        return Optional.ofNullable(subscriptions.get(role))
+                .map(f -> f.view.members())
+                .orElse(Map.of());
     }
 
     private void poll() {
         Map<String, Map<String, Long>> byHome = new HashMap<>();
         Map<String, Map<String, Long>> byPart = new HashMap<>();
         shard.run(() -> {
-            all.values().removeIf(f -> !f.always && now().compareTo(f.wantedUntil) > 0);
-            all.forEach((s, f) -> {
-                Optional<String> home = home(s);
+            subscriptions.values().removeIf(f -> !f.permanent && now().compareTo(f.interestUntil) > 0);
+            subscriptions.forEach((s, f) -> {
+                Optional<String> home = homeNode(s);
                 // the first view after a start comes from the core: a home may know less than we knew before. design
                 // 7.1
-                boolean direct =
-                        !f.any || home.isEmpty() || home.get().equals(env.self()) || now().compareTo(f.directUntil) < 0;
+                boolean direct = !f.received
+                        || home.isEmpty()
+                        || home.get().equals(env.self())
+                        || now().compareTo(f.bypassHomeUntil) < 0;
                 (direct
                                 ? byPart.computeIfAbsent(ServiceNames.controlPart(s), k -> new HashMap<>())
                                 : byHome.computeIfAbsent(home.get(), k -> new HashMap<>()))
-                        .put(s, f.any ? f.view.version() : -1L);
+                        .put(s, f.received ? f.view.version() : -1L);
             });
         });
         byPart.forEach((part, known) -> {
             Duration sent = now();
-            askCore(part, known)
+            pollCore(part, known)
                     .subscribe(
                             r -> {
-                                took(r, sent);
-                                core.seenEpoch(r.coreEpoch(), core.guess(part));
+                                adopt(r, sent);
+                                core.onEpochSeen(r.coreEpoch(), core.likelyLeader(part));
                             },
                             e -> {});
         });
         byHome.forEach((home, known) -> {
             Duration sent = now();
             env.rpc()
-                    .ask(home, new ControlMessages.ViewAsk(known), ControlMessages.ViewReply.class, HOME_ASK)
+                    .call(
+                            home,
+                            new ControlMessages.ServiceViewRequest(known),
+                            ControlMessages.ServiceViewResponse.class,
+                            HOME_REQUEST_TIMEOUT)
                     .flatMap(ViewSubscriptions::unpacked)
                     .subscribe(
                             r -> {
-                                took(r, sent);
-                                core.seenEpoch(r.coreEpoch(), home);
-                                distrust(known, r);
+                                adopt(r, sent);
+                                core.onEpochSeen(r.coreEpoch(), home);
+                                bypassHome(known, r);
                             },
-                            e -> distrust(known, new ControlMessages.ViewReply(List.of(), Map.of(), 0)));
+                            e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
         });
     }
 
-    private Mono<ControlMessages.ViewReply> askCore(String part, Map<String, Long> known) {
-        return core.ask(part, new ControlMessages.ViewAsk(known), ControlMessages.ViewReply.class)
+    private Mono<ControlMessages.ServiceViewResponse> pollCore(String part, Map<String, Long> known) {
+        return core.ask(part, new ControlMessages.ServiceViewRequest(known), ControlMessages.ServiceViewResponse.class)
                 .flatMap(ViewSubscriptions::unpacked);
     }
 
-    private static Mono<ControlMessages.ViewReply> unpacked(ControlMessages.ViewReply reply) {
+    private static Mono<ControlMessages.ServiceViewResponse> unpacked(ControlMessages.ServiceViewResponse reply) {
         return Mono.fromCallable(() -> ViewCompression.unpack(reply));
     }
 
     /** A home that does not serve, or serves old subscriptions, is passed over for a while. */
-    private void distrust(Map<String, Long> asked, ControlMessages.ViewReply r) {
+    private void bypassHome(Map<String, Long> asked, ControlMessages.ServiceViewResponse r) {
         shard.run(() -> asked.keySet().forEach(s -> {
-            Duration age = r.ages().getOrDefault(s, FRESH);
-            Optional.ofNullable(all.get(s)).ifPresent(f -> {
-                if (age.compareTo(FRESH.dividedBy(2)) > 0) {
-                    f.directUntil = now().plus(DISTRUST);
+            Duration age = r.ages().getOrDefault(s, MAX_AGE);
+            Optional.ofNullable(subscriptions.get(s)).ifPresent(f -> {
+                if (age.compareTo(MAX_AGE.dividedBy(2)) > 0) {
+                    f.bypassHomeUntil = now().plus(HOME_BYPASS);
                 }
             });
         }));
     }
 
-    private void took(ControlMessages.ViewReply r, Duration sent) {
+    private void adopt(ControlMessages.ServiceViewResponse r, Duration sent) {
         Map<String, ServiceView> views = new HashMap<>();
         r.views().forEach(v -> views.put(v.service(), v));
         List<ServiceView> changed = new ArrayList<>();
         shard.run(() -> r.ages()
-                .forEach((s, age) -> Optional.ofNullable(all.get(s)).ifPresent(f -> {
+                .forEach((s, age) -> Optional.ofNullable(subscriptions.get(s)).ifPresent(f -> {
                     ServiceView v = views.getOrDefault(s, f.view);
-                    if (f.any && v.version() < f.view.version()) {
+                    if (f.received && v.version() < f.view.version()) {
                         return;
                     }
-                    if (!f.any && !views.containsKey(s)) {
+                    if (!f.received && !views.containsKey(s)) {
                         return;
                     }
-                    if (!f.any || v.version() > f.view.version()) {
+                    if (!f.received || v.version() > f.view.version()) {
                         f.view = v;
-                        f.any = true;
+                        f.received = true;
                         changed.add(v);
                     }
                     Duration at = sent.minus(age);
@@ -219,24 +227,25 @@
     }
 
     /** As a home node: what is held, with its age; what is not held yet is followed from now on. */
-    public Mono<ControlMessages.ViewReply> asked(ControlMessages.ViewAsk ask) {
-        return Mono.fromSupplier(() -> held(ask)).map(reply -> compression.pack(ask, reply));
+    public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest ask) {
+        return Mono.fromSupplier(() -> byService(ask)).map(reply -> compression.pack(ask, reply));
     }
 
-    private ControlMessages.ViewReply held(ControlMessages.ViewAsk ask) {
+    private ControlMessages.ServiceViewResponse byService(ControlMessages.ServiceViewRequest ask) {
         return shard.get(() -> {
             List<ServiceView> views = new ArrayList<>();
             Map<String, Duration> ages = new HashMap<>();
-            ask.known().forEach((s, version) -> {
-                Followed f = want(s);
-                if (f.any && age(f).compareTo(FRESH) < 0) {
+            ask.knownVersions().forEach((s, version) -> {
+                SubscribedView f = touch(s);
+                if (f.received && age(f).compareTo(MAX_AGE) < 0) {
                     ages.put(s, age(f));
                     if (f.view.version() != version) {
                         views.add(f.view);
                     }
                 }
             });
-            return new ControlMessages.ViewReply(views, ages, core.members().epoch());
+            return new ControlMessages.ServiceViewResponse(
+                    views, ages, core.members().epoch());
         });
     }
 }
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -32,12 +32,12 @@
     private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
     private final String address;
     private final int maxBody;
-    private final Function<Request, Mono<Answer>> app;
+    private final Function<Request, Mono<Response>> app;
     private final ChannelGroup streams = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private volatile boolean closing;
     private DisposableServer server;
 
-    public HttpGateway(String address, int maxBody, Function<Request, Mono<Answer>> app) {
+    public HttpGateway(String address, int maxBody, Function<Request, Mono<Response>> app) {
         this.address = address;
         this.maxBody = maxBody;
         this.app = app;
@@ -59,7 +59,7 @@
                     .idleTimeout(IDLE_TIMEOUT)
                     .channelGroup(streams)
                     .doOnChannelInit((o, c, a) ->
-                            c.pipeline().addAfter(NettyPipeline.HttpCodec, "broken", new MalformedRequest()))
+                            c.pipeline().addAfter(NettyPipeline.HttpCodec, "broken", new MalformedRequestHandler()))
                     .handle(this::serve)
                     .bindNow(BIND_TIMEOUT);
         } catch (RuntimeException e) {
@@ -78,15 +78,15 @@
                             "gate: {} {} ended as {}: {}",
                             in.method(),
                             in.uri(),
-                            f.kind().word(),
+                            f.kind().wireName(),
                             f.getMessage());
-                    return Mono.just(Answer.of(f));
+                    return Mono.just(Response.of(f));
                 })
                 .flatMap(a -> {
                     out.status(a.status());
                     a.headers().forEach(out::header);
                     out.header("Content-Length", Integer.toString(a.body().length));
-                    if (closing || MalformedRequest.is(in)) {
+                    if (closing || MalformedRequestHandler.is(in)) {
                         out.header("Connection", "close");
                     }
                     return out.send(Mono.just(Unpooled.wrappedBuffer(a.body()))).then();
@@ -109,7 +109,7 @@
                     return all;
                 })
                 .onErrorMap(reactor.core.Exceptions::unwrap)
-                .flatMap(b -> MalformedRequest.is(in)
+                .flatMap(b -> MalformedRequestHandler.is(in)
                         ? Mono.error(new ServiceException(ErrorKind.BAD_REQUEST, "The request cannot be read whole."))
                         : Mono.just(b));
     }
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequest.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -12,7 +12,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 
 /** Notes on a stream that what came cannot be decoded: the server then ends the body as if it were whole. */
-final class MalformedRequest extends ChannelInboundHandlerAdapter {
+final class MalformedRequestHandler extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<Boolean> KEY = AttributeKey.valueOf("woadvale.broken");
 
     static boolean is(HttpServerRequest in) {
--- a/common/src/main/java/org/woadvale/common/http/Answer.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -8,24 +8,24 @@
 import org.woadvale.common.runtime.ServiceException;
 
 /** An HTTP answer, free of any HTTP library so that the simulator sees what a caller sees. */
-public record Answer(int status, Map<String, String> headers, byte[] body) {
-    public static Answer json(int status, Object body) {
-        return new Answer(status, Map.of("Content-Type", "application/json"), Configurations.write(body));
+public record Response(int status, Map<String, String> headers, byte[] body) {
+    public static Response json(int status, Object body) {
+        return new Response(status, Map.of("Content-Type", "application/json"), Configurations.write(body));
     }
 
-    public Answer with(String header, String value) {
+    public Response with(String header, String value) {
         Map<String, String> h = new LinkedHashMap<>(headers);
         h.put(header, value);
-        return new Answer(status, h, body);
+        return new Response(status, h, body);
     }
 
     /** The table from kind to answer is ErrorKind itself. */
-    public static Answer of(ServiceException f) {
+    public static Response of(ServiceException f) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("kind", f.kind().word());
+        body.put("kind", f.kind().wireName());
         body.put("message", String.valueOf(f.getMessage()));
         body.put("details", f.details());
-        Answer a = json(f.kind().status(), body);
+        Response a = json(f.kind().status(), body);
         return retryAfter(f).map(s -> a.with("Retry-After", s)).orElse(a);
     }
 
--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -12,29 +12,34 @@
 public final class ControlMessages {
     private ControlMessages() {}
 
-    public record LeaseAsk(String service, String node, MemberLease memberLease) implements RepeatableRequest {}
+    public record RenewLeaseRequest(String service, String node, MemberLease memberLease)
+            implements RepeatableRequest {}
 
-    public record LeaveAsk(String service, String node) implements RepeatableRequest {}
+    public record LeaveRequest(String service, String node) implements RepeatableRequest {}
 
     /**
      * Renews the duty in its term, and does nothing if another term is the present one. A term of 0 stands for the duty;
      * sent again as it was, it has the outcome of its first copy, told by the request id. design 6.11
      */
-    public record DutyAsk(
+    public record SingletonLeaseRequest(
             String service,
             String node,
             long term,
             @Since(4) long requestId) implements RepeatableRequest {}
 
-    public record DutyReply(boolean yours, LeaderDuty duty) {}
+    public record SingletonLeaseResponse(
+            @FirstFormatName("yours") boolean granted,
+            @FirstFormatName("duty") SingletonLease lease) {}
 
-    public record DutyRelease(String service, String node, long term, double level) implements RepeatableRequest {}
+    public record ReleaseSingletonRequest(String service, String node, long term, double level)
+            implements RepeatableRequest {}
 
-    public record Done(boolean ok) {}
+    public record UpdateResult(boolean accepted) {}
 
     /** Versions known by the asker; -1 for none. It may read deflated configurations. */
-    public record ViewAsk(Map<String, Long> known, @Since(4) boolean inflates) implements RepeatableRequest {
-        public ViewAsk(Map<String, Long> known) {
+    public record ServiceViewRequest(
+            Map<String, Long> knownVersions, @Since(4) boolean acceptsDeflated) implements RepeatableRequest {
+        public ServiceViewRequest(Map<String, Long> known) {
             this(known, true);
         }
     }
@@ -44,21 +49,21 @@
      * core's members that the answering process knows. A configuration that travels deflated, by service, is
      * empty in its view.
      */
-    public record ViewReply(
+    public record ServiceViewResponse(
             List<ServiceView> views,
             Map<String, Duration> ages,
             @Since(3) long coreEpoch,
             @Since(4) Map<String, byte[]> deflated) {
-        public ViewReply(List<ServiceView> views, Map<String, Duration> ages, long coreEpoch) {
+        public ServiceViewResponse(List<ServiceView> views, Map<String, Duration> ages, long coreEpoch) {
             this(views, ages, coreEpoch, Map.of());
         }
     }
 
-    public record CoreAsk(boolean any) implements RepeatableRequest {}
+    public record CoreMembersRequest(boolean any) implements RepeatableRequest {}
 
     /** The members of the core; the epoch tells which of two lists is newer, 0 for a list by hearsay. design 6.10 */
-    public record CoreReply(
-            List<String> lighthouses, @Since(3) long epoch) {}
+    public record CoreMembersResponse(
+            List<String> members, @Since(3) long epoch) {}
 
     // commands in the logs of control parts
     public record PutMember(
@@ -73,25 +78,25 @@
             String service,
             String id,
             Processor processor,
-            @Since(2) long seen,
+            @Since(2) long expectedVersion,
             @Since(4) long requestId) implements RepeatableRequest {}
 
     public record DropProcessor(
             String service,
             String id,
-            @Since(2) long seen,
+            @Since(2) long expectedVersion,
             @Since(4) long requestId) implements RepeatableRequest {}
 
-    public record TakeDuty(
+    public record AcquireSingleton(
             String service,
             String node,
             long expectedTerm,
             @Since(2) boolean lapsed,
             @Since(4) long requestId) {}
 
-    public record ReleaseDuty(String service, String node, long term, double level) {}
+    public record ReleaseSingleton(String service, String node, long term, double level) {}
 
-    public record Place(Map<String, List<String>> placement, long expectedVersion) {}
+    public record PutPlacement(Map<String, List<String>> placement, long expectedVersion) {}
 
     /** A revision of the operator's own, if not 0, becomes the version; the original is kept and given back. design 6.8 */
     public record PutConfiguration(
@@ -110,28 +115,28 @@
     public record PutProcessors(
             String service,
             Map<String, Processor> processors,
-            long seen,
-            @Since(4) long requestId) implements RepeatableRequest {}
+            @FirstFormatName("seen") long expectedVersion,
+            @Since(4) long requestId)
+            implements RepeatableRequest {}
 
     /** A number for a call that may be sent again; the control partitions answer its repeats alike. design 6.11 */
     public static long newRequestId() {
         return UUID.randomUUID().getMostSignificantBits();
     }
 
-    public record ConfigurationTaken(long version, boolean repeated) {}
+    public record ConfigurationAccepted(long version, boolean repeated) {}
 
     /** One control node for another: the whole list as it should be. */
-    public record PutCore(
-            List<String> lighthouses, @Since(2) List<String> instead) implements RepeatableRequest {}
+    public record PutCore(List<String> members, @Since(2) List<String> expected) implements RepeatableRequest {}
 
     /** Tells a store that the placement has a newer version, which it need not find out by its next poll. */
     public record PlacementChanged(long version) implements RepeatableRequest {}
 
     /** A control machine tells the leader of the core's list that it runs, so that it may take a lost member's place. */
-    public record StandbyAsk(String node, String zone) implements RepeatableRequest {}
+    public record AnnounceStandbyRequest(String node, String zone) implements RepeatableRequest {}
 
     /** A member is about to stop; the answer says whether it should stay until its successor counts everywhere. */
-    public record LeaveCoreAsk(String node) implements RepeatableRequest {}
+    public record LeaveCoreRequest(String node) implements RepeatableRequest {}
 
     /** Taken only while the list has the epoch that the change was made from. design 6.10 */
     public record ChangeCore(List<String> members, long epoch) {}
@@ -140,8 +145,8 @@
     public static List<Class<?>> later() {
         return List.of(
                 PutProcessors.class,
-                StandbyAsk.class,
-                LeaveCoreAsk.class,
+                AnnounceStandbyRequest.class,
+                LeaveCoreRequest.class,
                 ChangeCore.class,
                 LedGroup.class,
                 PlacementChanged.class);
@@ -149,28 +154,28 @@
 
     public static List<Class<?>> types() {
         return List.of(
-                LeaseAsk.class,
-                LeaveAsk.class,
-                DutyAsk.class,
-                DutyReply.class,
-                DutyRelease.class,
-                Done.class,
-                ViewAsk.class,
-                ViewReply.class,
-                CoreAsk.class,
-                CoreReply.class,
+                RenewLeaseRequest.class,
+                LeaveRequest.class,
+                SingletonLeaseRequest.class,
+                SingletonLeaseResponse.class,
+                ReleaseSingletonRequest.class,
+                UpdateResult.class,
+                ServiceViewRequest.class,
+                ServiceViewResponse.class,
+                CoreMembersRequest.class,
+                CoreMembersResponse.class,
                 PutMember.class,
                 DropMember.class,
                 PutProcessor.class,
                 DropProcessor.class,
-                TakeDuty.class,
-                ReleaseDuty.class,
-                Place.class,
+                AcquireSingleton.class,
+                ReleaseSingleton.class,
+                PutPlacement.class,
                 PutConfiguration.class,
-                ConfigurationTaken.class,
+                ConfigurationAccepted.class,
                 MemberLease.class,
                 Processor.class,
-                LeaderDuty.class,
+                SingletonLease.class,
                 ServiceView.class,
                 PutCore.class);
     }
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -18,13 +18,13 @@
 
 /** A process's way to the owners of the control parts, who are found by asking. */
 public final class CoreClient {
-    private static final int TRIES = 5;
-    private static final Duration EACH = Duration.ofMillis(700);
+    private static final int ATTEMPTS = 5;
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(700);
     private final RpcClient rpc;
     private final LongSupplier random;
     private volatile List<String> seeds;
-    private final Consumer<CoreMembers> remember;
-    private final Map<String, String> owners = new ConcurrentHashMap<>();
+    private final Consumer<CoreMembers> persist;
+    private final Map<String, String> leaderHints = new ConcurrentHashMap<>();
     private final AtomicReference<CoreMembers> members;
 
     public CoreClient(
@@ -32,11 +32,11 @@
         this.rpc = rpc;
         this.random = random;
         this.seeds = List.copyOf(seeds);
-        this.remember = remember;
+        this.persist = remember;
         this.members = new AtomicReference<>(known.members().isEmpty() ? new CoreMembers(0, seeds) : known);
     }
 
-    public List<String> lighthouses() {
+    public List<String> controlNodes() {
         return members.get().members();
     }
 
@@ -46,16 +46,16 @@
     }
 
     /** What this process answers to whoever asks for the members of the core. */
-    public ControlMessages.CoreReply reply() {
+    public ControlMessages.CoreMembersResponse membersResponse() {
         CoreMembers known = members.get();
-        return new ControlMessages.CoreReply(known.members(), known.epoch());
+        return new ControlMessages.CoreMembersResponse(known.members(), known.epoch());
     }
 
     /** Takes a list that is newer than the known one; an older one, or one by hearsay, changes nothing. design 6.10 */
-    public void known(CoreMembers heard) {
+    public void adopt(CoreMembers heard) {
         CoreMembers before = members.getAndUpdate(now -> now.later(heard));
         if (before.later(heard) != before) {
-            remember.accept(members.get());
+            persist.accept(members.get());
         }
     }
 
@@ -65,53 +65,60 @@
     }
 
     /** Any process answers who the control nodes are; so the seeds may be down later. */
-    public void learn() {
-        List<String> from = new ArrayList<>(new TreeSet<>(lighthouses()));
+    public void refreshMembers() {
+        List<String> from = new ArrayList<>(new TreeSet<>(controlNodes()));
         from.addAll(seeds);
         String n = from.get((int) Math.floorMod(random.getAsLong(), (long) from.size()));
         if (!n.equals(rpc.self())) {
-            learnFrom(n);
+            refreshMembersFrom(n);
         }
     }
 
     /** An answer of that process showed that it knows a list of that epoch: asked for it if it is newer than ours. */
-    public void seenEpoch(long epoch, String process) {
+    public void onEpochSeen(long epoch, String process) {
         if (epoch > members.get().epoch()) {
-            learnFrom(process);
+            refreshMembersFrom(process);
         }
     }
 
-    private void learnFrom(String process) {
-        rpc.ask(process, new ControlMessages.CoreAsk(true), ControlMessages.CoreReply.class, EACH)
-                .subscribe(r -> known(new CoreMembers(r.epoch(), r.lighthouses())), e -> {});
+    private void refreshMembersFrom(String process) {
+        rpc.call(
+                        process,
+                        new ControlMessages.CoreMembersRequest(true),
+                        ControlMessages.CoreMembersResponse.class,
+                        ATTEMPT_TIMEOUT)
+                .subscribe(r -> adopt(new CoreMembers(r.epoch(), r.members())), e -> {});
     }
 
-    public String guess(String part) {
-        List<String> all = lighthouses();
-        return owners.getOrDefault(part, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
+    public String likelyLeader(String part) {
+        List<String> all = controlNodes();
+        return leaderHints.getOrDefault(part, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
     }
 
     /** Sends the request up to five times, also while the outcome of an earlier sending is unknown. */
     public <T> Mono<T> ask(String part, RepeatableRequest request, Class<T> type) {
-        return attempt(part, request, type, guess(part), TRIES);
+        return attempt(part, request, type, likelyLeader(part), ATTEMPTS);
     }
 
     private <T> Mono<T> attempt(String part, RepeatableRequest body, Class<T> type, String to, int left) {
-        return rpc.ask(to, body, type, EACH).doOnNext(t -> owners.put(part, to)).onErrorResume(e -> {
-            ServiceException f = ServiceException.of(e);
-            owners.remove(part, to);
-            if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(f.kind()) || left <= 1) {
-                return Mono.error(f);
-            }
-            String next = f.kind() == ErrorKind.NOT_OWNER && !f.details().isEmpty()
-                    ? f.details().get(0)
-                    : other(to);
-            return attempt(part, body, type, next, left - 1);
-        });
+        return rpc.call(to, body, type, ATTEMPT_TIMEOUT)
+                .doOnNext(t -> leaderHints.put(part, to))
+                .onErrorResume(e -> {
+                    ServiceException f = ServiceException.of(e);
+                    leaderHints.remove(part, to);
+                    if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(f.kind()) || left <= 1) {
+                        return Mono.error(f);
+                    }
+                    String next =
+                            f.kind() == ErrorKind.NOT_OWNER && !f.details().isEmpty()
+                                    ? f.details().get(0)
+                                    : nextNode(to);
+                    return attempt(part, body, type, next, left - 1);
+                });
     }
 
-    private String other(String not) {
-        List<String> rest = new ArrayList<>(lighthouses());
+    private String nextNode(String not) {
+        List<String> rest = new ArrayList<>(controlNodes());
         rest.remove(not);
         return rest.isEmpty() ? not : rest.get((int) Math.floorMod(random.getAsLong(), (long) rest.size()));
     }
--- a/common/src/main/java/org/woadvale/common/membership/LedGroup.java
+++ b/common/src/main/java/org/woadvale/common/membership/LedGroup.java
@@ -7,6 +7,6 @@
  *
  * @param term the leader's term; of two reports the one of the higher term holds
  * @param members the committed members, sorted
- * @param settled no change is under way, and each member has been brought up to date under its present identity
+ * @param stable no change is under way, and each member has been brought up to date under its present identity
  */
-public record LedGroup(long term, List<String> members, boolean settled) {}
+public record LedGroup(long term, List<String> members, boolean stable) {}
--- a/common/src/main/java/org/woadvale/common/membership/Wire.java
+++ b/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.ratelimit.AdmissionTokens;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.ratelimit.TokenMessages;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.rpc.Codec;
 
 /** The numbers of the types on inner streams; in each list, only ever add at the end. design 3.2 */
-public final class Wire {
-    public static final int LIGHTHOUSE = 300;
-    public static final int PILOT = 400;
+public final class RpcTypeNumbers {
+    public static final int CONTROL_PLANE = 300;
+    public static final int DATA_PLANE = 400;
     private static final int SHARED = 100;
     private static final int SNAPSHOTS = 250;
 
-    private Wire() {}
+    private RpcTypeNumbers() {}
 
     public static Codec codec(int ownFirst, List<Class<?>> own) {
         return new Codec(numbers(ownFirst, own));
@@ -24,9 +24,9 @@
     /** The types of a program by the number of the first of each list. */
     public static Map<Integer, List<Class<?>>> numbers(int ownFirst, List<Class<?>> own) {
         List<Class<?>> shared = new ArrayList<>();
-        shared.addAll(Messages.types());
+        shared.addAll(ReplicationMessages.types());
         shared.addAll(ControlMessages.types());
-        shared.addAll(AdmissionTokens.types());
+        shared.addAll(TokenMessages.types());
         shared.addAll(ControlMessages.later());
         return Map.of(SHARED, shared, SNAPSHOTS, SnapshotMessages.types(), ownFirst, own);
     }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -54,7 +54,7 @@
     }
 
     /** Rendezvous draw: losing a node moves only what it had. */
-    public static Optional<String> draw(String what, Collection<String> nodes) {
+    public static Optional<String> rendezvousOwner(String what, Collection<String> nodes) {
         return nodes.stream()
                 .max(Comparator.<String>comparingLong(n -> mix64(what, n)).thenComparing(n -> n));
     }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceView.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceView.java
@@ -10,36 +10,43 @@
         long version,
         @FirstFormatName("seats") Map<String, MemberLease> members,
         Map<String, Processor> processors,
-        LeaderDuty duty,
+        @FirstFormatName("duty") SingletonLease singleton,
         Map<String, List<String>> placement,
         @FirstFormatName("layout") byte[] configuration,
         @FirstFormatName("layoutVersion") long configurationVersion) {
     public static ServiceView blank(String service) {
-        return new ServiceView(service, 0, Map.of(), Map.of(), LeaderDuty.never(), Map.of(), new byte[0], 0);
+        return new ServiceView(service, 0, Map.of(), Map.of(), SingletonLease.none(), Map.of(), new byte[0], 0);
     }
 
     public ServiceView withMembers(long newVersion, Map<String, MemberLease> newMembers) {
         return new ServiceView(
-                service, newVersion, newMembers, processors, duty, placement, configuration, configurationVersion);
+                service, newVersion, newMembers, processors, singleton, placement, configuration, configurationVersion);
     }
 
     public ServiceView withProcessors(long newVersion, Map<String, Processor> newProcessors) {
         return new ServiceView(
-                service, newVersion, members, newProcessors, duty, placement, configuration, configurationVersion);
+                service, newVersion, members, newProcessors, singleton, placement, configuration, configurationVersion);
     }
 
-    public ServiceView withDuty(long newVersion, LeaderDuty newDuty) {
+    public ServiceView withSingleton(long newVersion, SingletonLease newDuty) {
         return new ServiceView(
                 service, newVersion, members, processors, newDuty, placement, configuration, configurationVersion);
     }
 
     public ServiceView withPlacement(long newVersion, Map<String, List<String>> newPlacement) {
         return new ServiceView(
-                service, newVersion, members, processors, duty, newPlacement, configuration, configurationVersion);
+                service, newVersion, members, processors, singleton, newPlacement, configuration, configurationVersion);
     }
 
     public ServiceView withConfiguration(long newVersion, byte[] newConfiguration, long newConfigurationVersion) {
         return new ServiceView(
-                service, newVersion, members, processors, duty, placement, newConfiguration, newConfigurationVersion);
+                service,
+                newVersion,
+                members,
+                processors,
+                singleton,
+                placement,
+                newConfiguration,
+                newConfigurationVersion);
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -9,11 +9,11 @@
 
 /** The aggregate bucket of one duty term: design 8.2. */
 public final class AggregateBucket {
-    private static final int MOST = 1 << 20;
-    private static final Duration ACTIVE = Duration.ofSeconds(3);
+    private static final int MAX_GRANTS = 1 << 20;
+    private static final Duration ACTIVE_WINDOW = Duration.ofSeconds(3);
 
     private static final class Grant {
-        final String asker;
+        final String requester;
         final long id;
         final int granted;
         final Duration until;
@@ -21,7 +21,7 @@
         boolean closed;
 
         Grant(String asker, long id, int granted, Duration until) {
-            this.asker = asker;
+            this.requester = asker;
             this.id = id;
             this.granted = granted;
             this.until = until;
@@ -33,17 +33,17 @@
     }
 
     /** A node that asked lately; its first grants are small and double, so that one cannot empty the bucket. */
-    private record Asker(Duration last, int most) {}
+    private record Requester(Duration last, int largestRequest) {}
 
     private final long term;
     private final Bucket bucket;
     private final Map<String, Grant> byId = new HashMap<>();
     private final Deque<Grant> byEnd = new ArrayDeque<>();
-    private final Map<String, Asker> askers = new HashMap<>();
+    private final Map<String, Requester> requesters = new HashMap<>();
     /** What earlier terms may still have out, and until when. */
-    private double before;
+    private double formerOutstanding;
 
-    private final Duration beforeUntil;
+    private final Duration formerOutstandingUntil;
     private int outstanding;
 
     /**
@@ -54,17 +54,17 @@
         this.term = term;
         boolean first = term <= 1;
         double level = first ? a.burst() : Math.max(0, Math.min(a.burst(), handedLevel));
-        this.before = first || clear ? 0 : a.burst() - level;
-        this.beforeUntil = now.plus(AdmissionTokens.LIFE).plus(AdmissionTokens.MARGIN);
+        this.formerOutstanding = first || clear ? 0 : a.burst() - level;
+        this.formerOutstandingUntil = now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN);
         this.bucket = new Bucket(a, level, now);
     }
 
     private void fill(Duration to) {
-        if (before > 0 && to.compareTo(beforeUntil) >= 0) {
-            bucket.fill(beforeUntil, outstanding + before);
-            before = 0;
+        if (formerOutstanding > 0 && to.compareTo(formerOutstandingUntil) >= 0) {
+            bucket.fill(formerOutstandingUntil, outstanding + formerOutstanding);
+            formerOutstanding = 0;
         }
-        bucket.fill(to, outstanding + before);
+        bucket.fill(to, outstanding + formerOutstanding);
     }
 
     public long term() {
@@ -72,7 +72,7 @@
     }
 
     public double level(Duration now) {
-        settle(now);
+        expireGrants(now);
         return bucket.level();
     }
 
@@ -81,34 +81,34 @@
     }
 
     public int active() {
-        return Math.max(1, askers.size());
+        return Math.max(1, requesters.size());
     }
 
     public void change(RateLimit a, Duration now) {
-        settle(now);
+        expireGrants(now);
         bucket.change(a);
     }
 
     /** Step by step: the time in which passes were out is not counted as time of filling once they are dead. */
-    private void settle(Duration now) {
+    private void expireGrants(Duration now) {
         while (!byEnd.isEmpty() && byEnd.peek().until.compareTo(now) <= 0) {
             Grant g = byEnd.poll();
             fill(g.until);
             outstanding -= g.out();
-            byId.remove(g.asker + "/" + g.id);
+            byId.remove(g.requester + "/" + g.id);
         }
-        askers.values().removeIf(x -> now.minus(x.last()).compareTo(ACTIVE) > 0);
+        requesters.values().removeIf(x -> now.minus(x.last()).compareTo(ACTIVE_WINDOW) > 0);
         fill(now);
     }
 
-    private void report(String asker, AdmissionTokens.Report r) {
+    private void report(String asker, TokenMessages.UsageReport r) {
         Optional.ofNullable(byId.get(asker + "/" + r.grant()))
                 .filter(g -> !g.closed)
                 .ifPresent(g -> {
                     int before = g.out();
                     g.spent = Math.max(g.spent, Math.min(r.spent(), g.granted));
                     if (r.closed()) {
-                        bucket.giveBack(g.granted - g.spent);
+                        bucket.putBack(g.granted - g.spent);
                         g.closed = true;
                     }
                     outstanding += g.out() - before;
@@ -116,33 +116,37 @@
     }
 
     /** Idempotent by asker and grant id; never grants more than the aggregate holds, nor for longer than the lease. */
-    public AdmissionTokens.PassReply ask(String asker, AdmissionTokens.PassAsk a, Duration leaseEnd, Duration now) {
-        settle(now);
+    public TokenMessages.TokenResponse grant(
+            String asker, TokenMessages.TokenRequest a, Duration leaseEnd, Duration now) {
+        expireGrants(now);
         a.reports().forEach(r -> report(asker, r));
         fill(now);
         Duration left = leaseEnd.minus(now);
-        Duration life = left.compareTo(AdmissionTokens.LIFE) < 0 ? left : AdmissionTokens.LIFE;
+        Duration life = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
         Grant known = byId.get(asker + "/" + a.grant());
         if (known != null) {
-            return new AdmissionTokens.PassReply(a.grant(), known.granted, Duration.ZERO, term, life);
+            return new TokenMessages.TokenResponse(a.grant(), known.granted, Duration.ZERO, term, life);
         }
-        if (a.grant() == AdmissionTokens.NO_GRANT) {
-            return new AdmissionTokens.PassReply(a.grant(), 0, Duration.ZERO, term, life);
+        if (a.grant() == TokenMessages.NO_GRANT) {
+            return new TokenMessages.TokenResponse(a.grant(), 0, Duration.ZERO, term, life);
         }
-        int most = Optional.ofNullable(askers.get(asker)).map(Asker::most).orElse(1);
-        askers.put(asker, new Asker(now, Math.min(most * 2, MOST)));
+        int most = Optional.ofNullable(requesters.get(asker))
+                .map(Requester::largestRequest)
+                .orElse(1);
+        requesters.put(asker, new Requester(now, Math.min(most * 2, MAX_GRANTS)));
         // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted. design 8.3
-        RateLimit mine = bucket.allowance();
+        RateLimit mine = bucket.limit();
         int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / active());
-        int want = Math.max(Math.min(batch, most), a.least());
+        int want = Math.max(Math.min(batch, most), a.minimum());
         int n = (int) Math.min(want, Math.floor(bucket.level() + 1e-9));
         if (n <= 0 || !bucket.take(n)) {
-            return new AdmissionTokens.PassReply(a.grant(), 0, bucket.until(1), term, life);
+            return new TokenMessages.TokenResponse(a.grant(), 0, bucket.until(1), term, life);
         }
-        Grant g = new Grant(asker, a.grant(), n, now.plus(AdmissionTokens.LIFE).plus(AdmissionTokens.MARGIN));
+        Grant g = new Grant(
+                asker, a.grant(), n, now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
         byId.put(asker + "/" + a.grant(), g);
         byEnd.add(g);
         outstanding += n;
-        return new AdmissionTokens.PassReply(a.grant(), n, Duration.ZERO, term, life);
+        return new TokenMessages.TokenResponse(a.grant(), n, Duration.ZERO, term, life);
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
@@ -4,12 +4,12 @@
 
 /** A plain token bucket on a given clock; the base of every other bucket here. design 8.1 */
 public final class Bucket {
-    private RateLimit allowance;
+    private RateLimit limit;
     private double level;
     private Duration filled;
 
     public Bucket(RateLimit allowance, double level, Duration from) {
-        this.allowance = allowance;
+        this.limit = allowance;
         this.level = Math.min(level, allowance.burst());
         this.filled = from;
     }
@@ -19,17 +19,17 @@
     }
 
     public void change(RateLimit a) {
-        allowance = a;
+        limit = a;
         level = Math.min(level, a.burst());
     }
 
     /** Fills up to the burst less what is out; a time before the start of filling adds nothing. */
     public void fill(Duration now, double outstanding) {
         if (now.compareTo(filled) > 0) {
-            level += now.minus(filled).toNanos() / 1e9 * allowance.ratePerS();
+            level += now.minus(filled).toNanos() / 1e9 * limit.ratePerS();
             filled = now;
         }
-        level = Math.max(0, Math.min(level, allowance.burst() - outstanding));
+        level = Math.max(0, Math.min(level, limit.burst() - outstanding));
     }
 
     public boolean take(double n) {
@@ -40,7 +40,7 @@
         return true;
     }
 
-    public void giveBack(double n) {
+    public void putBack(double n) {
         level += n;
     }
 
@@ -48,13 +48,13 @@
         return level;
     }
 
-    public RateLimit allowance() {
-        return allowance;
+    public RateLimit limit() {
+        return limit;
     }
 
     /** How long until so many tokens are there, if nobody else takes any. */
     public Duration until(double n) {
         double missing = Math.max(0, n - level);
-        return Duration.ofNanos((long) (missing / allowance.ratePerS() * 1e9));
+        return Duration.ofNanos((long) (missing / limit.ratePerS() * 1e9));
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.woadvale.common.discovery.ViewSubscriptions;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.LockedShard;
 import org.woadvale.common.runtime.ServiceException;
@@ -18,26 +18,26 @@
 
 /** All local buckets of a node: asks ahead, and lets a few wait shortly on an empty one. design 8.3 */
 public final class LocalBuckets {
-    public static final Duration WAIT = Duration.ofMillis(250);
-    private static final Duration SEEN = Duration.ofSeconds(2);
-    private static final Duration ASK = Duration.ofMillis(200);
-    private static final Duration AGAIN = Duration.ofMillis(30);
-    private static final Duration TELL = Duration.ofMillis(100);
+    public static final Duration MAX_WAIT = Duration.ofMillis(250);
+    private static final Duration IDLE_AFTER = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(200);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(30);
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(100);
     private static final int MAX_WAITING = 256;
 
-    private record Waiting(Sinks.One<LocalBucket.Pass> sink, Duration until) {}
+    private record PendingAdmission(Sinks.One<LocalBucket.AdmissionToken> sink, Duration until) {}
 
-    private static final class Local {
+    private static final class BucketState {
         final LocalBucket localBucket = new LocalBucket();
-        final Deque<Waiting> waiting = new ArrayDeque<>();
-        Duration seen = Duration.ZERO;
+        final Deque<PendingAdmission> waiting = new ArrayDeque<>();
+        Duration lastUsed = Duration.ZERO;
         Duration notBefore = Duration.ZERO;
-        Duration retry = WAIT;
-        boolean asking;
+        Duration retry = MAX_WAIT;
+        boolean requestInFlight;
         /** Somebody wanted a pass and did not wait for it. */
-        boolean missed;
+        boolean requestLost;
 
-        Duration told = Duration.ZERO;
+        Duration lastReport = Duration.ZERO;
         long pending;
         Duration pendingSince = Duration.ZERO;
     }
@@ -45,52 +45,53 @@
     /** Counts for the measurements: drawn at once, after a wait, or not at all. */
     public record Counts(long atOnce, long waited, long throttled, long asks) {}
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final ViewSubscriptions subscriptions;
     private final LockedShard shard = new LockedShard();
-    private final Map<String, Local> all = new HashMap<>();
-    private TimerHandle looking = () -> {};
+    private final Map<String, BucketState> buckets = new HashMap<>();
+    private TimerHandle ticking = () -> {};
     private long nextGrant;
     private long atOnce;
     private long waited;
     private long throttled;
-    private long asks;
+    private long requests;
 
-    public LocalBuckets(Env env, ViewSubscriptions subscriptions) {
+    public LocalBuckets(NodeEnvironment env, ViewSubscriptions subscriptions) {
         this.env = env;
         this.subscriptions = subscriptions;
         this.nextGrant = env.random().getAsLong() >>> 8;
     }
 
     public void start() {
-        looking = env.schedules().every(Duration.ofMillis(25), this::look);
+        ticking = env.timers().every(Duration.ofMillis(25), this::onTick);
     }
 
     public void stop() {
-        looking.cancel();
+        ticking.cancel();
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
     /** At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one and by WAIT. */
-    public Mono<LocalBucket.Pass> take(String bucket, Duration wait) {
+    public Mono<LocalBucket.AdmissionToken> take(String bucket, Duration wait) {
         return Mono.defer(() -> shard.get(() -> {
-            Local l = all.computeIfAbsent(bucket, b -> new Local());
-            l.seen = now();
-            Optional<LocalBucket.Pass> p = l.waiting.isEmpty() ? l.localBucket.take(now()) : Optional.empty();
+            BucketState l = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            l.lastUsed = now();
+            Optional<LocalBucket.AdmissionToken> p = l.waiting.isEmpty() ? l.localBucket.take(now()) : Optional.empty();
             if (p.isPresent()) {
                 atOnce++;
                 refill(bucket, l);
                 return Mono.just(p.get());
             }
-            boolean hopeless = l.retry.compareTo(WAIT) > 0 && l.notBefore.compareTo(now()) > 0;
+            boolean hopeless = l.retry.compareTo(MAX_WAIT) > 0 && l.notBefore.compareTo(now()) > 0;
             if (l.waiting.size() >= MAX_WAITING || hopeless) {
                 throttled++;
                 return Mono.error(throttled(l));
             }
-            Waiting w = new Waiting(Sinks.one(), now().plus(wait.compareTo(WAIT) < 0 ? wait : WAIT));
+            PendingAdmission w =
+                    new PendingAdmission(Sinks.one(), now().plus(wait.compareTo(MAX_WAIT) < 0 ? wait : MAX_WAIT));
             l.waiting.add(w);
             refill(bucket, l);
             return w.sink().asMono();
@@ -98,131 +99,131 @@
     }
 
     /** Without any wait; for the leaving direction, where the next look tries again. */
-    public Optional<LocalBucket.Pass> tryTake(String bucket) {
+    public Optional<LocalBucket.AdmissionToken> tryTake(String bucket) {
         return shard.get(() -> {
-            Local l = all.computeIfAbsent(bucket, b -> new Local());
-            l.seen = now();
-            Optional<LocalBucket.Pass> p = l.localBucket.take(now());
+            BucketState l = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            l.lastUsed = now();
+            Optional<LocalBucket.AdmissionToken> p = l.localBucket.take(now());
             p.ifPresent(x -> atOnce++);
-            l.missed = p.isEmpty();
+            l.requestLost = p.isEmpty();
             refill(bucket, l);
             return p;
         });
     }
 
-    public boolean alive(LocalBucket.Pass p) {
+    public boolean isValid(LocalBucket.AdmissionToken p) {
         return now().compareTo(p.until()) < 0;
     }
 
-    public void putBack(String bucket, LocalBucket.Pass p) {
-        shard.run(() -> Optional.ofNullable(all.get(bucket)).ifPresent(l -> l.localBucket.putBack(p)));
+    public void returnToken(String bucket, LocalBucket.AdmissionToken p) {
+        shard.run(() -> Optional.ofNullable(buckets.get(bucket)).ifPresent(l -> l.localBucket.returnToken(p)));
     }
 
-    public void settle(String bucket, LocalBucket.Pass p) {
-        shard.run(() -> Optional.ofNullable(all.get(bucket)).ifPresent(l -> l.localBucket.settle(p)));
+    public void markSpent(String bucket, LocalBucket.AdmissionToken p) {
+        shard.run(() -> Optional.ofNullable(buckets.get(bucket)).ifPresent(l -> l.localBucket.markSpent(p)));
     }
 
-    private ServiceException throttled(Local l) {
+    private ServiceException throttled(BucketState l) {
         long s = Math.max(1, (l.retry.toMillis() + 999) / 1000);
         return new ServiceException(ErrorKind.THROTTLED, "The allowance is spent for now.", List.of(Long.toString(s)));
     }
 
-    private void look() {
-        shard.run(() -> all.forEach((b, l) -> {
-            serve(l);
+    private void onTick() {
+        shard.run(() -> buckets.forEach((b, l) -> {
+            servePending(l);
             while (!l.waiting.isEmpty() && now().compareTo(l.waiting.peek().until()) >= 0) {
-                Waiting w = l.waiting.poll();
+                PendingAdmission w = l.waiting.poll();
                 throttled++;
                 ServiceException f = throttled(l);
-                shard.leave(() -> w.sink().tryEmitError(f));
+                shard.afterUnlock(() -> w.sink().tryEmitError(f));
             }
-            if (now().minus(l.seen).compareTo(SEEN) < 0) {
+            if (now().minus(l.lastUsed).compareTo(IDLE_AFTER) < 0) {
                 refill(b, l);
                 report(b, l);
             }
         }));
     }
 
-    private void serve(Local l) {
+    private void servePending(BucketState l) {
         while (!l.waiting.isEmpty()) {
-            Optional<LocalBucket.Pass> p = l.localBucket.take(now());
+            Optional<LocalBucket.AdmissionToken> p = l.localBucket.take(now());
             if (p.isEmpty()) {
                 return;
             }
-            Waiting w = l.waiting.poll();
+            PendingAdmission w = l.waiting.poll();
             waited++;
-            shard.leave(() -> w.sink().tryEmitValue(p.get()));
+            shard.afterUnlock(() -> w.sink().tryEmitValue(p.get()));
         }
     }
 
-    private void refill(String bucket, Local l) {
-        boolean need = !l.waiting.isEmpty() || l.missed || (l.localBucket.low(now()) && !l.localBucket.tiny());
-        if (!need || l.asking || now().compareTo(l.notBefore) < 0) {
+    private void refill(String bucket, BucketState l) {
+        boolean need = !l.waiting.isEmpty() || l.requestLost || (l.localBucket.isLow(now()) && !l.localBucket.isTiny());
+        if (!need || l.requestInFlight || now().compareTo(l.notBefore) < 0) {
             return;
         }
         Optional<String> holder =
-                Optional.of(subscriptions.latest(bucket).duty().holder()).filter(h -> !h.isEmpty());
+                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
         if (holder.isEmpty()) {
-            l.notBefore = now().plus(AGAIN);
-            shard.leave(() -> subscriptions.hurry(bucket));
+            l.notBefore = now().plus(RETRY_PAUSE);
+            shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
             return;
         }
-        if (l.pending == 0 || now().minus(l.pendingSince).compareTo(AdmissionTokens.LIFE.dividedBy(2)) > 0) {
+        if (l.pending == 0 || now().minus(l.pendingSince).compareTo(TokenMessages.TOKEN_LIFETIME.dividedBy(2)) > 0) {
             l.pending = ++nextGrant;
             l.pendingSince = now();
         }
-        l.asking = true;
-        l.told = now();
-        asks++;
+        l.requestInFlight = true;
+        l.lastReport = now();
+        requests++;
         Duration since = l.pendingSince;
-        AdmissionTokens.PassAsk ask = new AdmissionTokens.PassAsk(
-                bucket, l.pending, Math.max(l.waiting.size(), l.missed ? 1 : 0), l.localBucket.reports(now()));
-        shard.leave(() -> env.rpc()
-                .ask(holder.get(), ask, AdmissionTokens.PassReply.class, ASK)
+        TokenMessages.TokenRequest ask = new TokenMessages.TokenRequest(
+                bucket, l.pending, Math.max(l.waiting.size(), l.requestLost ? 1 : 0), l.localBucket.reports(now()));
+        shard.afterUnlock(() -> env.rpc()
+                .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(
-                        r -> shard.run(() -> granted(bucket, l, r, since)),
+                        r -> shard.run(() -> onGranted(bucket, l, r, since)),
                         e -> shard.run(() -> {
-                            l.asking = false;
-                            l.notBefore = now().plus(AGAIN);
+                            l.requestInFlight = false;
+                            l.notBefore = now().plus(RETRY_PAUSE);
                             // the holder may be another by now: design 8.4
-                            shard.leave(() -> subscriptions.hurry(bucket));
+                            shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
                         })));
     }
 
     /** What is spent is told soon: the holder fills only what is not out. */
-    private void report(String bucket, Local l) {
+    private void report(String bucket, BucketState l) {
         Optional<String> holder =
-                Optional.of(subscriptions.latest(bucket).duty().holder()).filter(h -> !h.isEmpty());
-        if (l.asking
+                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
+        if (l.requestInFlight
                 || holder.isEmpty()
-                || !l.localBucket.hasNews()
-                || now().minus(l.told).compareTo(TELL) < 0) {
+                || !l.localBucket.hasUnreportedUsage()
+                || now().minus(l.lastReport).compareTo(REPORT_INTERVAL) < 0) {
             return;
         }
-        l.told = now();
-        asks++;
-        AdmissionTokens.PassAsk ask =
-                new AdmissionTokens.PassAsk(bucket, AdmissionTokens.NO_GRANT, 0, l.localBucket.reports(now()));
-        shard.leave(() -> env.rpc()
-                .ask(holder.get(), ask, AdmissionTokens.PassReply.class, ASK)
+        l.lastReport = now();
+        requests++;
+        TokenMessages.TokenRequest ask =
+                new TokenMessages.TokenRequest(bucket, TokenMessages.NO_GRANT, 0, l.localBucket.reports(now()));
+        shard.afterUnlock(() -> env.rpc()
+                .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(r -> {}, e -> {}));
     }
 
-    private void granted(String bucket, Local l, AdmissionTokens.PassReply r, Duration asked) {
-        l.asking = false;
-        l.missed = false;
+    private void onGranted(String bucket, BucketState l, TokenMessages.TokenResponse r, Duration asked) {
+        l.requestInFlight = false;
+        l.requestLost = false;
         l.pending = 0;
-        l.localBucket.granted(r.grant(), r.granted(), asked, r.life(), now());
-        l.retry = r.granted() > 0 ? AGAIN : r.retry();
+        l.localBucket.onGranted(r.grant(), r.granted(), asked, r.lifetime(), now());
+        l.retry = r.granted() > 0 ? RETRY_PAUSE : r.retryAfter();
         if (r.granted() == 0) {
-            Duration pause = r.retry().compareTo(WAIT) > 0 ? WAIT : r.retry();
-            l.notBefore = now().plus(pause.compareTo(AGAIN) < 0 ? AGAIN : pause);
+            Duration pause = r.retryAfter().compareTo(MAX_WAIT) > 0 ? MAX_WAIT : r.retryAfter();
+            l.notBefore = now().plus(pause.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : pause);
         }
-        serve(l);
+        servePending(l);
         refill(bucket, l);
     }
 
     public Counts counts() {
-        return shard.get(() -> new Counts(atOnce, waited, throttled, asks));
+        return shard.get(() -> new Counts(atOnce, waited, throttled, requests));
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -15,9 +15,9 @@
 import org.woadvale.common.discovery.ViewSubscriptions;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.CoreClient;
-import org.woadvale.common.membership.LeaderDuty;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.membership.SingletonLease;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.LockedShard;
@@ -28,30 +28,30 @@
 /** The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. design 8.4 */
 public final class TokenGranters {
     private static final Logger LOG = LogManager.getLogger("tide");
-    private static final Duration SETTLED = Duration.ofSeconds(3);
+    private static final Duration STABLE_AFTER = Duration.ofSeconds(3);
 
-    private static final class Held {
-        AggregateBucket holding;
+    private static final class OwnedBucket {
+        AggregateBucket bucket;
         Duration leaseEnd;
-        Duration strangerSince = Duration.ZERO;
+        Duration notPreferredSince = Duration.ZERO;
         boolean releasing;
     }
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
-    private final Function<String, Optional<RateLimit>> allowances;
+    private final Function<String, Optional<RateLimit>> limits;
     private final Supplier<Set<String>> buckets;
     private final LockedShard shard = new LockedShard();
-    private final Map<String, Held> held = new HashMap<>();
-    private final Set<String> asking = new TreeSet<>();
-    private TimerHandle looking = () -> {};
+    private final Map<String, OwnedBucket> owned = new HashMap<>();
+    private final Set<String> requesting = new TreeSet<>();
+    private TimerHandle ticking = () -> {};
     private boolean draining;
     private long granted;
-    private long asks;
+    private long requests;
 
     public TokenGranters(
-            Env env,
+            NodeEnvironment env,
             CoreClient core,
             ViewSubscriptions subscriptions,
             Function<String, Optional<RateLimit>> allowances,
@@ -59,118 +59,122 @@
         this.env = env;
         this.core = core;
         this.subscriptions = subscriptions;
-        this.allowances = allowances;
+        this.limits = allowances;
         this.buckets = buckets;
     }
 
     public void start() {
-        looking = env.schedules().every(Duration.ofMillis(200), this::look);
+        ticking = env.timers().every(Duration.ofMillis(200), this::onTick);
     }
 
     public void stop() {
-        looking.cancel();
+        ticking.cancel();
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
-    private void look() {
+    private void onTick() {
         Set<String> ring = subscriptions.latest(ServiceNames.INTAKES).members().keySet();
         for (String b : buckets.get()) {
-            boolean mine = ServiceNames.draw(b, ring).filter(env.self()::equals).isPresent();
-            boolean deputy = !mine && deputy(b, ring);
-            shard.run(() -> consider(b, mine, deputy));
+            boolean mine = ServiceNames.rendezvousOwner(b, ring)
+                    .filter(env.self()::equals)
+                    .isPresent();
+            boolean deputy = !mine && preferredOwner(b, ring);
+            shard.run(() -> acquireOrRelease(b, mine, deputy));
         }
-        shard.run(() -> List.copyOf(held.keySet()).stream()
+        shard.run(() -> List.copyOf(owned.keySet()).stream()
                 .filter(b -> !buckets.get().contains(b))
                 .forEach(this::release));
     }
 
     /** Stands once the first of the ring has let its lease lapse; the ring itself is told of that later. design 8.4 */
-    private boolean deputy(String b, Set<String> ring) {
-        LeaderDuty d = subscriptions.latest(b).duty();
-        Optional<String> first = ServiceNames.draw(b, ring);
+    private boolean preferredOwner(String b, Set<String> ring) {
+        SingletonLease d = subscriptions.latest(b).singleton();
+        Optional<String> first = ServiceNames.rendezvousOwner(b, ring);
         Set<String> rest = new TreeSet<>(ring);
         first.ifPresent(rest::remove);
-        return first.filter(d.holder()::equals).isPresent()
-                && ServiceNames.draw(b, rest).filter(env.self()::equals).isPresent();
+        return first.filter(d.owner()::equals).isPresent()
+                && ServiceNames.rendezvousOwner(b, rest)
+                        .filter(env.self()::equals)
+                        .isPresent();
     }
 
-    private void consider(String b, boolean mine, boolean deputy) {
-        Optional<Held> h = Optional.ofNullable(held.get(b));
+    private void acquireOrRelease(String b, boolean mine, boolean deputy) {
+        Optional<OwnedBucket> h = Optional.ofNullable(owned.get(b));
         if (h.isPresent()) {
-            Held x = h.get();
-            x.strangerSince = mine ? Duration.ZERO : x.strangerSince.isZero() ? now() : x.strangerSince;
-            if (draining || (!mine && now().minus(x.strangerSince).compareTo(SETTLED) > 0)) {
+            OwnedBucket x = h.get();
+            x.notPreferredSince = mine ? Duration.ZERO : x.notPreferredSince.isZero() ? now() : x.notPreferredSince;
+            if (draining || (!mine && now().minus(x.notPreferredSince).compareTo(STABLE_AFTER) > 0)) {
                 release(b);
             } else {
-                ask(b, x.holding.term());
+                requestLease(b, x.bucket.term());
             }
         } else if ((mine || deputy) && !draining) {
-            ask(b, 0);
+            requestLease(b, 0);
         }
     }
 
-    private void ask(String b, long term) {
-        if (!asking.add(b)) {
+    private void requestLease(String b, long term) {
+        if (!requesting.add(b)) {
             return;
         }
         Duration sent = now();
-        shard.leave(() -> core.ask(
+        shard.afterUnlock(() -> core.ask(
                         ServiceNames.controlPart(b),
-                        new ControlMessages.DutyAsk(
+                        new ControlMessages.SingletonLeaseRequest(
                                 b, env.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
-                        ControlMessages.DutyReply.class)
-                .doFinally(s -> env.schedules().after(Duration.ofMillis(250), () -> shard.run(() -> asking.remove(b))))
-                .subscribe(r -> shard.run(() -> answered(b, r, sent)), e -> {}));
+                        ControlMessages.SingletonLeaseResponse.class)
+                .doFinally(s -> env.timers().after(Duration.ofMillis(250), () -> shard.run(() -> requesting.remove(b))))
+                .subscribe(r -> shard.run(() -> onLeaseResponse(b, r, sent)), e -> {}));
     }
 
-    private void answered(String b, ControlMessages.DutyReply r, Duration sent) {
-        if (!r.yours() || draining) {
-            held.remove(b);
+    private void onLeaseResponse(String b, ControlMessages.SingletonLeaseResponse r, Duration sent) {
+        if (!r.granted() || draining) {
+            owned.remove(b);
             return;
         }
-        Duration end = sent.plus(ReplicationTiming.usual().ownLease());
-        Held h = held.get(b);
-        if (h == null || h.holding.term() != r.duty().term()) {
-            Optional<RateLimit> a = allowances.apply(b);
+        Duration end = sent.plus(ReplicationTiming.defaults().leaderLease());
+        OwnedBucket h = owned.get(b);
+        if (h == null || h.bucket.term() != r.lease().term()) {
+            Optional<RateLimit> a = limits.apply(b);
             if (a.isEmpty()) {
                 return;
             }
-            h = new Held();
-            h.holding = new AggregateBucket(
-                    r.duty().term(), r.duty().level(), r.duty().clear(), a.get(), now());
-            held.put(b, h);
-            LOG.info("tide: holds {} in term {}.", b, r.duty().term());
+            h = new OwnedBucket();
+            h.bucket = new AggregateBucket(
+                    r.lease().term(), r.lease().level(), r.lease().clear(), a.get(), now());
+            owned.put(b, h);
+            LOG.info("tide: holds {} in term {}.", b, r.lease().term());
         }
         h.leaseEnd = end;
     }
 
     /** The old holder stops first; then the level goes to the core for the next one. */
     private void release(String b) {
-        Held h = held.remove(b);
+        OwnedBucket h = owned.remove(b);
         if (h == null || h.leaseEnd.compareTo(now()) <= 0) {
             return;
         }
-        ControlMessages.DutyRelease r =
-                new ControlMessages.DutyRelease(b, env.self(), h.holding.term(), h.holding.level(now()));
+        ControlMessages.ReleaseSingletonRequest r =
+                new ControlMessages.ReleaseSingletonRequest(b, env.self(), h.bucket.term(), h.bucket.level(now()));
         LOG.info("tide: gives up {} with level {}.", b, r.level());
-        shard.leave(() -> core.ask(ServiceNames.controlPart(b), r, ControlMessages.Done.class)
+        shard.afterUnlock(() -> core.ask(ServiceNames.controlPart(b), r, ControlMessages.UpdateResult.class)
                 .subscribe(d -> {}, e -> {}));
     }
 
     public void drain() {
         shard.run(() -> {
             draining = true;
-            List.copyOf(held.keySet()).forEach(this::release);
+            List.copyOf(owned.keySet()).forEach(this::release);
         });
     }
 
-    public Mono<AdmissionTokens.PassReply> asked(String asker, AdmissionTokens.PassAsk a) {
-        Optional<RateLimit> allowance = allowances.apply(a.bucket());
+    public Mono<TokenMessages.TokenResponse> onTokenRequest(String asker, TokenMessages.TokenRequest a) {
+        Optional<RateLimit> allowance = limits.apply(a.bucket());
         return Mono.defer(() -> shard.get(() -> {
-            Held h = held.get(a.bucket());
+            OwnedBucket h = owned.get(a.bucket());
             if (h == null || now().compareTo(h.leaseEnd) >= 0) {
                 return Mono.error(
                         new ServiceException(ErrorKind.NOT_OWNER, "This node does not hold " + a.bucket() + "."));
@@ -178,23 +182,23 @@
             if (allowance.isEmpty()) {
                 return Mono.error(new ServiceException(ErrorKind.STALE_VIEW, "The layout here is not proven fresh."));
             }
-            h.holding.change(allowance.get(), now());
-            AdmissionTokens.PassReply r = h.holding.ask(asker, a, h.leaseEnd, now());
-            asks++;
+            h.bucket.change(allowance.get(), now());
+            TokenMessages.TokenResponse r = h.bucket.grant(asker, a, h.leaseEnd, now());
+            requests++;
             granted += r.granted();
             return Mono.just(r);
         }));
     }
 
-    public List<String> holds() {
-        return shard.get(() -> new ArrayList<>(held.keySet()));
+    public List<String> ownedCount() {
+        return shard.get(() -> new ArrayList<>(owned.keySet()));
     }
 
-    public long asks() {
-        return shard.get(() -> asks);
+    public long requestCount() {
+        return shard.get(() -> requests);
     }
 
-    public long granted() {
+    public long grantedCount() {
         return shard.get(() -> granted);
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -10,96 +10,106 @@
 
 /** First formation, and the promotion by which a replica may vote again: design 5.5. */
 final class Bootstrap {
-    private static final Duration PERIOD = Duration.ofMillis(300);
+    private static final Duration RETRY_PERIOD = Duration.ofMillis(300);
     private final Replica r;
-    private final Map<String, String> blanks = new TreeMap<>();
-    private Duration nextTry = Duration.ZERO;
+    private final Map<String, String> uninitializedMembers = new TreeMap<>();
+    private Duration nextAttempt = Duration.ZERO;
 
     Bootstrap(Replica r) {
         this.r = r;
     }
 
     /** Only the first of the wanted list founds, and only when every member reports blank. */
-    void look() {
-        boolean first = !r.wanted.isEmpty() && r.wanted.get(0).equals(r.env.self());
-        if (!first || !r.groups.latest().isEmpty() || r.now().compareTo(nextTry) < 0) {
+    void onTick() {
+        boolean first = !r.desiredMembers.isEmpty() && r.desiredMembers.get(0).equals(r.environment.self());
+        if (!first || !r.membership.latest().isEmpty() || r.now().compareTo(nextAttempt) < 0) {
             return;
         }
-        nextTry = r.now().plus(PERIOD);
-        blanks.clear();
-        blanks.put(r.env.self(), r.identity);
-        for (String n : r.wanted) {
-            if (!n.equals(r.env.self())) {
-                r.shard.leave(() -> r.env.rpc()
-                        .ask(
+        nextAttempt = r.now().plus(RETRY_PERIOD);
+        uninitializedMembers.clear();
+        uninitializedMembers.put(r.environment.self(), r.identity);
+        for (String n : r.desiredMembers) {
+            if (!n.equals(r.environment.self())) {
+                r.shard.afterUnlock(() -> r.environment
+                        .rpc()
+                        .call(
                                 n,
-                                new Messages.BlankAsk(r.part),
-                                Messages.BlankReply.class,
-                                r.env.timing().ask())
-                        .subscribe(b -> r.shard.run(() -> reported(n, b)), e -> {}));
+                                new ReplicationMessages.BootstrapStatusRequest(r.partition),
+                                ReplicationMessages.BootstrapStatusResponse.class,
+                                r.environment.timing().requestTimeout())
+                        .subscribe(b -> r.shard.run(() -> onStatus(n, b)), e -> {}));
             }
         }
-        if (r.wanted.size() == 1) {
-            reported(r.env.self(), new Messages.BlankReply(true, r.identity));
+        if (r.desiredMembers.size() == 1) {
+            onStatus(r.environment.self(), new ReplicationMessages.BootstrapStatusResponse(true, r.identity));
         }
     }
 
-    private void reported(String from, Messages.BlankReply b) {
-        if (!b.blank() || r.phase != Phase.BLANK || !r.groups.latest().isEmpty()) {
+    private void onStatus(String from, ReplicationMessages.BootstrapStatusResponse b) {
+        if (!b.uninitialized()
+                || r.role != Role.UNINITIALIZED
+                || !r.membership.latest().isEmpty()) {
             return;
         }
-        blanks.put(from, b.identity());
-        if (!blanks.keySet().containsAll(r.wanted)) {
+        uninitializedMembers.put(from, b.identity());
+        if (!uninitializedMembers.keySet().containsAll(r.desiredMembers)) {
             return;
         }
-        Map<String, String> group = new TreeMap<>(blanks);
-        found(group);
+        Map<String, String> group = new TreeMap<>(uninitializedMembers);
+        initialize(group);
         group.forEach((n, id) -> {
-            if (!n.equals(r.env.self())) {
-                tell(n, new Messages.Found(r.part, id, group));
+            if (!n.equals(r.environment.self())) {
+                send(n, new ReplicationMessages.BootstrapRequest(r.partition, id, group));
             }
         });
     }
 
-    private void tell(String n, Messages.Found f) {
-        r.shard.leave(() ->
-                r.env.rpc().ask(n, f, Messages.Ok.class, r.env.timing().ask()).subscribe(ok -> {}, e -> {}));
+    private void send(String n, ReplicationMessages.BootstrapRequest f) {
+        r.shard.afterUnlock(() -> r.environment
+                .rpc()
+                .call(
+                        n,
+                        f,
+                        ReplicationMessages.Acknowledgement.class,
+                        r.environment.timing().requestTimeout())
+                .subscribe(ok -> {}, e -> {}));
     }
 
-    private void found(Map<String, String> group) {
-        r.groups.reset(group);
+    private void initialize(Map<String, String> group) {
+        r.membership.reset(group);
         // design 5.5: before the bootstrap nobody could hold a lease
-        r.leaseHeardUntil = r.now();
-        swear("the group is founded");
+        r.leaderLeaseUntil = r.now();
+        becomeVoter("the group is founded");
     }
 
-    private void swear(String why) {
+    private void becomeVoter(String why) {
         r.voter = true;
-        r.become(Phase.FOLLOWING, why);
-        r.store.giveBase();
+        r.transitionTo(Role.FOLLOWER, why);
+        r.storage.storeSnapshot();
     }
 
     /** Voter again once a committed group entry names our new identity; it was committed without us. */
-    void considerPromotion() {
-        if (r.phase == Phase.BLANK && r.identity.equals(r.groups.committed().get(r.env.self()))) {
-            Replica.LOG.info("keeper: {} at {} has caught up and counts again.", r.part, r.env.self());
-            swear("seated by a committed entry");
+    void promoteIfMember() {
+        if (r.role == Role.UNINITIALIZED
+                && r.identity.equals(r.membership.committed().get(r.environment.self()))) {
+            Replica.LOG.info("keeper: {} at {} has caught up and counts again.", r.partition, r.environment.self());
+            becomeVoter("seated by a committed entry");
         }
     }
 
-    Mono<Object> asked(Object body) {
-        boolean blank = r.phase == Phase.BLANK && r.groups.latest().isEmpty();
-        if (body instanceof Messages.BlankAsk) {
-            return Mono.just(new Messages.BlankReply(blank, r.identity));
+    Mono<Object> onRequest(Object body) {
+        boolean blank = r.role == Role.UNINITIALIZED && r.membership.latest().isEmpty();
+        if (body instanceof ReplicationMessages.BootstrapStatusRequest) {
+            return Mono.just(new ReplicationMessages.BootstrapStatusResponse(blank, r.identity));
         }
-        if (body instanceof Messages.Found f) {
+        if (body instanceof ReplicationMessages.BootstrapRequest f) {
             if (blank && f.identity().equals(r.identity)) {
                 Sinks.One<Object> out = Sinks.one();
-                found(f.group());
-                out.tryEmitValue(new Messages.Ok(true));
+                initialize(f.members());
+                out.tryEmitValue(new ReplicationMessages.Acknowledgement(true));
                 return out.asMono();
             }
-            return Mono.just(new Messages.Ok(false));
+            return Mono.just(new ReplicationMessages.Acknowledgement(false));
         }
         return Mono.error(new ServiceException(ErrorKind.BAD_REQUEST, "A replica does not answer this."));
     }
--- a/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
@@ -9,76 +9,78 @@
 
 /** What is committed and applied, and who waits for it. */
 final class CommitTracker {
-    private record Waiting(long term, Sinks.One<Object> sink) {}
+    private record PendingProposal(long term, Sinks.One<Object> sink) {}
 
     private final Replica r;
-    private final TreeMap<Long, Waiting> waiting = new TreeMap<>();
-    private long commit;
-    private long applied;
+    private final TreeMap<Long, PendingProposal> pending = new TreeMap<>();
+    private long commitIndex;
+    private long appliedIndex;
 
     CommitTracker(Replica r) {
         this.r = r;
     }
 
-    long commit() {
-        return commit;
+    long commitIndex() {
+        return commitIndex;
     }
 
-    long applied() {
-        return applied;
+    long appliedIndex() {
+        return appliedIndex;
     }
 
-    Mono<Object> expect(long index, long term) {
+    Mono<Object> awaitCommit(long index, long term) {
         Sinks.One<Object> sink = Sinks.one();
-        waiting.put(index, new Waiting(term, sink));
+        pending.put(index, new PendingProposal(term, sink));
         return sink.asMono();
     }
 
-    void restored(long index) {
-        commit = Math.max(commit, index);
-        applied = index;
+    void resetTo(long index) {
+        commitIndex = Math.max(commitIndex, index);
+        appliedIndex = index;
     }
 
-    void commitTo(long index) {
-        if (index <= commit) {
+    void advanceTo(long index) {
+        if (index <= commitIndex) {
             return;
         }
-        commit = index;
-        while (applied < commit) {
-            applied++;
-            apply(r.replicatedLog.get(applied));
+        commitIndex = index;
+        while (appliedIndex < commitIndex) {
+            appliedIndex++;
+            apply(r.replicatedLog.get(appliedIndex));
         }
-        r.groups.committedTo(commit);
-        r.bootstrap.considerPromotion();
+        r.membership.onCommitted(commitIndex);
+        r.bootstrap.promoteIfMember();
     }
 
     private void apply(LogEntry item) {
         Object result = "";
         if (item.kind() == LogEntry.Kind.COMMAND) {
             try {
-                result = r.machine.apply(applied, r.env.codec().read(item.bytes(), Object.class));
+                result =
+                        r.stateMachine.apply(appliedIndex, r.environment.codec().read(item.bytes(), Object.class));
             } catch (ServiceException e) {
                 result = e;
             }
         }
         Object answer = result;
-        Optional.ofNullable(waiting.remove(applied)).ifPresent(w -> {
+        Optional.ofNullable(pending.remove(appliedIndex)).ifPresent(w -> {
             if (w.term() == item.term()) {
-                r.shard.leave(() -> w.sink().tryEmitValue(answer));
+                r.shard.afterUnlock(() -> w.sink().tryEmitValue(answer));
             } else {
-                r.shard.leave(() -> w.sink().tryEmitError(unknown()));
+                r.shard.afterUnlock(() -> w.sink().tryEmitError(outcomeUnknown()));
             }
         });
     }
 
     /** The lease is gone: what waits may still be committed by the next owner, or not. */
-    void forsake() {
-        waiting.values().forEach(w -> r.shard.leave(() -> w.sink().tryEmitError(unknown())));
-        waiting.clear();
+    void failPending() {
+        pending.values().forEach(w -> r.shard.afterUnlock(() -> w.sink().tryEmitError(outcomeUnknown())));
+        pending.clear();
     }
 
-    private ServiceException unknown() {
+    private ServiceException outcomeUnknown() {
         return new ServiceException(
-                ErrorKind.UNKNOWN_OUTCOME, "The part " + r.part + " changed its owner before the commit was known.");
+                ErrorKind.UNKNOWN_OUTCOME,
+                "The part " + r.partition + " changed its owner before the commit was known.");
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
+++ b/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
@@ -7,7 +7,7 @@
 
 /** Members that a committed change has removed: the leader sends to them on until they know of it. design 6.9 */
 final class DepartingMembers {
-    private record Departure(long confirmedAt, Duration since) {}
+    private record Departure(long confirmedIndex, Duration since) {}
 
     private final Map<String, Departure> departures = new TreeMap<>();
 
@@ -19,16 +19,16 @@
     }
 
     /** Those that have not synced the entry, and left after the given time. */
-    Set<String> untold(Map<String, FollowerProgress> followers, Duration oldest) {
+    Set<String> notNotified(Map<String, LogAppender> followers, Duration oldest) {
         departures
                 .entrySet()
                 .removeIf(departure -> departure.getValue().since().compareTo(oldest) < 0
-                        || knows(followers, departure.getKey(), departure.getValue()));
+                        || isNotified(followers, departure.getKey(), departure.getValue()));
         return departures.keySet();
     }
 
-    private static boolean knows(Map<String, FollowerProgress> followers, String node, Departure departure) {
-        return !followers.containsKey(node) || followers.get(node).match >= departure.confirmedAt();
+    private static boolean isNotified(Map<String, LogAppender> followers, String node, Departure departure) {
+        return !followers.containsKey(node) || followers.get(node).matchIndex >= departure.confirmedIndex();
     }
 
     void clear() {
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -22,7 +22,7 @@
         return change.map(Change::members).orElse(committed);
     }
 
-    boolean changing() {
+    boolean isChanging() {
         return change.isPresent();
     }
 
@@ -32,7 +32,7 @@
         return all;
     }
 
-    List<String> membersBut(String node) {
+    List<String> membersExcept(String node) {
         return members().stream().filter(member -> !member.equals(node)).toList();
     }
 
@@ -42,30 +42,30 @@
     }
 
     /** An owner starts a change only after the former one was committed. */
-    void appended(long index, Map<String, String> members) {
+    void onAppended(long index, Map<String, String> members) {
         change.ifPresent(c -> committed = c.members());
         change = Optional.of(new Change(index, new TreeMap<>(members)));
     }
 
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         if (change.isPresent() && change.get().index() >= index) {
             change = Optional.empty();
         }
     }
 
-    void committedTo(long index) {
+    void onCommitted(long index) {
         if (change.isPresent() && change.get().index() <= index) {
             committed = change.get().members();
             change = Optional.empty();
         }
     }
 
-    boolean majority(Map<String, String> agreeing) {
-        return majority(committed, agreeing)
-                && (change.isEmpty() || majority(change.get().members(), agreeing));
+    boolean hasMajority(Map<String, String> agreeing) {
+        return hasMajority(committed, agreeing)
+                && (change.isEmpty() || hasMajority(change.get().members(), agreeing));
     }
 
-    private static boolean majority(Map<String, String> members, Map<String, String> agreeing) {
+    private static boolean hasMajority(Map<String, String> members, Map<String, String> agreeing) {
         long n = members.entrySet().stream()
                 .filter(e -> e.getValue().equals(agreeing.get(e.getKey())))
                 .count();
--- a/common/src/main/java/org/woadvale/common/replication/Joining.java
+++ b/common/src/main/java/org/woadvale/common/replication/Joining.java
@@ -10,8 +10,8 @@
 
     /** The node is wanted in the group, is no member yet, and has been followed for a short time only. */
     static boolean recently(Replica replica, String node, Duration followedSince) {
-        return replica.wanted.contains(node)
-                && !replica.groups.committed().containsKey(node)
+        return replica.desiredMembers.contains(node)
+                && !replica.membership.committed().containsKey(node)
                 && replica.now().compareTo(followedSince.plus(LIMIT)) < 0;
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LogEntry.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogEntry.java
@@ -4,7 +4,7 @@
 public record LogEntry(long term, Kind kind, byte[] bytes) {
     public enum Kind {
         COMMAND,
-        GROUP,
-        NOTHING
+        MEMBERSHIP,
+        NO_OP
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/MajorityContactTime.java
+++ b/common/src/main/java/org/woadvale/common/replication/MajorityContactTime.java
@@ -11,8 +11,8 @@
      * others, when a leader was heard. Must run inside the replica's shard.
      */
     static Duration of(Replica replica) {
-        return replica.phase == Phase.OWNING
-                ? replica.leading.leaseEnd().minus(replica.env.timing().ownLease())
-                : replica.leaseHeardUntil.minus(replica.env.timing().lease());
+        return replica.role == Role.LEADER
+                ? replica.leader.leaseEnd().minus(replica.environment.timing().leaderLease())
+                : replica.leaderLeaseUntil.minus(replica.environment.timing().lease());
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -14,7 +14,7 @@
 record MembershipChange(String joining, Map<String, String> members) {
     /** A lost disk's new identity, or a wanted member for one not wanted; empty if there is nothing to change. */
     static Optional<MembershipChange> next(
-            Map<String, String> members, List<String> wanted, Map<String, FollowerProgress> followers) {
+            Map<String, String> members, List<String> wanted, Map<String, LogAppender> followers) {
         return followers.entrySet().stream()
                 .filter(follower -> follower.getValue().caughtUp())
                 .flatMap(follower -> joining(members, wanted, follower.getKey(), follower.getValue().identity).stream())
--- a/common/src/main/java/org/woadvale/common/replication/Env.java
+++ b/common/src/main/java/org/woadvale/common/replication/NodeEnvironment.java
@@ -8,9 +8,9 @@
 import org.woadvale.common.wal.WriteAheadLog;
 
 /** All that a replica needs of the world; each piece can be faked: design 2.1. */
-public record Env(
-        Clock times,
-        Timers schedules,
+public record NodeEnvironment(
+        Clock clock,
+        Timers timers,
         RpcClient rpc,
         Codec codec,
         WriteAheadLog wal,
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -11,59 +11,59 @@
 import org.woadvale.common.runtime.LockedShard;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 import reactor.core.publisher.Mono;
 
 /** One replica of one part: the front, and the state that its helpers share. design 5 */
 public final class Replica {
     static final Logger LOG = LogManager.getLogger("keeper");
 
-    final String part;
-    final Env env;
-    final StateMachine machine;
+    final String partition;
+    final NodeEnvironment environment;
+    final StateMachine stateMachine;
     final LockedShard shard = new LockedShard();
     final ReplicatedLog replicatedLog = new ReplicatedLog();
-    final GroupMembership groups = new GroupMembership();
-    final CommitTracker progress;
-    final ReplicaStorage store;
-    final Election election;
-    final FollowerLog following;
-    final Leader leading;
+    final GroupMembership membership = new GroupMembership();
+    final CommitTracker commits;
+    final ReplicaStorage storage;
+    final LeaderElection election;
+    final Follower follower;
+    final Leader leader;
     final Bootstrap bootstrap;
 
-    Phase phase = Phase.BLANK;
+    Role role = Role.UNINITIALIZED;
     long term;
     String votedFor = "";
     String identity = "";
     boolean voter;
-    String owner = "";
+    String leaderId = "";
     /** A draining replica follows and votes, but is no successor. */
-    boolean willing = true;
+    boolean electable = true;
     /** Until when, by our clock, the present owner's lease may run. */
-    Duration leaseHeardUntil;
+    Duration leaderLeaseUntil;
 
-    List<String> wanted;
+    List<String> desiredMembers;
     private Runnable onChange = () -> {};
-    private TimerHandle looking = () -> {};
-
-    public Replica(String part, List<String> wanted, StateMachine machine, Env env) {
-        this.part = part;
-        this.wanted = List.copyOf(wanted);
-        this.machine = machine;
-        this.env = env;
-        this.progress = new CommitTracker(this);
-        this.store = new ReplicaStorage(this);
-        this.election = new Election(this);
-        this.following = new FollowerLog(this);
-        this.leading = new Leader(this);
+    private TimerHandle ticking = () -> {};
+
+    public Replica(String part, List<String> wanted, StateMachine machine, NodeEnvironment env) {
+        this.partition = part;
+        this.desiredMembers = List.copyOf(wanted);
+        this.stateMachine = machine;
+        this.environment = env;
+        this.commits = new CommitTracker(this);
+        this.storage = new ReplicaStorage(this);
+        this.election = new LeaderElection(this);
+        this.follower = new Follower(this);
+        this.leader = new Leader(this);
         this.bootstrap = new Bootstrap(this);
-        this.leaseHeardUntil = env.times().mono().plus(env.timing().lease());
+        this.leaderLeaseUntil = env.clock().monotonicTime().plus(env.timing().lease());
     }
 
-    public void start(List<Entry> recovered) throws ServiceException {
+    public void start(List<WalRecord> recovered) throws ServiceException {
         Optional<ServiceException> bad = shard.get(() -> {
             try {
-                store.recover(recovered);
+                storage.recover(recovered);
                 return Optional.empty();
             } catch (ServiceException e) {
                 return Optional.of(e);
@@ -72,74 +72,74 @@
         if (bad.isPresent()) {
             throw bad.get();
         }
-        env.wal().onPressure(part, () -> shard.run(store::giveBase));
-        looking = env.schedules().every(env.timing().look(), () -> shard.run(this::look));
+        environment.wal().onSpaceNeeded(partition, () -> shard.run(storage::storeSnapshot));
+        ticking = environment.timers().every(environment.timing().tick(), () -> shard.run(this::look));
     }
 
     private void look() {
-        switch (phase) {
-            case BLANK -> bootstrap.look();
-            case FOLLOWING -> election.look();
-            case OWNING -> leading.look();
+        switch (role) {
+            case UNINITIALIZED -> bootstrap.onTick();
+            case FOLLOWER -> election.onTick();
+            case LEADER -> leader.onTick();
             default -> {}
         }
-        store.compactIfLarge();
+        storage.compactIfNeeded();
     }
 
     public void stop() {
-        looking.cancel();
-        shard.run(() -> become(Phase.STOPPED, "stop"));
+        ticking.cancel();
+        shard.run(() -> transitionTo(Role.STOPPED, "stop"));
     }
 
     /** The one function for every change of phase. */
-    void become(Phase next, String why) {
-        if (phase == next) {
+    void transitionTo(Role next, String why) {
+        if (role == next) {
             return;
         }
-        if (!phase.next().contains(next)) {
-            throw new IllegalStateException(part + ": " + phase + " to " + next);
+        if (!role.successors().contains(next)) {
+            throw new IllegalStateException(partition + ": " + role + " to " + next);
         }
-        Phase before = phase;
-        phase = next;
+        Role before = role;
+        role = next;
         LOG.debug(
                 "keeper: {} of {} at {}: {} to {} in term {}, {}.",
-                part,
-                machine.getClass().getSimpleName(),
-                env.self(),
+                partition,
+                stateMachine.getClass().getSimpleName(),
+                environment.self(),
                 before,
                 next,
                 term,
                 why);
-        if (before == Phase.OWNING) {
-            leading.ended();
-            progress.forsake();
+        if (before == Role.LEADER) {
+            leader.onDeposed();
+            commits.failPending();
         }
-        if (next == Phase.OWNING) {
-            LOG.info("keeper: {} is owned by {} in term {}.", part, env.self(), term);
+        if (next == Role.LEADER) {
+            LOG.info("keeper: {} is owned by {} in term {}.", partition, environment.self(), term);
         }
-        shard.leave(onChange);
+        shard.afterUnlock(onChange);
     }
 
     /** A higher term was seen. */
-    void adopt(long newTerm, String why) {
+    void adoptTerm(long newTerm, String why) {
         if (newTerm > term) {
             term = newTerm;
             votedFor = "";
-            owner = "";
-            store.vote(() -> {});
-            if (phase == Phase.OWNING || phase == Phase.STANDING) {
-                become(Phase.FOLLOWING, why);
+            leaderId = "";
+            storage.storeVote(() -> {});
+            if (role == Role.LEADER || role == Role.CANDIDATE) {
+                transitionTo(Role.FOLLOWER, why);
             }
         }
     }
 
     Duration now() {
-        return env.times().mono();
+        return environment.clock().monotonicTime();
     }
 
     /** True while the lease runs and an entry of the own term is committed; ask right before each effect. */
-    public boolean mayAct() {
-        return shard.get(() -> phase == Phase.OWNING && leading.mayAct());
+    public boolean isActiveLeader() {
+        return shard.get(() -> role == Role.LEADER && leader.isActive());
     }
 
     public long term() {
@@ -147,16 +147,16 @@
     }
 
     /** The present phase; it may be another as soon as this returns. */
-    public Phase phase() {
-        return shard.get(() -> phase);
+    public Role role() {
+        return shard.get(() -> role);
     }
 
-    public Optional<String> owner() {
-        return shard.get(() -> owner.isEmpty() ? Optional.empty() : Optional.of(owner));
+    public Optional<String> leaderId() {
+        return shard.get(() -> leaderId.isEmpty() ? Optional.empty() : Optional.of(leaderId));
     }
 
-    public Map<String, String> group() {
-        return shard.get(groups::committed);
+    public Map<String, String> members() {
+        return shard.get(membership::committed);
     }
 
     public GroupStatus status() {
@@ -164,12 +164,12 @@
     }
 
     /** The leader's last contact with each follower, by its monotonic clock; empty on any other replica. */
-    public Map<String, Duration> contacts() {
-        return shard.get(() -> phase == Phase.OWNING ? leading.contacts() : Map.of());
+    public Map<String, Duration> followerContacts() {
+        return shard.get(() -> role == Role.LEADER ? leader.followerContacts() : Map.of());
     }
 
     /** When this replica was last in contact, by the local monotonic clock: a leader with a majority, others with it. */
-    public Duration contactAt() {
+    public Duration lastMajorityContact() {
         return shard.get(() -> MajorityContactTime.of(this));
     }
 
@@ -177,74 +177,74 @@
         onChange = r;
     }
 
-    public void want(List<String> members) {
-        shard.run(() -> wanted = List.copyOf(members));
+    public void setDesiredMembers(List<String> members) {
+        shard.run(() -> desiredMembers = List.copyOf(members));
     }
 
-    ServiceException notOwner() {
+    ServiceException notLeader() {
         return new ServiceException(
                 ErrorKind.NOT_OWNER,
-                "Another node owns " + part + ".",
-                owner.isEmpty() || owner.equals(env.self()) ? List.of() : List.of(owner));
+                "Another node owns " + partition + ".",
+                leaderId.isEmpty() || leaderId.equals(environment.self()) ? List.of() : List.of(leaderId));
     }
 
     /** Reads the machine under lease, so never older than what was acknowledged. */
     public <T> Mono<T> read(Function<Long, T> reader) {
-        return Mono.defer(
-                () -> shard.get(() -> mayAct() ? Mono.just(reader.apply(progress.applied())) : Mono.error(notOwner())));
+        return Mono.defer(() -> shard.get(
+                () -> isActiveLeader() ? Mono.just(reader.apply(commits.appliedIndex())) : Mono.error(notLeader())));
     }
 
     /** Looks at the machine as it is here, owner or not. */
     public <T> T look(Function<Long, T> reader) {
-        return shard.get(() -> reader.apply(progress.applied()));
+        return shard.get(() -> reader.apply(commits.appliedIndex()));
     }
 
     /** Refused definitely before anything is written; unknown once it is in the log and the lease is lost. */
     public <T> Mono<T> propose(Object command, Class<T> result) {
         return Mono.defer(() -> shard.get(() -> {
-                    if (!mayAct()) {
-                        return Mono.<Object>error(notOwner());
+                    if (!isActiveLeader()) {
+                        return Mono.<Object>error(notLeader());
                     }
                     LogEntry item = new LogEntry(
-                            term, LogEntry.Kind.COMMAND, env.codec().write(command));
-                    Mono<Object> out = progress.expect(replicatedLog.lastIndex() + 1, term);
-                    leading.append(item);
+                            term, LogEntry.Kind.COMMAND, environment.codec().write(command));
+                    Mono<Object> out = commits.awaitCommit(replicatedLog.lastIndex() + 1, term);
+                    leader.append(item);
                     return out;
                 }))
                 .flatMap(o -> result.isInstance(o) ? Mono.just(result.cast(o)) : Mono.error((Throwable) o));
     }
 
-    public void unwilling() {
-        shard.run(() -> willing = false);
+    public void declineLeadership() {
+        shard.run(() -> electable = false);
     }
 
     /** Gives the part to another replica that is up to date; used by drains and by spreading. */
     public boolean transferLeadership(String to) {
-        return shard.get(() -> phase == Phase.OWNING && leading.transferLeadership(to));
+        return shard.get(() -> role == Role.LEADER && leader.transferLeadership(to));
     }
 
     /** The replica best placed to take over, if any is up to date. */
     public Optional<String> successor() {
-        return shard.get(() -> phase == Phase.OWNING ? leading.successor() : Optional.empty());
+        return shard.get(() -> role == Role.LEADER ? leader.successor() : Optional.empty());
     }
 
     public Mono<Object> handle(String from, Object body) {
         return Mono.defer(() -> shard.get(() -> {
-            if (phase == Phase.STOPPED) {
+            if (role == Role.STOPPED) {
                 return Mono.error(new ServiceException(ErrorKind.STOPPING, "The part is stopped here."));
             }
-            if (body instanceof Messages.VoteAsk a) {
-                return election.asked(from, a);
-            } else if (body instanceof Messages.AppendAsk a) {
-                return following.append(from, a);
-            } else if (body instanceof Messages.ViewPush a) {
-                return following.view(from, a);
+            if (body instanceof ReplicationMessages.VoteRequest a) {
+                return election.onVoteRequest(from, a);
+            } else if (body instanceof ReplicationMessages.AppendEntriesRequest a) {
+                return follower.onAppendEntries(from, a);
+            } else if (body instanceof ReplicationMessages.InstallSnapshotRequest a) {
+                return follower.onInstallSnapshot(from, a);
             } else if (SnapshotMessages.types().contains(body.getClass())) {
-                return following.snapshot(from, body);
-            } else if (body instanceof Messages.Stand a) {
-                return election.told(from, a);
+                return follower.onSnapshotMessage(from, body);
+            } else if (body instanceof ReplicationMessages.StartElectionRequest a) {
+                return election.onStartElection(from, a);
             }
-            return bootstrap.asked(body);
+            return bootstrap.onRequest(body);
         }));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 
 /** What a replica writes to the wal and reads back from it: design 5.4. */
 final class ReplicaStorage {
-    private static final long LARGE = 4L << 20;
-    private static final int MANY = 8192;
+    private static final long COMPACTION_BYTES = 4L << 20;
+    private static final int COMPACTION_ENTRIES = 8192;
     /** So many bytes of the log are kept for followers that are on their way from a snapshot. */
     private static final long KEPT_FOR_FOLLOWERS = 4L << 20;
 
     private final Replica r;
-    private long synced;
+    private long syncedIndex;
     /** Shared by all followers that need one; gone with the last of them. */
     private WeakReference<SnapshotContent> latestSnapshot = new WeakReference<>(null);
 
@@ -24,83 +24,85 @@
         this.r = r;
     }
 
-    long synced() {
-        return synced;
+    long syncedIndex() {
+        return syncedIndex;
     }
 
-    void recover(List<Entry> entries) throws ServiceException {
+    void recover(List<WalRecord> entries) throws ServiceException {
         if (entries.isEmpty()) {
-            r.identity = ReplicaIdentity.make(r.env.random(), r.env.self());
-            giveBase();
+            r.identity = ReplicaIdentity.create(r.environment.random(), r.environment.self());
+            storeSnapshot();
             return;
         }
-        for (Entry stored : entries) {
-            Entry e = LegacyFormat.lifted(stored, r.env.codec());
+        for (WalRecord stored : entries) {
+            WalRecord e = LegacyFormat.upgraded(stored, r.environment.codec());
             switch (e.kind()) {
-                case BASE -> load(r.env.codec().read(e.bytes(), Messages.Base.class));
+                case SNAPSHOT ->
+                    restoreSnapshot(r.environment.codec().read(e.bytes(), ReplicationMessages.ReplicaSnapshot.class));
                 case VOTE -> {
                     r.term = e.term();
-                    r.votedFor = r.env.codec().read(e.bytes(), String.class);
+                    r.votedFor = r.environment.codec().read(e.bytes(), String.class);
                 }
                 default -> replay(e);
             }
         }
-        synced = r.replicatedLog.lastIndex();
-        if (!ReplicaIdentity.belongsTo(r.identity, r.env.self())) {
-            Replica.LOG.error("keeper: the disk of {} was written as {}: it counts as lost.", r.env.self(), r.identity);
-            takeNewIdentity(() -> {});
+        syncedIndex = r.replicatedLog.lastIndex();
+        if (!ReplicaIdentity.belongsTo(r.identity, r.environment.self())) {
+            Replica.LOG.error(
+                    "keeper: the disk of {} was written as {}: it counts as lost.", r.environment.self(), r.identity);
+            replaceIdentity(() -> {});
         } else if (r.voter) {
-            r.become(Phase.FOLLOWING, "recovered");
+            r.transitionTo(Role.FOLLOWER, "recovered");
         }
     }
 
     /** What is stored may be used to catch up, but this replica neither votes nor counts until it is promoted again. */
-    void takeNewIdentity(Runnable then) {
-        r.identity = ReplicaIdentity.make(r.env.random(), r.env.self());
+    void replaceIdentity(Runnable then) {
+        r.identity = ReplicaIdentity.create(r.environment.random(), r.environment.self());
         r.voter = false;
-        giveBase(then);
+        storeSnapshot(then);
     }
 
-    private void load(Messages.Base b) {
+    private void restoreSnapshot(ReplicationMessages.ReplicaSnapshot b) {
         r.identity = b.identity();
         r.term = b.term();
         r.votedFor = b.votedFor();
         r.voter = b.voter();
         r.replicatedLog.reset(b.index(), b.indexTerm(), List.of());
-        r.groups.reset(b.group());
-        if (b.machine().length > 0) {
-            r.machine.restore(b.machine());
+        r.membership.reset(b.members());
+        if (b.state().length > 0) {
+            r.stateMachine.restore(b.state());
         }
-        r.progress.restored(b.index());
+        r.commits.resetTo(b.index());
         long i = b.index();
-        for (LogEntry item : b.tail()) {
+        for (LogEntry item : b.entries()) {
             i++;
-            enter(i, item);
+            appendInMemory(i, item);
         }
     }
 
-    private void replay(Entry e) throws ServiceException {
-        r.replicatedLog.cutFrom(e.index());
-        r.groups.cutFrom(e.index());
+    private void replay(WalRecord e) throws ServiceException {
+        r.replicatedLog.truncateFrom(e.index());
+        r.membership.truncateFrom(e.index());
         if (e.term() > r.term) {
             // a build that did not note its owners: nobody is known to hold a lease of this term. design 5.3
             r.term = e.term();
             r.votedFor = "";
         }
-        enter(e.index(), r.env.codec().read(e.bytes(), LogEntry.class));
+        appendInMemory(e.index(), r.environment.codec().read(e.bytes(), LogEntry.class));
     }
 
-    private void enter(long index, LogEntry item) {
+    private void appendInMemory(long index, LogEntry item) {
         r.replicatedLog.append(item);
-        if (item.kind() == LogEntry.Kind.GROUP) {
-            r.groups.appended(index, members(item));
+        if (item.kind() == LogEntry.Kind.MEMBERSHIP) {
+            r.membership.onAppended(index, decodeMembers(item));
         }
     }
 
-    Map<String, String> members(LogEntry item) {
+    Map<String, String> decodeMembers(LogEntry item) {
         try {
             Map<String, String> out = new TreeMap<>();
-            r.env.codec().read(item.bytes(), Map.class).forEach((k, v) -> out.put((String) k, (String) v));
+            r.environment.codec().read(item.bytes(), Map.class).forEach((k, v) -> out.put((String) k, (String) v));
             return out;
         } catch (ServiceException e) {
             throw new IllegalStateException("unreadable group entry", e);
@@ -110,12 +112,16 @@
     /** Adds to the memory log and to the disk; then runs once synced, unless the entry was cut since. */
     void append(List<LogEntry> items, Runnable then) {
         long first = r.replicatedLog.lastIndex() + 1;
-        List<Entry> out = new ArrayList<>();
+        List<WalRecord> out = new ArrayList<>();
         for (LogEntry item : items) {
             long index = r.replicatedLog.lastIndex() + 1;
-            enter(index, item);
-            out.add(new Entry(
-                    r.part, Entry.Kind.ENTRY, index, item.term(), r.env.codec().write(item)));
+            appendInMemory(index, item);
+            out.add(new WalRecord(
+                    r.partition,
+                    WalRecord.Kind.ENTRY,
+                    index,
+                    item.term(),
+                    r.environment.codec().write(item)));
         }
         long last = r.replicatedLog.lastIndex();
         long lastTerm = r.replicatedLog.lastTerm();
@@ -123,102 +129,105 @@
             then.run();
             return;
         }
-        r.env.wal()
+        r.environment
+                .wal()
                 .append(
                         out,
                         () -> r.shard.run(() -> {
-                            if (r.phase != Phase.STOPPED) {
-                                if (r.replicatedLog.holds(last) && r.replicatedLog.termAt(last) == lastTerm) {
-                                    synced = Math.max(synced, last);
+                            if (r.role != Role.STOPPED) {
+                                if (r.replicatedLog.contains(last) && r.replicatedLog.termAt(last) == lastTerm) {
+                                    syncedIndex = Math.max(syncedIndex, last);
                                 }
                                 then.run();
                             }
                         }));
     }
 
-    void cutFrom(long index) {
-        r.replicatedLog.cutFrom(index);
-        r.groups.cutFrom(index);
-        synced = Math.min(synced, index - 1);
+    void truncateFrom(long index) {
+        r.replicatedLog.truncateFrom(index);
+        r.membership.truncateFrom(index);
+        syncedIndex = Math.min(syncedIndex, index - 1);
     }
 
-    void vote(Runnable then) {
-        r.env.wal()
+    void storeVote(Runnable then) {
+        r.environment
+                .wal()
                 .append(
-                        List.of(new Entry(
-                                r.part,
-                                Entry.Kind.VOTE,
+                        List.of(new WalRecord(
+                                r.partition,
+                                WalRecord.Kind.VOTE,
                                 0,
                                 r.term,
-                                r.env.codec().write(r.votedFor))),
+                                r.environment.codec().write(r.votedFor))),
                         () -> r.shard.run(() -> {
-                            if (r.phase != Phase.STOPPED) {
+                            if (r.role != Role.STOPPED) {
                                 then.run();
                             }
                         }));
     }
 
-    Messages.Base base() {
-        long upTo = r.progress.applied();
-        List<LogEntry> tail = r.replicatedLog.tail();
+    ReplicationMessages.ReplicaSnapshot snapshot() {
+        long upTo = r.commits.appliedIndex();
+        List<LogEntry> tail = r.replicatedLog.entries();
         int skip = (int) (upTo - r.replicatedLog.baseIndex());
-        return new Messages.Base(
+        return new ReplicationMessages.ReplicaSnapshot(
                 r.identity,
                 r.term,
                 r.votedFor,
                 r.voter,
                 upTo,
                 r.replicatedLog.termAt(upTo),
-                r.groups.committed(),
-                r.machine.view(),
+                r.membership.committed(),
+                r.stateMachine.snapshot(),
                 List.copyOf(tail.subList(skip, tail.size())));
     }
 
     /** The state up to what is applied, without what only concerns this replica. */
-    Messages.Base snapshotBase() {
-        Messages.Base own = base();
-        return new Messages.Base(
-                "", r.term, "", false, own.index(), own.indexTerm(), own.group(), own.machine(), List.of());
+    ReplicationMessages.ReplicaSnapshot snapshotWithoutIdentity() {
+        ReplicationMessages.ReplicaSnapshot own = snapshot();
+        return new ReplicationMessages.ReplicaSnapshot(
+                "", r.term, "", false, own.index(), own.indexTerm(), own.members(), own.state(), List.of());
     }
 
     /** The same snapshot as long as the log goes on from it: a follower that is on its way gets no other one. */
     SnapshotContent snapshotForFollowers() {
         SnapshotContent latest = latestSnapshot.get();
         if (latest == null || latest.index() < r.replicatedLog.baseIndex()) {
-            Messages.Base base = snapshotBase();
+            ReplicationMessages.ReplicaSnapshot base = snapshotWithoutIdentity();
             latest = SnapshotContent.of(
-                    base.index(), base.indexTerm(), r.env.codec().write(base));
+                    base.index(), base.indexTerm(), r.environment.codec().write(base));
             latestSnapshot = new WeakReference<>(latest);
         }
         return latest;
     }
 
-    void giveBase() {
-        giveBase(() -> {});
+    void storeSnapshot() {
+        storeSnapshot(() -> {});
     }
 
     /** A new base makes every earlier record of the part needless. */
-    void giveBase(Runnable then) {
-        if (r.phase == Phase.STOPPED) {
+    void storeSnapshot(Runnable then) {
+        if (r.role == Role.STOPPED) {
             return;
         }
-        Messages.Base b = base();
-        long keptFrom = r.replicatedLog.bytes() > KEPT_FOR_FOLLOWERS ? b.index() : r.leading.logNeededFrom(b.index());
+        ReplicationMessages.ReplicaSnapshot b = snapshot();
+        long keptFrom = r.replicatedLog.bytes() > KEPT_FOR_FOLLOWERS ? b.index() : r.leader.firstIndexNeeded(b.index());
         r.replicatedLog.compacted(b.index(), keptFrom);
         long last = r.replicatedLog.lastIndex();
         long lastTerm = r.replicatedLog.lastTerm();
-        r.env.wal()
+        r.environment
+                .wal()
                 .append(
-                        List.of(new Entry(
-                                r.part,
-                                Entry.Kind.BASE,
+                        List.of(new WalRecord(
+                                r.partition,
+                                WalRecord.Kind.SNAPSHOT,
                                 b.index(),
                                 b.term(),
-                                r.env.codec().write(b))),
+                                r.environment.codec().write(b))),
                         () -> r.shard.run(() -> {
-                            if (r.phase != Phase.STOPPED) {
-                                if (r.replicatedLog.holds(last) && r.replicatedLog.termAt(last) == lastTerm) {
-                                    synced = Math.max(synced, last);
+                            if (r.role != Role.STOPPED) {
+                                if (r.replicatedLog.contains(last) && r.replicatedLog.termAt(last) == lastTerm) {
+                                    syncedIndex = Math.max(syncedIndex, last);
                                 }
                                 then.run();
                             }
@@ -226,21 +235,22 @@
     }
 
     /** Replaces all we have by the owner's view. */
-    void install(Messages.Base b, Runnable then) {
+    void installSnapshot(ReplicationMessages.ReplicaSnapshot b, Runnable then) {
         r.replicatedLog.reset(b.index(), b.indexTerm(), List.of());
-        r.groups.reset(b.group());
-        r.machine.restore(b.machine());
-        r.progress.restored(b.index());
-        synced = Math.min(synced, b.index());
-        giveBase(then);
+        r.membership.reset(b.members());
+        r.stateMachine.restore(b.state());
+        r.commits.resetTo(b.index());
+        syncedIndex = Math.min(syncedIndex, b.index());
+        storeSnapshot(then);
     }
 
-    void compactIfLarge() {
+    void compactIfNeeded() {
         ReplicatedLog log = r.replicatedLog;
-        boolean large = log.bytesAfterCompacted() > Math.min(LARGE, r.env.wal().largest() / 4)
-                || log.lastIndex() - log.compactedIndex() > MANY;
-        if (large && r.progress.applied() > log.compactedIndex()) {
-            giveBase();
+        boolean large = log.bytesAfterCompacted()
+                        > Math.min(COMPACTION_BYTES, r.environment.wal().largestRecordBytes() / 4)
+                || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
+        if (large && r.commits.appliedIndex() > log.compactedIndex()) {
+            storeSnapshot();
         }
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -42,14 +42,14 @@
 
     /** A snapshot on disk covers all up to the index; entries from the other index on are kept in memory. */
     void compacted(long index, long keptFrom) {
-        forgetTo(Math.max(baseIndex, Math.min(index, keptFrom)));
+        discardTo(Math.max(baseIndex, Math.min(index, keptFrom)));
         compactedIndex = index;
         bytesAfterCompacted = items.subList((int) (index - baseIndex), items.size()).stream()
                 .mapToLong(entry -> entry.bytes().length)
                 .sum();
     }
 
-    boolean holds(long index) {
+    boolean contains(long index) {
         return index >= baseIndex && index <= lastIndex();
     }
 
@@ -67,7 +67,7 @@
         bytesAfterCompacted += item.bytes().length;
     }
 
-    void cutFrom(long index) {
+    void truncateFrom(long index) {
         while (lastIndex() >= index) {
             int removed = items.remove(items.size() - 1).bytes().length;
             bytes -= removed;
@@ -75,7 +75,7 @@
         }
     }
 
-    private void forgetTo(long index) {
+    private void discardTo(long index) {
         baseTerm = termAt(index);
         int n = (int) (index - baseIndex);
         items.subList(0, n).forEach(i -> bytes -= i.bytes().length);
@@ -94,7 +94,7 @@
     }
 
     /** Entries after the index, at least one if there is any, until they reach so many bytes. */
-    List<LogEntry> after(long index, int enoughBytes) {
+    List<LogEntry> entriesAfter(long index, int enoughBytes) {
         List<LogEntry> out = new ArrayList<>();
         long size = 0;
         for (long i = index + 1; i <= lastIndex() && size < enoughBytes; i++) {
@@ -104,7 +104,7 @@
         return out;
     }
 
-    List<LogEntry> tail() {
+    List<LogEntry> entries() {
         return List.copyOf(items);
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
@@ -3,8 +3,9 @@
 import java.time.Duration;
 
 /** The times of the engine; one set for the whole fleet. */
-public record ReplicationTiming(Duration lease, Duration renew, Duration look, Duration ask, Duration spread) {
-    public static ReplicationTiming usual() {
+public record ReplicationTiming(
+        Duration lease, Duration heartbeat, Duration tick, Duration requestTimeout, Duration electionJitter) {
+    public static ReplicationTiming defaults() {
         return new ReplicationTiming(
                 Duration.ofMillis(2000),
                 Duration.ofMillis(500),
@@ -17,7 +18,7 @@
      * For parts. Control parts: the next owner must confirm subscriptions before the views in the fleet are too old to use.
      * Message parts: what is ordered waits for the next owner. design 5.3
      */
-    public static ReplicationTiming core() {
+    public static ReplicationTiming partitions() {
         return new ReplicationTiming(
                 Duration.ofMillis(1200),
                 Duration.ofMillis(300),
@@ -27,7 +28,7 @@
     }
 
     /** The owner stops a little before the voters do, for clocks that do not run alike. */
-    public Duration ownLease() {
+    public Duration leaderLease() {
         return lease.minus(lease.dividedBy(20));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
@@ -1,6 +1,7 @@
 package org.woadvale.common.replication;
 
 import java.util.List;
+import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.RepeatableRequest;
 
 /** The transfer of a snapshot in pieces. design 5.8 */
@@ -11,15 +12,20 @@
     public record SnapshotId(long index, long indexTerm, long totalBytes, int checksum) {}
 
     /** A part of a snapshot's bytes, from the offset on. */
-    public record SnapshotPiece(String part, long term, SnapshotId id, long offset, byte[] bytes)
+    public record SnapshotChunkRequest(
+            @FirstFormatName("part") String partition,
+            long term,
+            @FirstFormatName("id") SnapshotId snapshot,
+            long offset,
+            byte[] bytes)
             implements RepeatableRequest {}
 
     /** What became of a piece. */
-    public enum PieceStatus {
+    public enum ChunkStatus {
         /** Taken, or held already: the next piece begins at the offset of the answer. */
         ACCEPTED,
         /** Not the piece that comes next: nothing changed; the next one begins at the offset of the answer. */
-        OUT_OF_TURN,
+        UNEXPECTED_OFFSET,
         /** The whole does not have its checksum: all pieces are dropped. */
         CORRUPT,
         /** Larger than this replica can store: nothing changed. */
@@ -31,14 +37,23 @@
     }
 
     /** The one answer to a piece. */
-    public record SnapshotReply(
-            long term, PieceStatus status, long nextOffset, long match, String identity, boolean willing) {}
+    public record SnapshotChunkResponse(
+            long term,
+            ChunkStatus status,
+            long nextOffset,
+            @FirstFormatName("match") long matchIndex,
+            String identity,
+            @FirstFormatName("willing") boolean electable) {}
 
     /** A follower reported less than it had confirmed: it must take another identity. design 5.8 */
-    public record IdentityRevoked(String part, long term, String identity) implements RepeatableRequest {}
+    public record RevokeIdentityRequest(String partition, long term, String identity) implements RepeatableRequest {}
 
     public static List<Class<?>> types() {
         return List.of(
-                SnapshotId.class, SnapshotPiece.class, PieceStatus.class, SnapshotReply.class, IdentityRevoked.class);
+                SnapshotId.class,
+                SnapshotChunkRequest.class,
+                ChunkStatus.class,
+                SnapshotChunkResponse.class,
+                RevokeIdentityRequest.class);
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
@@ -2,67 +2,68 @@
 
 import java.util.Arrays;
 import java.util.Optional;
-import org.woadvale.common.replication.SnapshotMessages.PieceStatus;
+import org.woadvale.common.replication.SnapshotMessages.ChunkStatus;
+import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
-import org.woadvale.common.replication.SnapshotMessages.SnapshotPiece;
 
 /** Puts the pieces of one snapshot together. What was received outlives a change of the leader, not a restart. */
 final class SnapshotReceiver {
-    private static final int FIRST_ROOM = 64 << 10;
+    private static final int INITIAL_CAPACITY = 64 << 10;
 
     /** What a piece led to; the content is there once it is whole and sound. */
-    record Progress(PieceStatus status, long nextOffset, Optional<SnapshotContent> whole) {
-        static Progress at(PieceStatus status, long nextOffset) {
-            return new Progress(status, nextOffset, Optional.empty());
+    record ReceivedChunk(ChunkStatus status, long nextOffset, Optional<SnapshotContent> snapshot) {
+        static ReceivedChunk incomplete(ChunkStatus status, long nextOffset) {
+            return new ReceivedChunk(status, nextOffset, Optional.empty());
         }
     }
 
-    private final long largest;
+    private final long largestSnapshotBytes;
     private Optional<SnapshotId> current = Optional.empty();
     private byte[] bytes = new byte[0];
     private int received;
 
     SnapshotReceiver(long largest) {
-        this.largest = largest;
+        this.largestSnapshotBytes = largest;
     }
 
-    Progress take(SnapshotPiece piece) {
-        SnapshotId id = piece.id();
-        if (id.totalBytes() > largest || id.totalBytes() <= 0) {
-            return Progress.at(PieceStatus.TOO_LARGE, 0);
+    ReceivedChunk receive(SnapshotChunkRequest piece) {
+        SnapshotId id = piece.snapshot();
+        if (id.totalBytes() > largestSnapshotBytes || id.totalBytes() <= 0) {
+            return ReceivedChunk.incomplete(ChunkStatus.TOO_LARGE, 0);
         }
         if (!current.equals(Optional.of(id))) {
             if (piece.offset() != 0) {
-                return Progress.at(PieceStatus.OUT_OF_TURN, 0);
+                return ReceivedChunk.incomplete(ChunkStatus.UNEXPECTED_OFFSET, 0);
             }
             clear();
             current = Optional.of(id);
         }
         boolean fits = piece.offset() + piece.bytes().length <= id.totalBytes();
         if (piece.offset() != received || !fits) {
-            return Progress.at(PieceStatus.OUT_OF_TURN, received);
+            return ReceivedChunk.incomplete(ChunkStatus.UNEXPECTED_OFFSET, received);
         }
         add(piece.bytes(), (int) id.totalBytes());
-        return received < id.totalBytes() ? Progress.at(PieceStatus.ACCEPTED, received) : finish(id);
+        return received < id.totalBytes() ? ReceivedChunk.incomplete(ChunkStatus.ACCEPTED, received) : finish(id);
     }
 
     private void add(byte[] piece, int total) {
         int needed = received + piece.length;
         if (needed > bytes.length) {
-            bytes = Arrays.copyOf(bytes, Math.min(total, Math.max(Math.max(FIRST_ROOM, needed), 2 * bytes.length)));
+            bytes = Arrays.copyOf(
+                    bytes, Math.min(total, Math.max(Math.max(INITIAL_CAPACITY, needed), 2 * bytes.length)));
         }
         System.arraycopy(piece, 0, bytes, received, piece.length);
         received = needed;
     }
 
-    private Progress finish(SnapshotId id) {
+    private ReceivedChunk finish(SnapshotId id) {
         byte[] whole = bytes;
         clear();
         if (SnapshotContent.checksum(whole, whole.length) != id.checksum()) {
-            return Progress.at(PieceStatus.CORRUPT, 0);
+            return ReceivedChunk.incomplete(ChunkStatus.CORRUPT, 0);
         }
         SnapshotContent content = new SnapshotContent(id.index(), id.indexTerm(), whole, id.checksum());
-        return new Progress(PieceStatus.ACCEPTED, id.totalBytes(), Optional.of(content));
+        return new ReceivedChunk(ChunkStatus.ACCEPTED, id.totalBytes(), Optional.of(content));
     }
 
     private void clear() {
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
@@ -6,42 +6,42 @@
 /** Sends one snapshot to one follower, piece by piece; a lost call is followed by a smaller piece from the same place. */
 final class SnapshotSender {
     /** An answer within this part of a call's time is fast. */
-    private static final int FAST_SHARE = 4;
+    private static final int FAST_FRACTION = 4;
 
-    static final int LARGEST_PIECE = 256 << 10;
-    static final int SMALLEST_PIECE = 16 << 10;
+    static final int LARGEST_CHUNK = 256 << 10;
+    static final int SMALLEST_CHUNK = 16 << 10;
 
     private final SnapshotContent content;
-    private final Duration callTime;
+    private final Duration requestTimeout;
     private int offset;
-    private int pieceBytes = LARGEST_PIECE;
+    private int chunkBytes = LARGEST_CHUNK;
 
     SnapshotSender(SnapshotContent content, Duration callTime) {
         this.content = content;
-        this.callTime = callTime;
+        this.requestTimeout = callTime;
     }
 
     long index() {
         return content.index();
     }
 
-    SnapshotMessages.SnapshotPiece next(String part, long term) {
-        int end = Math.min(content.bytes().length, offset + pieceBytes);
+    SnapshotMessages.SnapshotChunkRequest nextChunk(String part, long term) {
+        int end = Math.min(content.bytes().length, offset + chunkBytes);
         SnapshotMessages.SnapshotId id = new SnapshotMessages.SnapshotId(
                 content.index(), content.indexTerm(), content.bytes().length, content.checksum());
-        return new SnapshotMessages.SnapshotPiece(
+        return new SnapshotMessages.SnapshotChunkRequest(
                 part, term, id, offset, Arrays.copyOfRange(content.bytes(), offset, end));
     }
 
-    void answered(SnapshotMessages.SnapshotReply reply, Duration took) {
+    void onResponse(SnapshotMessages.SnapshotChunkResponse reply, Duration took) {
         boolean inside = reply.nextOffset() >= 0 && reply.nextOffset() < content.bytes().length;
         offset = inside ? (int) reply.nextOffset() : 0;
-        if (took.multipliedBy(FAST_SHARE).compareTo(callTime) < 0) {
-            pieceBytes = Math.min(LARGEST_PIECE, pieceBytes * 2);
+        if (took.multipliedBy(FAST_FRACTION).compareTo(requestTimeout) < 0) {
+            chunkBytes = Math.min(LARGEST_CHUNK, chunkBytes * 2);
         }
     }
 
-    void lost() {
-        pieceBytes = Math.max(SMALLEST_PIECE, pieceBytes / 2);
+    void onLost() {
+        chunkBytes = Math.max(SMALLEST_CHUNK, chunkBytes / 2);
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/StateMachine.java
+++ b/common/src/main/java/org/woadvale/common/replication/StateMachine.java
@@ -5,7 +5,7 @@
     /** Called once for each committed command, in order, inside the part's shard. */
     Object apply(long index, Object command);
 
-    byte[] view();
+    byte[] snapshot();
 
     void restore(byte[] view);
 }
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -15,23 +15,23 @@
 /** Kryo with required registration and fixed numbers: no class name ever comes off the wire. design 3.2 */
 public final class Codec {
     /** Range of inner protocol versions that this build speaks. */
-    public static final int OLDEST = 2;
+    public static final int OLDEST_VERSION = 2;
 
-    public static final int NEWEST = 2;
-    public static final int MAX_FRAME = 24 << 20;
+    public static final int NEWEST_VERSION = 2;
+    public static final int MAX_FRAME_BYTES = 24 << 20;
     /** Objects within each other; the deepest message of ours has less than ten. */
     private static final int MAX_DEPTH = 64;
 
     private final Map<Integer, List<Class<?>>> types;
-    private final ThreadLocal<Kryo> kryos = ThreadLocal.withInitial(() -> make(false));
-    private final ThreadLocal<Kryo> firstFormat = ThreadLocal.withInitial(() -> make(true));
+    private final ThreadLocal<Kryo> kryos = ThreadLocal.withInitial(() -> createKryo(false));
+    private final ThreadLocal<Kryo> firstFormat = ThreadLocal.withInitial(() -> createKryo(true));
 
     /** Types by their first number; each program's own types have a range to themselves. */
     public Codec(Map<Integer, List<Class<?>>> types) {
         this.types = Map.copyOf(types);
     }
 
-    private Kryo make(boolean first) {
+    private Kryo createKryo(boolean first) {
         Kryo k = new Kryo();
         k.setRegistrationRequired(true);
         k.setReferences(false);
@@ -43,7 +43,7 @@
         k.register(Optional.class, 26);
         register(k, Frame.class, 27, first);
         k.register(Frame.Kind.class, 28);
-        register(k, Frame.Refusal.class, 29, first);
+        register(k, Frame.ErrorResponse.class, 29, first);
         k.register(java.util.LinkedHashMap.class, 30);
         k.register(java.util.TreeSet.class, 31);
         BoundedSerializers.registerImmutable(k);
@@ -57,14 +57,14 @@
 
     private static void register(Kryo k, Class<?> type, int id, boolean first) {
         if (type.isRecord()) {
-            k.register(type, new RecordBytes(type, first), id);
+            k.register(type, new RecordSerializer(type, first), id);
         } else {
             k.register(type, id);
         }
     }
 
     public byte[] write(Object o) {
-        Output out = new Output(512, MAX_FRAME);
+        Output out = new Output(512, MAX_FRAME_BYTES);
         kryos.get().writeClassAndObject(out, o);
         return out.toBytes();
     }
@@ -74,7 +74,7 @@
     }
 
     /** What a build of the first format stored, said again in the present one. design 3.4 */
-    public byte[] lift(byte[] firstFormatBytes) throws ServiceException {
+    public byte[] upgrade(byte[] firstFormatBytes) throws ServiceException {
         return firstFormatBytes.length == 0 ? firstFormatBytes : write(readFirst(firstFormatBytes, Object.class));
     }
 
--- a/common/src/main/java/org/woadvale/common/rpc/Frame.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Frame.java
@@ -10,11 +10,11 @@
     }
 
     public enum Kind {
-        ASK,
-        ANSWER,
-        REFUSAL
+        REQUEST,
+        RESPONSE,
+        ERROR
     }
 
     /** A fault on the wire. */
-    public record Refusal(String kind, String message, java.util.List<String> details) {}
+    public record ErrorResponse(String kind, String message, java.util.List<String> details) {}
 }
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -18,14 +18,14 @@
     private static final int MAX_IN_FLIGHT = 4096;
     private final Map<Long, Sinks.One<Object>> open = new ConcurrentHashMap<>();
     private final AtomicLong ids = new AtomicLong();
-    private final Timers schedules;
+    private final Timers timers;
     private volatile boolean closed;
 
     public PendingCalls(Timers schedules) {
-        this.schedules = schedules;
+        this.timers = schedules;
     }
 
-    public Mono<Object> ask(Object body, Duration limit, Consumer<Frame> send) {
+    public Mono<Object> call(Object body, Duration limit, Consumer<Frame> send) {
         return Mono.defer(() -> {
             if (closed) {
                 return Mono.error(notSent());
@@ -40,9 +40,9 @@
                 open.remove(id);
                 return Mono.error(notSent());
             }
-            send.accept(new Frame(id, Frame.Kind.ASK, body));
+            send.accept(new Frame(id, Frame.Kind.REQUEST, body));
             return Delays.limit(
-                            schedules,
+                            timers,
                             sink.asMono(),
                             limit,
                             new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time."))
@@ -58,10 +58,10 @@
      * Takes a response in the order in which it came, so that of two to one call the first counts; the caller goes on
      * by the executor. A response that no call waits for (a second one, or one that came too late) changes nothing.
      */
-    public void answered(Frame f, Consumer<Runnable> executor) {
+    public void onResponse(Frame f, Consumer<Runnable> executor) {
         Optional.ofNullable(open.remove(f.id()))
                 .ifPresent(sink -> executor.accept(() -> {
-                    if (f.kind() == Frame.Kind.REFUSAL) {
+                    if (f.kind() == Frame.Kind.ERROR) {
                         sink.tryEmitError(failure(f.body()));
                     } else {
                         sink.tryEmitValue(f.body());
@@ -71,7 +71,7 @@
 
     /** A refusal that this build cannot read, such as one of a newer build's kind, says nothing of the outcome. */
     private static ServiceException failure(Object body) {
-        if (body instanceof Frame.Refusal refusal) {
+        if (body instanceof Frame.ErrorResponse refusal) {
             for (ErrorKind kind : ErrorKind.values()) {
                 if (kind.name().equals(refusal.kind())) {
                     return new ServiceException(kind, refusal.message(), refusal.details());
@@ -82,7 +82,7 @@
     }
 
     /** The stream has gone: every open ask has an unknown outcome, and none is sent any more. */
-    public void lost() {
+    public void onConnectionLost() {
         closed = true;
         open.keySet()
                 .forEach(id -> Optional.ofNullable(open.remove(id))
@@ -93,13 +93,13 @@
     /** Runs the handler and turns its result into the frame to send back. */
     public static Mono<Frame> serve(RpcRouter router, String from, Frame ask) {
         return Mono.<Object>from(router.handle(from, ask.body()))
-                .map(o -> new Frame(ask.id(), Frame.Kind.ANSWER, o))
+                .map(o -> new Frame(ask.id(), Frame.Kind.RESPONSE, o))
                 .onErrorResume(e -> {
                     ServiceException f = ServiceException.of(e);
                     return Mono.just(new Frame(
                             ask.id(),
-                            Frame.Kind.REFUSAL,
-                            new Frame.Refusal(f.kind().name(), String.valueOf(f.getMessage()), f.details())));
+                            Frame.Kind.ERROR,
+                            new Frame.ErrorResponse(f.kind().name(), String.valueOf(f.getMessage()), f.details())));
                 });
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RecordBytes.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -16,8 +16,8 @@
 import java.util.Optional;
 
 /** A record with the count of its components: older readers drop what they do not know, newer ones fill in. design 3.4 */
-final class RecordBytes extends Serializer<Object> {
-    private static final Map<Class<?>, Object> NOTHING = Map.of(
+final class RecordSerializer extends Serializer<Object> {
+    private static final Map<Class<?>, Object> DEFAULTS = Map.of(
             String.class,
             "",
             int.class,
@@ -39,20 +39,20 @@
             Instant.class,
             Instant.EPOCH);
     private final Class<?> type;
-    private final RecordComponent[] parts;
-    private final Constructor<?> maker;
+    private final RecordComponent[] components;
+    private final Constructor<?> constructor;
     private final boolean firstFormat;
 
     /** The first format had no count: its components stood in the order of their names. */
-    RecordBytes(Class<?> type, boolean firstFormat) {
+    RecordSerializer(Class<?> type, boolean firstFormat) {
         this.type = type;
-        this.parts = type.getRecordComponents();
+        this.components = type.getRecordComponents();
         this.firstFormat = firstFormat;
         try {
-            this.maker = type.getDeclaredConstructor(
-                    Arrays.stream(parts).map(RecordComponent::getType).toArray(Class[]::new));
-            maker.setAccessible(true);
-            Arrays.stream(parts).forEach(p -> p.getAccessor().setAccessible(true));
+            this.constructor = type.getDeclaredConstructor(
+                    Arrays.stream(components).map(RecordComponent::getType).toArray(Class[]::new));
+            constructor.setAccessible(true);
+            Arrays.stream(components).forEach(p -> p.getAccessor().setAccessible(true));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
@@ -63,9 +63,9 @@
         if (firstFormat) {
             throw new IllegalStateException("the first format is only read");
         }
-        out.writeVarInt(parts.length, true);
+        out.writeVarInt(components.length, true);
         try {
-            for (RecordComponent p : parts) {
+            for (RecordComponent p : components) {
                 k.writeClassAndObject(out, p.getAccessor().invoke(o));
             }
         } catch (ReflectiveOperationException e) {
@@ -75,7 +75,8 @@
 
     @Override
     public Object read(Kryo k, Input in, Class<? extends Object> wanted) {
-        Object[] args = Arrays.stream(parts).map(p -> nothing(p.getType())).toArray();
+        Object[] args =
+                Arrays.stream(components).map(p -> defaultValue(p.getType())).toArray();
         if (firstFormat) {
             readFirst(k, in, args);
         } else {
@@ -88,21 +89,21 @@
             }
         }
         try {
-            return maker.newInstance(args);
+            return constructor.newInstance(args);
         } catch (ReflectiveOperationException e) {
             throw new KryoException("no " + type.getSimpleName() + " can be made of this", e);
         }
     }
 
     private void readFirst(Kryo k, Input in, Object[] args) {
-        int[] order = java.util.stream.IntStream.range(0, parts.length)
+        int[] order = java.util.stream.IntStream.range(0, components.length)
                 .boxed()
-                .filter(i -> !parts[i].isAnnotationPresent(Since.class))
-                .sorted(Comparator.comparing(i -> firstFormatName(parts[i])))
+                .filter(i -> !components[i].isAnnotationPresent(Since.class))
+                .sorted(Comparator.comparing(i -> firstFormatName(components[i])))
                 .mapToInt(Integer::intValue)
                 .toArray();
         for (int i : order) {
-            Class<?> c = parts[i].getType();
+            Class<?> c = components[i].getType();
             args[i] = c.isPrimitive()
                     ? k.readObject(in, c)
                     : k.isFinal(c) ? k.readObjectOrNull(in, c) : k.readClassAndObject(in);
@@ -116,10 +117,10 @@
     }
 
     /** What a component is that the writer did not know yet. */
-    private static Object nothing(Class<?> c) {
+    private static Object defaultValue(Class<?> c) {
         if (c.isEnum()) {
             return c.getEnumConstants()[0];
         }
-        return Optional.ofNullable(NOTHING.get(c)).orElse(Optional.empty());
+        return Optional.ofNullable(DEFAULTS.get(c)).orElse(Optional.empty());
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
@@ -11,5 +11,5 @@
      * Fails with UNREACHABLE (never sent), UNKNOWN_OUTCOME (sent, no answer in time),
      * or with the peer's own fault.
      */
-    <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit);
+    <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit);
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -28,7 +28,7 @@
     private static final Duration HANDSHAKE = Duration.ofSeconds(2);
 
     private enum State {
-        GREETING,
+        HANDSHAKE,
         OPEN,
         CLOSED
     }
@@ -37,12 +37,12 @@
     private final String self;
     private final Codec codec;
     private final RpcRouter router;
-    private final Timers schedules;
+    private final Timers timers;
     private final AtomicLong framesSent;
-    private final Optional<String> called;
-    private final PendingCalls exchange;
-    private final Sinks.One<Boolean> greeted = Sinks.one();
-    private volatile State state = State.GREETING;
+    private final Optional<String> expectedPeer;
+    private final PendingCalls pendingCalls;
+    private final Sinks.One<Boolean> handshake = Sinks.one();
+    private volatile State state = State.HANDSHAKE;
     private volatile String peer = "?";
 
     /** The name that was called, on the calling side: whoever answers under another one is not asked anything. */
@@ -58,21 +58,21 @@
         this.self = self;
         this.codec = codec;
         this.router = router;
-        this.schedules = schedules;
+        this.timers = schedules;
         this.framesSent = framesSent;
-        this.called = called;
-        this.exchange = new PendingCalls(schedules);
+        this.expectedPeer = called;
+        this.pendingCalls = new PendingCalls(schedules);
     }
 
     void open() {
-        connection.addHandlerLast("length", new LengthFieldBasedFrameDecoder(Codec.MAX_FRAME, 0, 4, 0, 4));
+        connection.addHandlerLast("length", new LengthFieldBasedFrameDecoder(Codec.MAX_FRAME_BYTES, 0, 4, 0, 4));
         connection.addHandlerLast("prepend", new LengthFieldPrepender(4));
         connection.addHandlerLast("frames", new SimpleChannelInboundHandler<ByteBuf>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
                 byte[] bytes = new byte[in.readableBytes()];
                 in.readBytes(bytes);
-                received(bytes);
+                onBytes(bytes);
             }
 
             @Override
@@ -83,36 +83,40 @@
         connection.channel().config().setAutoRead(true);
         byte[] name = self.getBytes(StandardCharsets.UTF_8);
         ByteBuf hello = Unpooled.buffer();
-        hello.writeInt(MAGIC).writeShort(Codec.OLDEST).writeShort(Codec.NEWEST).writeBytes(name);
+        hello.writeInt(MAGIC)
+                .writeShort(Codec.OLDEST_VERSION)
+                .writeShort(Codec.NEWEST_VERSION)
+                .writeBytes(name);
         connection.channel().writeAndFlush(hello);
-        schedules.after(HANDSHAKE, () -> {
-            if (state == State.GREETING) {
+        timers.after(HANDSHAKE, () -> {
+            if (state == State.HANDSHAKE) {
                 refuse("no handshake in time");
             }
         });
     }
 
-    private void received(byte[] bytes) {
-        if (state == State.GREETING) {
-            greet(Unpooled.wrappedBuffer(bytes));
+    private void onBytes(byte[] bytes) {
+        if (state == State.HANDSHAKE) {
+            onHandshake(Unpooled.wrappedBuffer(bytes));
         } else if (state == State.OPEN) {
             try {
-                take(codec.read(bytes, Frame.class));
+                onFrame(codec.read(bytes, Frame.class));
             } catch (ServiceException e) {
                 refuse(e.getMessage());
             }
         }
     }
 
-    private void greet(ByteBuf in) {
+    private void onHandshake(ByteBuf in) {
         if (in.readableBytes() < 8 || in.readInt() != MAGIC) {
             refuse("foreign handshake");
             return;
         }
         int oldest = in.readShort();
         int newest = in.readShort();
-        if (oldest > Codec.NEWEST || newest < Codec.OLDEST) {
-            refuse("versions " + oldest + ".." + newest + " do not meet ours " + Codec.OLDEST + ".." + Codec.NEWEST);
+        if (oldest > Codec.NEWEST_VERSION || newest < Codec.OLDEST_VERSION) {
+            refuse("versions " + oldest + ".." + newest + " do not meet ours " + Codec.OLDEST_VERSION + ".."
+                    + Codec.NEWEST_VERSION);
             return;
         }
         String name = in.toString(StandardCharsets.UTF_8);
@@ -120,26 +124,27 @@
             refuse("foreign name");
             return;
         }
-        if (called.filter(c -> !c.equals(name)).isPresent()) {
-            refuse("it is " + name + " that answers at " + called.get());
+        if (expectedPeer.filter(c -> !c.equals(name)).isPresent()) {
+            refuse("it is " + name + " that answers at " + expectedPeer.get());
             return;
         }
         peer = name;
         state = State.OPEN;
-        greeted.tryEmitValue(Boolean.TRUE);
+        handshake.tryEmitValue(Boolean.TRUE);
     }
 
-    private void take(Frame f) {
-        if (f.kind() == Frame.Kind.ASK) {
-            schedules.soon(() -> PendingCalls.serve(router, peer, f).subscribe(this::send));
+    private void onFrame(Frame f) {
+        if (f.kind() == Frame.Kind.REQUEST) {
+            timers.soon(() -> PendingCalls.serve(router, peer, f).subscribe(this::send));
         } else {
-            exchange.answered(f, schedules::soon);
+            pendingCalls.onResponse(f, timers::soon);
         }
     }
 
-    Mono<Object> ask(Object body, Duration limit) {
+    Mono<Object> call(Object body, Duration limit) {
         ServiceException notSent = new ServiceException(ErrorKind.UNREACHABLE, "The handshake took too long.");
-        return Delays.limit(schedules, greeted.asMono(), limit, notSent).then(exchange.ask(body, limit, this::send));
+        return Delays.limit(timers, handshake.asMono(), limit, notSent)
+                .then(pendingCalls.call(body, limit, this::send));
     }
 
     private void send(Frame f) {
@@ -157,13 +162,13 @@
 
     void close() {
         state = State.CLOSED;
-        lost();
+        onClosed();
         connection.dispose();
     }
 
-    void lost() {
+    void onClosed() {
         state = State.CLOSED;
-        greeted.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "The stream closed before the handshake."));
-        exchange.lost();
+        handshake.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "The stream closed before the handshake."));
+        pendingCalls.onConnectionLost();
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -26,8 +26,8 @@
     private final String listen;
     private final Codec codec;
     private final RpcRouter router;
-    private final Timers schedules;
-    private final Map<String, Mono<RpcConnection>> streams = new ConcurrentHashMap<>();
+    private final Timers timers;
+    private final Map<String, Mono<RpcConnection>> connections = new ConcurrentHashMap<>();
     private final Map<RpcConnection, Boolean> incoming = new ConcurrentHashMap<>();
     private final AtomicLong framesSent = new AtomicLong();
     private DisposableServer server;
@@ -42,7 +42,7 @@
         this.listen = listen;
         this.codec = codec;
         this.router = router;
-        this.schedules = schedules;
+        this.timers = schedules;
     }
 
     @Override
@@ -76,17 +76,17 @@
     }
 
     private void accept(Connection c) {
-        RpcConnection s = new RpcConnection(c, self, codec, router, schedules, framesSent, Optional.empty());
+        RpcConnection s = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.empty());
         incoming.put(s, Boolean.TRUE);
         c.onDispose(() -> incoming.remove(s));
         s.open();
     }
 
     @Override
-    public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+    public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
         Mono<Object> got = self.equals(to)
                 ? local(body, limit)
-                : streams.computeIfAbsent(to, this::connect).flatMap(s -> s.ask(body, limit));
+                : connections.computeIfAbsent(to, this::connect).flatMap(s -> s.call(body, limit));
         return got.flatMap(o -> answer.isInstance(o)
                 ? Mono.just(answer.cast(o))
                 : Mono.error(new ServiceException(
@@ -95,7 +95,7 @@
 
     private Mono<Object> local(Object body, Duration limit) {
         return org.woadvale.common.runtime.Delays.limit(
-                schedules,
+                timers,
                 Mono.<Object>from(router.handle(self, body)),
                 limit,
                 new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time."));
@@ -109,16 +109,16 @@
                 .option(io.netty.channel.ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
                 .connect()
                 .map(c -> {
-                    RpcConnection s = new RpcConnection(c, self, codec, router, schedules, framesSent, Optional.of(to));
+                    RpcConnection s = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.of(to));
                     c.onDispose(() -> {
-                        streams.remove(to);
-                        s.lost();
+                        connections.remove(to);
+                        s.onClosed();
                     });
                     s.open();
                     return s;
                 })
                 .onErrorMap(e -> new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + "."))
-                .doOnError(e -> schedules.after(Duration.ofMillis(100), () -> streams.remove(to)))
+                .doOnError(e -> timers.after(Duration.ofMillis(100), () -> connections.remove(to)))
                 .cast(RpcConnection.class)
                 .cache();
     }
@@ -131,7 +131,7 @@
     @Override
     public void stop() {
         incoming.keySet().forEach(RpcConnection::close);
-        streams.values().forEach(m -> m.subscribe(RpcConnection::close, e -> {}));
+        connections.values().forEach(m -> m.subscribe(RpcConnection::close, e -> {}));
         if (server != null) {
             server.disposeNow(Duration.ofSeconds(2));
         }
--- a/common/src/main/java/org/woadvale/common/runtime/Clock.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Clock.java
@@ -6,8 +6,8 @@
 /** The two clocks of a process: design 2.1. */
 public interface Clock {
     /** Time since an arbitrary start; never goes back; used for every lease and age. */
-    Duration mono();
+    Duration monotonicTime();
 
     /** Calendar time; used only for due times and records shown to people. */
-    Instant wall();
+    Instant wallTime();
 }
--- a/common/src/main/java/org/woadvale/common/runtime/ErrorKind.java
+++ b/common/src/main/java/org/woadvale/common/runtime/ErrorKind.java
@@ -53,7 +53,7 @@
         return level;
     }
 
-    public String word() {
+    public String wireName() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
+++ b/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
@@ -8,7 +8,7 @@
 /** A piece of state under its own lock; what leaves the shard runs after unlocking: design 2.3. */
 public final class LockedShard {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Deque<Runnable> leaving = new ArrayDeque<>();
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
 
     public void run(Runnable body) {
         get(() -> {
@@ -22,11 +22,11 @@
         try {
             return body.get();
         } finally {
-            if (lock.getHoldCount() > 1 || leaving.isEmpty()) {
+            if (lock.getHoldCount() > 1 || deferred.isEmpty()) {
                 lock.unlock();
             } else {
-                Runnable[] out = leaving.toArray(Runnable[]::new);
-                leaving.clear();
+                Runnable[] out = deferred.toArray(Runnable[]::new);
+                deferred.clear();
                 lock.unlock();
                 for (Runnable r : out) {
                     r.run();
@@ -36,10 +36,10 @@
     }
 
     /** Call only while inside; the task runs once the lock is free. */
-    public void leave(Runnable task) {
+    public void afterUnlock(Runnable task) {
         if (!lock.isHeldByCurrentThread()) {
             throw new IllegalStateException("leave outside of the shard");
         }
-        leaving.add(task);
+        deferred.add(task);
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
+++ b/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
@@ -8,21 +8,21 @@
 /** A task that sets itself again after each run, whatever the run threw. */
 final class RepeatingTimer implements TimerHandle {
     private static final Logger LOG = LogManager.getLogger("lantern");
-    private final Timers schedules;
+    private final Timers timers;
     private final Duration period;
     private final Runnable task;
     private Optional<TimerHandle> next = Optional.empty();
     private boolean cancelled;
 
     RepeatingTimer(Timers schedules, Duration period, Runnable task) {
-        this.schedules = schedules;
+        this.timers = schedules;
         this.period = period;
         this.task = task;
     }
 
     synchronized RepeatingTimer begin() {
         if (!cancelled) {
-            next = Optional.of(schedules.after(period, this::run));
+            next = Optional.of(timers.after(period, this::run));
         }
         return this;
     }
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -51,7 +51,7 @@
         while (running < width && !queue.isEmpty()) {
             Waiting<I, O> w = queue.poll();
             running++;
-            shard.leave(() -> begin(w));
+            shard.afterUnlock(() -> begin(w));
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -13,23 +13,23 @@
 /** Starts components in order, restarts dead ones with backoff, stops in reverse: design 2.4. */
 public final class Supervisor implements Component {
     private static final Logger LOG = LogManager.getLogger("lantern");
-    private static final Duration LOOK = Duration.ofMillis(500);
-    private static final int LIMIT = 5;
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
+    private static final int MAX_RESTARTS = 5;
 
     private final String name;
-    private final Timers schedules;
-    private final Runnable onGivenUp;
+    private final Timers timers;
+    private final Runnable onGiveUp;
     private final List<Component> children = new ArrayList<>();
     private final Map<Component, Integer> restarts = new HashMap<>();
     private final Set<Component> pending = new HashSet<>();
-    private TimerHandle looking = () -> {};
+    private TimerHandle checking = () -> {};
     private boolean running;
-    private boolean givenUp;
+    private boolean gaveUp;
 
     public Supervisor(String name, Timers schedules, Runnable onGivenUp) {
         this.name = name;
-        this.schedules = schedules;
-        this.onGivenUp = onGivenUp;
+        this.timers = schedules;
+        this.onGiveUp = onGivenUp;
     }
 
     public synchronized Supervisor with(Component c) {
@@ -49,12 +49,12 @@
             c.start();
             LOG.info("lantern: started {}.", c.name());
         }
-        looking = schedules.every(LOOK, this::look);
+        checking = timers.every(CHECK_INTERVAL, this::checkComponents);
     }
 
-    private synchronized void look() {
+    private synchronized void checkComponents() {
         for (Component c : children) {
-            if (running && !givenUp && !c.alive() && !pending.contains(c)) {
+            if (running && !gaveUp && !c.alive() && !pending.contains(c)) {
                 restart(c);
             }
         }
@@ -62,18 +62,18 @@
 
     private void restart(Component c) {
         int n = restarts.merge(c, 1, Integer::sum);
-        if (n > LIMIT) {
+        if (n > MAX_RESTARTS) {
             LOG.error("lantern: {} died {} times, giving up.", c.name(), n);
-            givenUp = true;
-            onGivenUp.run();
+            gaveUp = true;
+            onGiveUp.run();
             return;
         }
         LOG.warn("lantern: {} died, starting it again.", c.name());
         pending.add(c);
-        schedules.after(LOOK.multipliedBy(1L << n), () -> startAgain(c));
+        timers.after(CHECK_INTERVAL.multipliedBy(1L << n), () -> restartNow(c));
     }
 
-    private synchronized void startAgain(Component c) {
+    private synchronized void restartNow(Component c) {
         pending.remove(c);
         if (!running || c.alive()) {
             return;
@@ -89,7 +89,7 @@
     @Override
     public synchronized void stop() {
         running = false;
-        looking.cancel();
+        checking.cancel();
         for (int i = children.size() - 1; i >= 0; i--) {
             children.get(i).stop();
             LOG.info("lantern: stopped {}.", children.get(i).name());
@@ -98,6 +98,6 @@
 
     @Override
     public synchronized boolean alive() {
-        return !givenUp;
+        return !gaveUp;
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/SystemClock.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemClock.java
@@ -8,12 +8,12 @@
     private final long start = System.nanoTime();
 
     @Override
-    public Duration mono() {
+    public Duration monotonicTime() {
         return Duration.ofNanos(System.nanoTime() - start);
     }
 
     @Override
-    public Instant wall() {
+    public Instant wallTime() {
         return Instant.now();
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
@@ -7,17 +7,17 @@
 /** For processes without a disk: nothing may be written. */
 public final class DisabledWriteAheadLog implements WriteAheadLog {
     @Override
-    public Map<String, List<Entry>> recovered() {
+    public Map<String, List<WalRecord>> recovered() {
         return Map.of();
     }
 
     @Override
-    public void append(List<Entry> entries, Runnable done) {
+    public void append(List<WalRecord> entries, Runnable done) {
         throw new IllegalStateException("this process has no disk");
     }
 
     @Override
-    public void onPressure(String part, Runnable giveBase) {
+    public void onSpaceNeeded(String part, Runnable giveBase) {
         throw new IllegalStateException("this process has no disk");
     }
 
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public int largest() {
+    public int largestRecordBytes() {
         return 0;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/Disk.java
+++ b/common/src/main/java/org/woadvale/common/wal/Disk.java
@@ -8,7 +8,7 @@
     /** No caller needs more at once than this, or than one record. */
     int CHUNK = 64 << 10;
 
-    interface Leaf {
+    interface DiskFile {
         int size() throws IOException;
 
         /** Takes all the space of the file, so that later writes need none. Must run before the first write. */
@@ -26,7 +26,7 @@
     List<String> list() throws IOException;
 
     /** A file of at least this size; a new one is all zeros. Takes no space before it is allocated. */
-    Leaf open(String name, int size) throws IOException;
+    DiskFile open(String name, int size) throws IOException;
 
     /** Takes everything out of the way; a damaged folder is kept aside where the disk can, in place of any former one. */
     void setAside() throws IOException;
--- a/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public Leaf open(String name, int size) {
+    public DiskFile open(String name, int size) {
         return new FolderFile(folder.resolve(name), size);
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/FolderFile.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderFile.java
@@ -13,7 +13,7 @@
  * One file of a data folder, made when it is first allocated. It is read and written in small pieces only: the runtime
  * keeps a buffer outside the heap as large as the largest piece for each thread.
  */
-final class FolderFile implements Disk.Leaf {
+final class FolderFile implements Disk.DiskFile {
     private final Path path;
     private final int wantedSize;
     private Optional<FileChannel> channel = Optional.empty();
--- a/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
+++ b/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
@@ -8,20 +8,20 @@
 /** Records that wait for the disk, in their order. */
 final class PendingWrites {
     /** Records that were appended together, and what runs once they are synced. */
-    record Group(List<Entry> entries, Runnable done) {
+    record PendingAppend(List<WalRecord> entries, Runnable done) {
         /** Bytes of the log entries; snapshots are not counted, since each replaces the one before it. */
         long entryBytes() {
             return entries.stream()
-                    .filter(e -> e.kind() == Entry.Kind.ENTRY)
+                    .filter(e -> e.kind() == WalRecord.Kind.ENTRY)
                     .mapToLong(e -> e.bytes().length)
                     .sum();
         }
     }
 
-    private List<Group> groups = new ArrayList<>();
+    private List<PendingAppend> groups = new ArrayList<>();
     private long entryBytes;
 
-    void add(Group group) {
+    void add(PendingAppend group) {
         if (!groups.isEmpty()) {
             dropReplaced(group);
         }
@@ -30,19 +30,24 @@
     }
 
     /** A snapshot stands for all earlier records of its part: what still waits of them is never written. */
-    private void dropReplaced(Group group) {
+    private void dropReplaced(PendingAppend group) {
         Set<String> replaced = new HashSet<>();
-        group.entries().stream().filter(e -> e.kind() == Entry.Kind.BASE).forEach(e -> replaced.add(e.part()));
+        group.entries().stream()
+                .filter(e -> e.kind() == WalRecord.Kind.SNAPSHOT)
+                .forEach(e -> replaced.add(e.partition()));
         if (replaced.isEmpty()) {
             return;
         }
-        groups.replaceAll(g -> new Group(
-                g.entries().stream().filter(e -> !replaced.contains(e.part())).toList(), g.done()));
-        entryBytes = groups.stream().mapToLong(Group::entryBytes).sum();
+        groups.replaceAll(g -> new PendingAppend(
+                g.entries().stream()
+                        .filter(e -> !replaced.contains(e.partition()))
+                        .toList(),
+                g.done()));
+        entryBytes = groups.stream().mapToLong(PendingAppend::entryBytes).sum();
     }
 
-    List<Group> takeAll() {
-        List<Group> taken = groups;
+    List<PendingAppend> takeAll() {
+        List<PendingAppend> taken = groups;
         groups = new ArrayList<>();
         entryBytes = 0;
         return taken;
--- a/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
+++ b/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
@@ -5,14 +5,14 @@
 
 /** A moving piece of one file: recovery holds no more than the record it looks at. design 4.3 */
 final class ReadWindow {
-    private final Disk.Leaf leaf;
+    private final Disk.DiskFile file;
     private final int size;
     private byte[] bytes = new byte[Disk.CHUNK];
     private int from;
-    private int held;
+    private int bufferedBytes;
 
-    ReadWindow(Disk.Leaf leaf) throws IOException {
-        this.leaf = leaf;
+    ReadWindow(Disk.DiskFile leaf) throws IOException {
+        this.file = leaf;
         this.size = leaf.size();
     }
 
@@ -22,19 +22,19 @@
 
     /** The next so many bytes at a place; good until the next look. */
     ByteBuffer look(int at, int length) throws IOException {
-        if (at < from || at + length > from + held) {
+        if (at < from || at + length > from + bufferedBytes) {
             if (length > bytes.length) {
                 bytes = new byte[length];
             }
-            held = Math.min(bytes.length, size - at);
-            leaf.read(at, bytes, held);
+            bufferedBytes = Math.min(bytes.length, size - at);
+            file.read(at, bytes, bufferedBytes);
             from = at;
         }
         return ByteBuffer.wrap(bytes, at - from, length).slice();
     }
 
     byte at(int pos) throws IOException {
-        return pos >= from && pos < from + held
+        return pos >= from && pos < from + bufferedBytes
                 ? bytes[pos - from]
                 : look(pos, 1).get();
     }
@@ -54,9 +54,9 @@
         for (int at = start; at < size; at += Disk.CHUNK) {
             int end = Math.min(at + Disk.CHUNK, size);
             if (!zero(at, end)) {
-                leaf.write(at, zeros, end - at);
+                file.write(at, zeros, end - at);
             }
         }
-        held = 0;
+        bufferedBytes = 0;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -9,17 +9,17 @@
 
 /** The bytes of a record: length, checksum, segment number, batch number, body. design 4.2 */
 final class RecordFormat {
-    static final int HEAD = 4 + 4;
+    static final int HEADER_BYTES = 4 + 4;
     /** Format of this build's records; readers accept every format up to it. */
-    static final byte FORMAT = Entry.FORMAT;
+    static final byte FORMAT = WalRecord.FORMAT;
 
-    private static final byte ROLL = 9;
+    private static final byte END_OF_SEGMENT = 9;
 
     /** A sound record that this build cannot read: nothing may be cut or set aside for it. */
-    static final class Newer extends Exception {
+    static final class NewerFormatException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Newer(int format) {
+        NewerFormatException(int format) {
             super(
                     "written by a newer build: format " + format + ", this one reads up to " + FORMAT,
                     null,
@@ -28,31 +28,31 @@
         }
     }
 
-    record Found(long segment, long batch, int next, Optional<Entry> entry) {
-        boolean roll() {
-            return entry.isEmpty();
+    record DecodedRecord(long segment, long batch, int next, Optional<WalRecord> record) {
+        boolean endsSegment() {
+            return record.isEmpty();
         }
     }
 
     private RecordFormat() {}
 
-    static byte[] roll(long segment, long batch) {
-        return seal(
-                ByteBuffer.allocate(HEAD + 18)
-                        .position(HEAD)
+    static byte[] endOfSegment(long segment, long batch) {
+        return withChecksum(
+                ByteBuffer.allocate(HEADER_BYTES + 18)
+                        .position(HEADER_BYTES)
                         .put(FORMAT)
                         .putLong(segment)
                         .putLong(batch)
-                        .put(ROLL),
+                        .put(END_OF_SEGMENT),
                 new byte[0]);
     }
 
     /** All of the record but its bytes, which follow: a large base is not copied once more. */
-    static byte[] head(long segment, long batch, Entry e) {
-        byte[] part = e.part().getBytes(StandardCharsets.UTF_8);
-        return seal(
+    static byte[] header(long segment, long batch, WalRecord e) {
+        byte[] part = e.partition().getBytes(StandardCharsets.UTF_8);
+        return withChecksum(
                 ByteBuffer.allocate(size(e) - e.bytes().length)
-                        .position(HEAD)
+                        .position(HEADER_BYTES)
                         .put(FORMAT)
                         .putLong(segment)
                         .putLong(batch)
@@ -65,51 +65,51 @@
                 e.bytes());
     }
 
-    static int size(Entry e) {
-        return HEAD + 18 + 2 + e.part().getBytes(StandardCharsets.UTF_8).length + 20 + e.bytes().length;
+    static int size(WalRecord e) {
+        return HEADER_BYTES + 18 + 2 + e.partition().getBytes(StandardCharsets.UTF_8).length + 20 + e.bytes().length;
     }
 
-    private static byte[] seal(ByteBuffer b, byte[] follow) {
+    private static byte[] withChecksum(ByteBuffer b, byte[] follow) {
         CRC32C crc = new CRC32C();
-        crc.update(b.array(), HEAD, b.capacity() - HEAD);
+        crc.update(b.array(), HEADER_BYTES, b.capacity() - HEADER_BYTES);
         crc.update(follow);
         b.putInt(0, b.capacity() + follow.length).putInt(4, (int) crc.getValue());
         return b.array();
     }
 
     /** Empty where no whole, sound record stands at the place. */
-    static Optional<Found> read(ReadWindow file, int at) throws Newer, IOException {
-        if (at + HEAD + 18 > file.size()) {
+    static Optional<DecodedRecord> read(ReadWindow file, int at) throws NewerFormatException, IOException {
+        if (at + HEADER_BYTES + 18 > file.size()) {
             return Optional.empty();
         }
-        int len = file.look(at, HEAD).getInt();
-        if (len < HEAD + 18 || len > file.size() - at) {
+        int len = file.look(at, HEADER_BYTES).getInt();
+        if (len < HEADER_BYTES + 18 || len > file.size() - at) {
             return Optional.empty();
         }
         ByteBuffer b = file.look(at, len);
         CRC32C crc = new CRC32C();
-        crc.update(b.slice(HEAD, len - HEAD));
+        crc.update(b.slice(HEADER_BYTES, len - HEADER_BYTES));
         if ((int) crc.getValue() != b.getInt(4)) {
             return Optional.empty();
         }
-        byte format = b.get(HEAD);
+        byte format = b.get(HEADER_BYTES);
         if (format > FORMAT) {
-            throw new Newer(format);
+            throw new NewerFormatException(format);
         }
         try {
-            return body(b.position(HEAD), at + len);
+            return body(b.position(HEADER_BYTES), at + len);
         } catch (BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
-    private static Optional<Found> body(ByteBuffer b, int next) {
+    private static Optional<DecodedRecord> body(ByteBuffer b, int next) {
         byte format = b.get();
         long segment = b.getLong();
         long batch = b.getLong();
         byte kind = b.get();
-        if (kind == ROLL) {
-            return Optional.of(new Found(segment, batch, next, Optional.empty()));
+        if (kind == END_OF_SEGMENT) {
+            return Optional.of(new DecodedRecord(segment, batch, next, Optional.empty()));
         }
         byte[] part = new byte[b.getShort()];
         b.get(part);
@@ -117,13 +117,13 @@
         long term = b.getLong();
         byte[] bytes = new byte[b.getInt()];
         b.get(bytes);
-        return Optional.of(new Found(
+        return Optional.of(new DecodedRecord(
                 segment,
                 batch,
                 next,
-                Optional.of(new Entry(
+                Optional.of(new WalRecord(
                         new String(part, StandardCharsets.UTF_8),
-                        Entry.Kind.values()[kind],
+                        WalRecord.Kind.values()[kind],
                         index,
                         term,
                         bytes,
--- a/common/src/main/java/org/woadvale/common/wal/Recovery.java
+++ b/common/src/main/java/org/woadvale/common/wal/Recovery.java
@@ -10,34 +10,35 @@
 /** Reads a ring back, piece by piece. Torn tails are cut; damage before the tail condemns the folder: design 4.3. */
 final class Recovery {
     /** The folder cannot be trusted; its parts must be treated as lost. */
-    static final class Damaged extends Exception {
+    static final class DamagedLogException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Damaged(String why) {
+        DamagedLogException(String why) {
             super(why, null, false, false);
         }
     }
 
-    final Map<String, List<Entry>> parts = new LinkedHashMap<>();
+    final Map<String, List<WalRecord>> recordsByPartition = new LinkedHashMap<>();
     /** Segment of the oldest record still needed by each part. */
-    final Map<String, Long> needs = new LinkedHashMap<>();
+    final Map<String, Long> oldestNeeded = new LinkedHashMap<>();
 
     long segment;
     int pos;
     long batch;
     private boolean oldestBreaksOff;
 
-    static Recovery run(List<Disk.Leaf> files) throws Damaged, RecordFormat.Newer, IOException {
+    static Recovery run(List<Disk.DiskFile> files)
+            throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
         Recovery r = new Recovery();
         long newest = -1;
         long oldest = Long.MAX_VALUE;
         int n = files.size();
         for (int i = 0; i < n; i++) {
-            Optional<RecordFormat.Found> first = RecordFormat.read(new ReadWindow(files.get(i)), 0);
+            Optional<RecordFormat.DecodedRecord> first = RecordFormat.read(new ReadWindow(files.get(i)), 0);
             if (first.isPresent()) {
                 long s = first.get().segment();
                 if (s % n != i) {
-                    throw new Damaged("file " + i + " holds segment " + s);
+                    throw new DamagedLogException("file " + i + " holds segment " + s);
                 }
                 newest = Math.max(newest, s);
                 oldest = Math.min(oldest, s);
@@ -63,25 +64,25 @@
     }
 
     /** All segments that the ring can hold must be there, but for the oldest while the next one is written over it. */
-    private void checkOldest(long oldest, long expected, boolean writtenOver) throws Damaged {
+    private void checkOldest(long oldest, long expected, boolean writtenOver) throws DamagedLogException {
         boolean missing = oldestBreaksOff || oldest > expected;
         if (!missing) {
             return;
         }
         if (!writtenOver || oldest > expected + 1) {
-            throw new Damaged("segment " + expected + " is missing or breaks off");
+            throw new DamagedLogException("segment " + expected + " is missing or breaks off");
         }
-        for (List<Entry> part : parts.values()) {
-            if (part.get(0).kind() != Entry.Kind.BASE) {
-                throw new Damaged("segment " + expected + " was still needed by "
-                        + part.get(0).part());
+        for (List<WalRecord> part : recordsByPartition.values()) {
+            if (part.get(0).kind() != WalRecord.Kind.SNAPSHOT) {
+                throw new DamagedLogException("segment " + expected + " was still needed by "
+                        + part.get(0).partition());
             }
         }
     }
 
-    private static void mustBeUnused(ReadWindow file, int i) throws Damaged, IOException {
+    private static void mustBeUnused(ReadWindow file, int i) throws DamagedLogException, IOException {
         if (!file.zero(0, file.size())) {
-            throw new Damaged("file " + i + " is unreadable");
+            throw new DamagedLogException("file " + i + " is unreadable");
         }
     }
 
@@ -90,19 +91,19 @@
      * that begins only once nothing in the oldest one is needed.
      */
     private void segment(ReadWindow file, long s, boolean last, boolean mayBeWrittenOver)
-            throws Damaged, RecordFormat.Newer, IOException {
+            throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
         int at = 0;
         while (true) {
-            Optional<RecordFormat.Found> f = RecordFormat.read(file, at);
+            Optional<RecordFormat.DecodedRecord> f = RecordFormat.read(file, at);
             if (f.isEmpty() || f.get().segment() != s) {
                 if (mayBeWrittenOver) {
                     oldestBreaksOff = true;
-                    parts.clear();
-                    needs.clear();
+                    recordsByPartition.clear();
+                    oldestNeeded.clear();
                     return;
                 }
                 if (!last) {
-                    throw new Damaged("segment " + s + " breaks off at " + at);
+                    throw new DamagedLogException("segment " + s + " breaks off at " + at);
                 }
                 checkTail(file, s, at);
                 segment = s;
@@ -111,36 +112,39 @@
             }
             batch = f.get().batch();
             at = f.get().next();
-            if (f.get().roll()) {
+            if (f.get().endsSegment()) {
                 if (last) {
                     segment = s + 1;
                     pos = 0;
                 }
                 return;
             }
-            take(f.get().entry().orElseThrow(), s);
+            accept(f.get().record().orElseThrow(), s);
         }
     }
 
-    private void take(Entry e, long s) {
-        if (e.kind() == Entry.Kind.BASE) {
-            parts.put(e.part(), new ArrayList<>());
-            needs.put(e.part(), s);
+    private void accept(WalRecord e, long s) {
+        if (e.kind() == WalRecord.Kind.SNAPSHOT) {
+            recordsByPartition.put(e.partition(), new ArrayList<>());
+            oldestNeeded.put(e.partition(), s);
         }
-        parts.computeIfAbsent(e.part(), p -> new ArrayList<>()).add(e);
-        needs.putIfAbsent(e.part(), s);
+        recordsByPartition
+                .computeIfAbsent(e.partition(), p -> new ArrayList<>())
+                .add(e);
+        oldestNeeded.putIfAbsent(e.partition(), s);
     }
 
     /** A sound record of a later batch beyond the break proves that synced bytes were lost. */
-    private void checkTail(ReadWindow file, long s, int from) throws Damaged, RecordFormat.Newer, IOException {
-        for (int at = from; at + RecordFormat.HEAD + 18 <= file.size(); at++) {
-            if (file.at(at + RecordFormat.HEAD) < 1
-                    || file.look(at + RecordFormat.HEAD + 1, 8).getLong() != s) {
+    private void checkTail(ReadWindow file, long s, int from)
+            throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
+        for (int at = from; at + RecordFormat.HEADER_BYTES + 18 <= file.size(); at++) {
+            if (file.at(at + RecordFormat.HEADER_BYTES) < 1
+                    || file.look(at + RecordFormat.HEADER_BYTES + 1, 8).getLong() != s) {
                 continue;
             }
-            Optional<RecordFormat.Found> f = RecordFormat.read(file, at);
+            Optional<RecordFormat.DecodedRecord> f = RecordFormat.read(file, at);
             if (f.isPresent() && f.get().batch() > batch + 1) {
-                throw new Damaged("segment " + s + " is damaged at " + from + ", before synced records");
+                throw new DamagedLogException("segment " + s + " is damaged at " + from + ", before synced records");
             }
         }
     }
--- a/common/src/main/java/org/woadvale/common/wal/RingRetention.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingRetention.java
@@ -8,51 +8,55 @@
 /** Which segments of the ring are still needed, and which parts were asked for a new snapshot to free them. */
 final class RingRetention {
     /** So many segments later a part is asked again. */
-    private static final long ASK_AGAIN = 1;
+    private static final long REQUEST_INTERVAL_BYTES = 1;
 
     /** Segment of the oldest record still needed by each part. */
-    private final Map<String, Long> oldestByPart;
+    private final Map<String, Long> oldestByPartition;
     /** In which segment a part was asked for a snapshot that has not been written yet. */
-    private final Map<String, Long> askedAt;
+    private final Map<String, Long> requestedAt;
 
     RingRetention(Map<String, Long> oldestByPart) {
         this(oldestByPart, Map.of());
     }
 
     private RingRetention(Map<String, Long> oldestByPart, Map<String, Long> askedAt) {
-        this.oldestByPart = new HashMap<>(oldestByPart);
-        this.askedAt = new HashMap<>(askedAt);
+        this.oldestByPartition = new HashMap<>(oldestByPart);
+        this.requestedAt = new HashMap<>(askedAt);
     }
 
     RingRetention copy() {
-        return new RingRetention(oldestByPart, askedAt);
+        return new RingRetention(oldestByPartition, requestedAt);
     }
 
-    void written(Entry entry, long segment) {
-        if (entry.kind() == Entry.Kind.BASE) {
-            oldestByPart.put(entry.part(), segment);
-            askedAt.remove(entry.part());
+    void written(WalRecord entry, long segment) {
+        if (entry.kind() == WalRecord.Kind.SNAPSHOT) {
+            oldestByPartition.put(entry.partition(), segment);
+            requestedAt.remove(entry.partition());
         } else {
-            oldestByPart.putIfAbsent(entry.part(), segment);
+            oldestByPartition.putIfAbsent(entry.partition(), segment);
         }
     }
 
     /** The oldest segment that is needed; the given one, which is being written, if no other is. */
     long oldest(long segment) {
-        return oldestByPart.values().stream().mapToLong(Long::longValue).min().orElse(segment);
+        return oldestByPartition.values().stream()
+                .mapToLong(Long::longValue)
+                .min()
+                .orElse(segment);
     }
 
     /** Parts that hold back the oldest segments and have no snapshot under way: another would only fill the ring. */
-    List<String> partsToAsk(long segment) {
+    List<String> partitionsToSnapshot(long segment) {
         long oldest = oldest(segment);
         List<String> holding = new ArrayList<>();
-        oldestByPart.forEach((part, since) -> {
-            boolean underWay = segment <= askedAt.getOrDefault(part, -ASK_AGAIN) + ASK_AGAIN;
+        oldestByPartition.forEach((part, since) -> {
+            boolean underWay =
+                    segment <= requestedAt.getOrDefault(part, -REQUEST_INTERVAL_BYTES) + REQUEST_INTERVAL_BYTES;
             if (since <= oldest + 1 && !underWay) {
                 holding.add(part);
             }
         });
-        holding.forEach(part -> askedAt.put(part, segment));
+        holding.forEach(part -> requestedAt.put(part, segment));
         return holding;
     }
 }
