--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -24,7 +24,7 @@
     private final Timers schedules;
     private final int fileSize;
     private final int files;
-    private final Map<String, List<Entry>> recovered;
+    private final Map<String, List<WalRecord>> recovered;
     private final RingWriter writer;
     private final Map<String, Runnable> pressure = new ConcurrentHashMap<>();
     private final PendingWrites pending = new PendingWrites();
@@ -36,21 +36,21 @@
     private volatile boolean ringNearlyFull;
 
     private RingWriteAheadLog(Disk disk, Timers schedules, int files, int fileSize)
-            throws IOException, RecordFormat.Newer {
+            throws IOException, RecordFormat.NewerFormatException {
         this.schedules = schedules;
         this.files = files;
         this.fileSize = fileSize;
-        List<Disk.Leaf> leaves = openAll(disk);
+        List<Disk.DiskFile> leaves = openAll(disk);
         Recovery found;
         try {
             found = Recovery.run(leaves);
-        } catch (Recovery.Damaged e) {
+        } catch (Recovery.DamagedLogException e) {
             LOG.error("wal: the folder is damaged ({}); set aside, starting blank.", e.getMessage());
             disk.setAside();
             leaves = openAll(disk);
             found = new Recovery();
         }
-        recovered = found.parts;
+        recovered = found.recordsByPartition;
         writer = new RingWriter(disk, leaves, fileSize, found);
         if (writer.full()) {
             // the file that comes next still holds what is needed: nothing may be written over it. design 4.1
@@ -58,13 +58,13 @@
         }
     }
 
-    private List<Disk.Leaf> openAll(Disk disk) throws IOException {
+    private List<Disk.DiskFile> openAll(Disk disk) throws IOException {
         long present =
                 disk.list().stream().filter(name -> name.startsWith("ring-")).count();
         if (present > 0 && present < files) {
             LOG.warn("wal: some ring files are missing and are made anew.");
         }
-        List<Disk.Leaf> opened = new ArrayList<>();
+        List<Disk.DiskFile> opened = new ArrayList<>();
         for (int i = 0; i < files; i++) {
             opened.add(disk.open(String.format("ring-%02d", i), fileSize));
         }
@@ -74,7 +74,7 @@
     public static RingWriteAheadLog open(Disk disk, Timers schedules, int files, int size) throws ServiceException {
         try {
             return new RingWriteAheadLog(disk, schedules, files, size);
-        } catch (RecordFormat.Newer e) {
+        } catch (RecordFormat.NewerFormatException e) {
             throw new ServiceException(ErrorKind.UNAVAILABLE, "The data folder was " + e.getMessage() + ".");
         } catch (IOException e) {
             throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot open the data folder: " + e.getMessage());
@@ -82,16 +82,16 @@
     }
 
     @Override
-    public Map<String, List<Entry>> recovered() {
+    public Map<String, List<WalRecord>> recovered() {
         return recovered;
     }
 
     @Override
-    public synchronized void append(List<Entry> entries, Runnable done) {
+    public synchronized void append(List<WalRecord> entries, Runnable done) {
         if (failed) {
             return;
         }
-        pending.add(new PendingWrites.Group(entries, done));
+        pending.add(new PendingWrites.PendingAppend(entries, done));
         if (!flushing) {
             flushing = true;
             schedules.onDisk(this::flush);
@@ -99,7 +99,7 @@
     }
 
     private void flush() {
-        List<PendingWrites.Group> batch;
+        List<PendingWrites.PendingAppend> batch;
         synchronized (this) {
             bytesBeingWritten = pending.entryBytes();
             batch = pending.takeAll();
@@ -107,7 +107,7 @@
         write(batch);
     }
 
-    private void write(List<PendingWrites.Group> batch) {
+    private void write(List<PendingWrites.PendingAppend> batch) {
         try {
             writer.write(batch);
         } catch (DiskFullException e) {
@@ -119,11 +119,11 @@
         }
         batch.forEach(group -> schedules.soon(group.done()));
         written();
-        relieve();
+        requestSnapshots();
     }
 
     /** A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. design 4.4 */
-    private synchronized void retryLater(List<PendingWrites.Group> batch, String why) {
+    private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String why) {
         if (!diskFull) {
             LOG.error("wal: the disk is full ({}); nothing is confirmed until it takes writes again.", why);
         }
@@ -151,18 +151,18 @@
     }
 
     /** Asks the parts that hold back the oldest files for new snapshots. */
-    private void relieve() {
+    private void requestSnapshots() {
         long used = writer.segmentsInUse();
         ringNearlyFull = used >= files - Math.max(1, files / 8);
         if (used > files / 2) {
             writer.retention()
-                    .partsToAsk(writer.segment())
+                    .partitionsToSnapshot(writer.segment())
                     .forEach(part -> schedules.soon(pressure.getOrDefault(part, () -> {})));
         }
     }
 
     @Override
-    public void onPressure(String part, Runnable giveBase) {
+    public void onSpaceNeeded(String part, Runnable giveBase) {
         pressure.put(part, giveBase);
     }
 
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public int largest() {
+    public int largestRecordBytes() {
         return fileSize - 256;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/RingWriter.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriter.java
@@ -5,12 +5,12 @@
 
 /** Writes batches of records into the files of a ring. Used by one thread at a time. */
 final class RingWriter {
-    private static final int ROLL_SIZE = RecordFormat.HEAD + 18;
+    private static final int END_OF_SEGMENT_BYTES = RecordFormat.HEADER_BYTES + 18;
 
     private final Disk disk;
-    private final List<Disk.Leaf> files;
+    private final List<Disk.DiskFile> files;
     private final int fileSize;
-    private final WriteBatch gathered = new WriteBatch();
+    private final WriteBatch batchBuffer = new WriteBatch();
     private RingRetention retention;
     private volatile long segment;
     private int position;
@@ -18,11 +18,11 @@
     private boolean prepared;
     private volatile long syncs;
 
-    RingWriter(Disk disk, List<Disk.Leaf> files, int fileSize, Recovery recovered) {
+    RingWriter(Disk disk, List<Disk.DiskFile> files, int fileSize, Recovery recovered) {
         this.disk = disk;
         this.files = files;
         this.fileSize = fileSize;
-        this.retention = new RingRetention(recovered.needs);
+        this.retention = new RingRetention(recovered.oldestNeeded);
         this.segment = recovered.segment;
         this.position = recovered.pos;
         this.batch = recovered.batch;
@@ -50,7 +50,7 @@
         return segmentsInUse() > files.size();
     }
 
-    private Disk.Leaf file() {
+    private Disk.DiskFile file() {
         return files.get((int) (segment % files.size()));
     }
 
@@ -58,7 +58,7 @@
      * Writes and syncs the records of the groups as one batch. If the disk is full, all is as it was before, and the
      * very same groups must be written next.
      */
-    void write(List<PendingWrites.Group> groups) throws IOException {
+    void write(List<PendingWrites.PendingAppend> groups) throws IOException {
         prepare();
         long segmentBefore = segment;
         int positionBefore = position;
@@ -71,7 +71,7 @@
             position = positionBefore;
             retention = retentionBefore;
             batch--;
-            gathered.clear();
+            batchBuffer.clear();
             throw e;
         }
     }
@@ -95,43 +95,43 @@
     }
 
     private void allocate() throws IOException {
-        for (Disk.Leaf each : files) {
+        for (Disk.DiskFile each : files) {
             each.allocate();
         }
     }
 
-    private void writeBatch(List<PendingWrites.Group> groups) throws IOException {
+    private void writeBatch(List<PendingWrites.PendingAppend> groups) throws IOException {
         boolean any = false;
-        for (PendingWrites.Group group : groups) {
-            for (Entry entry : group.entries()) {
+        for (PendingWrites.PendingAppend group : groups) {
+            for (WalRecord entry : group.entries()) {
                 put(entry);
                 any = true;
             }
         }
         if (any) {
-            gathered.flush(file(), position);
+            batchBuffer.flush(file(), position);
             sync();
         }
     }
 
-    private void put(Entry entry) throws IOException {
+    private void put(WalRecord entry) throws IOException {
         int need = RecordFormat.size(entry);
-        if (need + ROLL_SIZE > fileSize) {
+        if (need + END_OF_SEGMENT_BYTES > fileSize) {
             throw new IOException("a record of " + need + " bytes is larger than a ring file");
         }
-        if (position + need + ROLL_SIZE > fileSize) {
-            roll();
+        if (position + need + END_OF_SEGMENT_BYTES > fileSize) {
+            endSegment();
         }
-        byte[] head = RecordFormat.head(segment, batch, entry);
-        gathered.add(file(), position, head);
-        gathered.add(file(), position + head.length, entry.bytes());
+        byte[] head = RecordFormat.header(segment, batch, entry);
+        batchBuffer.add(file(), position, head);
+        batchBuffer.add(file(), position + head.length, entry.bytes());
         position += need;
         retention.written(entry, segment);
     }
 
-    private void roll() throws IOException {
-        gathered.add(file(), position, RecordFormat.roll(segment, batch));
-        gathered.flush(file(), position + ROLL_SIZE);
+    private void endSegment() throws IOException {
+        batchBuffer.add(file(), position, RecordFormat.endOfSegment(segment, batch));
+        batchBuffer.flush(file(), position + END_OF_SEGMENT_BYTES);
         sync();
         segment++;
         position = 0;
--- a/common/src/main/java/org/woadvale/common/wal/Entry.java
+++ b/common/src/main/java/org/woadvale/common/wal/WalRecord.java
@@ -1,16 +1,16 @@
 package org.woadvale.common.wal;
 
 /** One record of a part. A BASE replaces everything the part wrote before it. */
-public record Entry(String part, Kind kind, long index, long term, byte[] bytes, byte format) {
+public record WalRecord(String partition, Kind kind, long index, long term, byte[] bytes, byte format) {
     /** The format in which this build writes the bytes. */
     public static final byte FORMAT = 3;
 
-    public Entry(String part, Kind kind, long index, long term, byte[] bytes) {
+    public WalRecord(String part, Kind kind, long index, long term, byte[] bytes) {
         this(part, kind, index, term, bytes, FORMAT);
     }
 
     public enum Kind {
-        BASE,
+        SNAPSHOT,
         ENTRY,
         VOTE
     }
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -7,13 +7,13 @@
 /** Synced records of every part of this process. */
 public interface WriteAheadLog {
     /** What each part wrote, from its last base on. */
-    Map<String, List<Entry>> recovered();
+    Map<String, List<WalRecord>> recovered();
 
     /** Done runs after the records are synced; never if the disk fails. */
-    void append(List<Entry> entries, Runnable done);
+    void append(List<WalRecord> entries, Runnable done);
 
     /** A part that holds back the oldest file is asked for a new base. */
-    void onPressure(String part, Runnable giveBase);
+    void onSpaceNeeded(String part, Runnable giveBase);
 
     /** True when only room for outcomes is left. */
     boolean nearlyFull();
@@ -27,5 +27,5 @@
     long filesWritten();
 
     /** The most bytes that one record can have; a part's whole base must fit. */
-    int largest();
+    int largestRecordBytes();
 }
--- a/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
+++ b/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
@@ -19,12 +19,12 @@
 class ViewCompressionTest {
     private static final String CONFIGURATION = "configuration";
     private static final Map<String, Duration> AGES = Map.of(CONFIGURATION, Duration.ZERO, "other", Duration.ZERO);
-    private static final ControlMessages.ViewAsk ASK = new ControlMessages.ViewAsk(Map.of());
+    private static final ControlMessages.ServiceViewRequest ASK = new ControlMessages.ServiceViewRequest(Map.of());
     private final ViewCompression compression = new ViewCompression();
 
-    private static ControlMessages.ViewReply reply(byte[] configuration) {
+    private static ControlMessages.ServiceViewResponse reply(byte[] configuration) {
         ServiceView large = ServiceView.blank(CONFIGURATION).withConfiguration(7, configuration, 3);
-        return new ControlMessages.ViewReply(List.of(large, ServiceView.blank("other")), AGES, 17);
+        return new ControlMessages.ServiceViewResponse(List.of(large, ServiceView.blank("other")), AGES, 17);
     }
 
     private static byte[] text(int bytes) {
@@ -34,10 +34,10 @@
     @Test
     void packedReplyIsUnpackedAsItWas() throws ServiceException {
         for (int bytes : new int[] {512, 9000, 262_144, 1 << 20}) {
-            ControlMessages.ViewReply packed = new ViewCompression().pack(ASK, reply(text(bytes)));
+            ControlMessages.ServiceViewResponse packed = new ViewCompression().pack(ASK, reply(text(bytes)));
             assertTrue(packed.deflated().get(CONFIGURATION).length < bytes / 2, bytes + " bytes");
             assertEquals(0, packed.views().get(0).configuration().length);
-            ControlMessages.ViewReply unpacked = ViewCompression.unpack(packed);
+            ControlMessages.ServiceViewResponse unpacked = ViewCompression.unpack(packed);
             assertArrayEquals(text(bytes), unpacked.views().get(0).configuration());
             assertEquals(3, unpacked.views().get(0).configurationVersion());
             assertEquals("other", unpacked.views().get(1).service());
@@ -48,10 +48,10 @@
 
     @Test
     void smallOnesAndOlderAskersGetTheReplyAsItIs() throws ServiceException {
-        ControlMessages.ViewReply small = reply(text(100));
+        ControlMessages.ServiceViewResponse small = reply(text(100));
         assertSame(small, compression.pack(ASK, small));
-        ControlMessages.ViewReply large = reply(text(9000));
-        assertSame(large, compression.pack(new ControlMessages.ViewAsk(Map.of(), false), large));
+        ControlMessages.ServiceViewResponse large = reply(text(9000));
+        assertSame(large, compression.pack(new ControlMessages.ServiceViewRequest(Map.of(), false), large));
         assertSame(large, ViewCompression.unpack(large));
     }
 
@@ -64,11 +64,11 @@
 
     @Test
     void brokenBytesAreRefused() {
-        ControlMessages.ViewReply packed = compression.pack(ASK, reply(text(9000)));
+        ControlMessages.ServiceViewResponse packed = compression.pack(ASK, reply(text(9000)));
         byte[] half = Arrays.copyOf(packed.deflated().get(CONFIGURATION), 20);
         for (byte[] broken : List.of(new byte[0], new byte[] {1, 2, 3}, half)) {
-            ControlMessages.ViewReply bad =
-                    new ControlMessages.ViewReply(packed.views(), packed.ages(), 17, Map.of(CONFIGURATION, broken));
+            ControlMessages.ServiceViewResponse bad = new ControlMessages.ServiceViewResponse(
+                    packed.views(), packed.ages(), 17, Map.of(CONFIGURATION, broken));
             assertThrows(ServiceException.class, () -> ViewCompression.unpack(bad));
         }
     }
--- a/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
@@ -31,7 +31,7 @@
         port = LoopbackPorts.free();
         gate = new HttpGateway("127.0.0.1:" + port, 1000, q -> {
             reached.add(q.path() + " " + new String(q.body(), StandardCharsets.ISO_8859_1));
-            return Mono.just(new Answer(200, java.util.Map.of("X-Path", q.path()), new byte[] {'o', 'k'}));
+            return Mono.just(new Response(200, java.util.Map.of("X-Path", q.path()), new byte[] {'o', 'k'}));
         });
         gate.start();
     }
@@ -149,7 +149,7 @@
     @Test
     void openRequestGetsItsAnswerWhileTheGateStops() throws Exception {
         stop();
-        Sinks.One<Answer> later = Sinks.one();
+        Sinks.One<Response> later = Sinks.one();
         CountDownLatch open = new CountDownLatch(1);
         gate = new HttpGateway("127.0.0.1:" + port, 1000, q -> {
             open.countDown();
@@ -165,7 +165,7 @@
             while (takesStreams()) {
                 Thread.onSpinWait();
             }
-            later.tryEmitValue(new Answer(200, java.util.Map.of(), "whole".getBytes()));
+            later.tryEmitValue(new Response(200, java.util.Map.of(), "whole".getBytes()));
             String answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nwhole"), answer);
             assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"), answer);
--- a/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
@@ -54,8 +54,8 @@
         gateway.stop();
     }
 
-    private static Answer answer(Request q) {
-        return new Answer(
+    private static Response answer(Request q) {
+        return new Response(
                 q.path().equals("/empty") ? 204 : 200,
                 Map.of("X-Path", q.path()),
                 q.path().equals("/empty") ? new byte[0] : ("body of " + q.path()).getBytes(StandardCharsets.UTF_8));
--- a/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
@@ -43,7 +43,7 @@
         gateway = new HttpGateway(
                 "127.0.0.1:" + port,
                 10_000,
-                q -> Mono.fromSupplier(() -> new Answer(200, Map.of("X-Path", q.path()), q.body()))
+                q -> Mono.fromSupplier(() -> new Response(200, Map.of("X-Path", q.path()), q.body()))
                         .subscribeOn(Schedulers.parallel()));
         gateway.start();
     }
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -41,7 +41,7 @@
             reached.incrementAndGet();
             return q.body().length == 3
                     ? Mono.error(new ServiceException(ErrorKind.THROTTLED, "later", java.util.List.of("7")))
-                    : Mono.just(Answer.json(200, q.body().length));
+                    : Mono.just(Response.json(200, q.body().length));
         });
         gate.start();
         try {
@@ -64,7 +64,7 @@
     void everyAnswerDeclaresItsLength() throws Exception {
         String address = LoopbackPorts.freeAddress();
         HttpGateway gate = new HttpGateway(address, 100, q -> switch (q.body().length) {
-            case 1 -> Mono.just(Answer.json(202, "taken"));
+            case 1 -> Mono.just(Response.json(202, "taken"));
             case 2 -> Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "not known"));
             case 3 -> throw new IllegalStateException("thrown");
             default -> Mono.empty();
--- a/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
@@ -15,7 +15,7 @@
 
 /** What is sent again after which failure; the core is a list of what each sending meets. */
 class CoreClientTest {
-    private static final ControlMessages.CoreAsk READ = new ControlMessages.CoreAsk(true);
+    private static final ControlMessages.CoreMembersRequest READ = new ControlMessages.CoreMembersRequest(true);
     private final List<String> sent = new ArrayList<>();
 
     private CoreClient core(ErrorKind... failures) {
@@ -26,19 +26,19 @@
             }
 
             @Override
-            public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+            public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 sent.add(to);
                 int n = sent.size();
                 return n <= failures.length
                         ? Mono.error(new ServiceException(failures[n - 1], "scripted"))
-                        : Mono.just(answer.cast(new ControlMessages.Done(true)));
+                        : Mono.just(answer.cast(new ControlMessages.UpdateResult(true)));
             }
         };
         return new CoreClient(
                 rpc, () -> 0, List.of("10.0.0.1:1", "10.0.0.2:1"), new CoreMembers(0, List.of()), known -> {});
     }
 
-    private static String outcome(Mono<ControlMessages.Done> call) {
+    private static String outcome(Mono<ControlMessages.UpdateResult> call) {
         return call.map(d -> "done")
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block();
@@ -47,7 +47,7 @@
     @Test
     void repeatableRequestIsSentAgainAfterAnUnknownOutcome() {
         CoreClient core = core(ErrorKind.UNKNOWN_OUTCOME, ErrorKind.NOT_OWNER);
-        assertEquals("done", outcome(core.ask("c1", READ, ControlMessages.Done.class)));
+        assertEquals("done", outcome(core.ask("c1", READ, ControlMessages.UpdateResult.class)));
         assertEquals(3, sent.size());
     }
 
@@ -64,7 +64,7 @@
     @Test
     void refusalIsHandedToTheCaller() {
         CoreClient core = core(ErrorKind.CONFLICT);
-        assertEquals(ErrorKind.CONFLICT.name(), outcome(core.ask("c1", READ, ControlMessages.Done.class)));
+        assertEquals(ErrorKind.CONFLICT.name(), outcome(core.ask("c1", READ, ControlMessages.UpdateResult.class)));
         assertEquals(1, sent.size());
     }
 }
--- a/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
+++ b/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
@@ -20,51 +20,51 @@
         return Duration.ofMillis(ms);
     }
 
-    private static AdmissionTokens.PassAsk ask(long id, int least, AdmissionTokens.Report... reports) {
-        return new AdmissionTokens.PassAsk("b", id, least, List.of(reports));
+    private static TokenMessages.TokenRequest ask(long id, int least, TokenMessages.UsageReport... reports) {
+        return new TokenMessages.TokenRequest("b", id, least, List.of(reports));
     }
 
     @Test
     void repeatedAskIsTheSameGrant() {
         AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(10, h.ask("x", ask(1, 10), FAR, ms(1)).granted());
-        assertEquals(10, h.ask("x", ask(1, 10), FAR, ms(2)).granted());
+        assertEquals(10, h.grant("x", ask(1, 10), FAR, ms(1)).granted());
+        assertEquals(10, h.grant("x", ask(1, 10), FAR, ms(2)).granted());
         assertEquals(10, h.outstanding());
     }
 
     @Test
     void grantsNeverExceedTheAggregateAndRestOnlyReturnsAfterTheirLife() {
         AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(20, h.ask("x", ask(1, 50), FAR, ms(0)).granted());
-        assertEquals(0, h.ask("y", ask(1, 1), FAR, ms(900)).granted(), "all are out: nothing may be filled");
-        assertTrue(h.ask("y", ask(2, 1), FAR, ms(1300)).granted() > 0, "dead passes make room");
+        assertEquals(20, h.grant("x", ask(1, 50), FAR, ms(0)).granted());
+        assertEquals(0, h.grant("y", ask(1, 1), FAR, ms(900)).granted(), "all are out: nothing may be filled");
+        assertTrue(h.grant("y", ask(2, 1), FAR, ms(1300)).granted() > 0, "dead passes make room");
     }
 
     /** Before: 17, since the time in which all were out was counted as time of filling once they were dead. */
     @Test
     void nothingIsFilledForTheTimeInWhichAllWasOut() {
         AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(20, h.ask("x", ask(1, 20), FAR, ms(0)).granted());
-        assertEquals(6, h.ask("y", ask(1, 20), FAR, ms(1700)).granted(), "x may have spent its last at 0.999 s");
+        assertEquals(20, h.grant("x", ask(1, 20), FAR, ms(0)).granted());
+        assertEquals(6, h.grant("y", ask(1, 20), FAR, ms(1700)).granted(), "x may have spent its last at 0.999 s");
     }
 
     @Test
     void givenBackPassesAreGrantedAgainButOnlyOnce() {
         AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        h.ask("x", ask(1, 20), FAR, ms(0));
-        AdmissionTokens.Report back = new AdmissionTokens.Report(1, 5, true);
+        h.grant("x", ask(1, 20), FAR, ms(0));
+        TokenMessages.UsageReport back = new TokenMessages.UsageReport(1, 5, true);
         assertEquals(
                 15,
-                h.ask("y", ask(1, 20), FAR, ms(0)).granted()
-                        + h.ask("x", ask(2, 20, back), FAR, ms(0)).granted());
-        assertEquals(0, h.ask("x", ask(3, 20, back), FAR, ms(0)).granted());
+                h.grant("y", ask(1, 20), FAR, ms(0)).granted()
+                        + h.grant("x", ask(2, 20, back), FAR, ms(0)).granted());
+        assertEquals(0, h.grant("x", ask(3, 20, back), FAR, ms(0)).granted());
     }
 
     @Test
     void laterTermStartsEmptyAndFillsOnlyOnceOldPassesAreDead() {
         AggregateBucket h = new AggregateBucket(2, 0, false, A, ms(0));
-        assertEquals(0, h.ask("x", ask(1, 1), FAR, ms(1000)).granted());
-        assertEquals(6, h.ask("x", ask(2, 9), FAR, ms(1700)).granted(), "0.6 s of filling");
+        assertEquals(0, h.grant("x", ask(1, 1), FAR, ms(1000)).granted());
+        assertEquals(6, h.grant("x", ask(2, 9), FAR, ms(1700)).granted(), "0.6 s of filling");
     }
 
     @Test
@@ -73,21 +73,21 @@
         long id = 0;
         for (String n : List.of("x", "y", "z")) {
             for (int i = 0; i < 5; i++) {
-                h.ask(n, ask(++id, 0, new AdmissionTokens.Report(id - 1, 12, true)), FAR, ms(0));
+                h.grant(n, ask(++id, 0, new TokenMessages.UsageReport(id - 1, 12, true)), FAR, ms(0));
             }
         }
-        assertEquals(4, h.ask("z", ask(++id, 0), FAR, ms(0)).granted());
-        h.ask("z", ask(++id, 0), FAR, ms(2900));
-        assertEquals(12, h.ask("z", ask(++id, 0), FAR, ms(5000)).granted(), "the others have not asked for long");
+        assertEquals(4, h.grant("z", ask(++id, 0), FAR, ms(0)).granted());
+        h.grant("z", ask(++id, 0), FAR, ms(2900));
+        assertEquals(12, h.grant("z", ask(++id, 0), FAR, ms(5000)).granted(), "the others have not asked for long");
     }
 
     @Test
     void newcomerStartsSmallSoThatOneCannotEmptyTheBucket() {
         AggregateBucket h = new AggregateBucket(1, -1, false, new RateLimit(40, 40), ms(0));
-        assertEquals(1, h.ask("x", ask(1, 0), FAR, ms(0)).granted());
-        assertEquals(2, h.ask("x", ask(2, 0), FAR, ms(0)).granted());
-        assertEquals(4, h.ask("x", ask(3, 0), FAR, ms(0)).granted());
-        assertEquals(3, h.ask("y", ask(1, 3), FAR, ms(0)).granted(), "as many as wait are granted at once");
+        assertEquals(1, h.grant("x", ask(1, 0), FAR, ms(0)).granted());
+        assertEquals(2, h.grant("x", ask(2, 0), FAR, ms(0)).granted());
+        assertEquals(4, h.grant("x", ask(3, 0), FAR, ms(0)).granted());
+        assertEquals(3, h.grant("y", ask(1, 3), FAR, ms(0)).granted(), "as many as wait are granted at once");
     }
 
     /** A holder that is there, gone until its lease has lapsed, or moved in order. */
@@ -132,12 +132,12 @@
             int n = random.nextInt(3);
             LocalBucket p = localBuckets.get(n);
             if (random.nextInt(4) == 0 && chain.goneUntil < 0) {
-                AdmissionTokens.PassAsk a = new AdmissionTokens.PassAsk("b", ++id, 1, p.reports(ms(t)));
+                TokenMessages.TokenRequest a = new TokenMessages.TokenRequest("b", ++id, 1, p.reports(ms(t)));
                 int fate = random.nextInt(10);
                 if (fate > 0) {
-                    AdmissionTokens.PassReply r = chain.h.ask("n" + n, a, ms(chain.leaseEnd), ms(t));
+                    TokenMessages.TokenResponse r = chain.h.grant("n" + n, a, ms(chain.leaseEnd), ms(t));
                     if (fate > 1) {
-                        p.granted(r.grant(), r.granted(), ms(t), r.life(), ms(t));
+                        p.onGranted(r.grant(), r.granted(), ms(t), r.lifetime(), ms(t));
                     }
                 }
             }
@@ -146,10 +146,10 @@
             if (t / 1000 % 3 != 0) {
                 p.take(ms(t)).ifPresent(pass -> {
                     if (random.nextInt(5) == 0) {
-                        p.putBack(pass);
+                        p.returnToken(pass);
                     } else {
                         accepted.add(now);
-                        p.settle(pass);
+                        p.markSpent(pass);
                     }
                 });
             }
@@ -171,20 +171,21 @@
     @Test
     void noPassOutlivesItsHoldersClaim() {
         AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(ms(300), h.ask("x", ask(1, 5), ms(300), ms(0)).life());
-        assertEquals(ms(200), h.ask("x", ask(1, 5), ms(300), ms(100)).life(), "nor by asking again");
+        assertEquals(ms(300), h.grant("x", ask(1, 5), ms(300), ms(0)).lifetime());
+        assertEquals(ms(200), h.grant("x", ask(1, 5), ms(300), ms(100)).lifetime(), "nor by asking again");
         assertEquals(
-                AdmissionTokens.LIFE, h.ask("x", ask(2, 1), ms(1900), ms(100)).life());
+                TokenMessages.TOKEN_LIFETIME,
+                h.grant("x", ask(2, 1), ms(1900), ms(100)).lifetime());
     }
 
     @Test
     void termAfterALapseFillsAtOnceAndAMoveKeepsItsLevel() {
         AggregateBucket lapsed = new AggregateBucket(2, 0, true, A, ms(0));
-        assertEquals(5, lapsed.ask("x", ask(1, 9), FAR, ms(500)).granted());
+        assertEquals(5, lapsed.grant("x", ask(1, 9), FAR, ms(500)).granted());
         AggregateBucket moved = new AggregateBucket(2, 8, false, A, ms(0));
-        assertEquals(8, moved.ask("x", ask(1, 20), FAR, ms(0)).granted());
+        assertEquals(8, moved.grant("x", ask(1, 20), FAR, ms(0)).granted());
         assertEquals(
-                0, moved.ask("y", ask(1, 20), FAR, ms(1000)).granted(), "12 of earlier terms and 8 of this are out");
-        assertTrue(moved.ask("y", ask(2, 20), FAR, ms(1400)).granted() > 0);
+                0, moved.grant("y", ask(1, 20), FAR, ms(1000)).granted(), "12 of earlier terms and 8 of this are out");
+        assertTrue(moved.grant("y", ask(2, 20), FAR, ms(1400)).granted() > 0);
     }
 }
--- a/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesProperties.java
+++ b/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesProperties.java
@@ -9,17 +9,17 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
+import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
+import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
-import org.woadvale.common.replication.SnapshotMessages.SnapshotPiece;
-import org.woadvale.common.replication.SnapshotMessages.SnapshotReply;
 
 /** Pieces of two snapshots, repeated, out of turn, cut and with wrong bytes: never another whole than was sent. */
 class SnapshotPiecesProperties {
     private static final int STEPS = 60;
 
-    private static SnapshotPiece spoiled(SnapshotPiece piece, Random random) {
+    private static SnapshotChunkRequest spoiled(SnapshotChunkRequest piece, Random random) {
         byte[] bytes = piece.bytes().clone();
-        SnapshotId id = piece.id();
+        SnapshotId id = piece.snapshot();
         long offset = piece.offset();
         switch (random.nextInt(4)) {
             case 0 -> bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
@@ -27,7 +27,7 @@
             case 2 -> offset = random.nextInt(1 << 20) - 1000L;
             default -> id = new SnapshotId(id.index(), id.indexTerm(), random.nextInt(1 << 20), id.checksum());
         }
-        return new SnapshotPiece(piece.part(), piece.term(), id, offset, bytes);
+        return new SnapshotChunkRequest(piece.partition(), piece.term(), id, offset, bytes);
     }
 
     @Property(tries = 300)
@@ -45,16 +45,18 @@
         SnapshotReceiver receiver = new SnapshotReceiver(1 << 20);
         for (int step = 0; step < STEPS; step++) {
             SnapshotSender sender = senders.get(random.nextInt(20) == 0 ? 1 : 0);
-            SnapshotPiece piece = sender.next("p", 1);
-            SnapshotReceiver.Progress progress = receiver.take(random.nextInt(6) == 0 ? spoiled(piece, random) : piece);
-            progress.whole()
+            SnapshotChunkRequest piece = sender.nextChunk("p", 1);
+            SnapshotReceiver.ReceivedChunk progress =
+                    receiver.receive(random.nextInt(6) == 0 ? spoiled(piece, random) : piece);
+            progress.snapshot()
                     .ifPresent(whole -> assertArrayEquals(
                             contents.get((int) whole.index() - 1).bytes(), whole.bytes()));
             if (random.nextInt(5) == 0) {
-                sender.lost();
+                sender.onLost();
             } else {
-                sender.answered(
-                        new SnapshotReply(1, progress.status(), progress.nextOffset(), 0, "x", true), Duration.ZERO);
+                sender.onResponse(
+                        new SnapshotChunkResponse(1, progress.status(), progress.nextOffset(), 0, "x", true),
+                        Duration.ZERO);
             }
         }
     }
--- a/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
@@ -69,7 +69,7 @@
 
     @Property(tries = 300, seed = SEED)
     void whatIsWrittenIsRead(@ForAll("everything") Everything sent) throws ServiceException {
-        Frame frame = CODEC.read(CODEC.write(new Frame(7, Frame.Kind.ASK, sent)), Frame.class);
+        Frame frame = CODEC.read(CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent)), Frame.class);
         Everything got = (Everything) frame.body();
         assertArrayEquals(sent.bytes(), got.bytes());
         assertEquals(
@@ -88,7 +88,7 @@
             @ForAll("everything") Everything sent,
             @ForAll @Size(min = 1, max = 4) List<@IntRange(max = 10_000) Integer> places,
             @ForAll byte damage) {
-        byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.ASK, sent));
+        byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent));
         for (int place : places) {
             bytes[place % bytes.length] ^= (byte) (damage | 1);
         }
@@ -97,7 +97,7 @@
 
     @Property(tries = 500, seed = SEED)
     void frameThatIsCutShortIsRefused(@ForAll("everything") Everything sent, @ForAll @IntRange(max = 10_000) int cut) {
-        byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.ASK, sent));
+        byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent));
         assertEquals(false, readable(java.util.Arrays.copyOf(bytes, cut % bytes.length)));
     }
 }
--- a/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
@@ -59,14 +59,14 @@
 
     /** The words of the answer, or the kind of the failure. */
     private String askedOnce(String to, String words, Duration limit) {
-        return caller.ask(to, new Question(words), Question.class, limit)
+        return caller.call(to, new Question(words), Question.class, limit)
                 .map(Question::words)
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block(LONG);
     }
 
     private static byte[] answer(long id, String words) {
-        return CODEC.write(new Frame(id, Frame.Kind.ANSWER, new Question(words)));
+        return CODEC.write(new Frame(id, Frame.Kind.RESPONSE, new Question(words)));
     }
 
     private static boolean say(DataOutputStream out, byte[] frame) throws IOException {
@@ -173,11 +173,11 @@
     /** A newer build may refuse by a kind that this one does not know: unknown, and at once. */
     @Test
     void refusalOfAnUnknownKindLeavesTheOutcomeUnknown() throws Exception {
-        Frame.Refusal newer = new Frame.Refusal("INVENTED_LATER", "words", List.of());
+        Frame.ErrorResponse newer = new Frame.ErrorResponse("INVENTED_LATER", "words", List.of());
         try (ScriptedRpcPeer p = new ScriptedRpcPeer(
-                CODEC, "", (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.REFUSAL, newer))))) {
+                CODEC, "", (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.ERROR, newer))))) {
             ServiceException failure = ServiceException.of(
-                    caller.ask(p.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
+                    caller.call(p.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
                             .<Throwable>map(q -> new AssertionError("answered"))
                             .onErrorResume(Mono::just)
                             .block(LONG));
@@ -190,7 +190,7 @@
         try (ScriptedRpcPeer p = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.REFUSAL, new Question("x")))))) {
+                (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.ERROR, new Question("x")))))) {
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", LONG));
         }
     }
--- a/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
@@ -76,19 +76,22 @@
 
     @Test
     void halfARequestIsNotExecuted() throws Exception {
-        byte[] request = CODEC.write(new Frame(1, Frame.Kind.ASK, new Question("half")));
-        byte[] hello = ScriptedRpcPeer.hello(Codec.OLDEST, Codec.NEWEST, "127.0.0.1:1");
+        byte[] request = CODEC.write(new Frame(1, Frame.Kind.REQUEST, new Question("half")));
+        byte[] hello = ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "127.0.0.1:1");
         said(hello, framed(java.util.Arrays.copyOf(request, request.length - 1), request.length));
         assertEquals(List.of(), handled);
     }
 
     @Test
     void foreignNameOrVersionIsNotServed() throws Exception {
-        byte[] request = CODEC.write(new Frame(1, Frame.Kind.ASK, new Question("foreign")));
+        byte[] request = CODEC.write(new Frame(1, Frame.Kind.REQUEST, new Question("foreign")));
         byte[] whole = framed(request, request.length);
-        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST, Codec.NEWEST, ""), whole).length);
-        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST, Codec.NEWEST, "a b\n"), whole).length);
-        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.NEWEST + 1, Codec.NEWEST + 2, "127.0.0.1:1"), whole).length);
+        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, ""), whole).length);
+        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "a b\n"), whole).length);
+        assertEquals(
+                0,
+                said(ScriptedRpcPeer.hello(Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 2, "127.0.0.1:1"), whole)
+                        .length);
         assertEquals(List.of(), handled);
     }
 
--- a/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
+++ b/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
@@ -88,7 +88,7 @@
                 in.readNBytes(in.readInt());
                 return;
             }
-            write(out, hello(Codec.OLDEST, Codec.NEWEST, greetsAs));
+            write(out, hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, greetsAs));
             in.readNBytes(in.readInt());
             while (true) {
                 Frame request = codec.read(in.readNBytes(in.readInt()), Frame.class);
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -60,10 +60,10 @@
     void answersAndFaultsTravel() {
         assertEquals(
                 "hi!",
-                a.ask(b.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
+                a.call(b.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
                         .block()
                         .words());
-        ServiceException f = fault(a.ask(b.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
+        ServiceException f = fault(a.call(b.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
         assertEquals(ErrorKind.CONFLICT, f.kind());
         assertEquals(List.of("x"), f.details());
     }
@@ -72,7 +72,7 @@
     void nobodyThereIsUnreachable() throws Exception {
         try (Socket refusing = LoopbackPorts.refusing()) {
             String address = "127.0.0.1:" + refusing.getLocalPort();
-            ServiceException fault = fault(a.ask(address, new Question("hi"), Question.class, Duration.ofSeconds(10)));
+            ServiceException fault = fault(a.call(address, new Question("hi"), Question.class, Duration.ofSeconds(10)));
             assertEquals(ErrorKind.UNREACHABLE, fault.kind());
         }
     }
@@ -107,15 +107,18 @@
     void foreignGarbledAndFutureStreamsAreClosed() throws IOException {
         assertEquals(-1, afterSending("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8)));
         assertEquals(-1, afterSending(hello(1, 1), new byte[] {1, 2, 3, 99, 99}));
-        assertEquals(-1, afterSending(hello(Codec.NEWEST + 1, Codec.NEWEST + 5)));
+        assertEquals(-1, afterSending(hello(Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 5)));
         Codec other = new Codec(Map.of(100, List.of(Question.class, Unregistered.class)));
-        assertEquals(-1, afterSending(hello(1, 1), other.write(new Frame(1, Frame.Kind.ASK, new Unregistered("x")))));
+        assertEquals(
+                -1, afterSending(hello(1, 1), other.write(new Frame(1, Frame.Kind.REQUEST, new Unregistered("x")))));
     }
 
     @Test
     void newerNeighbourThatStillSpeaksOurVersionIsServed() throws IOException {
-        byte[] ask = CODEC.write(new Frame(7, Frame.Kind.ASK, new Question("hi")));
+        byte[] ask = CODEC.write(new Frame(7, Frame.Kind.REQUEST, new Question("hi")));
         assertEquals(
-                0, afterSending(hello(Codec.NEWEST, Codec.NEWEST + 3), ask), "the first byte of an answer's length");
+                0,
+                afterSending(hello(Codec.NEWEST_VERSION, Codec.NEWEST_VERSION + 3), ask),
+                "the first byte of an answer's length");
     }
 }
--- a/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
+++ b/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
@@ -34,7 +34,7 @@
         assertEquals(
                 TABLE,
                 Arrays.stream(ErrorKind.values())
-                        .map(k -> k.word() + " " + k.status() + " " + (k.definite() ? "definite" : "unknown") + " "
+                        .map(k -> k.wireName() + " " + k.status() + " " + (k.definite() ? "definite" : "unknown") + " "
                                 + (k.retryable() ? "retryable" : "final"))
                         .collect(Collectors.joining("\n")));
     }
--- a/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
@@ -21,7 +21,7 @@
     Path folder;
 
     private static void fill(FolderDisk disk, int marker) throws IOException {
-        Disk.Leaf file = disk.open("ring-00", SIZE);
+        Disk.DiskFile file = disk.open("ring-00", SIZE);
         file.allocate();
         file.write(0, new byte[] {(byte) marker}, 1);
         file.sync();
@@ -53,7 +53,7 @@
     @Test
     void openingTakesNoSpaceAndAllocatingTakesAllOfIt() throws IOException {
         FolderDisk disk = new FolderDisk(folder);
-        Disk.Leaf file = disk.open("ring-00", SIZE);
+        Disk.DiskFile file = disk.open("ring-00", SIZE);
         byte[] bytes = {7, 7};
         file.read(SIZE - 2, bytes, 2);
         assertEquals(0, bytes[0] + bytes[1]);
@@ -65,7 +65,7 @@
     @Test
     void aHalfAllocatedFileKeepsItsBytes() throws IOException {
         Files.write(folder.resolve("ring-00"), new byte[] {5, 6});
-        Disk.Leaf file = new FolderDisk(folder).open("ring-00", SIZE);
+        Disk.DiskFile file = new FolderDisk(folder).open("ring-00", SIZE);
         file.allocate();
         byte[] bytes = new byte[3];
         file.read(0, bytes, 3);
--- a/common/src/test/java/org/woadvale/common/wal/MemoryDisk.java
+++ b/common/src/test/java/org/woadvale/common/wal/MemoryDisk.java
@@ -17,9 +17,9 @@
     }
 
     @Override
-    public Leaf open(String name, int size) {
+    public DiskFile open(String name, int size) {
         byte[] bytes = files.computeIfAbsent(name, n -> new byte[size]);
-        return new Leaf() {
+        return new DiskFile() {
             @Override
             public int size() {
                 return bytes.length;
--- a/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
@@ -16,9 +16,10 @@
             .parseHex("00000035733c1d7301000000000000000300000000000000090100"
                     + "026d310000000000000005000000000000000200000003010203");
 
-    private static Optional<RecordFormat.Found> read(byte[] file) throws RecordFormat.Newer, IOException {
+    private static Optional<RecordFormat.DecodedRecord> read(byte[] file)
+            throws RecordFormat.NewerFormatException, IOException {
         return RecordFormat.read(
-                new ReadWindow(new Disk.Leaf() {
+                new ReadWindow(new Disk.DiskFile() {
                     @Override
                     public int size() {
                         return file.length;
@@ -39,12 +40,12 @@
     }
 
     @Test
-    void recordsOfTheFirstFormatAreRead() throws RecordFormat.Newer, IOException {
-        RecordFormat.Found f = read(FORMAT_1).orElseThrow();
+    void recordsOfTheFirstFormatAreRead() throws RecordFormat.NewerFormatException, IOException {
+        RecordFormat.DecodedRecord f = read(FORMAT_1).orElseThrow();
         assertEquals(3, f.segment());
         assertEquals(9, f.batch());
-        Entry e = f.entry().orElseThrow();
-        assertEquals("m1", e.part());
+        WalRecord e = f.record().orElseThrow();
+        assertEquals("m1", e.partition());
         assertEquals(1, e.format());
         assertEquals(5, e.index());
         assertEquals(2, e.term());
@@ -52,7 +53,7 @@
     }
 
     @Test
-    void anyFlippedBitIsSeen() throws RecordFormat.Newer, IOException {
+    void anyFlippedBitIsSeen() throws RecordFormat.NewerFormatException, IOException {
         for (int bit = 0; bit < FORMAT_1.length * 8; bit++) {
             byte[] bad = FORMAT_1.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
@@ -64,12 +65,13 @@
     @Test
     void aNewerFormatIsNotTakenForDamage() {
         byte[] newer = FORMAT_1.clone();
-        newer[RecordFormat.HEAD] = RecordFormat.FORMAT + 1;
+        newer[RecordFormat.HEADER_BYTES] = RecordFormat.FORMAT + 1;
         java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
-        crc.update(newer, RecordFormat.HEAD, newer.length - RecordFormat.HEAD);
+        crc.update(newer, RecordFormat.HEADER_BYTES, newer.length - RecordFormat.HEADER_BYTES);
         java.nio.ByteBuffer.wrap(newer).putInt(4, (int) crc.getValue());
         assertEquals(
                 "written by a newer build: format 4, this one reads up to 3",
-                assertThrows(RecordFormat.Newer.class, () -> read(newer)).getMessage());
+                assertThrows(RecordFormat.NewerFormatException.class, () -> read(newer))
+                        .getMessage());
     }
 }
--- a/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
@@ -52,7 +52,7 @@
         }
     }
 
-    private final Map<String, List<Entry>> written = new HashMap<>();
+    private final Map<String, List<WalRecord>> written = new HashMap<>();
 
     private MemoryDisk writtenRing(Random random, int records) throws ServiceException {
         MemoryDisk disk = new MemoryDisk();
@@ -60,13 +60,13 @@
         RingWriteAheadLog wal = RingWriteAheadLog.open(disk, timers, FILES, SIZE);
         for (int i = 1; i <= records; i++) {
             String part = "m" + random.nextInt(2);
-            List<Entry> batch = new ArrayList<>();
+            List<WalRecord> batch = new ArrayList<>();
             for (int k = random.nextInt(3); k >= 0; k--) {
                 boolean snapshot = i % 3 == 0;
                 byte[] bytes = new byte[random.nextInt(120)];
                 random.nextBytes(bytes);
-                Entry.Kind kind = snapshot ? Entry.Kind.BASE : Entry.Kind.ENTRY;
-                batch.add(new Entry(
+                WalRecord.Kind kind = snapshot ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY;
+                batch.add(new WalRecord(
                         part,
                         kind,
                         written.values().stream().mapToInt(List::size).sum() + batch.size() + 1L,
@@ -96,15 +96,15 @@
         }
     }
 
-    private static boolean same(Entry one, Entry other) {
+    private static boolean same(WalRecord one, WalRecord other) {
         return one.index() == other.index()
                 && one.kind() == other.kind()
                 && one.term() == other.term()
                 && Arrays.equals(one.bytes(), other.bytes());
     }
 
-    private void assertWasWritten(String part, List<Entry> found) {
-        List<Entry> all = written.getOrDefault(part, List.of());
+    private void assertWasWritten(String part, List<WalRecord> found) {
+        List<WalRecord> all = written.getOrDefault(part, List.of());
         int start = 0;
         while (start < all.size() && !same(all.get(start), found.get(0))) {
             start++;
@@ -114,7 +114,7 @@
             assertTrue(same(all.get(start + i), found.get(i)), "entry " + i + " of " + part);
             assertArrayEquals(all.get(start + i).bytes(), found.get(i).bytes());
         }
-        assertTrue(start == 0 || found.get(0).kind() == Entry.Kind.BASE, "begins in the middle");
+        assertTrue(start == 0 || found.get(0).kind() == WalRecord.Kind.SNAPSHOT, "begins in the middle");
     }
 
     /** Before: a ring whose oldest file had lost its first record was read from the next file on. */
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Function;
-import org.woadvale.common.cli.KnownFile;
+import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.cli.Program;
 import org.woadvale.common.config.Settings;
 import org.woadvale.common.http.HttpGateway;
 import org.woadvale.common.membership.CoreClient;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
@@ -27,10 +27,10 @@
 import org.woadvale.common.runtime.SystemTimers;
 import org.woadvale.common.wal.FolderDisk;
 import org.woadvale.common.wal.RingWriteAheadLog;
-import org.woadvale.controlplane.partition.ControlNode;
-import org.woadvale.controlplane.partition.Operators;
-import org.woadvale.controlplane.partition.ProcessorRegistry;
-import org.woadvale.controlplane.partition.Registry;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.node.ControlNode;
+import org.woadvale.controlplane.registry.ProcessorRegistry;
+import org.woadvale.controlplane.registry.ProcessorSource;
 
 /** The control plane program. */
 public final class ControlPlaneProgram {
@@ -76,7 +76,7 @@
                 schedules,
                 onGivenUp,
                 Optional.empty(),
-                o -> List.of(new HttpGateway(b.http(), Operators.MAX_CONFIGURATION, o::answer)));
+                o -> List.of(new HttpGateway(b.http(), OperatorHttpHandler.MAX_CONFIGURATION, o::handle)));
     }
 
     /** The tree with other doors for operators, and with a registry that has the processors. design 1 */
@@ -84,10 +84,10 @@
             Settings b,
             SystemTimers schedules,
             Runnable onGivenUp,
-            Optional<Registry> registry,
-            Function<Operators, List<Component>> doors)
+            Optional<ProcessorSource> registry,
+            Function<OperatorHttpHandler, List<Component>> doors)
             throws ServiceException {
-        Codec codec = Wire.codec(Wire.LIGHTHOUSE, Operators.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
         RpcRouter router = new RpcRouter();
         TcpRpcClient rpc = new TcpRpcClient(b.address(), b.listenAt(), codec, router, schedules);
         RingWriteAheadLog book;
@@ -100,12 +100,13 @@
         }
         book.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
-        KnownFile known = new KnownFile(b.data());
-        Env env = new Env(new SystemClock(), schedules, rpc, codec, book, random::nextLong, ReplicationTiming.core());
+        CoreMembersFile known = new CoreMembersFile(b.data());
+        NodeEnvironment env = new NodeEnvironment(
+                new SystemClock(), schedules, rpc, codec, book, random::nextLong, ReplicationTiming.partitions());
         CoreClient core = new CoreClient(rpc, random::nextLong, b.seeds(), known.read(), known::write);
         ControlNode node = new ControlNode(env, core, b.join() ? List.of() : b.seeds(), b.zone());
         node.route(router);
-        Operators operators = new Operators(node, b.operatorKeySha256());
+        OperatorHttpHandler operators = new OperatorHttpHandler(node, b.operatorKeySha256());
         operators.route(router);
         DRAIN.set(() -> drain(node));
         Supervisor tree =
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/Platform.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,28 +7,29 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Mono;
 
 /** HTTP for the platform: processor lists, leaving marks, and who the control nodes are. design 6.4 */
-final class Platform {
+final class ProcessorHttpHandler {
     private static final String ADDRESS = "[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}";
     private static final int CHANGES = 8;
     private final ControlNode node;
 
-    Platform(ControlNode node) {
+    ProcessorHttpHandler(ControlNode node) {
         this.node = node;
     }
 
     /** PUT /v1/core with {"lighthouses": [...]}: one may be exchanged at a time. design 6.6 */
-    Mono<Answer> core(Request q) {
+    Mono<Response> core(Request q) {
         try {
             List<String> wanted = new ArrayList<>();
             Configurations.read(q.body(), JsonNode.class, ErrorKind.BAD_REQUEST)
@@ -41,22 +42,22 @@
                         ErrorKind.BAD_REQUEST, "lighthouses must be three different internal addresses.");
             }
             if (node.replica(ServiceNames.controlPart(ServiceNames.CORE))
-                    .group()
+                    .members()
                     .isEmpty()) {
                 throw new ServiceException(ErrorKind.UNAVAILABLE, "This lighthouse is not seated yet; ask another.");
             }
-            if (wanted.stream().filter(node.lighthouses()::contains).count() < 2) {
+            if (wanted.stream().filter(node.controlNodes()::contains).count() < 2) {
                 throw new ServiceException(
                         ErrorKind.CONFLICT,
                         "Only one lighthouse may be exchanged at a time; the present ones are "
-                                + String.join(", ", node.lighthouses()) + ".");
+                                + String.join(", ", node.controlNodes()) + ".");
             }
-            return node.ask(
+            return node.call(
                             ServiceNames.controlPart(ServiceNames.CORE),
-                            new ControlMessages.PutCore(wanted, node.lighthouses()),
-                            ControlMessages.Done.class)
-                    .flatMap(d -> d.ok()
-                            ? Mono.just(Answer.json(200, Map.of("lighthouses", wanted)))
+                            new ControlMessages.PutCore(wanted, node.controlNodes()),
+                            ControlMessages.UpdateResult.class)
+                    .flatMap(d -> d.accepted()
+                            ? Mono.just(Response.json(200, Map.of("lighthouses", wanted)))
                             : Mono.error(new ServiceException(
                                     ErrorKind.CONFLICT, "Another exchange is under way; look at GET /v1/status.")));
         } catch (ServiceException e) {
@@ -64,17 +65,21 @@
         }
     }
 
-    private Mono<Operators.Processors> list(String service) {
-        return node.ask(
-                ServiceNames.controlPart(service), new Operators.ProcessorsGet(service), Operators.Processors.class);
+    private Mono<OperatorHttpHandler.ProcessorsResponse> list(String service) {
+        return node.call(
+                ServiceNames.controlPart(service),
+                new OperatorHttpHandler.GetProcessorsRequest(service),
+                OperatorHttpHandler.ProcessorsResponse.class);
     }
 
     /** A change holds on to the list that was read, so that one held up on its way cannot undo a later one. design 6.7 */
     private Mono<Boolean> change(String service, LongFunction<RepeatableRequest> command, int left) {
         return list(service)
-                .flatMap(p -> node.ask(
-                        ServiceNames.controlPart(service), command.apply(p.version() + 1), ControlMessages.Done.class))
-                .flatMap(d -> d.ok()
+                .flatMap(p -> node.call(
+                        ServiceNames.controlPart(service),
+                        command.apply(p.version() + 1),
+                        ControlMessages.UpdateResult.class))
+                .flatMap(d -> d.accepted()
                         ? Mono.just(true)
                         : left > 1
                                 ? change(service, command, left - 1)
@@ -83,7 +88,7 @@
     }
 
     /** /v1/services/{service}/processors[/{id}] */
-    Mono<Answer> processors(Request q, List<String> s) {
+    Mono<Response> processors(Request q, List<String> s) {
         boolean list =
                 s.size() == 4 && s.get(3).equals("processors") && q.method().equals("GET");
         boolean one =
@@ -95,7 +100,7 @@
         }
         String service = ServiceNames.processors(s.get(2));
         if (list) {
-            return list(service).map(p -> Answer.json(200, p.processors()));
+            return list(service).map(p -> Response.json(200, p.processors()));
         }
         if (q.method().equals("DELETE")) {
             return change(
@@ -103,7 +108,7 @@
                             v -> new ControlMessages.DropProcessor(
                                     service, s.get(4), v, ControlMessages.newRequestId()),
                             CHANGES)
-                    .thenReturn(Answer.json(200, Map.of("removed", s.get(4))));
+                    .thenReturn(Response.json(200, Map.of("removed", s.get(4))));
         }
         try {
             JsonNode body = Configurations.read(q.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
@@ -117,7 +122,7 @@
                             v -> new ControlMessages.PutProcessor(
                                     service, s.get(4), p, v, ControlMessages.newRequestId()),
                             CHANGES)
-                    .thenReturn(Answer.json(200, Map.of("id", s.get(4), "address", address, "leaving", p.leaving())));
+                    .thenReturn(Response.json(200, Map.of("id", s.get(4), "address", address, "leaving", p.leaving())));
         } catch (ServiceException e) {
             return Mono.error(e);
         }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.membership;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -17,44 +17,45 @@
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.controlplane.state.ControlStateMachine;
 import reactor.core.publisher.Mono;
 
 /**
  * Who the members of the core are. Every control machine announces itself; the leader of part c0 puts a standby machine
  * in the place of a member that is gone or leaves, one at a time, by a committed command. design 6.10
  */
-final class CoreMembership {
+public final class CoreMembership {
     private static final Logger LOG = LogManager.getLogger("core");
     /** A member that was not in contact with the leader for so long is taken to be gone, if another stands by. */
-    private static final Duration ABSENT_AFTER = ReplicationTiming.core().lease();
+    private static final Duration ABSENT_AFTER = ReplicationTiming.partitions().lease();
     /** An announcement counts for so long; it is repeated at each look while it matters. */
     private static final Duration ANNOUNCEMENT_VALID = Duration.ofSeconds(1);
     /** A leader that did not look for so long was frozen, and begins to watch its followers anew. */
-    private static final Duration LONGEST_LOOK_GAP = Duration.ofMillis(600);
+    private static final Duration LONGEST_TICK_GAP = Duration.ofMillis(600);
     /** How long a leaving member waits to hear whether a successor is there. */
     private static final Duration LEAVE_ANSWER = Duration.ofMillis(500);
 
     private static final Duration LEAVE_REPEAT = Duration.ofMillis(200);
 
-    private record Announcement(String zone, Duration heard) {}
+    private record Announcement(String zone, Duration receivedAt) {}
 
     /** The leader that this machine followed last, and when it heard it last. */
-    private record FormerLeader(String node, Duration heard) {}
+    private record FormerLeader(String node, Duration lastContact) {}
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final String zone;
     private final Replica c0;
-    private final ControlStateMachine machine;
+    private final ControlStateMachine stateMachine;
     private final Supplier<List<Replica>> replicas;
     // no lock: two decisions made at once carry the same epoch, and one of them is taken
     private final Map<String, Announcement> announcements = new ConcurrentHashMap<>();
     private final Map<String, Duration> leavers = new ConcurrentHashMap<>();
     private final AtomicBoolean proposing = new AtomicBoolean();
-    private volatile Duration lastLook = Duration.ZERO;
+    private volatile Duration lastTick = Duration.ZERO;
     private volatile Duration watchingSince = Duration.ZERO;
     private volatile FormerLeader formerLeader = new FormerLeader("", Duration.ZERO);
     private volatile String announcedTo = "";
@@ -63,8 +64,8 @@
     private volatile Duration leaveAsked = Duration.ZERO;
     private volatile Optional<Boolean> successorComes = Optional.empty();
 
-    CoreMembership(
-            Env env,
+    public CoreMembership(
+            NodeEnvironment env,
             CoreClient core,
             String zone,
             Replica c0,
@@ -74,26 +75,26 @@
         this.core = core;
         this.zone = zone;
         this.c0 = c0;
-        this.machine = machine;
+        this.stateMachine = machine;
         this.replicas = replicas;
     }
 
     /** The list as committed in part c0, as far as that is applied here. */
-    CoreMembers committed() {
-        return c0.look(i -> machine.coreMembers());
+    public CoreMembers committed() {
+        return c0.look(i -> stateMachine.coreMembers());
     }
 
     /** Called at each look of the node: announces this machine where that is needed, and decides as the leader. */
-    void look() {
-        boolean frozen = now().minus(lastLook).compareTo(LONGEST_LOOK_GAP) > 0;
-        if (frozen || !c0.mayAct()) {
+    public void onTick() {
+        boolean frozen = now().minus(lastTick).compareTo(LONGEST_TICK_GAP) > 0;
+        if (frozen || !c0.isActiveLeader()) {
             watchingSince = now();
         }
-        lastLook = now();
-        c0.owner()
+        lastTick = now();
+        c0.leaderId()
                 .filter(leader -> !leader.equals(env.self()))
-                .ifPresent(leader -> formerLeader = new FormerLeader(leader, c0.contactAt()));
-        decide();
+                .ifPresent(leader -> formerLeader = new FormerLeader(leader, c0.lastMajorityContact()));
+        decideExchange();
         if (leavingSince.isEmpty()) {
             announce();
         }
@@ -101,10 +102,10 @@
 
     /** Only a machine that is no member repeats itself; a member tells each new leader once where it stands. */
     private void announce() {
-        String leader = c0.owner().orElse("");
-        boolean member = core.lighthouses().contains(env.self());
+        String leader = c0.leaderId().orElse("");
+        boolean member = core.controlNodes().contains(env.self());
         if (member && leader.isEmpty()) {
-            core.learn(); // it may have been replaced while it was away
+            core.refreshMembers(); // it may have been replaced while it was away
         }
         if (member && (leader.isEmpty() || leader.equals(announcedTo))) {
             return;
@@ -112,11 +113,11 @@
         Duration sent = now();
         core.ask(
                         ServiceNames.controlPart(ServiceNames.CORE),
-                        new ControlMessages.StandbyAsk(env.self(), zone),
-                        ControlMessages.CoreReply.class)
+                        new ControlMessages.AnnounceStandbyRequest(env.self(), zone),
+                        ControlMessages.CoreMembersResponse.class)
                 .subscribe(
                         r -> {
-                            core.known(new CoreMembers(r.epoch(), r.lighthouses()));
+                            core.adopt(new CoreMembers(r.epoch(), r.members()));
                             announcedTo = leader;
                             answeredAt = sent;
                         },
@@ -124,70 +125,70 @@
     }
 
     /** When the latest announcement was sent that the leader of part c0 has answered; zero if none was. */
-    Duration answeredAt() {
+    public Duration answeredAt() {
         return answeredAt;
     }
 
     /** On the leader of part c0: a control machine runs. */
-    Mono<ControlMessages.CoreReply> announced(ControlMessages.StandbyAsk ask) {
-        return c0.read(i -> machine.coreMembers()).map(present -> {
+    public Mono<ControlMessages.CoreMembersResponse> onAnnouncement(ControlMessages.AnnounceStandbyRequest ask) {
+        return c0.read(i -> stateMachine.coreMembers()).map(present -> {
             announcements.put(ask.node(), new Announcement(ask.zone(), now()));
             leavers.remove(ask.node());
-            decide();
-            return new ControlMessages.CoreReply(present.members(), present.epoch());
+            decideExchange();
+            return new ControlMessages.CoreMembersResponse(present.members(), present.epoch());
         });
     }
 
     /** On the leader of part c0: a member is about to stop. Yes as long as it should wait for its successor. */
-    Mono<ControlMessages.Done> leaving(ControlMessages.LeaveCoreAsk ask) {
-        return c0.read(i -> machine.coreMembers()).map(present -> {
+    public Mono<ControlMessages.UpdateResult> onLeaveRequest(ControlMessages.LeaveCoreRequest ask) {
+        return c0.read(i -> stateMachine.coreMembers()).map(present -> {
             leavers.put(ask.node(), now());
-            decide();
+            decideExchange();
             boolean voting = groups().stream().anyMatch(g -> g.contains(ask.node()));
             boolean justElected = now().minus(watchingSince).compareTo(LEAVE_ANSWER) < 0;
             boolean comes = justElected
                     || !present.members().contains(ask.node())
-                    || standby(present, ask.node()).isPresent();
-            return new ControlMessages.Done(voting && comes);
+                    || findStandby(present, ask.node()).isPresent();
+            return new ControlMessages.UpdateResult(voting && comes);
         });
     }
 
     /** On a member that drains: tells the leader, and says whether it should stay for its successor's sake. */
-    boolean leave() {
+    public boolean leave() {
         Duration since = leavingSince.orElse(now());
         leavingSince = Optional.of(since);
         if (leaveAsked.isZero() || now().minus(leaveAsked).compareTo(LEAVE_REPEAT) >= 0) {
             leaveAsked = now();
             core.ask(
                             ServiceNames.controlPart(ServiceNames.CORE),
-                            new ControlMessages.LeaveCoreAsk(env.self()),
-                            ControlMessages.Done.class)
-                    .subscribe(d -> successorComes = Optional.of(d.ok()), e -> {});
+                            new ControlMessages.LeaveCoreRequest(env.self()),
+                            ControlMessages.UpdateResult.class)
+                    .subscribe(d -> successorComes = Optional.of(d.accepted()), e -> {});
         }
         return successorComes.orElse(now().minus(since).compareTo(LEAVE_ANSWER) < 0);
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
     /** The members of each control partition's group, as far as they are known here. */
     private List<Set<String>> groups() {
-        return replicas.get().stream().map(r -> r.group().keySet()).toList();
+        return replicas.get().stream().map(r -> r.members().keySet()).toList();
     }
 
     /** At most one exchange at a time, and only by a leader that a majority follows. */
-    private void decide() {
-        if (proposing.get() || !c0.mayAct()) {
+    private void decideExchange() {
+        if (proposing.get() || !c0.isActiveLeader()) {
             return;
         }
         CoreMembers present = committed();
         if (present.members().isEmpty()) {
-            propose(new ArrayList<>(new TreeSet<>(c0.group().keySet())), present.epoch(), "founded");
+            propose(new ArrayList<>(new TreeSet<>(c0.members().keySet())), present.epoch(), "founded");
             return;
         }
         Optional<String> leaver = leaver(present);
-        Optional<String> joiner = leaver.flatMap(l -> standby(present, l));
+        Optional<String> joiner = leaver.flatMap(l -> findStandby(present, l));
         if (joiner.isPresent()) {
             TreeSet<String> next = new TreeSet<>(present.members());
             next.remove(leaver.get());
@@ -199,7 +200,7 @@
     private void propose(List<String> members, long epoch, String why) {
         proposing.set(true);
         LOG.info("core: members {}, {}.", members, why);
-        c0.propose(new ControlMessages.ChangeCore(members, epoch), ControlMessages.Done.class)
+        c0.propose(new ControlMessages.ChangeCore(members, epoch), ControlMessages.UpdateResult.class)
                 .doFinally(s -> proposing.set(false))
                 .subscribe(d -> {}, e -> {});
     }
@@ -211,37 +212,37 @@
         return present.members().stream()
                 // while one exchange is under way only its own newcomer may be given up for another
                 .filter(m -> !exchanging || groups.stream().anyMatch(g -> !g.isEmpty() && !g.contains(m)))
-                .filter(m -> leaves(m) || absent(m))
-                .max(Comparator.comparing(this::leaves).thenComparing(this::silence));
+                .filter(m -> isLeaving(m) || isAbsent(m))
+                .max(Comparator.comparing(this::isLeaving).thenComparing(this::timeSinceContact));
     }
 
-    private boolean leaves(String member) {
+    private boolean isLeaving(String member) {
         Duration said = leavers.getOrDefault(member, Duration.ZERO);
         return !said.isZero() && now().minus(said).compareTo(ANNOUNCEMENT_VALID) < 0;
     }
 
-    private boolean absent(String member) {
-        return !member.equals(env.self()) && silence(member).compareTo(ABSENT_AFTER) > 0;
+    private boolean isAbsent(String member) {
+        return !member.equals(env.self()) && timeSinceContact(member).compareTo(ABSENT_AFTER) > 0;
     }
 
     /** A new leader counts anew, but for the one before it: that one was silent for a lease, or nobody was elected. */
-    private Duration silence(String member) {
-        Optional<Duration> contact = Optional.ofNullable(c0.contacts().get(member));
+    private Duration timeSinceContact(String member) {
+        Optional<Duration> contact = Optional.ofNullable(c0.followerContacts().get(member));
         if (contact.isEmpty() && member.equals(formerLeader.node())) {
-            return now().minus(formerLeader.heard());
+            return now().minus(formerLeader.lastContact());
         }
         return now().minus(contact.filter(at -> at.compareTo(watchingSince) > 0).orElse(watchingSince));
     }
 
     /** A machine that runs and is no member, by preference in a zone that no remaining member is in. */
-    private Optional<String> standby(CoreMembers present, String leaver) {
+    private Optional<String> findStandby(CoreMembers present, String leaver) {
         Set<String> taken = new TreeSet<>();
         present.members().stream()
                 .filter(m -> !m.equals(leaver) && announcements.containsKey(m))
                 .forEach(m -> taken.add(announcements.get(m).zone()));
         return announcements.entrySet().stream()
-                .filter(e -> !present.members().contains(e.getKey()) && !leaves(e.getKey()))
-                .filter(e -> now().minus(e.getValue().heard()).compareTo(ANNOUNCEMENT_VALID) < 0)
+                .filter(e -> !present.members().contains(e.getKey()) && !isLeaving(e.getKey()))
+                .filter(e -> now().minus(e.getValue().receivedAt()).compareTo(ANNOUNCEMENT_VALID) < 0)
                 .min(Comparator.<Map.Entry<String, Announcement>, Boolean>comparing(
                                 e -> taken.contains(e.getValue().zone()))
                         .thenComparing(Map.Entry::getKey))
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/LeaderSightings.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.membership;
 
 import java.time.Duration;
 import java.util.Collection;
@@ -8,19 +8,19 @@
 import org.woadvale.common.replication.Replica;
 
 /** Remembers when each control partition last had a known leader. Safe for use by several threads. */
-final class LeaderSightings {
+public final class LeaderSightings {
     /** A transfer of leadership leaves a partition without a leader for a moment. */
     private static final Duration TRANSFER_GRACE = Duration.ofSeconds(1);
 
     private final Map<String, Duration> lastSeen = new ConcurrentHashMap<>();
 
     /** Notes the partition as led at {@code now} (monotonic time) if its replica knows a leader. */
-    void observe(String partition, Replica replica, Duration now) {
-        replica.owner().ifPresent(leader -> lastSeen.put(partition, now));
+    public void observe(String partition, Replica replica, Duration now) {
+        replica.leaderId().ifPresent(leader -> lastSeen.put(partition, now));
     }
 
     /** Whether each of the partitions had a leader within the grace period before {@code now}. */
-    boolean allRecent(Collection<String> partitions, Duration now) {
+    public boolean allRecent(Collection<String> partitions, Duration now) {
         Duration oldest = now.minus(TRANSFER_GRACE);
         return partitions.stream().allMatch(p -> seenAfter(p, oldest));
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -1,28 +1,29 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.membership;
 
 import java.time.Duration;
 import java.util.function.Supplier;
 import org.woadvale.common.membership.CoreClient;
-import org.woadvale.common.replication.Env;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
+import org.woadvale.common.replication.Role;
 
 /**
  * Whether this control machine is in contact with a majority of the core: as the leader of part c0 with its voters, as
  * a member with that leader, as a standby machine by the answers to its announcements. Costs no messages. design 6.12
  */
-final class MajorityContact {
+public final class MajorityContact {
     /** Renewals and announcements come at least every 300 ms; two that are missing mean no contact. */
     private static final Duration REQUESTS = Duration.ofMillis(600);
     /** The platform asks once a second; a change of leader is no reason to leave the list. */
     private static final Duration READINESS = Duration.ofMillis(1800);
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final Replica c0;
     private final Supplier<Duration> announcementAnsweredAt;
 
-    MajorityContact(Env env, CoreClient core, Replica c0, Supplier<Duration> announcementAnsweredAt) {
+    public MajorityContact(
+            NodeEnvironment env, CoreClient core, Replica c0, Supplier<Duration> announcementAnsweredAt) {
         this.env = env;
         this.core = core;
         this.c0 = c0;
@@ -30,12 +31,12 @@
     }
 
     /** Recent enough to take requests. */
-    boolean now() {
+    public boolean now() {
         return within(REQUESTS);
     }
 
     /** Recent enough to be ready; a member also needs a leader of each partition. */
-    boolean ready(boolean partitionsLed) {
+    public boolean ready(boolean partitionsLed) {
         return within(READINESS) && (partitionsLed || !member());
     }
 
@@ -44,8 +45,8 @@
     }
 
     private boolean memberContact(Duration limit) {
-        boolean led = c0.owner().isPresent() && (c0.phase() != Phase.OWNING || c0.mayAct());
-        return led && member() && age(c0.contactAt()).compareTo(limit) < 0;
+        boolean led = c0.leaderId().isPresent() && (c0.role() != Role.LEADER || c0.isActiveLeader());
+        return led && member() && age(c0.lastMajorityContact()).compareTo(limit) < 0;
     }
 
     private boolean standbyContact(Duration limit) {
@@ -54,10 +55,10 @@
     }
 
     private boolean member() {
-        return core.lighthouses().contains(env.self());
+        return core.controlNodes().contains(env.self());
     }
 
     private Duration age(Duration at) {
-        return env.times().mono().minus(at);
+        return env.clock().monotonicTime().minus(at);
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -1,9 +1,9 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.membership;
 
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 import org.woadvale.common.membership.CoreClient;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.ResendPolicy;
 import org.woadvale.common.runtime.Delays;
@@ -16,7 +16,7 @@
  * They are repeatable by their type, so one whose outcome is unknown is repeated for its definite answer. A machine
  * without contact to a majority of the core sends nothing and says so at once. design 6.4, 6.12
  */
-final class RetryingCoreClient {
+public final class RetryingCoreClient {
     /** An operator goes on to another machine after a second of silence. */
     private static final Duration CONTACT_LIMIT = Duration.ofMillis(900);
     /** Contact may come back, by the election of a leader or by a late renewal. */
@@ -30,13 +30,13 @@
         volatile boolean maybeApplied;
     }
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final BooleanSupplier inContact;
     /** What leaves here may not arrive although renewals still come in: a link that is cut one way. */
     private volatile boolean unanswered;
 
-    RetryingCoreClient(Env env, CoreClient core, BooleanSupplier inContact) {
+    public RetryingCoreClient(NodeEnvironment env, CoreClient core, BooleanSupplier inContact) {
         this.env = env;
         this.core = core;
         this.inContact = inContact;
@@ -47,7 +47,7 @@
      * ErrorKind#UNAVAILABLE} if nothing was sent for lack of contact, with {@link ErrorKind#UNKNOWN_OUTCOME} if any of
      * the tries may have been applied and none gave a definite answer in time, else with the error of the last try.
      */
-    <T> Mono<T> ask(String partition, RepeatableRequest request, Class<T> responseType) {
+    public <T> Mono<T> ask(String partition, RepeatableRequest request, Class<T> responseType) {
         return Mono.defer(() -> {
             Duration arrived = now();
             Duration until = arrived.plus(unanswered ? NO_CONTACT_LIMIT : CONTACT_LIMIT);
@@ -67,7 +67,7 @@
                         ErrorKind.UNAVAILABLE,
                         "This machine has no contact with a majority of the core; nothing was changed."));
             }
-            return Delays.pause(env.schedules(), CONTACT_CHECK).then(awaitContact(until));
+            return Delays.pause(env.timers(), CONTACT_CHECK).then(awaitContact(until));
         });
     }
 
@@ -88,7 +88,7 @@
             if (late || !inContact.getAsBoolean()) {
                 return Mono.error(progress.maybeApplied ? unknownOutcome() : noLeader());
             }
-            return Delays.pause(env.schedules(), CONTACT_CHECK).then(contactLost(until, progress));
+            return Delays.pause(env.timers(), CONTACT_CHECK).then(contactLost(until, progress));
         });
     }
 
@@ -106,13 +106,13 @@
             if (now().compareTo(until) >= 0) {
                 return Mono.error(unknownByNow ? unknownOutcome() : failure);
             }
-            return Delays.pause(env.schedules(), RETRY_PAUSE)
+            return Delays.pause(env.timers(), RETRY_PAUSE)
                     .then(Mono.defer(() -> attempt(partition, request, responseType, until, progress)));
         });
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
     private static ServiceException noLeader() {
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/PlacementDriver.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
@@ -1,58 +1,61 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.placement;
 
 import java.util.List;
 import java.util.Map;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
+import org.woadvale.controlplane.state.ControlStateMachine;
 
 /** Writes the placement of the message partitions and tells the stores of it, while this node leads it. design 6.9 */
-final class PlacementDriver {
-    private final Env env;
+public final class PlacementDriver {
+    private final NodeEnvironment env;
     private final Replica replica;
     private final ControlStateMachine machine;
     private final ReplicaPlacement placement = new ReplicaPlacement();
     private long looked = -1;
 
-    PlacementDriver(Env env, Replica replica, ControlStateMachine machine) {
+    public PlacementDriver(NodeEnvironment env, Replica replica, ControlStateMachine machine) {
         this.env = env;
         this.replica = replica;
         this.machine = machine;
     }
 
     /** A store said something: if it was new, the placement is looked at now and not at the next tick. */
-    synchronized void heard() {
+    public synchronized void onStoreHeartbeat() {
         if (replica.look(index -> machine.service(ServiceNames.STORES)).version() != looked) {
-            look();
+            onTick();
         }
     }
 
-    synchronized void look() {
-        if (!replica.mayAct()) {
+    public synchronized void onTick() {
+        if (!replica.isActiveLeader()) {
             return;
         }
         ServiceView stores = replica.look(index -> machine.service(ServiceNames.STORES));
         looked = stores.version();
-        Map<String, List<String>> next = placement.next(stores, env.times().mono());
+        Map<String, List<String>> next = placement.next(stores, env.clock().monotonicTime());
         if (!next.equals(stores.placement())) {
-            replica.propose(new ControlMessages.Place(next, stores.version()), ControlMessages.Done.class)
-                    .subscribe(done -> tell(), e -> {});
+            replica.propose(
+                            new ControlMessages.PutPlacement(next, stores.version()),
+                            ControlMessages.UpdateResult.class)
+                    .subscribe(done -> notifyStores(), e -> {});
         }
     }
 
-    private void tell() {
+    private void notifyStores() {
         ServiceView stores = replica.look(index -> machine.service(ServiceNames.STORES));
         ControlMessages.PlacementChanged notice = new ControlMessages.PlacementChanged(stores.version());
         stores.members()
                 .keySet()
                 .forEach(store -> env.rpc()
-                        .ask(
+                        .call(
                                 store,
                                 notice,
-                                ControlMessages.Done.class,
-                                env.timing().ask())
+                                ControlMessages.UpdateResult.class,
+                                env.timing().requestTimeout())
                         .subscribe(done -> {}, e -> {}));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.placement;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,32 +15,32 @@
 
 /** Gives a store that joined its share, one change at a time, and only while nobody comes or goes. design 6.5 */
 final class ReplicaBalancer {
-    private static final Duration QUIET = Duration.ofSeconds(15);
-    private static final Duration BETWEEN = Duration.ofSeconds(3);
+    private static final Duration STABLE_PERIOD = Duration.ofSeconds(15);
+    private static final Duration PAUSE_BETWEEN_CHANGES = Duration.ofSeconds(3);
 
     /** New copies of a part; the store that is to receive it, or none where only the order changes. */
-    record Change(String part, List<String> copies, Optional<String> to) {}
+    record Change(String partition, List<String> replicas, Optional<String> to) {}
 
     private Set<String> members = Set.of();
-    private Duration quietSince = Duration.ZERO;
-    private Duration last = Duration.ZERO;
+    private Duration stableSince = Duration.ZERO;
+    private Duration lastChange = Duration.ZERO;
 
-    void look(Set<String> now, Duration at) {
+    void observe(Set<String> now, Duration at) {
         if (!now.equals(members)) {
             members = Set.copyOf(now);
-            quietSince = at;
+            stableSince = at;
         }
     }
 
     Optional<Change> next(ServiceView v, Duration now) {
         boolean allThere = v.placement().values().stream().allMatch(members::containsAll);
         if (!allThere
-                || now.minus(quietSince).compareTo(QUIET) < 0
-                || now.minus(last).compareTo(BETWEEN) < 0) {
+                || now.minus(stableSince).compareTo(STABLE_PERIOD) < 0
+                || now.minus(lastChange).compareTo(PAUSE_BETWEEN_CHANGES) < 0) {
             return Optional.empty();
         }
         Optional<Change> c = copy(v).or(() -> first(v));
-        c.ifPresent(x -> last = now);
+        c.ifPresent(x -> lastChange = now);
         return c;
     }
 
@@ -58,8 +58,8 @@
                         .filter(e ->
                                 e.getValue().contains(fuller) && !e.getValue().contains(least))
                         .map(e -> new Change(e.getKey(), replaced(e.getValue(), fuller, least), Optional.of(least)))
-                        .filter(c -> zones(v.members(), c.copies())
-                                >= zones(v.members(), v.placement().get(c.part()))))
+                        .filter(c -> zones(v.members(), c.replicas())
+                                >= zones(v.members(), v.placement().get(c.partition()))))
                 .findFirst();
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.placement;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -17,9 +17,9 @@
 
 /** Draws three stores in different zones for each message partition, and replaces those that go. design 6.5, 6.9 */
 final class ReplicaPlacement {
-    static final int COPIES = 3;
+    static final int REPLICAS = 3;
     /** Without a newcomer a store is replaced only after it has been away for so long. */
-    static final Duration GIVEN_UP = Duration.ofSeconds(10);
+    static final Duration GIVE_UP_AFTER = Duration.ofSeconds(10);
 
     private static final Duration MOVE_LIMIT = Duration.ofSeconds(60);
 
@@ -30,8 +30,8 @@
     /** Stores whose successor was there when they went: what they still hold moves without another wait. */
     private final Set<String> succeeded = new HashSet<>();
 
-    private final ReplicaBalancer evening = new ReplicaBalancer();
-    private Duration firstFull = Duration.ZERO;
+    private final ReplicaBalancer balancer = new ReplicaBalancer();
+    private Duration allPlacedSince = Duration.ZERO;
 
     /** The placement that should be; the present one where nothing is to be done. */
     Map<String, List<String>> next(ServiceView v, Duration now) {
@@ -41,7 +41,7 @@
             return first(v.members(), now);
         }
         moving.entrySet().removeIf(e -> ended(v, e.getKey(), e.getValue(), now));
-        evening.look(v.members().keySet(), now);
+        balancer.observe(v.members().keySet(), now);
         noteSucceeded(v);
         Map<String, List<String>> out = new TreeMap<>(present);
         for (String part : ServiceNames.messageParts()) {
@@ -50,14 +50,14 @@
             }
         }
         if (moving.isEmpty() && v.members().values().stream().noneMatch(MemberLease::leaving)) {
-            evening.next(v, now).ifPresent(change -> begin(change, out, now));
+            balancer.next(v, now).ifPresent(change -> begin(change, out, now));
         }
         return out;
     }
 
     private void begin(ReplicaBalancer.Change change, Map<String, List<String>> out, Duration now) {
-        change.to().ifPresent(to -> moving.put(change.part(), new Move(to, now)));
-        out.put(change.part(), change.copies());
+        change.to().ifPresent(to -> moving.put(change.partition(), new Move(to, now)));
+        out.put(change.partition(), change.replicas());
     }
 
     /** The newcomer counts in the group; or the move was not written; or the newcomer is gone, or never arrived. */
@@ -94,7 +94,7 @@
 
     private boolean gone(String store, Duration now) {
         lastSeen.putIfAbsent(store, now);
-        return succeeded.contains(store) || now.minus(lastSeen.get(store)).compareTo(GIVEN_UP) > 0;
+        return succeeded.contains(store) || now.minus(lastSeen.get(store)).compareTo(GIVE_UP_AFTER) > 0;
     }
 
     private Optional<ReplicaBalancer.Change> repaired(
@@ -118,18 +118,18 @@
     }
 
     private Map<String, List<String>> first(Map<String, MemberLease> members, Duration now) {
-        if (members.size() < COPIES) {
+        if (members.size() < REPLICAS) {
             return Map.of();
         }
         // design 6.5: wait a moment after the third store, so that a fourth that starts with them gets its share
-        firstFull = firstFull.isZero() ? now : firstFull;
-        if (now.minus(firstFull).compareTo(Duration.ofSeconds(2)) < 0) {
+        allPlacedSince = allPlacedSince.isZero() ? now : allPlacedSince;
+        if (now.minus(allPlacedSince).compareTo(Duration.ofSeconds(2)) < 0) {
             return Map.of();
         }
         Map<String, List<String>> out = new TreeMap<>();
         for (String part : ServiceNames.messageParts()) {
             List<String> copies = new ArrayList<>();
-            while (copies.size() < COPIES) {
+            while (copies.size() < REPLICAS) {
                 copies.add(candidates(members, copies, out).get(0));
             }
             out.put(part, firstByTurn(copies, out));
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.registry;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -13,29 +13,31 @@
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
 /** The owner of part c0 reads the registry for all; whole lists are written, and only where they differ. design 6.7 */
 public final class ProcessorRegistry implements Component {
     private static final Logger LOG = LogManager.getLogger("watch");
-    private final Env env;
+    private final NodeEnvironment env;
     private final ControlNode node;
-    private final Registry registry;
+    private final ProcessorSource source;
     private final Duration period;
-    private final AtomicBoolean asking = new AtomicBoolean();
-    private TimerHandle looking = () -> {};
-    private boolean troubled;
+    private final AtomicBoolean reading = new AtomicBoolean();
+    private TimerHandle ticking = () -> {};
+    private boolean failing;
 
-    public ProcessorRegistry(Env env, ControlNode node, Registry registry, Duration period) {
+    public ProcessorRegistry(NodeEnvironment env, ControlNode node, ProcessorSource registry, Duration period) {
         this.env = env;
         this.node = node;
-        this.registry = registry;
+        this.source = registry;
         this.period = period;
     }
 
@@ -46,21 +48,21 @@
 
     @Override
     public void start() {
-        looking = env.schedules().every(period, this::look);
+        ticking = env.timers().every(period, this::onTick);
     }
 
     @Override
     public void stop() {
-        looking.cancel();
+        ticking.cancel();
     }
 
-    private boolean mine() {
+    private boolean isLeader() {
         Replica r = node.replica("c0");
-        return r.mayAct();
+        return r.isActiveLeader();
     }
 
     /** Services that have a list; none as long as no configuration was taken. */
-    private Set<String> listed() {
+    private Set<String> onListed() {
         byte[] json = node.replica("c0")
                 .look(i -> node.machine("c0").service(ServiceNames.CONFIGURATION))
                 .configuration();
@@ -79,47 +81,50 @@
         return out;
     }
 
-    private void look() {
-        if (!mine() || !asking.compareAndSet(false, true)) {
+    private void onTick() {
+        if (!isLeader() || !reading.compareAndSet(false, true)) {
             return;
         }
-        Set<String> services = listed();
+        Set<String> services = onListed();
         if (services.isEmpty()) {
-            asking.set(false);
+            reading.set(false);
             return;
         }
-        registry.list()
+        source.list()
                 .flatMapMany(all -> {
-                    troubled = false;
+                    failing = false;
                     return Flux.fromIterable(services).flatMap(s -> take(s, all.getOrDefault(s, Map.of())));
                 })
-                .doFinally(x -> asking.set(false))
-                .subscribe(ok -> {}, this::trouble);
+                .doFinally(x -> reading.set(false))
+                .subscribe(ok -> {}, this::onFailure);
     }
 
-    private void trouble(Throwable e) {
-        if (!troubled) {
+    private void onFailure(Throwable e) {
+        if (!failing) {
             LOG.warn(
                     "watch: the registry of processors cannot be read: {}",
                     ServiceException.of(e).getMessage());
         }
-        troubled = true;
+        failing = true;
     }
 
     /** Of two readings the later is written last: one is under way at a time, and by the owner of c0 only. */
     private Mono<Boolean> take(String service, Map<String, Processor> list) {
         String key = ServiceNames.processors(service);
-        return node.ask(ServiceNames.controlPart(key), new Operators.ProcessorsGet(key), Operators.Processors.class)
+        return node.call(
+                        ServiceNames.controlPart(key),
+                        new OperatorHttpHandler.GetProcessorsRequest(key),
+                        OperatorHttpHandler.ProcessorsResponse.class)
                 .flatMap(p -> {
-                    if (p.processors().equals(list) || !mine()) {
+                    if (p.processors().equals(list) || !isLeader()) {
                         return Mono.just(true);
                     }
-                    return node.ask(
+                    return node.call(
                                     ServiceNames.controlPart(key),
                                     new ControlMessages.PutProcessors(
                                             key, new HashMap<>(list), p.version() + 1, ControlMessages.newRequestId()),
-                                    ControlMessages.Done.class)
-                            .map(ControlMessages.Done::ok);
+                                    ControlMessages.UpdateResult.class)
+                            .map(ControlMessages.UpdateResult::accepted);
                 });
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/Registry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.registry;
 
 import java.util.Map;
 import org.woadvale.common.membership.Processor;
@@ -6,6 +6,6 @@
 
 /** Seam to whoever knows all processors: whole lists by service and id, or a fault. design 6.7 */
 @FunctionalInterface
-public interface Registry {
+public interface ProcessorSource {
     Mono<Map<String, Map<String, Processor>>> list();
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/AppliedRequests.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/AppliedRequests.java
@@ -1,20 +1,24 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.state;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.woadvale.common.rpc.FirstFormatName;
 
 /**
  * Outcomes of the latest identified commands of one control partition, so that a command that was sent again has the
  * outcome of its first application. Bounded; commands without an id (0) are not remembered. design 6.11
  */
-final class AppliedRequests {
-    static final int CAPACITY = 256;
+public final class AppliedRequests {
+    public static final int CAPACITY = 256;
 
     /** What the first application of a command came to; the term of a duty that it took, or 0. */
-    record Outcome(long requestId, boolean accepted, long dutyTerm) {}
+    public record Outcome(
+            long requestId,
+            boolean accepted,
+            @FirstFormatName("dutyTerm") long singletonTerm) {}
 
     private final Map<Long, Outcome> outcomes = new LinkedHashMap<>();
 
@@ -23,8 +27,8 @@
     }
 
     /** The term of the duty that the command took; 0 if it took none or is not remembered. */
-    long dutyTerm(long requestId) {
-        return outcome(requestId).map(Outcome::dutyTerm).orElse(0L);
+    public long singletonTerm(long requestId) {
+        return outcome(requestId).map(Outcome::singletonTerm).orElse(0L);
     }
 
     void remember(Outcome outcome) {
@@ -37,7 +41,7 @@
         }
     }
 
-    List<Outcome> all() {
+    public List<Outcome> all() {
         return new ArrayList<>(outcomes.values());
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/partition/ServiceViewQuery.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ServiceViewQuery.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.state;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,18 +10,18 @@
 import org.woadvale.common.membership.ServiceView;
 
 /** Selects the service views of one control partition that a subscriber does not have yet. */
-final class ServiceViewQuery {
+public final class ServiceViewQuery {
     private ServiceViewQuery() {}
 
     /**
      * The views whose version differs from the one asked with; services of other partitions are left out. Must run
      * within a linearizable read of the partition: the reported ages are zero.
      */
-    static ControlMessages.ViewReply changed(
-            String partition, ControlStateMachine machine, ControlMessages.ViewAsk request, long coreEpoch) {
+    public static ControlMessages.ServiceViewResponse changed(
+            String partition, ControlStateMachine machine, ControlMessages.ServiceViewRequest request, long coreEpoch) {
         List<ServiceView> views = new ArrayList<>();
         Map<String, Duration> ages = new HashMap<>();
-        request.known().forEach((service, knownVersion) -> {
+        request.knownVersions().forEach((service, knownVersion) -> {
             if (ServiceNames.controlPart(service).equals(partition)) {
                 ServiceView view = machine.service(service);
                 ages.put(service, Duration.ZERO);
@@ -30,6 +30,6 @@
                 }
             }
         });
-        return new ControlMessages.ViewReply(views, ages, coreEpoch);
+        return new ControlMessages.ServiceViewResponse(views, ages, coreEpoch);
     }
 }
--- a/controlplane/src/test/java/org/woadvale/controlplane/partition/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/partition/ConfigurationLogTest.java
@@ -9,6 +9,7 @@
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.controlplane.configuration.ConfigurationLog;
 
 /** Revisions, originals and repeats: design 6.8 and 6.4. */
 class ConfigurationLogTest {
@@ -28,11 +29,11 @@
 
     @Test
     void ownRevisionIsTheVersionAndRisesInUnevenSteps() {
-        assertEquals(new ControlMessages.ConfigurationTaken(3, false), put("a", 0, 3, "A"));
-        assertEquals(new ControlMessages.ConfigurationTaken(17, false), put("b", 3, 17, "B"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(3, false), put("a", 0, 3, "A"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(17, false), put("b", 3, 17, "B"));
         assertEquals(17, log.version());
         assertEquals(
-                new ControlMessages.ConfigurationTaken(18, false),
+                new ControlMessages.ConfigurationAccepted(18, false),
                 log.put(new ControlMessages.PutConfiguration("c", 17, bytes("{}"), "me")));
     }
 
@@ -47,7 +48,7 @@
     @Test
     void ofTwoOnOneBaseTheSecondIsStale() {
         put("a", 0, 5, "A");
-        assertEquals(new ControlMessages.ConfigurationTaken(7, false), put("b", 5, 7, "B"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(7, false), put("b", 5, 7, "B"));
         Object lost = put("c", 5, 8, "C");
         assertEquals(ErrorKind.STALE_BASE, kind(lost));
         assertTrue(((ServiceException) lost).details().contains("7"), "the present one is named");
@@ -57,8 +58,8 @@
     void sameTextAgainHasTheSameAnswerEvenLater() {
         put("a", 0, 5, "A");
         put("b", 5, 7, "B");
-        assertEquals(new ControlMessages.ConfigurationTaken(5, true), put("a", 0, 5, "A"));
-        assertEquals(new ControlMessages.ConfigurationTaken(7, true), put("b", 5, 7, "B"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("a", 0, 5, "A"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(7, true), put("b", 5, 7, "B"));
         assertEquals(ErrorKind.CONFLICT, kind(put("a", 0, 5, "other text")));
     }
 
@@ -67,7 +68,7 @@
     void repeatsAreToldByTheOriginal() {
         put("a", 0, 5, "A");
         assertEquals(ErrorKind.CONFLICT, kind(put("a", 0, 5, "A ")));
-        assertArrayEquals(bytes("A"), log.steps().get(0).original());
+        assertArrayEquals(bytes("A"), log.revisions().get(0).original());
     }
 
     @Test
@@ -75,11 +76,11 @@
         put("a", 0, 5, "A");
         put("b", 5, 7, "B");
         ConfigurationLog other = new ConfigurationLog(1 << 20);
-        other.restore(log.steps(), log.known(), log.refused());
+        other.restore(log.revisions(), log.acceptedUpdates(), log.rejectedUpdates());
         assertEquals(7, other.version());
-        assertArrayEquals(bytes("B"), other.steps().get(1).original());
+        assertArrayEquals(bytes("B"), other.revisions().get(1).original());
         assertEquals(
-                new ControlMessages.ConfigurationTaken(5, true),
+                new ControlMessages.ConfigurationAccepted(5, true),
                 other.put(new ControlMessages.PutConfiguration("a", 0, bytes("{}"), "me", 5, bytes("A"))));
     }
 
@@ -94,16 +95,16 @@
             base = i * 3L;
         }
         assertEquals(60, small.version());
-        assertTrue(small.steps().size() <= 3, small.steps().size() + " kept");
+        assertTrue(small.revisions().size() <= 3, small.revisions().size() + " kept");
         assertEquals(
-                new ControlMessages.ConfigurationTaken(3, true),
+                new ControlMessages.ConfigurationAccepted(3, true),
                 small.put(
                         new ControlMessages.PutConfiguration("id1", 0, bytes("{}"), "me", 3, bytes("x".repeat(300)))));
     }
 
     private static ConfigurationLog restored(ConfigurationLog from) {
         ConfigurationLog other = new ConfigurationLog(1 << 20);
-        other.restore(from.steps(), from.known(), from.refused());
+        other.restore(from.revisions(), from.acceptedUpdates(), from.rejectedUpdates());
         return other;
     }
 
@@ -112,12 +113,12 @@
     void orderRefusedAheadOfItsBaseStaysRefused() {
         put("a", 0, 5, "A");
         assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
-        assertEquals(new ControlMessages.ConfigurationTaken(7, false), put("b", 5, 7, "B"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(7, false), put("b", 5, 7, "B"));
         assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
         Object inRestored =
                 restored(log).put(new ControlMessages.PutConfiguration("early", 7, bytes("{}"), "me", 9, bytes("E")));
         assertEquals(ErrorKind.STALE_BASE, kind(inRestored));
-        assertEquals(new ControlMessages.ConfigurationTaken(9, false), put("other", 7, 9, "O"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(9, false), put("other", 7, 9, "O"));
     }
 
     @Test
@@ -126,7 +127,7 @@
         for (int i = 1; i <= 600; i++) {
             put("id" + i, i * 2L, i * 2L + 2, "text " + i);
         }
-        ControlMessages.ConfigurationTaken yes = new ControlMessages.ConfigurationTaken(2, true);
+        ControlMessages.ConfigurationAccepted yes = new ControlMessages.ConfigurationAccepted(2, true);
         assertEquals(yes, put("first", 0, 2, "F"));
         assertEquals(
                 yes,
@@ -139,18 +140,18 @@
     void orderOfABuildBeforeIsKnownByItsText() {
         String digest = org.woadvale.common.config.Configurations.sha256(bytes("A"));
         put(digest, 0, 5, "A");
-        assertEquals(new ControlMessages.ConfigurationTaken(5, true), put("new name", 0, 5, "A"));
+        assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("new name", 0, 5, "A"));
     }
 
     @Test
     void memoriesAreBounded() {
-        for (int i = 1; i <= ConfigurationLog.MOST_KNOWN + 50; i++) {
+        for (int i = 1; i <= ConfigurationLog.MAX_ACCEPTED + 50; i++) {
             put("id" + i, i - 1L, i, "");
         }
-        for (int i = 0; i < ConfigurationLog.MOST_REFUSED + 50; i++) {
+        for (int i = 0; i < ConfigurationLog.MAX_REJECTED + 50; i++) {
             put("early" + i, 1_000_000, 1_000_001, "");
         }
-        assertEquals(ConfigurationLog.MOST_KNOWN, log.known().size());
-        assertEquals(ConfigurationLog.MOST_REFUSED, log.refused().size());
+        assertEquals(ConfigurationLog.MAX_ACCEPTED, log.acceptedUpdates().size());
+        assertEquals(ConfigurationLog.MAX_REJECTED, log.rejectedUpdates().size());
     }
 }
--- a/controlplane/src/test/java/org/woadvale/controlplane/partition/RepeatedCommandsTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/partition/RepeatedCommandsTest.java
@@ -7,15 +7,18 @@
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.Processor;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.state.AppliedRequests;
+import org.woadvale.controlplane.state.ControlStateMachine;
 
 /** Internal commands that were sent again have the outcome of their first copy, and no effect of their own. */
 class RepeatedCommandsTest {
-    private static final Codec CODEC = Wire.codec(Wire.LIGHTHOUSE, Operators.types());
+    private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
     private static final String LIST = "processors/book";
-    private static final ControlMessages.Done YES = new ControlMessages.Done(true);
-    private static final ControlMessages.Done NO = new ControlMessages.Done(false);
+    private static final ControlMessages.UpdateResult YES = new ControlMessages.UpdateResult(true);
+    private static final ControlMessages.UpdateResult NO = new ControlMessages.UpdateResult(false);
 
     private final ControlStateMachine machine = new ControlStateMachine(CODEC, 1 << 20);
     private long index;
@@ -52,13 +55,13 @@
 
     @Test
     void repeatedDutyIsYesWhileItIsHeld() {
-        ControlMessages.TakeDuty take = new ControlMessages.TakeDuty("bucket/t", "node", 0, false, 11);
-        ControlMessages.DutyReply first = (ControlMessages.DutyReply) apply(take);
-        assertTrue(first.yours());
+        ControlMessages.AcquireSingleton take = new ControlMessages.AcquireSingleton("bucket/t", "node", 0, false, 11);
+        ControlMessages.SingletonLeaseResponse first = (ControlMessages.SingletonLeaseResponse) apply(take);
+        assertTrue(first.granted());
         assertEquals(first, apply(take));
-        assertEquals(1, machine.service("bucket/t").duty().term(), "taken once");
-        apply(new ControlMessages.TakeDuty("bucket/t", "other", 1, true, 12));
-        assertEquals(false, ((ControlMessages.DutyReply) apply(take)).yours());
+        assertEquals(1, machine.service("bucket/t").singleton().term(), "taken once");
+        apply(new ControlMessages.AcquireSingleton("bucket/t", "other", 1, true, 12));
+        assertEquals(false, ((ControlMessages.SingletonLeaseResponse) apply(take)).granted());
     }
 
     @Test
@@ -67,7 +70,7 @@
         apply(first);
         apply(list(true, 8));
         ControlStateMachine restored = new ControlStateMachine(CODEC, 1 << 20);
-        restored.restore(machine.view());
+        restored.restore(machine.snapshot());
         assertEquals(YES, restored.apply(++index, first));
         assertTrue(restored.service(LIST).processors().get("p").leaving());
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -21,7 +21,7 @@
 public final class ConfigurationView {
     private static final Logger LOG = LogManager.getLogger("beacon");
     /** A leaving bucket's burst, in seconds of its rate: any 5 s stay within a tenth of the rate. design 8.3 */
-    private static final double LEAVING_BURST_S = 0.4;
+    private static final double DELIVERY_BURST_S = 0.4;
 
     /** A configuration, read once. */
     public record Known(
@@ -51,12 +51,12 @@
         this.subscriptions = subscriptions;
         subscriptions.onView((service, v) -> {
             if (service.equals(ServiceNames.CONFIGURATION)) {
-                take(v);
+                onView(v);
             }
         });
     }
 
-    private synchronized Known take(ServiceView v) {
+    private synchronized Known onView(ServiceView v) {
         if (v.configurationVersion() > known.version()) {
             known = read(v.configurationVersion(), v.configuration());
             LOG.info("beacon: layout {} applies here.", v.configurationVersion());
@@ -78,9 +78,9 @@
                 .forEach((n, t) ->
                         allowances.put(ServiceNames.tenantBucket(n), new RateLimit(t.ratePerS(), t.burstSize())));
         l.services()
-                .forEach((n, x) -> leaving(n, x)
+                .forEach((n, x) -> deliveryLimit(n, x)
                         .ifPresent(b -> allowances.put(
-                                b, new RateLimit(x.ratePerS(), Math.max(1, x.ratePerS() * LEAVING_BURST_S)))));
+                                b, new RateLimit(x.ratePerS(), Math.max(1, x.ratePerS() * DELIVERY_BURST_S)))));
         Map<String, TreeMap<String, String>> doors = new HashMap<>();
         l.lanes()
                 .forEach((n, lane) -> lane.doors()
@@ -92,7 +92,7 @@
     public Optional<Known> fresh() {
         return subscriptions
                 .fresh(ServiceNames.CONFIGURATION)
-                .map(v -> v.configurationVersion() == known.version() ? known : take(v));
+                .map(v -> v.configurationVersion() == known.version() ? known : onView(v));
     }
 
     public Known require() throws ServiceException {
@@ -101,7 +101,7 @@
     }
 
     /** The bucket that paces a service; empty where it is not paced. */
-    private static Optional<String> leaving(String name, Configuration.Service s) {
+    private static Optional<String> deliveryLimit(String name, Configuration.Service s) {
         return s.ratePerS() <= 0
                 ? Optional.empty()
                 : Optional.of(
@@ -111,13 +111,13 @@
     }
 
     /** The same by the configuration that is proven fresh; all empty where none is. */
-    public Optional<Optional<String>> leavingBucket(String service) {
+    public Optional<Optional<String>> deliveryBucket(String service) {
         return fresh().map(k ->
-                Optional.ofNullable(k.configuration().services().get(service)).flatMap(s -> leaving(service, s)));
+                Optional.ofNullable(k.configuration().services().get(service)).flatMap(s -> deliveryLimit(service, s)));
     }
 
     /** The allowance behind a bucket's name; empty where the configuration has none or is not proven fresh. */
-    public Optional<RateLimit> allowance(String bucket) {
+    public Optional<RateLimit> admissionLimit(String bucket) {
         return fresh().flatMap(k -> Optional.ofNullable(k.allowances().get(bucket)));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 import org.woadvale.common.config.Settings;
 import org.woadvale.common.discovery.ViewSubscriptions;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.ratelimit.AdmissionTokens;
 import org.woadvale.common.ratelimit.LocalBuckets;
 import org.woadvale.common.ratelimit.TokenGranters;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.ratelimit.TokenMessages;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.ServiceException;
@@ -26,46 +26,47 @@
 import org.woadvale.dataplane.delivery.DeliveryProtocol;
 import org.woadvale.dataplane.delivery.NativeDeliveryProtocol;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.ingress.Fetches;
 import org.woadvale.dataplane.ingress.IngressNode;
 import org.woadvale.dataplane.ingress.Intake;
-import org.woadvale.dataplane.ingress.Queries;
+import org.woadvale.dataplane.ingress.MessageQueries;
+import org.woadvale.dataplane.ingress.PullService;
 import reactor.core.publisher.Mono;
 
 /** A pilot: intake, store or both, as its boot file says. design 1 */
 public final class DataPlaneNode implements Component {
-    private final Env env;
-    private final Settings boot;
+    private final NodeEnvironment env;
+    private final Settings settings;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
     private final LocalBuckets localBuckets;
-    private final Optional<TokenGranters> holders;
+    private final Optional<TokenGranters> granters;
     private final Optional<StoreRole> store;
     private final PartitionReplicas members;
     private final IngressNode ingress;
     private final Intake intake;
-    private final Fetches fetches;
-    private final Queries queries;
+    private final PullService fetches;
+    private final MessageQueries queries;
     private final LeaseRenewal lease;
-    private TimerHandle learning = () -> {};
+    private TimerHandle refreshing = () -> {};
     private volatile boolean draining;
 
-    public DataPlaneNode(Env env, Settings boot, CoreClient core, DeliveryClient post) {
+    public DataPlaneNode(NodeEnvironment env, Settings boot, CoreClient core, DeliveryClient post) {
         this(env, boot, core, post, new NativeDeliveryProtocol());
     }
 
-    public DataPlaneNode(Env env, Settings boot, CoreClient core, DeliveryClient post, DeliveryProtocol protocol) {
+    public DataPlaneNode(
+            NodeEnvironment env, Settings boot, CoreClient core, DeliveryClient post, DeliveryProtocol protocol) {
         this.env = env;
-        this.boot = boot;
+        this.settings = boot;
         this.core = core;
         this.subscriptions = new ViewSubscriptions(env, core, boot.zone());
         this.configurations = new ConfigurationView(subscriptions);
         this.localBuckets = new LocalBuckets(env, subscriptions);
         SubmitForwarder forwarder = new SubmitForwarder(env, subscriptions, boot.zone());
-        this.holders = boot.roles().contains("intake")
-                ? Optional.of(
-                        new TokenGranters(env, core, subscriptions, configurations::allowance, configurations::buckets))
+        this.granters = boot.roles().contains("intake")
+                ? Optional.of(new TokenGranters(
+                        env, core, subscriptions, configurations::admissionLimit, configurations::buckets))
                 : Optional.empty();
         this.store = boot.roles().contains(StoreRole.NAME)
                 ? Optional.of(new StoreRole(
@@ -74,8 +75,8 @@
         this.members = new PartitionReplicas(env, subscriptions, store.map(StoreRole::partitions));
         this.lease = new LeaseRenewal(env, boot, core, subscriptions, members);
         this.intake = new Intake(env, configurations, localBuckets, forwarder);
-        this.fetches = new Fetches(env, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
-        this.queries = new Queries(configurations, forwarder);
+        this.fetches = new PullService(env, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
+        this.queries = new MessageQueries(configurations, forwarder);
         this.ingress = new IngressNode(
                 env, configurations, intake, queries, forwarder, this::status, this::ready, this::drain);
     }
@@ -86,13 +87,13 @@
     }
 
     public void route(RpcRouter router) {
-        router.on(ControlMessages.ViewAsk.class, (f, a) -> subscriptions.asked(a))
-                .on(ControlMessages.CoreAsk.class, (f, a) -> Mono.just(core.reply()));
-        holders.ifPresent(h -> router.on(AdmissionTokens.PassAsk.class, h::asked));
+        router.on(ControlMessages.ServiceViewRequest.class, (f, a) -> subscriptions.onViewRequest(a))
+                .on(ControlMessages.CoreMembersRequest.class, (f, a) -> Mono.just(core.membersResponse()));
+        granters.ifPresent(h -> router.on(TokenMessages.TokenRequest.class, h::onTokenRequest));
         store.ifPresent(s -> s.route(router));
         router.on(ControlMessages.PlacementChanged.class, (f, a) -> {
             subscriptions.refresh(ServiceNames.STORES, a.version());
-            return Mono.just(new ControlMessages.Done(true));
+            return Mono.just(new ControlMessages.UpdateResult(true));
         });
     }
 
@@ -100,12 +101,12 @@
     public void start() throws ServiceException {
         subscriptions.start();
         localBuckets.start();
-        holders.ifPresent(TokenGranters::start);
+        granters.ifPresent(TokenGranters::start);
         if (store.isPresent()) {
             store.get().start();
         }
         lease.start();
-        learning = env.schedules().every(Duration.ofSeconds(2), core::learn);
+        refreshing = env.timers().every(Duration.ofSeconds(2), core::refreshMembers);
     }
 
     /**
@@ -115,7 +116,7 @@
     public boolean drain() {
         if (!draining) {
             draining = true;
-            holders.ifPresent(TokenGranters::drain);
+            granters.ifPresent(TokenGranters::drain);
             lease.leave();
         }
         boolean drained = store.map(StoreRole::drain).orElse(true) && !lease.successorAtWork();
@@ -161,8 +162,8 @@
     }
 
     /** How many message parts this node owns now. */
-    public long owned() {
-        return members.owned();
+    public long ledCount() {
+        return members.ledCount();
     }
 
     /** The term of a message part as known here; zero where it is not. */
@@ -171,11 +172,11 @@
     }
 
     /** The shared buckets that this node holds. */
-    public List<String> holds() {
-        return holders.map(TokenGranters::holds).orElse(List.of());
+    public List<String> ownedBuckets() {
+        return granters.map(TokenGranters::ownedCount).orElse(List.of());
     }
 
-    public LocalBuckets.Counts passes() {
+    public LocalBuckets.Counts tokenCounts() {
         return localBuckets.counts();
     }
 
@@ -188,11 +189,11 @@
         return intake;
     }
 
-    public Fetches fetches() {
+    public PullService fetches() {
         return fetches;
     }
 
-    public Queries queries() {
+    public MessageQueries queries() {
         return queries;
     }
 
@@ -200,22 +201,22 @@
         return draining;
     }
 
-    public Mono<Answer> answer(Request q) {
-        return ingress.answer(q);
+    public Mono<Response> handle(Request q) {
+        return ingress.handle(q);
     }
 
     public Map<String, Object> status() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("address", env.self());
-        out.put("hall", boot.zone());
-        out.put("roles", boot.roles());
+        out.put("hall", settings.zone());
+        out.put("roles", settings.roles());
         out.put("draining", draining);
         out.put(
                 "layout",
                 configurations.fresh().map(ConfigurationView.Known::version).orElse(-1L));
         out.put("passes", localBuckets.counts());
-        holders.ifPresent(
-                h -> out.put("holds", Map.of("buckets", h.holds(), "asks", h.asks(), "granted", h.granted())));
+        granters.ifPresent(h -> out.put(
+                "holds", Map.of("buckets", h.ownedCount(), "asks", h.requestCount(), "granted", h.grantedCount())));
         members.status(out);
         return out;
     }
@@ -223,9 +224,9 @@
     @Override
     public void stop() {
         lease.stop();
-        learning.cancel();
+        refreshing.cancel();
         store.ifPresent(StoreRole::stop);
-        holders.ifPresent(TokenGranters::stop);
+        granters.ifPresent(TokenGranters::stop);
         localBuckets.stop();
         subscriptions.stop();
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import org.woadvale.common.cli.KnownFile;
+import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.cli.Program;
 import org.woadvale.common.config.Settings;
 import org.woadvale.common.http.HttpGateway;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
@@ -35,7 +35,7 @@
 import org.woadvale.dataplane.delivery.HttpDeliveryClient;
 import org.woadvale.dataplane.delivery.NativeDeliveryProtocol;
 import org.woadvale.dataplane.ingress.IngressNode;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 
 /** The data plane program. */
 public final class DataPlaneProgram {
@@ -73,7 +73,7 @@
                 schedules,
                 onGivenUp,
                 new NativeDeliveryProtocol(),
-                node -> List.of(new HttpGateway(b.http(), IngressNode.MAX_BODY, node::answer)));
+                node -> List.of(new HttpGateway(b.http(), IngressNode.MAX_BODY, node::handle)));
     }
 
     /** The tree with other doors, and another way of speaking to back ends. design 1 */
@@ -84,26 +84,27 @@
             DeliveryProtocol protocol,
             Function<DataPlaneNode, List<Component>> doors)
             throws ServiceException {
-        Codec codec = Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
         TcpRpcClient rpc = new TcpRpcClient(b.address(), b.listenAt(), codec, router, schedules);
         WriteAheadLog book = wal(b, schedules);
         book.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
-        Optional<KnownFile> known = b.data().isEmpty() ? Optional.empty() : Optional.of(new KnownFile(b.data()));
-        Env env = new Env(
+        Optional<CoreMembersFile> known =
+                b.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(b.data()));
+        NodeEnvironment env = new NodeEnvironment(
                 new SystemClock(),
                 schedules,
                 rpc,
                 codec,
                 book,
                 random::nextLong,
-                b.roles().contains("store") ? ReplicationTiming.core() : ReplicationTiming.usual());
+                b.roles().contains("store") ? ReplicationTiming.partitions() : ReplicationTiming.defaults());
         CoreClient core = new CoreClient(
                 rpc,
                 random::nextLong,
                 b.seeds(),
-                known.map(KnownFile::read).orElse(CoreMembers.unknown()),
+                known.map(CoreMembersFile::read).orElse(CoreMembers.unknown()),
                 l -> known.ifPresent(k -> k.write(l)));
         DataPlaneNode node = new DataPlaneNode(env, b, core, new HttpDeliveryClient(), protocol);
         node.route(router);
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -11,7 +11,7 @@
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.runtime.TimerHandle;
 
@@ -20,7 +20,7 @@
     /** A store that began with an empty disk is taken for the successor of one that leaves for so long. */
     private static final Duration NEWCOMER = Duration.ofSeconds(60);
 
-    private static final Duration NOTICE = Duration.ofMillis(100);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
     private enum Presence {
         SERVING,
@@ -28,23 +28,27 @@
         LEFT
     }
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final Settings settings;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final PartitionReplicas replicas;
     private final String incarnation;
-    private final AtomicReference<MemberLease> told = new AtomicReference<>();
+    private final AtomicReference<MemberLease> announced = new AtomicReference<>();
     private volatile Presence presence = Presence.SERVING;
     private volatile boolean beganEmpty;
-    private volatile boolean knewPlacement;
+    private volatile boolean sawPlacement;
     private volatile boolean newcomer;
     private Duration started = Duration.ZERO;
     private TimerHandle renewing = () -> {};
-    private TimerHandle noticing = () -> {};
+    private TimerHandle checking = () -> {};
 
     LeaseRenewal(
-            Env env, Settings settings, CoreClient core, ViewSubscriptions subscriptions, PartitionReplicas replicas) {
+            NodeEnvironment env,
+            Settings settings,
+            CoreClient core,
+            ViewSubscriptions subscriptions,
+            PartitionReplicas replicas) {
         this.env = env;
         this.settings = settings;
         this.core = core;
@@ -55,14 +59,14 @@
 
     /** A store began with an empty disk if it holds no partition yet. */
     void start() {
-        started = env.times().mono();
+        started = env.clock().monotonicTime();
         beganEmpty = isStore() && replicas.groups().isEmpty();
         if (isStore()) {
             subscriptions.onView(this::sawView);
-            noticing = env.schedules().every(NOTICE, this::renewIfChanged);
+            checking = env.timers().every(CHECK_INTERVAL, this::renewIfChanged);
         }
         renew();
-        renewing = env.schedules().every(ReplicationTiming.usual().renew(), this::renew);
+        renewing = env.timers().every(ReplicationTiming.defaults().heartbeat(), this::renew);
     }
 
     private boolean isStore() {
@@ -71,10 +75,10 @@
 
     /** A store whose partitions are founded with it, or that lost its disk, is no newcomer. */
     private void sawView(String service, ServiceView view) {
-        if (!service.equals(ServiceNames.STORES) || knewPlacement) {
+        if (!service.equals(ServiceNames.STORES) || sawPlacement) {
             return;
         }
-        knewPlacement = true;
+        sawPlacement = true;
         newcomer = beganEmpty
                 && !view.placement().isEmpty()
                 && view.placement().values().stream().noneMatch(copies -> copies.contains(env.self()));
@@ -82,7 +86,7 @@
     }
 
     private MemberLease lease() {
-        boolean recent = env.times().mono().minus(started).compareTo(NEWCOMER) < 0;
+        boolean recent = env.clock().monotonicTime().minus(started).compareTo(NEWCOMER) < 0;
         return new MemberLease(
                 settings.zone(),
                 settings.http(),
@@ -94,7 +98,7 @@
     }
 
     private void renewIfChanged() {
-        if (!lease().equals(told.get())) {
+        if (!lease().equals(announced.get())) {
             renew();
         }
     }
@@ -105,9 +109,9 @@
             String service = "role/" + role;
             core.ask(
                             ServiceNames.controlPart(service),
-                            new ControlMessages.LeaseAsk(service, env.self(), lease),
-                            ControlMessages.Done.class)
-                    .subscribe(done -> told.set(lease), e -> {});
+                            new ControlMessages.RenewLeaseRequest(service, env.self(), lease),
+                            ControlMessages.UpdateResult.class)
+                    .subscribe(done -> announced.set(lease), e -> {});
         });
     }
 
@@ -135,8 +139,8 @@
         String service = "role/" + role;
         core.ask(
                         ServiceNames.controlPart(service),
-                        new ControlMessages.LeaveAsk(service, env.self()),
-                        ControlMessages.Done.class)
+                        new ControlMessages.LeaveRequest(service, env.self()),
+                        ControlMessages.UpdateResult.class)
                 .subscribe(done -> {}, e -> {});
     }
 
@@ -152,6 +156,6 @@
 
     void stop() {
         renewing.cancel();
-        noticing.cancel();
+        checking.cancel();
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -9,17 +9,17 @@
 import org.woadvale.common.discovery.ViewSubscriptions;
 import org.woadvale.common.membership.LedGroup;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
 import org.woadvale.common.replication.GroupStatus;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.dataplane.queue.MessagePartitions;
 
 /** In which message parts this store counts, and which it owns: design 6.5. Empty on a node that is no store. */
 final class PartitionReplicas {
-    private final Env env;
+    private final NodeEnvironment env;
     private final ViewSubscriptions subscriptions;
     private final Optional<MessagePartitions> partitions;
 
-    PartitionReplicas(Env env, ViewSubscriptions subscriptions, Optional<MessagePartitions> partitions) {
+    PartitionReplicas(NodeEnvironment env, ViewSubscriptions subscriptions, Optional<MessagePartitions> partitions) {
         this.env = env;
         this.subscriptions = subscriptions;
         this.partitions = partitions;
@@ -28,12 +28,12 @@
     /** The group of each message part here. */
     Map<String, Set<String>> groups() {
         Map<String, Set<String>> out = new TreeMap<>();
-        partitions.ifPresent(
-                b -> b.all().forEach((id, x) -> out.put(id, x.replica().group().keySet())));
+        partitions.ifPresent(b ->
+                b.all().forEach((id, x) -> out.put(id, x.replica().members().keySet())));
         return out;
     }
 
-    private List<String> mine() {
+    private List<String> assigned() {
         return partitions.isEmpty()
                 ? List.of()
                 : subscriptions.latest(ServiceNames.STORES).placement().entrySet().stream()
@@ -46,7 +46,7 @@
     /** The parts that the placement gives to this store, and in which it does not count yet. */
     List<String> notVoting() {
         Map<String, Set<String>> groups = groups();
-        return mine().stream()
+        return assigned().stream()
                 .filter(p -> !groups.getOrDefault(p, Set.of()).contains(env.self()))
                 .toList();
     }
@@ -56,8 +56,8 @@
         Map<String, LedGroup> led = new TreeMap<>();
         partitions.ifPresent(all -> all.all().forEach((id, partition) -> {
             GroupStatus status = partition.replica().status();
-            if (status.leading()) {
-                led.put(id, new LedGroup(status.term(), status.members(), status.settled()));
+            if (status.leader()) {
+                led.put(id, new LedGroup(status.term(), status.members(), status.stable()));
             }
         }));
         return led;
@@ -76,10 +76,10 @@
                 .orElse(true);
     }
 
-    long owned() {
+    long ledCount() {
         return partitions
                 .map(b -> b.all().values().stream()
-                        .filter(x -> x.replica().mayAct())
+                        .filter(x -> x.replica().isActiveLeader())
                         .count())
                 .orElse(0L);
     }
@@ -99,18 +99,18 @@
                             id,
                             Map.of(
                                     "phase",
-                                    x.replica().phase(),
+                                    x.replica().role(),
                                     "term",
                                     x.replica().term(),
                                     "messages",
-                                    x.replica().look(i -> x.machine().count()),
+                                    x.replica().look(i -> x.stateMachine().count()),
                                     "liveBytes",
-                                    x.replica().look(i -> x.machine().liveBytes()),
+                                    x.replica().look(i -> x.stateMachine().liveBytes()),
                                     "group",
-                                    x.replica().group().keySet())));
+                                    x.replica().members().keySet())));
             out.put("parts", parts);
-            out.put("owned", owned());
-            out.put("seated", !mine().isEmpty() && notVoting().isEmpty());
+            out.put("owned", ledCount());
+            out.put("seated", !assigned().isEmpty() && notVoting().isEmpty());
             out.put("syncs", env.wal().syncs());
             out.put("ringFilesWritten", env.wal().filesWritten());
         });
--- a/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
@@ -5,16 +5,16 @@
 import org.woadvale.common.discovery.ViewSubscriptions;
 import org.woadvale.common.ratelimit.LocalBuckets;
 import org.woadvale.common.ratelimit.RateLimit;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
 import org.woadvale.dataplane.delivery.DeliveryProtocol;
+import org.woadvale.dataplane.delivery.DeliveryTargets;
 import org.woadvale.dataplane.delivery.DispatchContext;
 import org.woadvale.dataplane.delivery.Dispatchers;
-import org.woadvale.dataplane.delivery.Recorder;
+import org.woadvale.dataplane.delivery.OutcomeRecorder;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.delivery.Targets;
 import org.woadvale.dataplane.queue.MessagePartitions;
 
 /** The store role of a node: replicas of message partitions, and the delivery of the messages of those it leads. */
@@ -28,7 +28,7 @@
     private final Dispatchers dispatchers;
 
     StoreRole(
-            Env env,
+            NodeEnvironment env,
             Settings settings,
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
@@ -49,10 +49,10 @@
                 configurations,
                 localBuckets,
                 partitions,
-                new Targets(env),
+                new DeliveryTargets(env),
                 client,
                 protocol,
-                new Recorder(env, forwarder),
+                new OutcomeRecorder(env, forwarder),
                 Duration.ofMillis(settings.leaseMs()),
                 settings.zone()));
     }
@@ -90,6 +90,6 @@
     /** Whether each partition placed here has a known leader. */
     boolean ready() {
         return partitions.all().values().stream()
-                .allMatch(partition -> partition.replica().owner().isPresent());
+                .allMatch(partition -> partition.replica().leaderId().isPresent());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
@@ -9,8 +9,8 @@
 @FunctionalInterface
 public interface DeliveryClient {
     /** Header names are in lower case. */
-    record Reply(int status, Map<String, String> headers, byte[] body) {
-        public Reply(int status, byte[] body) {
+    record DeliveryResponse(int status, Map<String, String> headers, byte[] body) {
+        public DeliveryResponse(int status, byte[] body) {
             this(status, Map.of(), body);
         }
     }
@@ -19,18 +19,18 @@
      * Whether it may still be sent is asked once the stream is open, right before the first byte. An answer without
      * the headers of the echo (lower case), or with another or a second value, belongs to another request. design 9.3
      */
-    record Call(
+    record DeliveryRequest(
             String method,
             String url,
             Map<String, String> headers,
             byte[] body,
-            Duration limit,
-            BooleanSupplier still,
-            Map<String, String> echo) {
-        public Call(String method, String url, byte[] body, Duration limit, BooleanSupplier still) {
+            Duration timeout,
+            BooleanSupplier stillPermitted,
+            Map<String, String> expectedEcho) {
+        public DeliveryRequest(String method, String url, byte[] body, Duration limit, BooleanSupplier still) {
             this(method, url, Map.of("Content-Type", "application/json"), body, limit, still, Map.of());
         }
     }
 
-    Mono<Reply> send(Call call);
+    Mono<DeliveryResponse> send(DeliveryRequest call);
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Leases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
 import org.woadvale.dataplane.queue.MessageState;
 import org.woadvale.dataplane.queue.ReadyQueue;
@@ -20,37 +20,37 @@
  * Leases of one part, in its owner's memory: when the last word on each came. A new owner knows none, so it counts from
  * when it took over, which is later than any word that its predecessor answered. design 9.10
  */
-final class Leases {
+final class DeliveryLeases {
     /** For words that were answered while the clock was read. */
     private static final Duration MARGIN = Duration.ofMillis(100);
 
-    private record Held(int attempt, Duration lastWord, boolean lapsing) {}
+    private record HeldLease(int attempt, Duration lastRenewal, boolean expiring) {}
 
     private final DispatchContext context;
     private final MessagePartition partition;
     private final Dispatcher dispatcher;
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, HeldLease> leases = new HashMap<>();
 
-    Leases(DispatchContext context, MessagePartition partition, Dispatcher dispatcher) {
+    DeliveryLeases(DispatchContext context, MessagePartition partition, Dispatcher dispatcher) {
         this.context = context;
         this.partition = partition;
         this.dispatcher = dispatcher;
     }
 
     private Duration now() {
-        return context.env().times().mono();
+        return context.environment().clock().monotonicTime();
     }
 
-    private Instant wall() {
-        return context.env().times().wall();
+    private Instant wallTime() {
+        return context.environment().clock().wallTime();
     }
 
     /** Due messages of a service here, for those that fetch it; the first place among tenants goes round. */
     List<Message> due(String service, int most, int turn) {
-        Instant now = wall();
+        Instant now = wallTime();
         return partition.replica().look(i -> {
             List<Message> out = new ArrayList<>();
-            ReadyQueue s = partition.machine().startable();
+            ReadyQueue s = partition.stateMachine().ready();
             s.lanes()
                     .forEach(lane -> out.addAll(s.due(
                             lane,
@@ -65,46 +65,46 @@
     /** The attempt is committed, then all is looked at again; empty where it was not handed out. */
     Mono<Message> begin(Message m, String processor) {
         String service = dispatcher.policy().terms(m).service();
-        if (wall().isAfter(dispatcher.policy().expiry(m))
+        if (wallTime().isAfter(dispatcher.policy().expiry(m))
                 || context.configurations().fresh().isEmpty()
-                || m.tries() > 0 && !dispatcher.retryAllowed(m.lane() + "/" + m.tenant())) {
+                || m.attemptsMade() > 0 && !dispatcher.retryAllowed(m.lane() + "/" + m.tenant())) {
             return Mono.empty();
         }
         Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, m, service);
         if (permit.isEmpty()) {
             return Mono.empty();
         }
-        Commands.Start s = new Commands.Start(
+        MessageCommands.Start s = new MessageCommands.Start(
                 m.handle(),
                 m.attempt() + 1,
                 processor,
-                wall().plus(context.lease()),
-                wall(),
+                wallTime().plus(context.leaseTime()),
+                wallTime(),
                 Message.LEASED + processor);
         return partition
                 .replica()
-                .propose(s, Commands.Changed.class)
-                .doOnError(e -> permit.get().putBack())
+                .propose(s, MessageCommands.TransitionResult.class)
+                .doOnError(e -> permit.get().release())
                 .flatMap(c -> {
-                    if (c.done()
-                            && dispatcher.owns()
+                    if (c.applied()
+                            && dispatcher.isLeader()
                             && context.configurations().fresh().isPresent()
                             && permit.get().spend()) {
-                        touch(m.handle(), c.message().attempt());
+                        renew(m.handle(), c.message().attempt());
                         return Mono.just(c.message());
                     }
-                    permit.get().putBack();
-                    return c.done()
+                    permit.get().release();
+                    return c.applied()
                             ? context.recorder()
                                     .record(
-                                            partition.part(),
-                                            new Commands.End(
+                                            partition.id(),
+                                            new MessageCommands.End(
                                                     m.handle(),
                                                     m.attempt() + 1,
-                                                    Commands.Ending.NOT_SENT,
+                                                    MessageCommands.AttemptOutcome.NOT_SENT,
                                                     "not handed out",
-                                                    wall(),
-                                                    wall()),
+                                                    wallTime(),
+                                                    wallTime()),
                                             processor)
                                     .then(Mono.<Message>empty())
                             : Mono.empty();
@@ -113,59 +113,65 @@
 
     /** Not the owner any more. */
     synchronized void clear() {
-        held.clear();
+        leases.clear();
     }
 
     private synchronized void forget(String handle) {
-        held.remove(handle);
+        leases.remove(handle);
     }
 
     /** A running message that is leased: it lapses once the time since the last word is over. */
-    void look(Message m) {
-        if (lapses(m)) {
-            Commands.End e = new Commands.End(
-                    m.handle(), m.attempt(), Commands.Ending.LAPSED, "the lease lapsed", wall(), wall());
+    void onTick(Message m) {
+        if (expire(m)) {
+            MessageCommands.End e = new MessageCommands.End(
+                    m.handle(),
+                    m.attempt(),
+                    MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN,
+                    "the lease lapsed",
+                    wallTime(),
+                    wallTime());
             partition
                     .replica()
-                    .propose(e, Commands.Changed.class)
+                    .propose(e, MessageCommands.TransitionResult.class)
                     .subscribe(c -> forget(m.handle()), x -> forget(m.handle()));
         }
     }
 
     /** From the moment this is true no word is taken any more, so nothing is handed out too soon after one. */
-    private synchronized boolean lapses(Message m) {
-        Held h = held.get(m.handle());
+    private synchronized boolean expire(Message m) {
+        HeldLease h = leases.get(m.handle());
         if (h == null || h.attempt() != m.attempt()) {
-            held.put(m.handle(), new Held(m.attempt(), now(), false));
+            leases.put(m.handle(), new HeldLease(m.attempt(), now(), false));
             return false;
         }
-        if (h.lapsing() || now().minus(h.lastWord()).compareTo(context.lease().plus(MARGIN)) <= 0) {
+        if (h.expiring()
+                || now().minus(h.lastRenewal()).compareTo(context.leaseTime().plus(MARGIN)) <= 0) {
             return false;
         }
-        held.put(m.handle(), new Held(h.attempt(), h.lastWord(), true));
+        leases.put(m.handle(), new HeldLease(h.attempt(), h.lastRenewal(), true));
         return true;
     }
 
-    private synchronized boolean touch(String handle, int attempt) {
-        Held h = held.get(handle);
-        if (h != null && (h.attempt() > attempt || h.attempt() == attempt && h.lapsing())) {
+    private synchronized boolean renew(String handle, int attempt) {
+        HeldLease h = leases.get(handle);
+        if (h != null && (h.attempt() > attempt || h.attempt() == attempt && h.expiring())) {
             return false;
         }
-        held.put(handle, new Held(attempt, now(), false));
+        leases.put(handle, new HeldLease(attempt, now(), false));
         return true;
     }
 
     /** True if the processor still has it and may go on for a whole lease. */
-    Mono<Boolean> extend(Commands.LeaseAsk a) {
+    Mono<Boolean> extend(MessageCommands.ExtendLeaseRequest a) {
         return partition
                 .replica()
                 .read(i -> partition
-                                .machine()
+                                .stateMachine()
                                 .get(a.handle())
                                 .filter(x ->
                                         x.leased() && x.state() == MessageState.RUNNING && x.attempt() == a.attempt())
                                 .isPresent()
-                        && touch(a.handle(), a.attempt()))
+                        && renew(a.handle(), a.attempt()))
                 .flatMap(ok -> ok ? Mono.just(true) : Mono.error(gone()));
     }
 
@@ -174,14 +180,14 @@
     }
 
     /** The same end said again has the same answer; the end of an earlier lease is refused. */
-    Mono<Commands.Changed> end(Commands.End e) {
+    Mono<MessageCommands.TransitionResult> end(MessageCommands.End e) {
         return partition
                 .replica()
-                .read(i -> partition.machine().get(e.handle()))
+                .read(i -> partition.stateMachine().get(e.handle()))
                 .flatMap(found -> {
                     Optional<Message> m = found.filter(Message::leased);
-                    if (m.isPresent() && m.get().tookEnd(e.attempt())) {
-                        return Mono.just(new Commands.Changed(true, m.get()));
+                    if (m.isPresent() && m.get().hasRecordedEnd(e.attempt())) {
+                        return Mono.just(new MessageCommands.TransitionResult(true, m.get()));
                     }
                     if (m.isEmpty()
                             || m.get().attempt() != e.attempt()
@@ -190,29 +196,29 @@
                     }
                     return partition
                             .replica()
-                            .propose(settled(e, m.get()), Commands.Changed.class)
+                            .propose(settled(e, m.get()), MessageCommands.TransitionResult.class)
                             .flatMap(c -> {
                                 forget(e.handle());
-                                return c.done() || c.message().tookEnd(e.attempt())
-                                        ? Mono.just(new Commands.Changed(true, c.message()))
+                                return c.applied() || c.message().hasRecordedEnd(e.attempt())
+                                        ? Mono.just(new MessageCommands.TransitionResult(true, c.message()))
                                         : Mono.error(gone());
                             });
                 });
     }
 
     /** Clock and attempts are the owner's to count. */
-    private Commands.End settled(Commands.End e, Message m) {
-        boolean over =
-                e.ending() == Commands.Ending.RETRY && !dispatcher.policy().triesLeft(m);
-        Instant due = e.ending() == Commands.Ending.RETRY
-                ? wall().plus(dispatcher.policy().backoff(m.tries()))
-                : wall().plus(dispatcher.policy().soon());
-        return new Commands.End(
+    private MessageCommands.End settled(MessageCommands.End e, Message m) {
+        boolean over = e.outcome() == MessageCommands.AttemptOutcome.RETRY
+                && !dispatcher.policy().attemptsLeft(m);
+        Instant due = e.outcome() == MessageCommands.AttemptOutcome.RETRY
+                ? wallTime().plus(dispatcher.policy().backoff(m.attemptsMade()))
+                : wallTime().plus(dispatcher.policy().retrySoon());
+        return new MessageCommands.End(
                 e.handle(),
                 e.attempt(),
-                over ? Commands.Ending.FAILED : e.ending(),
+                over ? MessageCommands.AttemptOutcome.FAILED : e.outcome(),
                 over ? "attempts used up; last: " + e.proof() : e.proof(),
                 due,
-                wall());
+                wallTime());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -11,12 +11,12 @@
     private static final int READ_UNIT = 4096;
     private final LocalBuckets localBuckets;
     private final String bucket;
-    private final Optional<LocalBucket.Pass> pass;
+    private final Optional<LocalBucket.AdmissionToken> token;
 
-    private DeliveryPermit(LocalBuckets localBuckets, String bucket, Optional<LocalBucket.Pass> pass) {
+    private DeliveryPermit(LocalBuckets localBuckets, String bucket, Optional<LocalBucket.AdmissionToken> pass) {
         this.localBuckets = localBuckets;
         this.bucket = bucket;
-        this.pass = pass;
+        this.token = pass;
     }
 
     static Optional<DeliveryPermit> draw(
@@ -27,7 +27,7 @@
         }
         DeliveryPermit permit = t.get();
         if (!context.partitions().spend(partition, (m.body().length + READ_UNIT - 1) / READ_UNIT)) {
-            permit.putBack();
+            permit.release();
             return Optional.empty();
         }
         return Optional.of(permit);
@@ -35,28 +35,28 @@
 
     /** None where the pass is missing, or where it is not known whether one is needed. */
     static Optional<DeliveryPermit> draw(DispatchContext context, String service) {
-        return context.configurations().leavingBucket(service).flatMap(bucket -> {
-            Optional<LocalBucket.Pass> pass = bucket.flatMap(context.localBuckets()::tryTake);
+        return context.configurations().deliveryBucket(service).flatMap(bucket -> {
+            Optional<LocalBucket.AdmissionToken> pass = bucket.flatMap(context.localBuckets()::tryTake);
             return bucket.isPresent() && pass.isEmpty()
                     ? Optional.empty()
                     : Optional.of(new DeliveryPermit(context.localBuckets(), bucket.orElse(""), pass));
         });
     }
 
-    boolean alive() {
-        return pass.map(localBuckets::alive).orElse(true);
+    boolean isValid() {
+        return token.map(localBuckets::isValid).orElse(true);
     }
 
     /** Spent only while it lives, and told as spent only then: what is out never exceeds the bucket. design 8.2 */
     boolean spend() {
-        boolean alive = alive();
+        boolean alive = isValid();
         if (alive) {
-            pass.ifPresent(p -> localBuckets.settle(bucket, p));
+            token.ifPresent(p -> localBuckets.markSpent(bucket, p));
         }
         return alive;
     }
 
-    void putBack() {
-        pass.ifPresent(p -> localBuckets.putBack(bucket, p));
+    void release() {
+        token.ifPresent(p -> localBuckets.returnToken(bucket, p));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
@@ -16,7 +16,7 @@
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(50);
     private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(20);
     /** Each attempt quadruples the backoff, up to this many times. */
-    private static final int MOST_QUADRUPLINGS = 5;
+    private static final int MAX_QUADRUPLINGS = 5;
 
     private final DispatchContext context;
 
@@ -44,8 +44,8 @@
         return message.from().plusMillis(terms(message).timeLimitMs());
     }
 
-    boolean triesLeft(Message message) {
-        return message.tries() < terms(message).attempts();
+    boolean attemptsLeft(Message message) {
+        return message.attemptsMade() < terms(message).attempts();
     }
 
     /** Whether an attempt of unknown outcome is sent again rather than inquired after. */
@@ -61,16 +61,16 @@
     }
 
     /** The delay before a message that was not run is tried elsewhere: short, with jitter. */
-    Duration soon() {
-        return RETRY_SOON.plusNanos(Math.floorMod(context.env().random().getAsLong(), RETRY_SOON.toNanos()));
+    Duration retrySoon() {
+        return RETRY_SOON.plusNanos(Math.floorMod(context.environment().random().getAsLong(), RETRY_SOON.toNanos()));
     }
 
     /** The delay after so many failed tries: exponential and bounded, with jitter between half and one and a half of it. */
     Duration backoff(int tries) {
-        int quadruplings = Math.min(MOST_QUADRUPLINGS, Math.max(0, tries - 1));
+        int quadruplings = Math.min(MAX_QUADRUPLINGS, Math.max(0, tries - 1));
         Duration exponential = FIRST_BACKOFF.multipliedBy(1L << 2 * quadruplings);
         Duration bounded = exponential.compareTo(LONGEST_BACKOFF) > 0 ? LONGEST_BACKOFF : exponential;
-        long jitter = Math.floorMod(context.env().random().getAsLong(), bounded.toNanos());
+        long jitter = Math.floorMod(context.environment().random().getAsLong(), bounded.toNanos());
         return bounded.dividedBy(2).plusNanos(jitter);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -7,9 +7,9 @@
 /** Seam: how a delivery is written for a back end, and what its answer means. design 9.3 */
 public interface DeliveryProtocol {
     /** The request for one attempt; limit is how long the attempt may take. */
-    DeliveryClient.Call push(Message m, Targets.Target to, Duration limit, BooleanSupplier still);
+    DeliveryClient.DeliveryRequest push(Message m, DeliveryTargets.Target to, Duration limit, BooleanSupplier still);
 
-    Verdict read(Message m, DeliveryClient.Reply r);
+    Verdict read(Message m, DeliveryClient.DeliveryResponse r);
 
     /** Whether a back end can be asked what became of an attempt. */
     boolean inquires();
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Targets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.ToIntFunction;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.LockedShard;
 
 /** Liveness of back ends by their results: slow ones get less, failing ones are probed. design 9.4 */
-public final class Targets {
+public final class DeliveryTargets {
     private static final int MAX_IN_FLIGHT = 16;
     private static final int FAILING = 3;
     /** Work goes to another zone only where that pays: bytes between zones are dear. */
@@ -30,16 +30,16 @@
         Duration notBefore = Duration.ZERO;
     }
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final LockedShard shard = new LockedShard();
     private final Map<String, Liveness> all = new HashMap<>();
 
-    public Targets(Env env) {
+    public DeliveryTargets(NodeEnvironment env) {
         this.env = env;
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
     /** The least busy of those that may be tried now; its place in flight is taken. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -13,8 +13,8 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.ratelimit.Bucket;
 import org.woadvale.common.ratelimit.RateLimit;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
 import org.woadvale.dataplane.queue.ReadyQueue;
 import reactor.core.publisher.Mono;
@@ -30,17 +30,17 @@
     private final Set<String> busy = ConcurrentHashMap.newKeySet();
     private final Map<String, Bucket> retries = new HashMap<>();
     private final DeliveryPolicy policy;
-    private final Leases leases;
+    private final DeliveryLeases leases;
     private int turn;
 
     public Dispatcher(DispatchContext context, MessagePartition partition) {
         this.context = context;
         this.partition = partition;
         this.policy = new DeliveryPolicy(context);
-        this.leases = new Leases(context, partition, this);
+        this.leases = new DeliveryLeases(context, partition, this);
     }
 
-    Leases leases() {
+    DeliveryLeases leases() {
         return leases;
     }
 
@@ -52,16 +52,16 @@
         return context;
     }
 
-    String part() {
-        return partition.part();
+    String partitionId() {
+        return partition.id();
     }
 
-    boolean owns() {
-        return partition.replica().mayAct();
+    boolean isLeader() {
+        return partition.replica().isActiveLeader();
     }
 
-    private Instant wall() {
-        return context.env().times().wall();
+    private Instant wallTime() {
+        return context.environment().clock().wallTime();
     }
 
     DeliveryPolicy policy() {
@@ -72,7 +72,7 @@
     ProcessorStatus processorStatus(Message m) {
         Optional<Configuration> l = context.configurations().fresh().map(k -> k.configuration());
         if (l.isEmpty()) {
-            return ProcessorStatus.of(ProcessorStatus.Kind.NOT_KNOWN_NOW);
+            return ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN);
         }
         String service = policy.terms(m).service();
         Optional<Configuration.Service> s =
@@ -88,7 +88,7 @@
                 .map(v -> Optional.ofNullable(v.processors().get(m.processor()))
                         .map(p -> ProcessorStatus.listed(m, p.address()))
                         .orElse(ProcessorStatus.gone(m)))
-                .orElse(ProcessorStatus.of(ProcessorStatus.Kind.NOT_KNOWN_NOW));
+                .orElse(ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN));
     }
 
     /** Asking an outside endpoint counts as one of its requests, so it spends a leaving pass. */
@@ -97,8 +97,8 @@
     }
 
     /** Called by the store's one schedule. */
-    void look() {
-        if (!owns()) {
+    void onTick() {
+        if (!isLeader()) {
             leases.clear();
             return;
         }
@@ -112,7 +112,7 @@
         for (int i = 0; i < lanes.size(); i++) {
             String lane = lanes.get((i + turn) % lanes.size());
             for (Message m : byLane.get(lane)) {
-                if (!begin(m)) {
+                if (!dispatchNext(m)) {
                     break;
                 }
             }
@@ -121,12 +121,12 @@
 
     /** Running here by the log, but not by us: the owner changed, so the outcome is unclear. */
     private void adoptRunning() {
-        for (Message m : partition.replica().look(i -> partition.machine().running())) {
+        for (Message m : partition.replica().look(i -> partition.stateMachine().running())) {
             if (m.leased()) {
-                leases.look(m);
+                leases.onTick(m);
             } else if (busy.add(m.handle())) {
-                new Run(this, m, new Targets.Target("", m.processor(), "", true))
-                        .adopted()
+                new DeliveryAttempt(this, m, new DeliveryTargets.Target("", m.processor(), "", true))
+                        .resumeAfterAdoption()
                         .doFinally(s -> busy.remove(m.handle()))
                         .subscribe(x -> {}, e -> {});
             }
@@ -134,10 +134,10 @@
     }
 
     private Map<String, List<Message>> due() {
-        Instant now = wall();
+        Instant now = wallTime();
         return partition.replica().look(i -> {
             Map<String, List<Message>> out = new TreeMap<>();
-            ReadyQueue s = partition.machine().startable();
+            ReadyQueue s = partition.stateMachine().ready();
             s.lanes().forEach(lane -> {
                 List<Message> list = s.due(lane, now, LOOK_AHEAD, turn, m -> !busy.contains(m.handle()));
                 if (!list.isEmpty()) {
@@ -149,19 +149,19 @@
     }
 
     /** False when the lane can send nothing more now. */
-    private boolean begin(Message m) {
-        if (wall().isAfter(policy.expiry(m))) {
+    private boolean dispatchNext(Message m) {
+        if (wallTime().isAfter(policy.expiry(m))) {
             expire(m);
             return true;
         }
-        Optional<Targets.Target> t = context.targets()
+        Optional<DeliveryTargets.Target> t = context.targets()
                 .draw(
                         ProcessorSelector.targets(this, policy.terms(m).service()),
                         ProcessorSelector.most(this, policy.terms(m).service()));
         if (t.isEmpty()) {
             return false;
         }
-        if (m.tries() > 0 && !retryAllowed(m.lane() + "/" + m.tenant())) {
+        if (m.attemptsMade() > 0 && !retryAllowed(m.lane() + "/" + m.tenant())) {
             context.targets().unused(t.get());
             return true;
         }
@@ -180,8 +180,8 @@
 
     synchronized boolean retryAllowed(String lane) {
         Bucket b = retries.computeIfAbsent(
-                lane, k -> Bucket.full(RETRIES, context.env().times().mono()));
-        b.fill(context.env().times().mono(), 0);
+                lane, k -> Bucket.full(RETRIES, context.environment().clock().monotonicTime()));
+        b.fill(context.environment().clock().monotonicTime(), 0);
         return b.take(1);
     }
 
@@ -189,9 +189,14 @@
         if (busy.add(m.handle())) {
             context.recorder()
                     .record(
-                            part(),
-                            new Commands.End(
-                                    m.handle(), 0, Commands.Ending.FAILED, "time limit reached", wall(), wall()),
+                            partitionId(),
+                            new MessageCommands.End(
+                                    m.handle(),
+                                    0,
+                                    MessageCommands.AttemptOutcome.FAILED,
+                                    "time limit reached",
+                                    wallTime(),
+                                    wallTime()),
                             "")
                     .doFinally(s -> busy.remove(m.handle()))
                     .subscribe(x -> {}, e -> {});
@@ -199,25 +204,25 @@
     }
 
     /** The attempt is committed before anything is sent; then all is checked again. */
-    private Mono<Boolean> dispatch(Message m, DeliveryPermit permit, Targets.Target t) {
-        Commands.Start start = new Commands.Start(
+    private Mono<Boolean> dispatch(Message m, DeliveryPermit permit, DeliveryTargets.Target t) {
+        MessageCommands.Start start = new MessageCommands.Start(
                 m.handle(),
                 m.attempt() + 1,
                 t.id(),
-                wall().plusMillis(policy.terms(m).attemptMs()),
-                wall(),
+                wallTime().plusMillis(policy.terms(m).attemptMs()),
+                wallTime(),
                 t.address());
         return partition
                 .replica()
-                .propose(start, Commands.Changed.class)
+                .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> {
-                    permit.putBack();
+                    permit.release();
                     context.targets().unused(t);
                 })
                 .flatMap(c -> {
-                    Run run = new Run(this, c.message(), t);
-                    if (!c.done()) {
-                        permit.putBack();
+                    DeliveryAttempt run = new DeliveryAttempt(this, c.message(), t);
+                    if (!c.applied()) {
+                        permit.release();
                         context.targets().unused(t);
                         return Mono.just(false);
                     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -13,8 +13,8 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
 import org.woadvale.dataplane.queue.RouteTerms;
 import reactor.core.publisher.Flux;
@@ -22,55 +22,56 @@
 
 /** All dispatchersByPart of a store, and the fetching side of delivery: design 9.3 and 9.4. */
 public final class Dispatchers {
-    private static final int SCAN = 64;
+    private static final int MAX_SCANNED = 64;
     private final DispatchContext context;
-    private static final Duration LOOK = Duration.ofMillis(20);
+    private static final Duration TICK = Duration.ofMillis(20);
     private final WaitingPulls waitingPulls;
-    private TimerHandle looking = () -> {};
+    private TimerHandle ticking = () -> {};
     private final AtomicInteger turns = new AtomicInteger();
-    private final Map<String, Dispatcher> dispatchersByPart = new ConcurrentHashMap<>();
+    private final Map<String, Dispatcher> dispatchersByPartition = new ConcurrentHashMap<>();
 
     public Dispatchers(DispatchContext context) {
         this.context = context;
-        this.waitingPulls = new WaitingPulls(context, dispatchersByPart);
+        this.waitingPulls = new WaitingPulls(context, dispatchersByPartition);
     }
 
     public void opened(MessagePartition b) {
         Dispatcher l = new Dispatcher(context, b);
-        dispatchersByPart.put(b.part(), l);
+        dispatchersByPartition.put(b.id(), l);
     }
 
     public void start() {
-        looking = context.env().schedules().every(LOOK, () -> {
-            waitingPulls.look();
-            dispatchersByPart.values().forEach(Dispatcher::look);
+        ticking = context.environment().timers().every(TICK, () -> {
+            waitingPulls.onTick();
+            dispatchersByPartition.values().forEach(Dispatcher::onTick);
         });
     }
 
     public boolean idle() {
-        return dispatchersByPart.values().stream().allMatch(Dispatcher::idle);
+        return dispatchersByPartition.values().stream().allMatch(Dispatcher::idle);
     }
 
     public void stop() {
-        looking.cancel();
+        ticking.cancel();
     }
 
     public void route(RpcRouter router) {
         waitingPulls.route(router);
         router.on(
-                        Commands.FetchAsk.class,
+                        MessageCommands.FetchRequest.class,
                         (f, a) -> context.partitions()
-                                .at(a.part())
-                                .flatMap(b ->
-                                        context.partitions().timely(a.until()).then(Mono.defer(() -> fetch(b, a)))))
+                                .partition(a.partition())
+                                .flatMap(b -> context.partitions()
+                                        .requireBefore(a.deadline())
+                                        .then(Mono.defer(() -> fetch(b, a)))))
                 .on(
-                        Commands.OutcomeAsk.class,
-                        (f, a) -> context.partitions().at(a.part()).flatMap(b -> outcome(b, a)));
+                        MessageCommands.OutcomeReport.class,
+                        (f, a) -> context.partitions().partition(a.partition()).flatMap(b -> outcome(b, a)));
     }
 
     /** A processor speaks only for its own service and its own attempts; an empty service is one of us. */
-    private Mono<Commands.Changed> outcome(MessagePartition b, Commands.OutcomeAsk a) {
-        return b.replica().read(i -> b.machine().get(a.end().handle())).flatMap(m -> {
+    private Mono<MessageCommands.TransitionResult> outcome(MessagePartition b, MessageCommands.OutcomeReport a) {
+        return b.replica().read(i -> b.stateMachine().get(a.end().handle())).flatMap(m -> {
             if (m.isPresent()
                     && !a.service().isEmpty()
                     && (!terms(m.get()).service().equals(a.service())
@@ -79,27 +80,27 @@
                 return Mono.error(new ServiceException(
                         ErrorKind.FORBIDDEN, "This attempt was not given to " + a.processor() + "."));
             }
-            if (a.end().ending() == Commands.Ending.RETRY
+            if (a.end().outcome() == MessageCommands.AttemptOutcome.RETRY
                     && m.isPresent()
                     && !a.service().isEmpty()
-                    && m.get().tries() >= terms(m.get()).attempts()) {
-                Commands.End e = a.end();
+                    && m.get().attemptsMade() >= terms(m.get()).attempts()) {
+                MessageCommands.End e = a.end();
                 return b.replica()
                         .propose(
-                                new Commands.End(
+                                new MessageCommands.End(
                                         e.handle(),
                                         e.attempt(),
-                                        Commands.Ending.FAILED,
+                                        MessageCommands.AttemptOutcome.FAILED,
                                         "attempts used up",
                                         e.due(),
                                         e.at()),
-                                Commands.Changed.class);
+                                MessageCommands.TransitionResult.class);
             }
-            return b.replica().propose(a.end(), Commands.Changed.class);
+            return b.replica().propose(a.end(), MessageCommands.TransitionResult.class);
         });
     }
 
-    private Mono<Commands.Fetched> fetch(MessagePartition b, Commands.FetchAsk a) {
+    private Mono<MessageCommands.FetchResponse> fetch(MessagePartition b, MessageCommands.FetchRequest a) {
         return b.replica().read(i -> i).flatMap(i -> {
             if (!mayReceive(a)) {
                 return Mono.error(new ServiceException(
@@ -107,29 +108,29 @@
                         "The processor " + a.processor()
                                 + " is not listed, is leaving, or the list is not proven fresh."));
             }
-            if (a.again()) {
-                return Mono.just(new Commands.Fetched(handedBefore(b, a)));
+            if (a.repeated()) {
+                return Mono.just(new MessageCommands.FetchResponse(deliveredBefore(b, a)));
             }
             return Flux.fromIterable(candidates(b, a.service()))
-                    .take(a.most())
+                    .take(a.limit())
                     .concatMap(m -> start(b, m, a))
                     .collectList()
-                    .map(Commands.Fetched::new);
+                    .map(MessageCommands.FetchResponse::new);
         });
     }
 
     /** What this very fetch was given, for a processor that did not get the answer: the same attempts. */
-    private List<Message> handedBefore(MessagePartition b, Commands.FetchAsk a) {
-        var now = context.env().times().wall();
+    private List<Message> deliveredBefore(MessagePartition b, MessageCommands.FetchRequest a) {
+        var now = context.environment().clock().wallTime();
         return b.replica()
-                .look(i -> b.machine().running().stream()
+                .look(i -> b.stateMachine().running().stream()
                         .filter(m -> m.processor().equals(a.processor())
-                                && m.where().equals(ProcessorStatus.FETCHED + a.fetch())
+                                && m.destination().equals(ProcessorStatus.PULLED + a.fetchId())
                                 && m.deadline().isAfter(now))
                         .toList());
     }
 
-    private boolean mayReceive(Commands.FetchAsk a) {
+    private boolean mayReceive(MessageCommands.FetchRequest a) {
         Optional<Processor> p = context.subscriptions()
                 .fresh(ServiceNames.processors(a.service()))
                 .map(v -> v.processors().get(a.processor()));
@@ -138,15 +139,20 @@
 
     private List<Message> candidates(MessagePartition b, String service) {
         int turn = turns.incrementAndGet();
-        var now = context.env().times().wall();
+        var now = context.environment().clock().wallTime();
         List<Message> out = new ArrayList<>();
         b.replica().look(i -> {
-            b.machine()
-                    .startable()
+            b.stateMachine()
+                    .ready()
                     .lanes()
-                    .forEach(lane -> out.addAll(b.machine()
-                            .startable()
-                            .due(lane, now, SCAN, turn, m -> terms(m).service().equals(service))));
+                    .forEach(lane -> out.addAll(b.stateMachine()
+                            .ready()
+                            .due(
+                                    lane,
+                                    now,
+                                    MAX_SCANNED,
+                                    turn,
+                                    m -> terms(m).service().equals(service))));
             return out;
         });
         return out;
@@ -161,8 +167,8 @@
     }
 
     /** The attempt is committed before the answer; all is checked again at processor-out. */
-    private Mono<Message> start(MessagePartition b, Message m, Commands.FetchAsk a) {
-        var now = context.env().times().wall();
+    private Mono<Message> start(MessagePartition b, Message m, MessageCommands.FetchRequest a) {
+        var now = context.environment().clock().wallTime();
         if (now.isAfter(m.from().plusMillis(terms(m).timeLimitMs()))
                 || context.configurations().fresh().isEmpty()) {
             return Mono.empty();
@@ -171,28 +177,35 @@
         if (permit.isEmpty()) {
             return Mono.empty();
         }
-        Commands.Start s = new Commands.Start(
+        MessageCommands.Start s = new MessageCommands.Start(
                 m.handle(),
                 m.attempt() + 1,
                 a.processor(),
                 now.plusMillis(terms(m).attemptMs()),
                 now,
-                ProcessorStatus.FETCHED + a.fetch());
+                ProcessorStatus.PULLED + a.fetchId());
         return b.replica()
-                .propose(s, Commands.Changed.class)
-                .doOnError(e -> permit.get().putBack())
+                .propose(s, MessageCommands.TransitionResult.class)
+                .doOnError(e -> permit.get().release())
                 .onErrorResume(e -> Mono.empty())
                 .flatMap(c -> {
-                    if (!c.done()) {
-                        permit.get().putBack();
+                    if (!c.applied()) {
+                        permit.get().release();
                         return Mono.empty();
                     }
-                    if (!mayReceive(a) || !b.replica().mayAct() || !permit.get().spend()) {
-                        permit.get().putBack();
-                        Commands.End e = new Commands.End(
-                                m.handle(), m.attempt() + 1, Commands.Ending.NOT_SENT, "not sent", now, now);
+                    if (!mayReceive(a)
+                            || !b.replica().isActiveLeader()
+                            || !permit.get().spend()) {
+                        permit.get().release();
+                        MessageCommands.End e = new MessageCommands.End(
+                                m.handle(),
+                                m.attempt() + 1,
+                                MessageCommands.AttemptOutcome.NOT_SENT,
+                                "not sent",
+                                now,
+                                now);
                         return context.recorder()
-                                .record(b.part(), e, a.processor())
+                                .record(b.id(), e, a.processor())
                                 .then(Mono.<Message>empty());
                     }
                     return Mono.just(c.message());
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -25,13 +25,13 @@
 
 /** HTTP/1.1 to back ends by Reactor Netty; it never sends a request twice by itself. */
 public final class HttpDeliveryClient implements DeliveryClient {
-    private static final int MAX_ANSWER = 64 << 10;
+    private static final int MAX_RESPONSE_BYTES = 64 << 10;
     /** How long a stream may rest, unless the back end says less. */
-    private static final Duration REST = Duration.ofSeconds(20);
+    private static final Duration CONNECTION_BACKOFF = Duration.ofSeconds(20);
 
     private static final Pattern KEEP_ALIVE = Pattern.compile("timeout=([0-9]{1,6})");
 
-    private final Map<SocketAddress, Duration> rests = new ConcurrentHashMap<>();
+    private final Map<SocketAddress, Duration> backoffUntil = new ConcurrentHashMap<>();
     private final HttpClient client = HttpClient.create(ConnectionProvider.builder("launch")
                     .maxConnections(64)
                     .pendingAcquireMaxCount(256)
@@ -39,7 +39,8 @@
                     .lifo()
                     .evictionPredicate((c, meta) -> !c.channel().isActive()
                             || meta.idleTime()
-                                    > rests.getOrDefault(c.channel().remoteAddress(), REST)
+                                    > backoffUntil
+                                            .getOrDefault(c.channel().remoteAddress(), CONNECTION_BACKOFF)
                                             .toMillis())
                     .build())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
@@ -50,12 +51,12 @@
      * event loop, when its stream is back in the pool: a caller that sends again at once finds it there.
      */
     @Override
-    public Mono<Reply> send(Call c) {
+    public Mono<DeliveryResponse> send(DeliveryRequest c) {
         return client.headers(h -> c.headers().forEach(h::set))
-                .responseTimeout(c.limit())
+                .responseTimeout(c.timeout())
                 .request(HttpMethod.valueOf(c.method()))
                 .uri(c.url())
-                .send((q, out) -> c.still().getAsBoolean()
+                .send((q, out) -> c.stillPermitted().getAsBoolean()
                         ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(c.body())))
                         : Mono.error(new ServiceException(ErrorKind.UNREACHABLE, "It may not be sent any more.")))
                 .responseConnection((r, stream) -> stream.inbound()
@@ -63,23 +64,23 @@
                         .aggregate()
                         .asByteArray()
                         .defaultIfEmpty(new byte[0])
-                        .filter(b -> b.length <= MAX_ANSWER)
+                        .filter(b -> b.length <= MAX_RESPONSE_BYTES)
                         .defaultIfEmpty(new byte[0])
                         .map(b -> reply(c, r, stream, b))
                         .publishOn(Schedulers.fromExecutor(stream.channel().eventLoop())))
                 .next()
-                .timeout(c.limit().plusMillis(200))
-                .onErrorMap(HttpDeliveryClient::fault);
+                .timeout(c.timeout().plusMillis(200))
+                .onErrorMap(HttpDeliveryClient::failure);
     }
 
     /**
      * An answer that does not name our request, and it alone, shows that the stream is out of step: nothing more is
      * sent on it. An interim answer is one of these.
      */
-    private Reply reply(Call c, HttpClientResponse r, Connection stream, byte[] body) {
+    private DeliveryResponse reply(DeliveryRequest c, HttpClientResponse r, Connection stream, byte[] body) {
         Map<String, String> headers = new HashMap<>();
         r.responseHeaders().forEach(e -> headers.put(e.getKey().toLowerCase(Locale.ROOT), e.getValue()));
-        boolean ours = c.echo().entrySet().stream()
+        boolean ours = c.expectedEcho().entrySet().stream()
                 .allMatch(e -> r.responseHeaders().getAll(e.getKey()).equals(List.of(e.getValue())));
         if (!ours) {
             stream.channel().close();
@@ -90,12 +91,12 @@
         if (m.find()) {
             // a margin, so that a stream is not used while the other side closes it
             long ms = Long.parseLong(m.group(1)) * 1000;
-            rests.put(stream.channel().remoteAddress(), Duration.ofMillis(Math.max(ms / 2, ms - 1000)));
+            backoffUntil.put(stream.channel().remoteAddress(), Duration.ofMillis(Math.max(ms / 2, ms - 1000)));
         }
-        return new Reply(r.status().code(), headers, body);
+        return new DeliveryResponse(r.status().code(), headers, body);
     }
 
-    private static Throwable fault(Throwable thrown) {
+    private static Throwable failure(Throwable thrown) {
         Throwable e = reactor.core.Exceptions.unwrap(thrown);
         if (e instanceof ServiceException) {
             return e;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -12,12 +12,13 @@
 /** The product's own way: JSON with message id and attempt, answered by an echo with a receipt. design 9.3 */
 public final class NativeDeliveryProtocol implements DeliveryProtocol {
     @Override
-    public DeliveryClient.Call push(Message m, Targets.Target to, Duration limit, BooleanSupplier still) {
-        return new DeliveryClient.Call("POST", to.address() + "/messages", body(m), limit, still);
+    public DeliveryClient.DeliveryRequest push(
+            Message m, DeliveryTargets.Target to, Duration limit, BooleanSupplier still) {
+        return new DeliveryClient.DeliveryRequest("POST", to.address() + "/messages", body(m), limit, still);
     }
 
     @Override
-    public Verdict read(Message m, DeliveryClient.Reply r) {
+    public Verdict read(Message m, DeliveryClient.DeliveryResponse r) {
         return Verdict.ofPush(r, m.handle(), m.attempt());
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
@@ -19,7 +19,7 @@
      * How much one back end may have in flight from this store: its connections shared out among the stores, and not
      * much more than its slots. 0 where nothing is said.
      */
-    static ToIntFunction<Targets.Target> most(Dispatcher l, String service) {
+    static ToIntFunction<DeliveryTargets.Target> most(Dispatcher l, String service) {
         int stores = (int) Math.max(
                 1,
                 l.context().subscriptions().latest(ServiceNames.STORES).placement().values().stream()
@@ -45,7 +45,7 @@
         };
     }
 
-    static List<Targets.Target> targets(Dispatcher l, String service) {
+    static List<DeliveryTargets.Target> targets(Dispatcher l, String service) {
         Optional<Configuration.Service> s = l.context()
                 .configurations()
                 .fresh()
@@ -54,9 +54,9 @@
             return List.of();
         }
         if (s.get().kind() == Configuration.Kind.ENDPOINT) {
-            return List.of(new Targets.Target(service, ENDPOINT, s.get().address(), true));
+            return List.of(new DeliveryTargets.Target(service, ENDPOINT, s.get().address(), true));
         }
-        List<Targets.Target> out = new ArrayList<>();
+        List<DeliveryTargets.Target> out = new ArrayList<>();
         if (s.get().kind() == Configuration.Kind.FETCHERS) {
             return out;
         }
@@ -65,7 +65,7 @@
                 .fresh(ServiceNames.processors(service))
                 .ifPresent(v -> v.processors().forEach((id, p) -> {
                     if (!p.leaving() && !p.address().isEmpty()) {
-                        out.add(new Targets.Target(
+                        out.add(new DeliveryTargets.Target(
                                 service + "/" + id,
                                 id,
                                 p.address(),
