--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -4,67 +4,67 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** What this node's own asks tell of stores and parts; only for draws, never for what is true. design 9.13 */
 final class StoreHealth {
-    private static final Duration TROUBLE = Duration.ofMillis(1500);
-    private static final Duration AILING = Duration.ofSeconds(1);
+    private static final Duration FAILURE_MEMORY = Duration.ofMillis(1500);
+    private static final Duration UNHEALTHY_AFTER = Duration.ofSeconds(1);
     /** An ask that is open for longer shows that the store may be gone. */
-    private static final Duration SILENT = Duration.ofMillis(80);
+    private static final Duration SILENT_AFTER = Duration.ofMillis(80);
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final AtomicLong ids = new AtomicLong();
-    private final Map<String, Duration> troubles = new ConcurrentHashMap<>();
-    private final Map<String, Duration> ailing = new ConcurrentHashMap<>();
-    private final Map<String, Map<Long, Duration>> open = new ConcurrentHashMap<>();
+    private final Map<String, Duration> failures = new ConcurrentHashMap<>();
+    private final Map<String, Duration> slowSince = new ConcurrentHashMap<>();
+    private final Map<String, Map<Long, Duration>> inFlight = new ConcurrentHashMap<>();
 
-    StoreHealth(Env env) {
+    StoreHealth(NodeEnvironment env) {
         this.env = env;
     }
 
     private Duration now() {
-        return env.times().mono();
+        return env.clock().monotonicTime();
     }
 
     /** Counts the ask as open until it ends. */
-    <T> Mono<T> watched(String store, Mono<T> ask) {
+    <T> Mono<T> tracked(String store, Mono<T> ask) {
         return Mono.defer(() -> {
             long id = ids.incrementAndGet();
-            Map<Long, Duration> here = open.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
+            Map<Long, Duration> here = inFlight.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
             here.put(id, now());
             return ask.doFinally(s -> here.remove(id));
         });
     }
 
-    void failed(String part, String store, ServiceException f) {
+    void onFailure(String part, String store, ServiceException f) {
         if (f.kind() == ErrorKind.UNREACHABLE || f.kind() == ErrorKind.UNKNOWN_OUTCOME) {
-            ailing.put(store, now().plus(AILING));
+            slowSince.put(store, now().plus(UNHEALTHY_AFTER));
         }
         if (f.kind() != ErrorKind.NOT_OWNER || f.details().isEmpty()) {
-            troubles.put(part, now().plus(TROUBLE));
+            failures.put(part, now().plus(FAILURE_MEMORY));
         }
     }
 
-    void well(String part, String store) {
-        troubles.remove(part);
-        ailing.remove(store);
+    void onSuccess(String part, String store) {
+        failures.remove(part);
+        slowSince.remove(store);
     }
 
-    boolean ailing(String store) {
-        return now().compareTo(ailing.getOrDefault(store, Duration.ZERO)) < 0;
+    boolean isUnhealthy(String store) {
+        return now().compareTo(slowSince.getOrDefault(store, Duration.ZERO)) < 0;
     }
 
-    boolean troubled(String part) {
-        return now().compareTo(troubles.getOrDefault(part, Duration.ZERO)) < 0;
+    boolean hasFailed(String part) {
+        return now().compareTo(failures.getOrDefault(part, Duration.ZERO)) < 0;
     }
 
-    boolean silent(String store) {
-        Duration limit = now().minus(SILENT);
-        return ailing(store)
-                || open.getOrDefault(store, Map.of()).values().stream().anyMatch(t -> t.compareTo(limit) < 0);
+    boolean isSilent(String store) {
+        Duration limit = now().minus(SILENT_AFTER);
+        return isUnhealthy(store)
+                || inFlight.getOrDefault(store, Map.of()).values().stream().anyMatch(t -> t.compareTo(limit) < 0);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -9,7 +9,7 @@
 import org.woadvale.common.discovery.ViewSubscriptions;
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.rpc.AtMostOnceRequest;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.ResendPolicy;
@@ -17,25 +17,25 @@
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** Finds the owner of a message part among its stores and asks it. */
 public final class SubmitForwarder {
-    private static final Duration EACH = Duration.ofMillis(400);
-    private static final Duration PAUSE = Duration.ofMillis(20);
-    private final Env env;
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
+    private final NodeEnvironment env;
     private final ViewSubscriptions subscriptions;
-    private final Map<String, String> owners = new ConcurrentHashMap<>();
+    private final Map<String, String> leaderHints = new ConcurrentHashMap<>();
     private final String zone;
     private final StoreHealth health;
-    private final Clocks clocks;
+    private final StoreClocks clocks;
 
-    public SubmitForwarder(Env env, ViewSubscriptions subscriptions, String zone) {
+    public SubmitForwarder(NodeEnvironment env, ViewSubscriptions subscriptions, String zone) {
         this.zone = zone;
         this.env = env;
         this.subscriptions = subscriptions;
-        this.clocks = new Clocks(env);
+        this.clocks = new StoreClocks(env);
         this.health = new StoreHealth(env);
     }
 
@@ -43,7 +43,7 @@
      * A part for what any part may hold: among those whose owner is in touch, rather one of our own zone; drawn by the
      * given id. design 9.13
      */
-    public String anyPart(String id) {
+    public String anyPartition(String id) {
         Map<String, List<String>> placement =
                 subscriptions.latest(ServiceNames.STORES).placement();
         Map<String, MemberLease> members =
@@ -51,8 +51,8 @@
         List<String> sound = new ArrayList<>();
         List<String> near = new ArrayList<>();
         placement.forEach((part, copies) -> {
-            String owner = owners.getOrDefault(part, copies.isEmpty() ? "" : copies.get(0));
-            if (!health.troubled(part) && !health.silent(owner) && members.containsKey(owner)) {
+            String owner = leaderHints.getOrDefault(part, copies.isEmpty() ? "" : copies.get(0));
+            if (!health.hasFailed(part) && !health.isSilent(owner) && members.containsKey(owner)) {
                 sound.add(part);
                 if (members.get(owner).zone().equals(zone)) {
                     near.add(part);
@@ -62,15 +62,15 @@
         List<String> from = near.isEmpty() ? sound : near;
         return from.isEmpty()
                 ? ServiceNames.messagePart("", id)
-                : ServiceNames.draw(id, from).orElse(ServiceNames.messagePart("", id));
+                : ServiceNames.rendezvousOwner(id, from).orElse(ServiceNames.messagePart("", id));
     }
 
     /** The known owner first, then the copies in turn; those that do not answer only if there are no others. */
-    private String guess(String part, int turn) {
+    private String likelyLeader(String part, int turn) {
         List<String> all = subscriptions.latest(ServiceNames.STORES).placement().getOrDefault(part, List.of());
-        List<String> copies = all.stream().filter(c -> !health.ailing(c)).toList();
-        String known = owners.getOrDefault(part, "");
-        if (turn == 0 && !known.isEmpty() && !health.ailing(known)) {
+        List<String> copies = all.stream().filter(c -> !health.isUnhealthy(c)).toList();
+        String known = leaderHints.getOrDefault(part, "");
+        if (turn == 0 && !known.isEmpty() && !health.isUnhealthy(known)) {
             return known;
         }
         List<String> from = copies.isEmpty() ? all : copies;
@@ -80,40 +80,48 @@
     /**
      * Goes on until the limit. The answer is definite only if no try before it was left unknown.
      */
-    public <T> Mono<T> ask(String part, RepeatableRequest body, Class<T> type, Duration limit) {
-        Duration until = env.times().mono().plus(limit);
+    public <T> Mono<T> call(String part, RepeatableRequest body, Class<T> type, Duration limit) {
+        Duration until = env.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding =
                 new Forwarding<>(part, to -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
         return attempt(forwarding, 0, false, "");
     }
 
     /** Whether asks of the part failed lately: whoever comes now need not wait long to know. */
-    public boolean troubled(String part) {
-        return health.troubled(part);
+    public boolean isUnhealthy(String part) {
+        return health.hasFailed(part);
     }
 
     /** The same, but nothing that is held up on its way beyond the limit is taken then: design 9.7. */
-    public <T> Mono<T> timely(
-            String part, Function<Commands.Until, RepeatableRequest> body, Class<T> type, Duration limit) {
-        return timely(part, body, type, limit, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
+    public <T> Mono<T> callWithDeadline(
+            String part,
+            Function<MessageCommands.RemoteDeadline, RepeatableRequest> body,
+            Class<T> type,
+            Duration limit) {
+        return callWithDeadline(part, body, type, limit, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
     }
 
     /** The same for a request that is not sent again once its outcome is unknown. */
-    public <T> Mono<T> timelyOnce(
-            String part, Function<Commands.Until, AtMostOnceRequest> body, Class<T> type, Duration limit) {
-        return timely(part, body, type, limit, ResendPolicy.IF_NOT_EXECUTED);
+    public <T> Mono<T> callOnceWithDeadline(
+            String part,
+            Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
+            Class<T> type,
+            Duration limit) {
+        return callWithDeadline(part, body, type, limit, ResendPolicy.IF_NOT_EXECUTED);
     }
 
-    private <T> Mono<T> timely(
+    private <T> Mono<T> callWithDeadline(
             String part,
-            Function<Commands.Until, ? extends RpcRequest> body,
+            Function<MessageCommands.RemoteDeadline, ? extends RpcRequest> body,
             Class<T> type,
             Duration limit,
             ResendPolicy policy) {
-        Duration until = env.times().mono().plus(limit);
+        Duration until = env.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding = new Forwarding<>(
                 part,
-                to -> clocks.until(to, until, EACH).<RpcRequest>map(body).onErrorMap(SubmitForwarder::notSent),
+                to -> clocks.deadline(to, until, ATTEMPT_TIMEOUT)
+                        .<RpcRequest>map(body)
+                        .onErrorMap(SubmitForwarder::notSent),
                 type,
                 until,
                 policy);
@@ -122,12 +130,15 @@
 
     /** One ask to one store, not taken later than the limit; its answer may take as long as the limit. */
     public <T> Mono<T> at(
-            String store, Function<Commands.Until, AtMostOnceRequest> body, Class<T> type, Duration limit) {
-        Duration until = env.times().mono().plus(limit);
-        return clocks.until(store, until, EACH)
+            String store,
+            Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
+            Class<T> type,
+            Duration limit) {
+        Duration until = env.clock().monotonicTime().plus(limit);
+        return clocks.deadline(store, until, ATTEMPT_TIMEOUT)
                 .map(body)
                 .onErrorMap(SubmitForwarder::notSent)
-                .flatMap(b -> env.rpc().ask(store, b, type, limit.plus(EACH)))
+                .flatMap(b -> env.rpc().call(store, b, type, limit.plus(ATTEMPT_TIMEOUT)))
                 .doOnError(e -> clocks.forget(store));
     }
 
@@ -143,7 +154,7 @@
 
     private <T> Mono<T> attempt(Forwarding<T> forwarding, int turn, boolean unknown, String hint) {
         String part = forwarding.part();
-        String to = hint.isEmpty() ? guess(part, turn) : hint;
+        String to = hint.isEmpty() ? likelyLeader(part, turn) : hint;
         if (to.isEmpty()) {
             return Mono.error(
                     new ServiceException(ErrorKind.UNAVAILABLE, "No store is placed for the part " + part + "."));
@@ -151,32 +162,34 @@
         return forwarding
                 .body()
                 .apply(to)
-                .flatMap(b -> health.watched(to, env.rpc().ask(to, b, forwarding.type(), EACH)))
+                .flatMap(b -> health.tracked(to, env.rpc().call(to, b, forwarding.type(), ATTEMPT_TIMEOUT)))
                 .doOnNext(t -> {
-                    owners.put(part, to);
-                    health.well(part, to);
+                    leaderHints.put(part, to);
+                    health.onSuccess(part, to);
                 })
                 .onErrorResume(e -> {
                     ServiceException f = ServiceException.of(e);
-                    owners.remove(part, to);
+                    leaderHints.remove(part, to);
                     clocks.forget(to);
-                    health.failed(part, to, f);
+                    health.onFailure(part, to, f);
                     boolean nowUnknown = unknown || !f.kind().definite();
                     if (!forwarding.policy().allows(f.kind())
-                            || env.times().mono().compareTo(forwarding.until()) >= 0) {
-                        return Mono.error(settled(f, nowUnknown));
+                            || env.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
+                        return Mono.error(onSettled(f, nowUnknown));
                     }
                     String next =
                             f.kind() == ErrorKind.NOT_OWNER && !f.details().isEmpty()
                                     ? f.details().get(0)
                                     : "";
                     Mono<T> more = Mono.defer(() -> attempt(forwarding, turn + 1, nowUnknown, next));
-                    return next.isEmpty() ? Delays.pause(env.schedules(), PAUSE).then(more) : more;
+                    return next.isEmpty()
+                            ? Delays.pause(env.timers(), RETRY_PAUSE).then(more)
+                            : more;
                 });
     }
 
     /** A definite refusal after an unknown try says nothing of that try: design 9.6. */
-    private static ServiceException settled(ServiceException last, boolean unknown) {
+    private static ServiceException onSettled(ServiceException last, boolean unknown) {
         if (unknown) {
             return new ServiceException(
                     ErrorKind.UNKNOWN_OUTCOME, "It is not known whether this was taken; ask with the same id.");
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/CheckedSubmission.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/CheckedSubmission.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /**
@@ -15,8 +15,8 @@
 record CheckedSubmission(Submission submission, String tenant, String hash, boolean anyPartition) {
 
     /** The command that accepts it now, on the terms that the lane has now. */
-    Commands.Accept command(Configuration.Lane lane, Instant now) {
-        return new Commands.Accept(
+    MessageCommands.Accept command(Configuration.Lane lane, Instant now) {
+        return new MessageCommands.Accept(
                 tenant,
                 submission.lane(),
                 submission.id(),
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -9,16 +9,16 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageState;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -29,21 +29,21 @@
     /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
     private static final Duration LIMIT = Duration.ofSeconds(2);
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final RouteMatcher doors;
     private final SubmitForwarder forwarder;
     private final SubmitApi submitApi;
     private final ProcessorApi processorApi;
-    private final Queries queries;
+    private final MessageQueries queries;
     private final Supplier<Map<String, Object>> status;
     private final Supplier<Boolean> ready;
     private final Supplier<Boolean> drain;
 
     public IngressNode(
-            Env env,
+            NodeEnvironment env,
             ConfigurationView configurations,
             Intake intake,
-            Queries queries,
+            MessageQueries queries,
             SubmitForwarder forwarder,
             Supplier<Map<String, Object>> status,
             Supplier<Boolean> ready,
@@ -59,7 +59,7 @@
         this.drain = drain;
     }
 
-    public Mono<Answer> answer(Request q) {
+    public Mono<Response> handle(Request q) {
         return Mono.defer(() -> {
                     try {
                         return route(q);
@@ -67,30 +67,30 @@
                         return Mono.error(e);
                     }
                 })
-                .onErrorResume(e -> Mono.just(Answer.of(ServiceException.of(e))));
+                .onErrorResume(e -> Mono.just(Response.of(ServiceException.of(e))));
     }
 
-    private Mono<Answer> route(Request q) throws ServiceException {
+    private Mono<Response> route(Request q) throws ServiceException {
         List<String> s = q.segments();
         String op = q.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size()))) + " " + s.size();
         switch (op) {
             case "GET v1/liveness 2":
-                return Mono.just(Answer.json(200, Map.of("alive", true)));
+                return Mono.just(Response.json(200, Map.of("alive", true)));
             case "GET v1/readiness 2":
-                return Mono.just(Answer.json(ready.get() ? 200 : 503, Map.of("ready", ready.get())));
+                return Mono.just(Response.json(ready.get() ? 200 : 503, Map.of("ready", ready.get())));
             case "GET v1/status 2":
-                return Mono.just(Answer.json(200, status.get()));
+                return Mono.just(Response.json(200, status.get()));
             case "POST v1/drain 2":
-                return Mono.just(Answer.json(200, Map.of("drained", drain.get())));
+                return Mono.just(Response.json(200, Map.of("drained", drain.get())));
             case "POST v1/lanes 4":
                 if (s.get(3).equals("messages")) {
                     return submitApi.submit(q, s.get(2));
                 }
                 break;
             case "GET v1/messages 3":
-                return show(q, s.get(2));
+                return getMessage(q, s.get(2));
             case "GET v1/messages 2":
-                return list(q);
+                return listMessages(q);
             case "POST v1/services 4":
                 if (s.get(3).equals("fetch")) {
                     return processorApi.pull(q, s.get(2));
@@ -106,13 +106,13 @@
         throw new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + q.method() + " " + q.path() + ".");
     }
 
-    private Mono<Answer> show(Request q, String handle) {
-        return queries.message(q.secret().orElse(""), handle).map(m -> Answer.json(200, shown(m)));
+    private Mono<Response> getMessage(Request q, String handle) {
+        return queries.message(q.secret().orElse(""), handle).map(m -> Response.json(200, messageJson(m)));
     }
 
-    private Map<String, Object> shown(Message m) {
+    private Map<String, Object> messageJson(Message m) {
         Map<String, Object> b = new LinkedHashMap<>();
-        boolean due = !m.due().isAfter(env.times().wall());
+        boolean due = !m.due().isAfter(env.clock().wallTime());
         b.put("handle", m.handle());
         b.put("id", m.id());
         b.put("lane", m.lane());
@@ -132,7 +132,7 @@
     }
 
     /** Messages of the key's tenant in one state, newest first: failed ones unless told otherwise. */
-    private Mono<Answer> list(Request q) throws ServiceException {
+    private Mono<Response> listMessages(Request q) throws ServiceException {
         Configuration.Key key = doors.key(q, Configuration.Role.CALLER);
         String state = query(q, "state").orElse("failed").toUpperCase(Locale.ROOT);
         String reason = query(q, "reason").orElse("");
@@ -141,15 +141,18 @@
             throw new ServiceException(ErrorKind.BAD_REQUEST, "state must be waiting, running, done or failed.");
         }
         return Flux.fromIterable(ServiceNames.messageParts())
-                .flatMap(p -> forwarder.ask(
-                        p, new Commands.ListAsk(p, key.tenant(), state, 100), Commands.Listed.class, LIMIT))
+                .flatMap(p -> forwarder.call(
+                        p,
+                        new MessageCommands.ListRequest(p, key.tenant(), state, 100),
+                        MessageCommands.ListResponse.class,
+                        LIMIT))
                 .collectList()
                 .map(lists -> {
                     List<Map<String, Object>> rows = new ArrayList<>();
                     lists.forEach(l -> l.messages().stream()
                             .filter(m -> m.proof().startsWith(reason))
-                            .forEach(m -> rows.add(shown(m))));
-                    return Answer.json(200, Map.of("messages", rows));
+                            .forEach(m -> rows.add(messageJson(m))));
+                    return Response.json(200, Map.of("messages", rows));
                 });
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.ratelimit.AdmissionTokens;
 import org.woadvale.common.ratelimit.LocalBucket;
 import org.woadvale.common.ratelimit.LocalBuckets;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.ratelimit.TokenMessages;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Stage;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** Takes submissions in: checked, then given a rate limit token, then forwarded; stages with bounded queues. design 9.6 */
@@ -34,14 +34,18 @@
     private static final int FORWARDED_AT_ONCE = 256;
     private static final int ADMITTED_AT_ONCE = 4 * FORWARDED_AT_ONCE;
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final SubmissionValidator validator;
     private final LocalBuckets localBuckets;
     private final SubmitForwarder forwarder;
     private final Stage<CheckedSubmission, AdmittedSubmission> admission;
-    private final Stage<AdmittedSubmission, Commands.Accepted> forwarding;
+    private final Stage<AdmittedSubmission, MessageCommands.Accepted> forwarding;
 
-    public Intake(Env env, ConfigurationView configurations, LocalBuckets localBuckets, SubmitForwarder forwarder) {
+    public Intake(
+            NodeEnvironment env,
+            ConfigurationView configurations,
+            LocalBuckets localBuckets,
+            SubmitForwarder forwarder) {
         this.env = env;
         this.validator = new SubmissionValidator(new RouteMatcher(configurations));
         this.localBuckets = localBuckets;
@@ -51,7 +55,7 @@
     }
 
     /** Accepted, or a fault whose kind says whether it may have been taken. design 9.6 */
-    public Mono<Commands.Accepted> take(Submission submission) {
+    public Mono<MessageCommands.Accepted> submit(Submission submission) {
         try {
             return admission
                     .submit(validator.check(submission))
@@ -71,8 +75,8 @@
 
     private Mono<AdmittedSubmission> admit(CheckedSubmission checked, String partition) {
         if (checked.tenant().isEmpty()) {
-            Duration until = env.times().mono().plus(AdmissionTokens.LIFE);
-            LocalBucket.Pass unlimited = new LocalBucket.Pass(AdmissionTokens.NO_GRANT, until);
+            Duration until = env.clock().monotonicTime().plus(TokenMessages.TOKEN_LIFETIME);
+            LocalBucket.AdmissionToken unlimited = new LocalBucket.AdmissionToken(TokenMessages.NO_GRANT, until);
             return Mono.just(new AdmittedSubmission(checked, unlimited, partition));
         }
         Duration longestWait = checked.submission().patience().dividedBy(TOKEN_WAIT_FRACTION);
@@ -91,17 +95,18 @@
             return ServiceNames.messagePart(submission.lane(), submission.orderKey());
         }
         return checked.anyPartition()
-                ? forwarder.anyPart(submission.id())
+                ? forwarder.anyPartition(submission.id())
                 : ServiceNames.messagePart(submission.lane(), submission.id());
     }
 
     private void putBack(AdmittedSubmission admitted) {
-        localBuckets.putBack(admitted.bucket(), admitted.token());
+        localBuckets.returnToken(admitted.bucket(), admitted.token());
     }
 
     /** Key, lane and token are looked at once more, right before each try: design 9.7. */
-    private Mono<Commands.Accepted> forward(AdmittedSubmission admitted) {
-        Duration until = env.times().mono().plus(limit(admitted.checked().submission()));
+    private Mono<MessageCommands.Accepted> forward(AdmittedSubmission admitted) {
+        Duration until =
+                env.clock().monotonicTime().plus(limit(admitted.checked().submission()));
         return attempt(admitted, until, false);
     }
 
@@ -115,8 +120,9 @@
      * A token covers an acceptance only while it lives: what is not decided by then is asked again, with the same
      * message id, under a new token and by the configuration of that time. design 8.5
      */
-    private Mono<Commands.Accepted> attempt(AdmittedSubmission admitted, Duration until, boolean outcomeUnknown) {
-        Commands.Accept command;
+    private Mono<MessageCommands.Accepted> attempt(
+            AdmittedSubmission admitted, Duration until, boolean outcomeUnknown) {
+        MessageCommands.Accept command;
         try {
             command = command(admitted);
         } catch (ServiceException e) {
@@ -124,32 +130,32 @@
             return Mono.error(definite(e, outcomeUnknown));
         }
         String partition = admitted.partition();
-        Duration tokenLife = admitted.token().until().minus(env.times().mono());
+        Duration tokenLife = admitted.token().until().minus(env.clock().monotonicTime());
         return forwarder
-                .timely(
+                .callWithDeadline(
                         partition,
-                        deadline -> new Commands.AcceptAsk(partition, command, deadline),
-                        Commands.Accepted.class,
+                        deadline -> new MessageCommands.AcceptRequest(partition, command, deadline),
+                        MessageCommands.Accepted.class,
                         leaderWait(admitted, tokenLife))
                 .doOnNext(accepted -> settle(admitted, accepted))
                 .onErrorResume(error -> failed(admitted, until, outcomeUnknown, ServiceException.of(error)));
     }
 
-    private Commands.Accept command(AdmittedSubmission admitted) throws ServiceException {
+    private MessageCommands.Accept command(AdmittedSubmission admitted) throws ServiceException {
         Configuration.Lane lane = validator.recheck(admitted.checked());
-        if (!localBuckets.alive(admitted.token())) {
+        if (!localBuckets.isValid(admitted.token())) {
             throw new ServiceException(ErrorKind.THROTTLED, "The pass died while waiting.");
         }
-        return admitted.checked().command(lane, env.times().wall());
+        return admitted.checked().command(lane, env.clock().wallTime());
     }
 
-    private Mono<Commands.Accepted> failed(
+    private Mono<MessageCommands.Accepted> failed(
             AdmittedSubmission admitted, Duration until, boolean outcomeUnknown, ServiceException failure) {
         boolean unknownByNow = outcomeUnknown || !failure.kind().definite();
         if (failure.kind().definite()) {
             putBack(admitted);
         } else {
-            localBuckets.settle(admitted.bucket(), admitted.token());
+            localBuckets.markSpent(admitted.bucket(), admitted.token());
         }
         CheckedSubmission checked = admitted.checked();
         Optional<String> other = unknownByNow ? Optional.empty() : otherPartition(admitted, failure);
@@ -157,11 +163,11 @@
             return admit(checked, other.get()).flatMap(next -> attempt(next, until, false));
         }
         boolean mayRepeat = unknownByNow || failure.kind() == ErrorKind.UNAVAILABLE && !checked.anyPartition();
-        boolean inTime = env.times().mono().compareTo(until) < 0;
-        if (!mayRepeat || localBuckets.alive(admitted.token()) || !inTime) {
+        boolean inTime = env.clock().monotonicTime().compareTo(until) < 0;
+        if (!mayRepeat || localBuckets.isValid(admitted.token()) || !inTime) {
             return Mono.error(definite(failure, unknownByNow));
         }
-        return Delays.pause(env.schedules(), RETRY_PAUSE)
+        return Delays.pause(env.timers(), RETRY_PAUSE)
                 .then(admit(checked, admitted.partition()))
                 .flatMap(next -> attempt(next, until, unknownByNow))
                 .onErrorMap(error -> definite(error, unknownByNow));
@@ -172,7 +178,7 @@
         if (!admitted.checked().anyPartition()) {
             return tokenLife;
         }
-        return forwarder.troubled(admitted.partition()) ? TROUBLED_WAIT : SHORT_WAIT;
+        return forwarder.isUnhealthy(admitted.partition()) ? TROUBLED_WAIT : SHORT_WAIT;
     }
 
     /** Another partition, where the submission was certainly not taken and any partition may take it. */
@@ -182,7 +188,7 @@
                 && submission.orderKey().isEmpty()
                 && failure.kind() == ErrorKind.UNAVAILABLE;
         return movable
-                ? Optional.of(forwarder.anyPart(submission.id())).filter(p -> !p.equals(admitted.partition()))
+                ? Optional.of(forwarder.anyPartition(submission.id())).filter(p -> !p.equals(admitted.partition()))
                 : Optional.empty();
     }
 
@@ -195,11 +201,11 @@
     }
 
     /** A repeated submission was accepted before and has paid then. */
-    private void settle(AdmittedSubmission admitted, Commands.Accepted accepted) {
+    private void settle(AdmittedSubmission admitted, MessageCommands.Accepted accepted) {
         if (accepted.repeated()) {
             putBack(admitted);
         } else {
-            localBuckets.settle(admitted.bucket(), admitted.token());
+            localBuckets.markSpent(admitted.bucket(), admitted.token());
         }
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Queries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -7,18 +7,18 @@
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** What became of a message, found by its handle alone from any intake. design 9.6 */
-public final class Queries {
+public final class MessageQueries {
     private static final Duration LIMIT = Duration.ofMillis(1800);
     private static final String HANDLE = "m[0-9]{1,4}-[0-9]{1,18}";
     private final ConfigurationView configurations;
     private final SubmitForwarder forwarder;
 
-    public Queries(ConfigurationView configurations, SubmitForwarder forwarder) {
+    public MessageQueries(ConfigurationView configurations, SubmitForwarder forwarder) {
         this.configurations = configurations;
         this.forwarder = forwarder;
     }
@@ -42,7 +42,8 @@
                         .orElseThrow(() -> new ServiceException(
                                 ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn."));
                 String part = partOf(handle);
-                return forwarder.ask(part, new Commands.StatusAsk(part, handle, key.tenant()), Message.class, LIMIT);
+                return forwarder.call(
+                        part, new MessageCommands.StatusRequest(part, handle, key.tenant()), Message.class, LIMIT);
             } catch (ServiceException e) {
                 return Mono.error(e);
             }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -8,16 +8,16 @@
 import java.util.Locale;
 import java.util.Map;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
@@ -32,37 +32,39 @@
     private static final int OK = 200;
 
     /** A processor's pull of one service's messages, and until when (monotonic time) it may wait for one. */
-    private record Pull(Request request, String service, PullRequest terms, Duration until) {}
+    private record PendingPull(Request request, String service, PullRequest terms, Duration until) {}
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final RouteMatcher matcher;
     private final SubmitForwarder forwarder;
 
-    ProcessorApi(Env env, RouteMatcher matcher, SubmitForwarder forwarder) {
+    ProcessorApi(NodeEnvironment env, RouteMatcher matcher, SubmitForwarder forwarder) {
         this.env = env;
         this.matcher = matcher;
         this.forwarder = forwarder;
     }
 
     /** Messages for a processor, with an empty list once its wait is over; a repeated pull gets its first answer again. */
-    Mono<Answer> pull(Request request, String service) throws ServiceException {
+    Mono<Response> pull(Request request, String service) throws ServiceException {
         checkKey(request, service);
         PullRequest terms = matcher.body(request, PullRequest.class);
         int first = (int) Math.floorMod(env.random().getAsLong(), (long) ServiceNames.MESSAGE_PARTS);
-        Mono<Answer> fresh = Mono.defer(() -> pullRound(
-                new Pull(request, service, terms, env.times().mono().plus(Duration.ofMillis(terms.waitMs()))), first));
+        Mono<Response> fresh = Mono.defer(() -> pullRound(
+                new PendingPull(
+                        request, service, terms, env.clock().monotonicTime().plus(Duration.ofMillis(terms.waitMs()))),
+                first));
         if (!terms.again() || terms.fetch().isEmpty()) {
             return fresh;
         }
         return Flux.fromIterable(ServiceNames.messageParts())
                 .concatMap(partition -> pullFrom(partition, service, terms, true))
-                .concatMapIterable(Commands.Fetched::messages)
+                .concatMapIterable(MessageCommands.FetchResponse::messages)
                 .collectList()
                 .flatMap(earlier -> earlier.isEmpty() ? fresh : Mono.just(answer(earlier)));
     }
 
     /** Partition by partition; the key is checked again before every round, so a withdrawn one gets nothing. */
-    private Mono<Answer> pullRound(Pull pull, int first) {
+    private Mono<Response> pullRound(PendingPull pull, int first) {
         return Mono.defer(() -> {
             try {
                 checkKey(pull.request(), pull.service());
@@ -79,20 +81,21 @@
         });
     }
 
-    private Mono<Answer> nothingFound(Pull pull, int first) {
-        if (env.times().mono().compareTo(pull.until()) >= 0) {
+    private Mono<Response> nothingFound(PendingPull pull, int first) {
+        if (env.clock().monotonicTime().compareTo(pull.until()) >= 0) {
             return Mono.just(answer(List.of()));
         }
-        return Delays.pause(env.schedules(), PULL_INTERVAL).then(pullRound(pull, first + 1));
+        return Delays.pause(env.timers(), PULL_INTERVAL).then(pullRound(pull, first + 1));
     }
 
-    private Mono<Commands.Fetched> pullFrom(String partition, String service, PullRequest terms, boolean again) {
+    private Mono<MessageCommands.FetchResponse> pullFrom(
+            String partition, String service, PullRequest terms, boolean again) {
         return forwarder
-                .timelyOnce(
+                .callOnceWithDeadline(
                         partition,
-                        until -> new Commands.FetchAsk(
+                        until -> new MessageCommands.FetchRequest(
                                 partition, service, terms.processor(), terms.most(), until, terms.fetch(), again),
-                        Commands.Fetched.class,
+                        MessageCommands.FetchResponse.class,
                         PULL_LIMIT)
                 .onErrorResume(error ->
                         ServiceException.of(error).kind() == ErrorKind.FORBIDDEN ? Mono.error(error) : Mono.empty());
@@ -104,10 +107,10 @@
         }
     }
 
-    private static Answer answer(List<Message> messages) {
+    private static Response answer(List<Message> messages) {
         List<Map<String, Object>> rows =
                 messages.stream().map(ProcessorApi::row).toList();
-        return Answer.json(OK, Map.of("messages", rows));
+        return Response.json(OK, Map.of("messages", rows));
     }
 
     private static Map<String, Object> row(Message message) {
@@ -131,35 +134,35 @@
     }
 
     /** Records the end of an attempt, if the attempt is still the present one. */
-    Mono<Answer> outcome(Request request, String handle) throws ServiceException {
+    Mono<Response> outcome(Request request, String handle) throws ServiceException {
         Configuration.Key key = matcher.key(request, Configuration.Role.PROCESSOR);
         OutcomeRequest outcome = matcher.body(request, OutcomeRequest.class);
         if (outcome.outcome().equals("done") && outcome.receipt().isBlank()) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "Done needs a receipt.");
         }
-        String partition = Queries.partOf(handle);
-        Instant now = env.times().wall();
-        Commands.End end = new Commands.End(
+        String partition = MessageQueries.partOf(handle);
+        Instant now = env.clock().wallTime();
+        MessageCommands.End end = new MessageCommands.End(
                 handle, outcome.attempt(), ending(outcome), outcome.receipt(), now.plus(RETRY_DELAY), now);
         return forwarder
-                .ask(
+                .call(
                         partition,
-                        new Commands.OutcomeAsk(partition, end, outcome.processor(), key.service()),
-                        Commands.Changed.class,
+                        new MessageCommands.OutcomeReport(partition, end, outcome.processor(), key.service()),
+                        MessageCommands.TransitionResult.class,
                         OUTCOME_LIMIT)
                 .map(ProcessorApi::recorded);
     }
 
-    private static Commands.Ending ending(OutcomeRequest outcome) {
+    private static MessageCommands.AttemptOutcome ending(OutcomeRequest outcome) {
         return switch (outcome.outcome()) {
-            case "done" -> Commands.Ending.DONE;
-            case "failed" -> Commands.Ending.FAILED;
-            default -> Commands.Ending.RETRY;
+            case "done" -> MessageCommands.AttemptOutcome.SUCCEEDED;
+            case "failed" -> MessageCommands.AttemptOutcome.FAILED;
+            default -> MessageCommands.AttemptOutcome.RETRY;
         };
     }
 
-    private static Answer recorded(Commands.Changed changed) {
+    private static Response recorded(MessageCommands.TransitionResult changed) {
         String state = changed.message().state().name().toLowerCase(Locale.ROOT);
-        return Answer.json(OK, Map.of("recorded", changed.done(), "state", state));
+        return Response.json(OK, Map.of("recorded", changed.applied(), "state", state));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Fetches.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -12,18 +12,18 @@
 import org.woadvale.common.discovery.ViewSubscriptions;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.queue.Commands;
 import org.woadvale.dataplane.queue.Message;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** Fetches by processors that are on no list: work is handed out with a lease. design 9.10 */
-public final class Fetches {
+public final class PullService {
     private static final Duration LIMIT = Duration.ofSeconds(2);
     /** A fetch waits at one store for so long, then at the next. */
     private static final Duration TURN = Duration.ofMillis(100);
@@ -33,9 +33,9 @@
     private static final Duration AGAIN = Duration.ofMillis(100);
 
     /** What a processor says of its lease: the handle, and the attempt that it has. */
-    public record Lease(String handle, int attempt) {
-        public static Lease of(Message m) {
-            return new Lease(m.handle(), m.attempt());
+    public record LeaseId(String handle, int attempt) {
+        public static LeaseId of(Message m) {
+            return new LeaseId(m.handle(), m.attempt());
         }
 
         public String word() {
@@ -43,11 +43,11 @@
         }
 
         /** Empty where it was never one of ours. */
-        public static Optional<Lease> read(String word) {
+        public static Optional<LeaseId> read(String word) {
             if (!word.matches("m[0-9]{1,4}-[0-9]{1,18}\\.[0-9]{1,9}")) {
                 return Optional.empty();
             }
-            Lease l = new Lease(
+            LeaseId l = new LeaseId(
                     word.substring(0, word.indexOf('.')), Integer.parseInt(word.substring(word.indexOf('.') + 1)));
             return Optional.of(l).filter(x -> ServiceNames.messageParts().contains(x.part()));
         }
@@ -57,15 +57,15 @@
         }
     }
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
     private final SubmitForwarder forwarder;
     private final String zone;
     private final BooleanSupplier draining;
 
-    public Fetches(
-            Env env,
+    public PullService(
+            NodeEnvironment env,
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
             SubmitForwarder forwarder,
@@ -84,13 +84,13 @@
         return Mono.create(sink -> {
             AtomicBoolean gone = new AtomicBoolean();
             sink.onCancel(() -> gone.set(true));
-            Duration until = env.times().mono().plus(wait);
+            Duration until = env.clock().monotonicTime().plus(wait);
             int first = (int) Math.floorMod(env.random().getAsLong(), 1 << 16);
-            turn(service, processor, until, first, first, gone)
+            pullRound(service, processor, until, first, first, gone)
                     .subscribe(
                             m -> {
                                 if (gone.get()) {
-                                    end(Lease.of(m), Commands.Ending.NOT_SENT, "nobody took it")
+                                    end(LeaseId.of(m), MessageCommands.AttemptOutcome.NOT_SENT, "nobody took it")
                                             .subscribe(x -> {}, e -> {});
                                 } else {
                                     sink.success(m);
@@ -101,8 +101,9 @@
         });
     }
 
-    private Mono<Message> turn(String service, String processor, Duration until, int first, int n, AtomicBoolean gone) {
-        Duration left = until.minus(env.times().mono());
+    private Mono<Message> pullRound(
+            String service, String processor, Duration until, int first, int n, AtomicBoolean gone) {
+        Duration left = until.minus(env.clock().monotonicTime());
         // a draining intake lets nobody wait for longer than one turn
         if (left.toMillis() < 1 || gone.get() || n != first && draining.getAsBoolean()) {
             return Mono.empty();
@@ -113,23 +114,23 @@
                 .map(k -> k.configuration().services().get(service))
                 .filter(s -> s.kind() == Configuration.Kind.FETCHERS)
                 .isPresent();
-        Mono<Message> next = Mono.defer(() -> turn(service, processor, until, first, n + 1, gone));
+        Mono<Message> next = Mono.defer(() -> pullRound(service, processor, until, first, n + 1, gone));
         if (!known || stores.isEmpty()) {
-            return Delays.pause(env.schedules(), least(left, AGAIN)).then(next);
+            return Delays.pause(env.timers(), least(left, AGAIN)).then(next);
         }
         String store = stores.get((n - first) % stores.size());
         Duration here = least(left, near(store) ? NEAR : TURN);
         return forwarder
                 .at(
                         store,
-                        u -> new Commands.PullAsk(service, processor, u, here.toMillis(), zone),
-                        Commands.Pulled.class,
+                        u -> new MessageCommands.LongPullRequest(service, processor, u, here.toMillis(), zone),
+                        MessageCommands.LongPullResponse.class,
                         here)
                 .flatMap(p -> p.messages().isEmpty()
                         ? Mono.<Message>empty()
                         : Mono.just(p.messages().get(0)))
                 .onErrorResume(
-                        e -> Delays.pause(env.schedules(), least(left, AGAIN)).then(Mono.<Message>empty()))
+                        e -> Delays.pause(env.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
                 .switchIfEmpty(next);
     }
 
@@ -155,28 +156,32 @@
     }
 
     /** Fails with CONFLICT where the lease is gone. */
-    public Mono<Boolean> extend(Lease l) {
+    public Mono<Boolean> extend(LeaseId l) {
         return forwarder
-                .ask(
+                .call(
                         l.part(),
-                        new Commands.LeaseAsk(l.part(), l.handle(), l.attempt()),
-                        ControlMessages.Done.class,
+                        new MessageCommands.ExtendLeaseRequest(l.part(), l.handle(), l.attempt()),
+                        ControlMessages.UpdateResult.class,
                         LIMIT)
-                .map(ControlMessages.Done::ok)
-                .onErrorMap(Fetches::gone);
+                .map(ControlMessages.UpdateResult::accepted)
+                .onErrorMap(PullService::leaseGone);
     }
 
     /** Taken once and for all; the same end said again is taken again. Fails with CONFLICT where the lease is gone. */
-    public Mono<Boolean> end(Lease l, Commands.Ending ending, String word) {
-        Instant now = env.times().wall();
-        Commands.End e = new Commands.End(l.handle(), l.attempt(), ending, word, now, now);
+    public Mono<Boolean> end(LeaseId l, MessageCommands.AttemptOutcome ending, String word) {
+        Instant now = env.clock().wallTime();
+        MessageCommands.End e = new MessageCommands.End(l.handle(), l.attempt(), ending, word, now, now);
         return forwarder
-                .ask(l.part(), new Commands.LeaseEndAsk(l.part(), e), Commands.Changed.class, LIMIT)
-                .map(Commands.Changed::done)
-                .onErrorMap(Fetches::gone);
+                .call(
+                        l.part(),
+                        new MessageCommands.EndLeaseRequest(l.part(), e),
+                        MessageCommands.TransitionResult.class,
+                        LIMIT)
+                .map(MessageCommands.TransitionResult::applied)
+                .onErrorMap(PullService::leaseGone);
     }
 
-    private static Throwable gone(Throwable e) {
+    private static Throwable leaseGone(Throwable e) {
         return ServiceException.of(e).kind() == ErrorKind.NOT_FOUND
                 ? new ServiceException(ErrorKind.CONFLICT, "The lease is gone.")
                 : e;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** The HTTP request that submits a message as JSON and is answered with the message's handle. design 9.6 */
@@ -28,9 +28,9 @@
     }
 
     /** Fails as {@link Intake#take} does, or where the request itself is wrong. */
-    Mono<Answer> submit(Request request, String lane) throws ServiceException {
+    Mono<Response> submit(Request request, String lane) throws ServiceException {
         Submission submission = submission(request, lane);
-        return intake.take(submission).map(accepted -> answer(submission, accepted));
+        return intake.submit(submission).map(accepted -> answer(submission, accepted));
     }
 
     private Submission submission(Request request, String lane) throws ServiceException {
@@ -48,12 +48,12 @@
                 CALLER_PATIENCE);
     }
 
-    private static Answer answer(Submission submission, Commands.Accepted accepted) {
+    private static Response answer(Submission submission, MessageCommands.Accepted accepted) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("accepted", true);
         body.put("handle", accepted.handle());
         body.put("id", submission.id());
         body.put("repeated", accepted.repeated());
-        return Answer.json(ACCEPTED, body);
+        return Response.json(ACCEPTED, body);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -2,6 +2,7 @@
 
 import java.time.Instant;
 import java.util.Map;
+import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
 
 /**
@@ -23,24 +24,24 @@
         Instant due,
         MessageState state,
         int attempt,
-        int tries,
+        @FirstFormatName("tries") int attemptsMade,
         String processor,
         Instant deadline,
         String proof,
         Instant ended,
-        @Since(2) String where,
+        @Since(2) String destination,
         @Since(3) Map<String, String> envelope,
         @Since(3) long ends) {
 
     public static final String NO_PROCESSOR = "";
     /** Every reason of an end that nobody could prove starts like this. */
-    public static final String UNCLEAR = "unclear: ";
+    public static final String OUTCOME_UNKNOWN_PROOF = "unclear: ";
     /** An attempt that is held by a lease has this for where it went. design 9.10 */
     public static final String LEASED = "lease:";
 
-    private static final int MOST_ENDS = 62;
+    private static final int MAX_RECORDED_ENDS = 62;
 
-    static Message accepted(String handle, long seq, Commands.Accept a) {
+    static Message accepted(String handle, long seq, MessageCommands.Accept a) {
         return new Message(
                 handle,
                 a.tenant(),
@@ -67,7 +68,7 @@
     }
 
     /** The one function for every change of state. */
-    Message to(
+    Message transition(
             MessageState next,
             int newAttempt,
             int newTries,
@@ -105,36 +106,56 @@
                 ends);
     }
 
-    Message endTaken(int of) {
-        long bits = of < 1 || of > MOST_ENDS ? ends : ends | 1L << of;
+    Message withRecordedEnd(int of) {
+        long bits = of < 1 || of > MAX_RECORDED_ENDS ? ends : ends | 1L << of;
         return new Message(
-                handle, tenant, lane, id, orderKey, body, hash, terms, seq, accepted, from, due, state, attempt, tries,
-                processor, deadline, proof, ended, where, envelope, bits);
+                handle,
+                tenant,
+                lane,
+                id,
+                orderKey,
+                body,
+                hash,
+                terms,
+                seq,
+                accepted,
+                from,
+                due,
+                state,
+                attempt,
+                attemptsMade,
+                processor,
+                deadline,
+                proof,
+                ended,
+                destination,
+                envelope,
+                bits);
     }
 
     /** Whether a processor's word on the attempt was taken as its end. */
-    public boolean tookEnd(int of) {
-        return of >= 1 && of <= MOST_ENDS && (ends & 1L << of) != 0;
+    public boolean hasRecordedEnd(int of) {
+        return of >= 1 && of <= MAX_RECORDED_ENDS && (ends & 1L << of) != 0;
     }
 
     public boolean leased() {
-        return where.startsWith(LEASED);
+        return destination.startsWith(LEASED);
     }
 
     /** Ended without anybody knowing whether it was done. */
-    public boolean unclear() {
-        return state == MessageState.FAILED && proof.startsWith(UNCLEAR);
+    public boolean outcomeUnknown() {
+        return state == MessageState.FAILED && proof.startsWith(OUTCOME_UNKNOWN_PROOF);
     }
 
     public boolean ordered() {
         return !orderKey.isEmpty();
     }
 
-    String orderGroup() {
+    String orderingGroup() {
         return tenant + "\n" + lane + "\n" + orderKey;
     }
 
-    String idGroup() {
+    String idempotencyGroup() {
         return tenant + "\n" + lane + "\n" + id;
     }
 
--- /dev/null
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -0,0 +1,165 @@
+package org.woadvale.dataplane.queue;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import org.woadvale.common.rpc.AtMostOnceRequest;
+import org.woadvale.common.rpc.FirstFormatName;
+import org.woadvale.common.rpc.RepeatableRequest;
+import org.woadvale.common.rpc.Since;
+
+/** What is written in the logs of message parts, and asked between data plane nodes. */
+public final class MessageCommands {
+    private MessageCommands() {}
+
+    /** Lapsed: nobody knows, it may run again, and it counts as no attempt. design 9.11 */
+    public enum AttemptOutcome {
+        SUCCEEDED,
+        FAILED,
+        RETRY,
+        NOT_SENT,
+        OUTCOME_UNKNOWN
+    }
+
+    public record Accept(
+            String tenant,
+            String lane,
+            String id,
+            String orderKey,
+            byte[] body,
+            String hash,
+            RouteTerms terms,
+            Instant due,
+            Instant at,
+            @Since(3) Map<String, String> envelope) {
+        public Accept(
+                String tenant,
+                String lane,
+                String id,
+                String orderKey,
+                byte[] body,
+                String hash,
+                RouteTerms terms,
+                Instant due,
+                Instant at) {
+            this(tenant, lane, id, orderKey, body, hash, terms, due, at, Map.of());
+        }
+    }
+
+    /** Where it went: the address that it is pushed to, or the id of the fetch. */
+    public record Start(
+            String handle,
+            int attempt,
+            String processor,
+            Instant deadline,
+            Instant at,
+            @Since(2) String destination) {}
+
+    /** Attempt zero ends a message that does not run: its time is over. */
+    public record End(
+            String handle,
+            int attempt,
+            @FirstFormatName("ending") AttemptOutcome outcome,
+            String proof,
+            Instant due,
+            Instant at) {}
+
+    /** Ends that nobody could prove are kept longer, for those who must find out: design 9.3. */
+    public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) {}
+
+    public record Accepted(String handle, String state, boolean repeated) {}
+
+    public record TransitionResult(boolean applied, Message message) {}
+
+    public record ExpiredCount(int count) {}
+
+    // asks between data plane nodes
+    /** By the clock of the asked process in this life of it: what comes later is refused. design 9.7 */
+    public record RemoteDeadline(String incarnation, Duration at) {}
+
+    public record ClockRequest(boolean any) implements RepeatableRequest {}
+
+    public record ClockResponse(
+            @FirstFormatName("life") String incarnation,
+            @FirstFormatName("at") Duration time) {}
+
+    public record AcceptRequest(
+            @FirstFormatName("part") String partition,
+            Accept accept,
+            @FirstFormatName("until") RemoteDeadline deadline) implements RepeatableRequest {}
+
+    public record StatusRequest(String partition, String handle, String tenant) implements RepeatableRequest {}
+
+    public record ListRequest(String partition, String tenant, String state, int limit) implements RepeatableRequest {}
+
+    public record ListResponse(List<Message> messages) {}
+
+    public record FetchRequest(
+            @FirstFormatName("part") String partition,
+            String service,
+            String processor,
+            @FirstFormatName("most") int limit,
+            @FirstFormatName("until") RemoteDeadline deadline,
+            @FirstFormatName("fetch") String fetchId,
+            @FirstFormatName("again") boolean repeated)
+            implements AtMostOnceRequest {}
+
+    public record FetchResponse(List<Message> messages) {}
+
+    /** Also how a deposed owner gives an answer to the new one. */
+    public record OutcomeReport(String partition, End end, String processor, String service)
+            implements RepeatableRequest {}
+
+    /** A fetch that waits at a store for work of a service, from any of the parts owned there. design 9.10 */
+    public record LongPullRequest(
+            String service,
+            String processor,
+            @FirstFormatName("until") RemoteDeadline deadline,
+            long waitMs,
+            String zone)
+            implements AtMostOnceRequest {}
+
+    /** One message that was started, or none. */
+    public record LongPullResponse(List<Message> messages) {}
+
+    /** The processor needs longer: the last word of a lease, kept by the owner in memory. design 9.10 */
+    public record ExtendLeaseRequest(String partition, String handle, int attempt) implements RepeatableRequest {}
+
+    /** The end of a lease; said again it has the same answer. */
+    public record EndLeaseRequest(String partition, End end) implements RepeatableRequest {}
+
+    public record State(
+            Map<String, Message> messages,
+            @FirstFormatName("seq") long lastSequence) {}
+
+    public static List<Class<?>> types() {
+        return List.of(
+                AttemptOutcome.class,
+                Accept.class,
+                Start.class,
+                End.class,
+                ExpireEnded.class,
+                Accepted.class,
+                TransitionResult.class,
+                ExpiredCount.class,
+                AcceptRequest.class,
+                StatusRequest.class,
+                ListRequest.class,
+                ListResponse.class,
+                FetchRequest.class,
+                FetchResponse.class,
+                OutcomeReport.class,
+                State.class,
+                Message.class,
+                MessageState.class,
+                RouteTerms.class,
+                RemoteDeadline.class,
+                ClockRequest.class,
+                ClockResponse.class,
+                LongPullRequest.class,
+                LongPullResponse.class,
+                ExtendLeaseRequest.class,
+                EndLeaseRequest.class);
+    }
+}
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
@@ -18,9 +18,9 @@
  */
 final class MessageIndex {
     /** What an ended message takes beside its body, in bytes, about. */
-    private static final int ENDED_WEIGHT = 400;
+    private static final int ENDED_BYTES_EACH = 400;
     /** Messages of unclear outcome that are kept beside those that are young enough. */
-    private static final int MOST_UNCLEAR = 1000;
+    private static final int MAX_OUTCOME_UNKNOWN = 1000;
 
     private static final Comparator<Message> BY_END =
             Comparator.comparing(Message::ended).thenComparing(Message::seq);
@@ -31,17 +31,17 @@
     private final ReadyQueue ready = new ReadyQueue();
     private final Map<String, Message> running = new TreeMap<>();
     private final TreeSet<Message> ended = new TreeSet<>(BY_END);
-    private final TreeSet<Message> unclear = new TreeSet<>(BY_END);
+    private final TreeSet<Message> outcomeUnknown = new TreeSet<>(BY_END);
     private long liveBytes;
     private long endedBytes;
 
-    Optional<Message> get(String handle) {
+    Optional<Message> find(String handle) {
         return Optional.ofNullable(messages.get(handle));
     }
 
     /** The message that was accepted under the id, if it is still kept. */
-    Optional<Message> byId(String idGroup) {
-        return Optional.ofNullable(handlesById.get(idGroup)).flatMap(this::get);
+    Optional<Message> findById(String idGroup) {
+        return Optional.ofNullable(handlesById.get(idGroup)).flatMap(this::find);
     }
 
     Collection<Message> all() {
@@ -72,13 +72,13 @@
     }
 
     /** Whether no earlier message of its ordering key is still to end. */
-    boolean firstOfItsKey(Message message) {
-        return !message.ordered() || handlesByOrder.get(message.orderGroup()).firstKey() == message.seq();
+    boolean isFirstOfOrderingKey(Message message) {
+        return !message.ordered() || handlesByOrder.get(message.orderingGroup()).firstKey() == message.seq();
     }
 
     /** Adds a message that was just accepted. */
     void add(Message message) {
-        handlesById.put(message.idGroup(), message.handle());
+        handlesById.put(message.idempotencyGroup(), message.handle());
         queueByOrder(message);
         put(Optional.empty(), message);
     }
@@ -86,7 +86,7 @@
     private void queueByOrder(Message message) {
         if (message.ordered()) {
             handlesByOrder
-                    .computeIfAbsent(message.orderGroup(), group -> new TreeMap<>())
+                    .computeIfAbsent(message.orderingGroup(), group -> new TreeMap<>())
                     .put(message.seq(), message.handle());
         }
     }
@@ -103,7 +103,7 @@
         liveBytes += message.size();
         if (message.state() == MessageState.RUNNING) {
             running.put(message.handle(), message);
-        } else if (firstOfItsKey(message)) {
+        } else if (isFirstOfOrderingKey(message)) {
             ready.add(message);
         }
     }
@@ -115,8 +115,8 @@
     }
 
     private void keepEnded(Message message) {
-        (message.unclear() ? unclear : ended).add(message);
-        endedBytes += ENDED_WEIGHT + message.body().length;
+        (message.outcomeUnknown() ? outcomeUnknown : ended).add(message);
+        endedBytes += ENDED_BYTES_EACH + message.body().length;
     }
 
     /** The next message of the ordering key may start. */
@@ -124,10 +124,10 @@
         if (!message.ordered()) {
             return;
         }
-        TreeMap<Long, String> queue = handlesByOrder.get(message.orderGroup());
+        TreeMap<Long, String> queue = handlesByOrder.get(message.orderingGroup());
         queue.remove(message.seq());
         if (queue.isEmpty()) {
-            handlesByOrder.remove(message.orderGroup());
+            handlesByOrder.remove(message.orderingGroup());
             return;
         }
         Message head = messages.get(queue.firstEntry().getValue());
@@ -137,21 +137,21 @@
     }
 
     /** Whether {@link #forgetEnded} would drop any message. */
-    boolean anyToForget(Instant endedBefore, Instant unclearBefore) {
+    boolean hasExpired(Instant endedBefore, Instant unclearBefore) {
         return anyEndedBefore(ended, endedBefore)
-                || anyEndedBefore(unclear, unclearBefore)
-                || unclear.size() > MOST_UNCLEAR;
+                || anyEndedBefore(outcomeUnknown, unclearBefore)
+                || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN;
     }
 
     /** Drops the messages that ended before the times given, and the oldest of too many unclear ones; returns how many. */
-    int forgetEnded(Instant endedBefore, Instant unclearBefore) {
+    int expireEnded(Instant endedBefore, Instant unclearBefore) {
         int forgotten = 0;
         while (anyEndedBefore(ended, endedBefore)) {
             drop(ended.pollFirst());
             forgotten++;
         }
-        while (anyEndedBefore(unclear, unclearBefore) || unclear.size() > MOST_UNCLEAR) {
-            drop(unclear.pollFirst());
+        while (anyEndedBefore(outcomeUnknown, unclearBefore) || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN) {
+            drop(outcomeUnknown.pollFirst());
             forgotten++;
         }
         return forgotten;
@@ -163,8 +163,8 @@
 
     private void drop(Message message) {
         messages.remove(message.handle());
-        handlesById.remove(message.idGroup());
-        endedBytes -= ENDED_WEIGHT + message.body().length;
+        handlesById.remove(message.idempotencyGroup());
+        endedBytes -= ENDED_BYTES_EACH + message.body().length;
     }
 
     /** Forgets everything and takes over the messages given. */
@@ -177,7 +177,7 @@
     }
 
     private void restore(Message message) {
-        handlesById.put(message.idGroup(), message.handle());
+        handlesById.put(message.idempotencyGroup(), message.handle());
         if (message.state().ended()) {
             messages.put(message.handle(), message);
             keepEnded(message);
@@ -189,7 +189,7 @@
     private void clear() {
         List.of(messages, handlesById, handlesByOrder, running).forEach(Map::clear);
         ready.clear();
-        List.of(ended, unclear).forEach(TreeSet::clear);
+        List.of(ended, outcomeUnknown).forEach(TreeSet::clear);
         liveBytes = 0;
         endedBytes = 0;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -11,18 +11,18 @@
 
 /** Applies the commands on one partition's messages, in log order and alike on every replica. design 9 */
 public final class MessageStateMachine implements StateMachine {
-    private final String part;
+    private final String partition;
     private final Codec codec;
     private final MessageIndex index = new MessageIndex();
-    private long seq;
+    private long lastSequence;
 
     public MessageStateMachine(String part, Codec codec) {
-        this.part = part;
+        this.partition = part;
         this.codec = codec;
     }
 
     public Optional<Message> get(String handle) {
-        return index.get(handle);
+        return index.find(handle);
     }
 
     public long liveBytes() {
@@ -30,7 +30,7 @@
     }
 
     /** About what a view of the part weighs, ended messages included. */
-    public long weight() {
+    public long storedBytes() {
         return index.liveBytes() + index.endedBytes();
     }
 
@@ -42,7 +42,7 @@
         return index.running();
     }
 
-    public ReadyQueue startable() {
+    public ReadyQueue ready() {
         return index.ready();
     }
 
@@ -56,44 +56,44 @@
 
     /** When ended messages before a time are to be forgotten: is there any? */
     public boolean anyEndedBefore(Instant t, Instant unclearBefore) {
-        return index.anyToForget(t, unclearBefore);
+        return index.hasExpired(t, unclearBefore);
     }
 
     @Override
     public Object apply(long logIndex, Object c) {
-        if (c instanceof Commands.Accept a) {
+        if (c instanceof MessageCommands.Accept a) {
             return accept(a);
-        } else if (c instanceof Commands.Start s) {
+        } else if (c instanceof MessageCommands.Start s) {
             return start(s);
-        } else if (c instanceof Commands.End e) {
+        } else if (c instanceof MessageCommands.End e) {
             return end(e);
-        } else if (c instanceof Commands.Forget f) {
+        } else if (c instanceof MessageCommands.ExpireEnded f) {
             return forget(f);
         }
         return new ServiceException(
                 ErrorKind.BAD_REQUEST, "Unknown command " + c.getClass().getSimpleName() + ".");
     }
 
-    private Object accept(Commands.Accept a) {
-        long n = seq + 1;
-        String handle = part + "-" + n;
+    private Object accept(MessageCommands.Accept a) {
+        long n = lastSequence + 1;
+        String handle = partition + "-" + n;
         Message m = Message.accepted(handle, n, a);
-        Optional<Message> known = index.byId(m.idGroup());
+        Optional<Message> known = index.findById(m.idempotencyGroup());
         if (known.isPresent()) {
             Message k = known.get();
             if (!k.hash().equals(a.hash())) {
                 return new ServiceException(
                         ErrorKind.CONFLICT, "The message id was used for other content.", List.of(k.handle()));
             }
-            return new Commands.Accepted(k.handle(), k.state().name(), true);
+            return new MessageCommands.Accepted(k.handle(), k.state().name(), true);
         }
-        seq = n;
+        lastSequence = n;
         index.add(m);
-        return new Commands.Accepted(handle, m.state().name(), false);
+        return new MessageCommands.Accepted(handle, m.state().name(), false);
     }
 
-    private Object start(Commands.Start s) {
-        Optional<Message> found = index.get(s.handle());
+    private Object start(MessageCommands.Start s) {
+        Optional<Message> found = index.find(s.handle());
         return found.isPresent() ? start(found.get(), s) : noSuchMessage();
     }
 
@@ -101,48 +101,51 @@
         return new ServiceException(ErrorKind.NOT_FOUND, "No such message.");
     }
 
-    private Commands.Changed start(Message m, Commands.Start s) {
-        if (m.state() != MessageState.WAITING || s.attempt() != m.attempt() + 1 || !index.firstOfItsKey(m)) {
-            return new Commands.Changed(false, m);
+    private MessageCommands.TransitionResult start(Message m, MessageCommands.Start s) {
+        if (m.state() != MessageState.WAITING || s.attempt() != m.attempt() + 1 || !index.isFirstOfOrderingKey(m)) {
+            return new MessageCommands.TransitionResult(false, m);
         }
-        Message next = m.to(
+        Message next = m.transition(
                 MessageState.RUNNING,
                 s.attempt(),
-                m.tries() + 1,
+                m.attemptsMade() + 1,
                 s.processor(),
                 s.deadline(),
                 m.due(),
                 "",
                 s.at(),
-                s.where());
+                s.destination());
         index.put(Optional.of(m), next);
-        return new Commands.Changed(true, next);
+        return new MessageCommands.TransitionResult(true, next);
     }
 
-    private Object end(Commands.End e) {
-        Optional<Message> found = index.get(e.handle());
+    private Object end(MessageCommands.End e) {
+        Optional<Message> found = index.find(e.handle());
         return found.isPresent() ? end(found.get(), e) : noSuchMessage();
     }
 
-    private Commands.Changed end(Message m, Commands.End e) {
+    private MessageCommands.TransitionResult end(Message m, MessageCommands.End e) {
         boolean present = m.state() == MessageState.RUNNING && m.attempt() == e.attempt();
         // of two leases only the later may end a message: design 9.10
-        boolean lateSuccess = e.ending() == Commands.Ending.DONE
+        boolean lateSuccess = e.outcome() == MessageCommands.AttemptOutcome.SUCCEEDED
                 && !m.state().ended()
                 && e.attempt() <= m.attempt()
                 && (e.attempt() == m.attempt() || !m.leased());
-        boolean overdue = e.attempt() == 0 && m.state() == MessageState.WAITING && e.ending() == Commands.Ending.FAILED;
+        boolean overdue = e.attempt() == 0
+                && m.state() == MessageState.WAITING
+                && e.outcome() == MessageCommands.AttemptOutcome.FAILED;
         if (!present && !lateSuccess && !overdue) {
-            return new Commands.Changed(false, m);
+            return new MessageCommands.TransitionResult(false, m);
         }
-        boolean counts = e.ending() != Commands.Ending.NOT_SENT && e.ending() != Commands.Ending.LAPSED;
-        int tries = counts ? m.tries() : m.tries() - 1;
-        MessageState to = switch (e.ending()) {
-            case DONE -> MessageState.DONE;
+        boolean counts = e.outcome() != MessageCommands.AttemptOutcome.NOT_SENT
+                && e.outcome() != MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN;
+        int tries = counts ? m.attemptsMade() : m.attemptsMade() - 1;
+        MessageState to = switch (e.outcome()) {
+            case SUCCEEDED -> MessageState.DONE;
             case FAILED -> MessageState.FAILED;
             default -> MessageState.WAITING;
         };
-        Message next = m.to(
+        Message next = m.transition(
                 to,
                 m.attempt(),
                 tries,
@@ -151,26 +154,28 @@
                 to == MessageState.WAITING ? e.due() : m.due(),
                 e.proof(),
                 e.at(),
-                m.where());
-        Message noted = e.ending() == Commands.Ending.LAPSED ? next : next.endTaken(e.attempt());
+                m.destination());
+        Message noted = e.outcome() == MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN
+                ? next
+                : next.withRecordedEnd(e.attempt());
         index.put(Optional.of(m), noted);
-        return new Commands.Changed(true, noted);
+        return new MessageCommands.TransitionResult(true, noted);
     }
 
-    private Object forget(Commands.Forget f) {
-        return new Commands.Forgotten(index.forgetEnded(f.endedBefore(), f.unclearBefore()));
+    private Object forget(MessageCommands.ExpireEnded f) {
+        return new MessageCommands.ExpiredCount(index.expireEnded(f.endedBefore(), f.unclearBefore()));
     }
 
     @Override
-    public byte[] view() {
-        return codec.write(new Commands.State(index.snapshot(), seq));
+    public byte[] snapshot() {
+        return codec.write(new MessageCommands.State(index.snapshot(), lastSequence));
     }
 
     @Override
     public void restore(byte[] view) {
         try {
-            Commands.State state = codec.read(view, Commands.State.class);
-            seq = state.seq();
+            MessageCommands.State state = codec.read(view, MessageCommands.State.class);
+            lastSequence = state.lastSequence();
             index.restore(state.messages().values());
         } catch (ServiceException e) {
             throw new IllegalStateException("unreadable view", e);
--- /dev/null
+++ b/operator/src/main/java/org/woadvale/operator/HttpTransport.java
@@ -0,0 +1,12 @@
+package org.woadvale.operator;
+
+import java.io.IOException;
+import java.util.Map;
+
+/** Seam to the public APIs. */
+@FunctionalInterface
+interface HttpTransport {
+    record HttpResult(int status, Map<String, String> headers, byte[] body) {}
+
+    HttpResult send(String method, String url, Map<String, String> headers, byte[] body) throws IOException;
+}
--- a/operator/src/main/java/org/woadvale/operator/Commands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -22,15 +22,15 @@
 import org.woadvale.common.runtime.ServiceException;
 
 /** list, check and run. */
-final class Commands {
-    private Commands() {}
+final class OperatorCommands {
+    private OperatorCommands() {}
 
     interface Command {
         int go(Consumer<String> out) throws ServiceException;
     }
 
     @com.github.rvesse.airline.annotations.Command(name = "list", description = "Lists the shipped runbooks")
-    public static final class ListBooks implements Command {
+    public static final class ListRunbooks implements Command {
         @Override
         public int go(Consumer<String> out) throws ServiceException {
             for (String n : Runbooks.SHIPPED) {
@@ -78,7 +78,7 @@
 
         @Override
         public int go(Consumer<String> out) throws ServiceException {
-            Runner r = new Runner(new Http()::send, new Terminal(out, yes), key, dry);
+            RunbookRunner r = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dry);
             boolean ok = r.run(Runbooks.load(book), values());
             if (!record.isEmpty()) {
                 try {
@@ -119,7 +119,8 @@
         private final HttpClient client =
                 HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
-        Wire.Got send(String method, String url, Map<String, String> headers, byte[] body) throws IOException {
+        HttpTransport.HttpResult send(String method, String url, Map<String, String> headers, byte[] body)
+                throws IOException {
             try {
                 HttpRequest.Builder b = HttpRequest.newBuilder(URI.create(url))
                         .timeout(Duration.ofSeconds(8))
@@ -128,7 +129,7 @@
                 HttpResponse<byte[]> r = client.send(b.build(), HttpResponse.BodyHandlers.ofByteArray());
                 Map<String, String> h = new HashMap<>();
                 r.headers().map().forEach((k, v) -> h.put(k.toLowerCase(java.util.Locale.ROOT), v.get(0)));
-                return new Wire.Got(r.statusCode(), h, r.body());
+                return new HttpTransport.HttpResult(r.statusCode(), h, r.body());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted");
@@ -147,7 +148,7 @@
         }
 
         @Override
-        public void say(String line) {
+        public void print(String line) {
             out.accept(line);
         }
 
@@ -157,7 +158,7 @@
         }
 
         @Override
-        public void rest(Duration d) {
+        public void sleep(Duration d) {
             java.util.concurrent.locks.LockSupport.parkNanos(d.toNanos());
         }
     }
--- a/operator/src/main/java/org/woadvale/operator/OperatorIo.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorIo.java
@@ -7,9 +7,9 @@
     /** False: the person says no, and the run stops. */
     boolean done(String what);
 
-    void say(String line);
+    void print(String line);
 
     Duration now();
 
-    void rest(Duration d);
+    void sleep(Duration d);
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -10,7 +10,12 @@
         name = "tender",
         description = "Lists, checks and runs runbooks",
         defaultCommand = Help.class,
-        commands = {Commands.ListBooks.class, Commands.Check.class, Commands.Run.class, Help.class})
+        commands = {
+            OperatorCommands.ListRunbooks.class,
+            OperatorCommands.Check.class,
+            OperatorCommands.Run.class,
+            Help.class
+        })
 public final class OperatorProgram {
     private OperatorProgram() {}
 
@@ -21,7 +26,7 @@
     static int main(String[] args, java.util.function.Consumer<String> out) {
         try {
             Object c = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
-            if (c instanceof Commands.Command x) {
+            if (c instanceof OperatorCommands.Command x) {
                 return x.go(out);
             }
             ((Runnable) c).run();
--- a/operator/src/main/java/org/woadvale/operator/Runner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -16,15 +16,15 @@
 import org.woadvale.common.runtime.ServiceException;
 
 /** Runs a checked runbook step by step and stops at the first that fails: design 11.1. */
-final class Runner {
+final class RunbookRunner {
     private static final Duration AGAIN = Duration.ofMillis(300);
-    private final Wire wire;
+    private final HttpTransport wire;
     private final OperatorIo processors;
     private final String key;
     private final boolean dry;
     private final List<String> record = new ArrayList<>();
 
-    Runner(Wire wire, OperatorIo processors, String key, boolean dry) {
+    RunbookRunner(HttpTransport wire, OperatorIo processors, String key, boolean dry) {
         this.wire = wire;
         this.processors = processors;
         this.key = key;
@@ -37,7 +37,7 @@
 
     private void note(String line) {
         record.add(line);
-        processors.say(line);
+        processors.print(line);
     }
 
     /** True when every step succeeded. */
@@ -50,7 +50,7 @@
             note("STOP: missing values " + missing + ".");
             return false;
         }
-        Values v = new Values(given);
+        Variables v = new Variables(given);
         for (int i = 0; i < b.steps().size(); ) {
             Runbook.Step s = b.steps().get(i);
             int end = i + 1;
@@ -59,7 +59,7 @@
                     && b.steps().get(end).each().equals(s.each())) {
                 end++;
             }
-            if (!turns(b.steps().subList(i, end), s.each(), v)) {
+            if (!runEach(b.steps().subList(i, end), s.each(), v)) {
                 return false;
             }
             i = end;
@@ -69,10 +69,10 @@
     }
 
     /** Steps with the same list run together for each of its items. */
-    private boolean turns(List<Runbook.Step> steps, String each, Values v) {
+    private boolean runEach(List<Runbook.Step> steps, String each, Variables v) {
         List<String> items = each.isEmpty() ? List.of("") : List.of(v.get(each).split(","));
         for (String item : items) {
-            Values here = each.isEmpty() ? v : v.with("it", item.trim());
+            Variables here = each.isEmpty() ? v : v.with("it", item.trim());
             for (Runbook.Step s : steps) {
                 try {
                     step(s, here);
@@ -85,15 +85,15 @@
         return true;
     }
 
-    private void step(Runbook.Step s, Values v) throws ServiceException {
+    private void step(Runbook.Step s, Variables v) throws ServiceException {
         String what = s.kind() + " " + v.fill(s.title());
         if (dry && s.kind() != Runbook.Kind.REQUIRE) {
             note("would " + what + (s.asks() ? ": " + s.method() + " " + v.fill(s.url()) : ""));
             return;
         }
         switch (s.kind()) {
-            case REQUIRE -> keep(s, once(s, v), v);
-            case ASK, WAIT -> keep(s, until(s, v), v);
+            case REQUIRE -> keep(s, runOnce(s, v), v);
+            case ASK, WAIT -> keep(s, waitUntil(s, v), v);
             case REMOVE -> remove(s, v);
             case PERSON -> {
                 if (!processors.done(v.fill(s.title()))) {
@@ -105,13 +105,13 @@
         note("ok " + what);
     }
 
-    private Wire.Got once(Runbook.Step s, Values v) throws ServiceException {
+    private HttpTransport.HttpResult runOnce(Runbook.Step s, Variables v) throws ServiceException {
         Map<String, String> headers = new TreeMap<>();
         s.headers().forEach((k, x) -> headers.put(k, v.fill(x)));
         if (!key.isEmpty()) {
             headers.put("Authorization", "Bearer " + key);
         }
-        Wire.Got g;
+        HttpTransport.HttpResult g;
         try {
             g = wire.send(s.method(), v.fill(s.url()), headers, v.fill(s.body()).getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
@@ -138,11 +138,11 @@
     }
 
     /** A wait asks until it holds; an action is asked again only where the answer was to come back later. */
-    private Wire.Got until(Runbook.Step s, Values v) throws ServiceException {
+    private HttpTransport.HttpResult waitUntil(Runbook.Step s, Variables v) throws ServiceException {
         Duration end = processors.now().plusMillis(s.withinMs());
         while (true) {
             try {
-                return once(s, v);
+                return runOnce(s, v);
             } catch (ServiceException e) {
                 if (s.kind() == Runbook.Kind.ASK && !e.kind().retryable()) {
                     throw e;
@@ -150,13 +150,13 @@
                 if (processors.now().compareTo(end) >= 0) {
                     throw new ServiceException(e.kind(), "not within " + s.withinMs() + " ms: " + e.getMessage());
                 }
-                processors.rest(AGAIN);
+                processors.sleep(AGAIN);
             }
         }
     }
 
     /** A pointer keeps that field, "header:NAME" a header, "body" the whole answer. */
-    private static void keep(Runbook.Step s, Wire.Got g, Values v) {
+    private static void keep(Runbook.Step s, HttpTransport.HttpResult g, Variables v) {
         s.keep()
                 .forEach((name, where) -> v.put(
                         name,
@@ -168,7 +168,7 @@
                                         : json(g.body()).at(where).asText("")));
     }
 
-    private static void remove(Runbook.Step s, Values v) throws ServiceException {
+    private static void remove(Runbook.Step s, Variables v) throws ServiceException {
         JsonNode doc = json(v.get(s.from()).getBytes(StandardCharsets.UTF_8));
         JsonPointer p = JsonPointer.compile(v.fill(s.pointer()));
         JsonNode parent = doc.at(p.head());
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -70,7 +70,7 @@
                     && (s.from().isEmpty() || s.pointer().isEmpty())) {
                 out.add(at + ": REMOVE needs from and pointer");
             }
-            Matcher m = Values.USE.matcher(s.url()
+            Matcher m = Variables.USE.matcher(s.url()
                     + s.body()
                     + s.headers().values()
                     + s.expect().equals()
--- a/operator/src/main/java/org/woadvale/operator/Values.java
+++ b/operator/src/main/java/org/woadvale/operator/Variables.java
@@ -6,11 +6,11 @@
 import java.util.regex.Pattern;
 
 /** The values of one run: given ones and kept ones. */
-final class Values {
+final class Variables {
     static final Pattern USE = Pattern.compile("\\$\\{([a-zA-Z][a-zA-Z0-9]*)}");
     private final Map<String, String> values;
 
-    Values(Map<String, String> given) {
+    Variables(Map<String, String> given) {
         values = new HashMap<>(given);
     }
 
@@ -22,8 +22,8 @@
         return values.getOrDefault(name, "");
     }
 
-    Values with(String name, String value) {
-        Values v = new Values(values);
+    Variables with(String name, String value) {
+        Variables v = new Variables(values);
         v.put(name, value);
         return v;
     }
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -22,8 +22,8 @@
 
 class OperatorProgramTest {
     /** A scripted core: answers by method and path, notes what it was asked; its clock moves only by resting. */
-    private static final class Script implements Wire, OperatorIo {
-        final Map<String, List<Got>> answers = new HashMap<>();
+    private static final class Script implements HttpTransport, OperatorIo {
+        final Map<String, List<HttpResult>> answers = new HashMap<>();
         final List<String> asked = new ArrayList<>();
         final List<String> bodies = new ArrayList<>();
         final List<String> said = new ArrayList<>();
@@ -32,16 +32,16 @@
 
         Script on(String what, int status, String body) {
             answers.computeIfAbsent(what, k -> new ArrayList<>())
-                    .add(new Got(status, Map.of("etag", "\"4\""), body.getBytes(StandardCharsets.UTF_8)));
+                    .add(new HttpResult(status, Map.of("etag", "\"4\""), body.getBytes(StandardCharsets.UTF_8)));
             return this;
         }
 
         @Override
-        public Got send(String method, String url, Map<String, String> headers, byte[] body) throws IOException {
+        public HttpResult send(String method, String url, Map<String, String> headers, byte[] body) throws IOException {
             String what = method + " " + url;
             asked.add(what + (headers.containsKey("If-Match") ? " base " + headers.get("If-Match") : ""));
             bodies.add(new String(body, StandardCharsets.UTF_8));
-            List<Got> left = answers.getOrDefault(what, List.of());
+            List<HttpResult> left = answers.getOrDefault(what, List.of());
             if (left.isEmpty()) {
                 throw new IOException("connection refused");
             }
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void say(String line) {
+        public void print(String line) {
             said.add(line);
         }
 
@@ -64,12 +64,12 @@
         }
 
         @Override
-        public void rest(Duration d) {
+        public void sleep(Duration d) {
             now = now.plus(d);
         }
 
         boolean run(String book, boolean dry, Map<String, String> values) throws ServiceException {
-            return new Runner(this, this, "", dry).run(Runbooks.load(book), values);
+            return new RunbookRunner(this, this, "", dry).run(Runbooks.load(book), values);
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
+++ b/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
@@ -8,7 +8,7 @@
 public final class ReplicaProbe {
     /** A copy of the replica's state that is safe to keep; {@code log} begins after {@code baseIndex}. */
     public record ReplicaState(
-            Phase phase,
+            Role phase,
             long term,
             String identity,
             boolean voter,
@@ -37,26 +37,28 @@
     /** The state right now, read inside the replica's shard. */
     public static ReplicaState state(Replica replica) {
         return replica.shard.get(() -> new ReplicaState(
-                replica.phase,
+                replica.role,
                 replica.term,
                 replica.identity,
                 replica.voter,
-                replica.phase == Phase.OWNING && replica.leading.mayAct(),
-                replica.progress.commit(),
-                replica.progress.applied(),
+                replica.role == Role.LEADER && replica.leader.isActive(),
+                replica.commits.commitIndex(),
+                replica.commits.appliedIndex(),
                 replica.replicatedLog.baseIndex(),
-                replica.replicatedLog.tail(),
-                new TreeMap<>(replica.groups.committed())));
+                replica.replicatedLog.entries(),
+                new TreeMap<>(replica.membership.committed())));
     }
 
     /** Appends a membership entry at the leader without any of the rules of membership change; for mutants only. */
     public static void forceGroup(Replica replica, Map<String, String> members) {
-        replica.shard.run(() -> replica.leading.append(new LogEntry(
-                replica.term, LogEntry.Kind.GROUP, replica.env.codec().write(new TreeMap<>(members)))));
+        replica.shard.run(() -> replica.leader.append(new LogEntry(
+                replica.term,
+                LogEntry.Kind.MEMBERSHIP,
+                replica.environment.codec().write(new TreeMap<>(members)))));
     }
 
     /** Lets a replica without a trusted log go on as if it were a member; for mutants only. */
     public static void followUnsworn(Replica replica) {
-        replica.shard.run(() -> replica.become(Phase.FOLLOWING, "unsworn"));
+        replica.shard.run(() -> replica.transitionTo(Role.FOLLOWER, "unsworn"));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.dataplane.queue.RouteTerms;
 
@@ -44,14 +44,14 @@
 
     @Override
     public Map<String, Double> measure(int size) {
-        Codec codec = Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         long before = Heap.used();
         MessageStateMachine m = new MessageStateMachine("m0", codec);
         double from = cpuMs();
         for (int i = 1; i <= size; i++) {
             m.apply(
                     i,
-                    new Commands.Accept(
+                    new MessageCommands.Accept(
                             "tenant" + i % 8,
                             "hold",
                             "id" + i,
@@ -66,7 +66,7 @@
         Map<String, Double> out = new LinkedHashMap<>();
         out.put("heap of a part KB", (Heap.used() - before) / 1024.0);
         from = cpuMs();
-        byte[] view = m.view();
+        byte[] view = m.snapshot();
         double made = cpuMs() - from;
         from = cpuMs();
         new MessageStateMachine("m0", codec).restore(view);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -9,9 +9,9 @@
 import java.util.stream.Collectors;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
@@ -19,9 +19,9 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
-import org.woadvale.controlplane.partition.ControlNode;
-import org.woadvale.controlplane.partition.Operators;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.node.ControlNode;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimDisk;
 import org.woadvale.testkit.stub.TestConfiguration;
@@ -38,8 +38,8 @@
     final Sim sim = new Sim(1);
     private final HollowNet net = new HollowNet(sim);
     private final Shape shape;
-    private final Codec controlCodec = Wire.codec(Wire.LIGHTHOUSE, Operators.types());
-    private final Codec pilotCodec = Wire.codec(Wire.PILOT, Commands.types());
+    private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
+    private final Codec pilotCodec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private final List<String> seeds = List.of("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1");
     private final Map<String, HollowHost> controlNodes = new LinkedHashMap<>();
     private final Map<String, HollowHost> hosts = new LinkedHashMap<>();
@@ -92,11 +92,12 @@
         RpcClient rpc = net.rpc(h, controlCodec);
         RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), h, RING_FILES, RING_BYTES);
         book.onFailure(why -> h.kill());
-        Env env = new Env(h, h, rpc, controlCodec, book, sim.random()::nextLong, ReplicationTiming.core());
+        NodeEnvironment env = new NodeEnvironment(
+                h, h, rpc, controlCodec, book, sim.random()::nextLong, ReplicationTiming.partitions());
         ControlNode n = new ControlNode(
                 env, new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {}), seeds, "");
         n.route(router);
-        new Operators(n, "").route(router);
+        new OperatorHttpHandler(n, "").route(router);
         n.start();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -78,12 +78,12 @@
     }
 
     @Override
-    public Duration mono() {
+    public Duration monotonicTime() {
         return sim.now().minus(started);
     }
 
     @Override
-    public Instant wall() {
+    public Instant wallTime() {
         return EPOCH.plus(sim.now());
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -52,24 +52,24 @@
 
         /** Fails as the real one does: unreachable, unknown outcome, or the peer's own fault. */
         @Override
-        public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
                         TimerHandle late = self.after(
                                 limit,
                                 () -> sink.tryEmitError(
                                         new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time.")));
-                        byte[] bytes = codec.write(new Frame(1, Frame.Kind.ASK, body));
+                        byte[] bytes = codec.write(new Frame(1, Frame.Kind.REQUEST, body));
                         self.passed(bytes.length);
                         sim.after(delay(), () -> arrive(to, bytes, sink));
                         return sink.asMono().doFinally(s -> late.cancel());
                     })
-                    .flatMap(f -> f.kind() == Frame.Kind.REFUSAL
-                            ? Mono.<T>error(fault((Frame.Refusal) f.body()))
+                    .flatMap(f -> f.kind() == Frame.Kind.ERROR
+                            ? Mono.<T>error(fault((Frame.ErrorResponse) f.body()))
                             : Mono.just(answer.cast(f.body())));
         }
 
-        private ServiceException fault(Frame.Refusal r) {
+        private ServiceException fault(Frame.ErrorResponse r) {
             return new ServiceException(ErrorKind.valueOf(r.kind()), r.message(), r.details());
         }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -11,10 +11,10 @@
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.ratelimit.AdmissionTokens;
 import org.woadvale.common.ratelimit.LocalBuckets;
 import org.woadvale.common.ratelimit.TokenGranters;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.ratelimit.TokenMessages;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
@@ -33,7 +33,7 @@
     private static final Duration LEARN = Duration.ofSeconds(2);
     private static final Duration FOLLOW = Duration.ofSeconds(1);
 
-    private final Env env;
+    private final NodeEnvironment env;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
@@ -44,8 +44,14 @@
     private final List<TimerHandle> running = new java.util.ArrayList<>();
 
     HollowNode(HollowHost host, RpcClient rpc, Codec codec, Sim sim, String zone, List<String> seeds, String role) {
-        this.env = new Env(
-                host, host, rpc, codec, new DisabledWriteAheadLog(), sim.random()::nextLong, ReplicationTiming.usual());
+        this.env = new NodeEnvironment(
+                host,
+                host,
+                rpc,
+                codec,
+                new DisabledWriteAheadLog(),
+                sim.random()::nextLong,
+                ReplicationTiming.defaults());
         this.core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {});
         this.role = role;
         this.memberLease = new MemberLease(
@@ -54,13 +60,13 @@
         this.configurations = new ConfigurationView(subscriptions);
         this.localBuckets = new LocalBuckets(env, subscriptions);
         this.holders = role.equals(ServiceNames.INTAKES)
-                ? Optional.of(
-                        new TokenGranters(env, core, subscriptions, configurations::allowance, configurations::buckets))
+                ? Optional.of(new TokenGranters(
+                        env, core, subscriptions, configurations::admissionLimit, configurations::buckets))
                 : Optional.empty();
         RpcRouter router = new RpcRouter();
-        router.on(ControlMessages.ViewAsk.class, (f, a) -> subscriptions.asked(a))
-                .on(ControlMessages.CoreAsk.class, (f, a) -> Mono.just(core.reply()));
-        holders.ifPresent(h -> router.on(AdmissionTokens.PassAsk.class, h::asked));
+        router.on(ControlMessages.ServiceViewRequest.class, (f, a) -> subscriptions.onViewRequest(a))
+                .on(ControlMessages.CoreMembersRequest.class, (f, a) -> Mono.just(core.membersResponse()));
+        holders.ifPresent(h -> router.on(TokenMessages.TokenRequest.class, h::onTokenRequest));
         host.serve(router);
     }
 
@@ -70,11 +76,11 @@
         localBuckets.start();
         holders.ifPresent(TokenGranters::start);
         lease();
-        running.add(env.schedules().every(env.timing().renew(), this::lease));
-        running.add(env.schedules().every(LEARN, core::learn));
+        running.add(env.timers().every(env.timing().heartbeat(), this::lease));
+        running.add(env.timers().every(LEARN, core::refreshMembers));
         if (holders.isEmpty() && !followed.isEmpty()) {
             follow(followed);
-            running.add(env.schedules().every(FOLLOW, () -> follow(followed)));
+            running.add(env.timers().every(FOLLOW, () -> follow(followed)));
         }
     }
 
@@ -85,14 +91,14 @@
     private void lease() {
         core.ask(
                         ServiceNames.controlPart(role),
-                        new ControlMessages.LeaseAsk(role, env.self(), memberLease),
-                        ControlMessages.Done.class)
+                        new ControlMessages.RenewLeaseRequest(role, env.self(), memberLease),
+                        ControlMessages.UpdateResult.class)
                 .subscribe(d -> {}, e -> {});
     }
 
     /** One pass for one message, settled at once. design 8.3 */
     void draw(String bucket) {
-        localBuckets.take(bucket, LocalBuckets.WAIT).subscribe(p -> localBuckets.settle(bucket, p), e -> {});
+        localBuckets.take(bucket, LocalBuckets.MAX_WAIT).subscribe(p -> localBuckets.markSpent(bucket, p), e -> {});
     }
 
     LocalBuckets.Counts passes() {
@@ -105,7 +111,7 @@
     }
 
     int holds() {
-        return holders.map(h -> h.holds().size()).orElse(0);
+        return holders.map(h -> h.ownedCount().size()).orElse(0);
     }
 
     ServiceView latest(String service) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
@@ -5,7 +5,7 @@
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.controlplane.partition.Operators;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** Changes the configuration and the list of processors of a {@link HollowFleet}; a change that fails is not repeated. */
@@ -42,8 +42,8 @@
                 new ControlMessages.PutConfiguration("change" + changes++, configurationVersion, json, "capacity");
         core.ask(
                         ServiceNames.controlPart(ServiceNames.CONFIGURATION),
-                        new Operators.ConfigurationPut(put),
-                        ControlMessages.ConfigurationTaken.class)
+                        new OperatorHttpHandler.PutConfigurationRequest(put),
+                        ControlMessages.ConfigurationAccepted.class)
                 .subscribe(taken -> configurationVersion = taken.version(), error -> {});
     }
 
@@ -56,7 +56,7 @@
         core.ask(
                         ServiceNames.controlPart(list),
                         new ControlMessages.PutProcessor(list, "processor-" + number, processor, 0, 0),
-                        ControlMessages.Done.class)
+                        ControlMessages.UpdateResult.class)
                 .subscribe(done -> processorsPut++, error -> {});
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -7,17 +7,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimDisk;
@@ -70,7 +70,7 @@
         sim.run(START);
         long owned = replicas.stream()
                 .flatMap(m -> m.values().stream())
-                .filter(Replica::mayAct)
+                .filter(Replica::isActiveLeader)
                 .count();
         if (owned != size) {
             throw new ServiceException(
@@ -91,9 +91,10 @@
 
     /** Each part has another first store, so owners are spread. */
     private static Map<String, Replica> store(HollowHost h, HollowNet net, Sim sim, int parts) throws ServiceException {
-        Codec codec = Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), h, RING_FILES, RING_BYTES);
-        Env env = new Env(h, h, net.rpc(h, codec), codec, book, sim.random()::nextLong, ReplicationTiming.usual());
+        NodeEnvironment env = new NodeEnvironment(
+                h, h, net.rpc(h, codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
         Map<String, Replica> mine = new HashMap<>();
         for (int i = 0; i < parts; i++) {
             List<String> copies = new ArrayList<>(STORES);
@@ -101,12 +102,12 @@
             mine.put("m" + i, new Replica("m" + i, copies, new MessageStateMachine("m" + i, codec), env));
         }
         RpcRouter r = new RpcRouter();
-        r.on(Messages.VoteAsk.class, (f, a) -> at(mine, a.part(), f, a))
-                .on(Messages.AppendAsk.class, (f, a) -> at(mine, a.part(), f, a))
-                .on(Messages.ViewPush.class, (f, a) -> at(mine, a.part(), f, a))
-                .on(Messages.Stand.class, (f, a) -> at(mine, a.part(), f, a))
-                .on(Messages.BlankAsk.class, (f, a) -> at(mine, a.part(), f, a))
-                .on(Messages.Found.class, (f, a) -> at(mine, a.part(), f, a));
+        r.on(ReplicationMessages.VoteRequest.class, (f, a) -> at(mine, a.partition(), f, a))
+                .on(ReplicationMessages.AppendEntriesRequest.class, (f, a) -> at(mine, a.partition(), f, a))
+                .on(ReplicationMessages.InstallSnapshotRequest.class, (f, a) -> at(mine, a.partition(), f, a))
+                .on(ReplicationMessages.StartElectionRequest.class, (f, a) -> at(mine, a.partition(), f, a))
+                .on(ReplicationMessages.BootstrapStatusRequest.class, (f, a) -> at(mine, a.partition(), f, a))
+                .on(ReplicationMessages.BootstrapRequest.class, (f, a) -> at(mine, a.partition(), f, a));
         h.serve(r);
         for (Replica x : mine.values()) {
             x.start(List.of());
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import org.woadvale.common.membership.ControlMessages;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.TcpRpcClient;
 import org.woadvale.common.runtime.ErrorKind;
@@ -66,9 +66,11 @@
     public Map<String, Double> measure(int size) throws ServiceException {
         SystemTimers schedules = new SystemTimers(2);
         RpcRouter router = new RpcRouter();
-        router.on(ControlMessages.LeaveAsk.class, (f, a) -> Mono.just(new ControlMessages.Done(true)));
-        TcpRpcClient here = new TcpRpcClient(free(), Wire.codec(Wire.PILOT, List.of()), new RpcRouter(), schedules);
-        TcpRpcClient there = new TcpRpcClient(free(), Wire.codec(Wire.PILOT, List.of()), router, schedules);
+        router.on(ControlMessages.LeaveRequest.class, (f, a) -> Mono.just(new ControlMessages.UpdateResult(true)));
+        TcpRpcClient here = new TcpRpcClient(
+                free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), schedules);
+        TcpRpcClient there =
+                new TcpRpcClient(free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), router, schedules);
         try {
             there.start();
             ask(here, there.self(), WARM_UP);
@@ -85,9 +87,9 @@
     }
 
     private static void ask(TcpRpcClient from, String to, int n) {
-        ControlMessages.LeaveAsk body = new ControlMessages.LeaveAsk("role/intake", to);
+        ControlMessages.LeaveRequest body = new ControlMessages.LeaveRequest("role/intake", to);
         Flux.range(0, n)
-                .flatMap(i -> from.ask(to, body, ControlMessages.Done.class, LIMIT), IN_FLIGHT)
+                .flatMap(i -> from.call(to, body, ControlMessages.UpdateResult.class, LIMIT), IN_FLIGHT)
                 .blockLast(ALL);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
@@ -167,7 +167,7 @@
     private static void outage(Fleet f, StubEnvironment t, Load l) throws IOException {
         l.run(Duration.ofSeconds(5), RATE);
         f.killAll();
-        Duration restarted = t.times.mono();
+        Duration restarted = t.times.monotonicTime();
         f.startAll();
         t.await("service after the outage", Duration.ofSeconds(60), () -> {
             try {
@@ -176,7 +176,7 @@
                 return false;
             }
         });
-        Duration served = t.times.mono();
+        Duration served = t.times.monotonicTime();
         t.seen.saw(t.seen.outages, new Observations.Outage(restarted, served));
         System.out.println("Served again after " + served.minus(restarted).toMillis() + " ms.");
         l.run(Duration.ofSeconds(5), RATE);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -37,18 +37,18 @@
     }
 
     public void run(Duration howLong, int perSecond) {
-        Duration begun = town.times.mono();
+        Duration begun = town.times.monotonicTime();
         Duration asked = begun;
         long sent = 0;
-        while (town.times.mono().minus(begun).compareTo(howLong) < 0) {
-            long due = town.times.mono().minus(begun).toNanos() * perSecond / 1_000_000_000L;
+        while (town.times.monotonicTime().minus(begun).compareTo(howLong) < 0) {
+            long due = town.times.monotonicTime().minus(begun).toNanos() * perSecond / 1_000_000_000L;
             while (sent < due) {
                 one(random.nextInt(town.testConfiguration.tenants()));
                 sent++;
             }
-            if (town.times.mono().minus(asked).compareTo(ASK_EACH) > 0) {
+            if (town.times.monotonicTime().minus(asked).compareTo(ASK_EACH) > 0) {
                 // ended messages are forgotten after two minutes
-                asked = town.times.mono();
+                asked = town.times.monotonicTime();
                 List.copyOf(left.keySet()).forEach(this::ask);
             }
             StubEnvironment.sleep(5);
@@ -80,7 +80,9 @@
                 .send("GET", intake.http, "/v1/messages?state=failed", secret, new byte[0], Map.of())
                 .handle((g, e) -> {
                     if (e == null && g.status() == 200) {
-                        town.seen.saw(town.seen.served, new Observations.KeyServed(secret, "read", town.times.mono()));
+                        town.seen.saw(
+                                town.seen.served,
+                                new Observations.KeyServed(secret, "read", town.times.monotonicTime()));
                     }
                     return true;
                 }));
@@ -101,7 +103,7 @@
 
     private CompletableFuture<Observations.Submitted> submit(
             int tenant, String id, String lane, String order, byte[] body, int tries, NodeProcess v, String key) {
-        Duration sent = town.times.mono();
+        Duration sent = town.times.monotonicTime();
         CompletableFuture<Observations.Submitted> f = town.client
                 .send("POST", v.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
                 .handle((g, e) -> {
@@ -117,7 +119,7 @@
                             order,
                             key,
                             sent,
-                            town.times.mono(),
+                            town.times.monotonicTime(),
                             t.said(),
                             t.kind(),
                             t.handle(),
@@ -140,8 +142,8 @@
     public boolean settle(Duration limit) {
         open.forEach(f -> f.exceptionally(e -> null).join());
         open.clear();
-        Duration until = town.times.mono().plus(limit);
-        while (!left.isEmpty() && town.times.mono().compareTo(until) < 0) {
+        Duration until = town.times.monotonicTime().plus(limit);
+        while (!left.isEmpty() && town.times.monotonicTime().compareTo(until) < 0) {
             int n = 0;
             java.util.ArrayList<CompletableFuture<?>> wave = new java.util.ArrayList<>();
             for (String h : left.keySet()) {
@@ -157,7 +159,7 @@
 
     private CompletableFuture<?> ask(String handle) {
         NodeProcess v = fleet.intakes.get(random.nextInt(fleet.intakes.size()));
-        Duration asked = town.times.mono();
+        Duration asked = town.times.monotonicTime();
         return town.client
                 .send(
                         "GET",
@@ -171,8 +173,8 @@
                     if (e == null
                             && g.status() == 200
                             && g.json().path("handle").asText().equals(handle)) {
-                        Observations.Shown shown =
-                                Observations.Shown.read(handle, g.json(), asked, town.times.mono(), town::trueTime);
+                        Observations.Shown shown = Observations.Shown.read(
+                                handle, g.json(), asked, town.times.monotonicTime(), town::trueTime);
                         town.seen.saw(town.seen.shown, shown);
                         if (shown.over()) {
                             left.remove(handle);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -96,7 +96,7 @@
                         version,
                         taken,
                         true,
-                        times.mono(),
+                        times.monotonicTime(),
                         Configurations.sha256(new String(json, java.nio.charset.StandardCharsets.UTF_8))));
         if (!taken) {
             throw new IllegalStateException(
@@ -121,7 +121,7 @@
         });
         putConfiguration(l, present, "key-" + there);
         if (!there) {
-            seen.saw(seen.keys, new Observations.KeyWithdrawn(secret, times.mono()));
+            seen.saw(seen.keys, new Observations.KeyWithdrawn(secret, times.monotonicTime()));
         }
     }
 
@@ -145,13 +145,13 @@
             throw new IllegalStateException("processor refused: " + g.status());
         }
         if (leaving) {
-            seen.saw(seen.leaving, new Observations.MarkedLeaving(id, times.mono()));
+            seen.saw(seen.leaving, new Observations.MarkedLeaving(id, times.monotonicTime()));
         }
     }
 
     /** All processes are on this machine, so there is one calendar. */
     Duration trueTime(java.time.Instant stamp) {
-        return times.mono().minus(Duration.between(stamp, times.wall()));
+        return times.monotonicTime().minus(Duration.between(stamp, times.wallTime()));
     }
 
     public boolean ready(NodeProcess v) {
@@ -166,14 +166,14 @@
     }
 
     public Duration await(String what, Duration limit, BooleanSupplier until) {
-        Duration begun = times.mono();
+        Duration begun = times.monotonicTime();
         while (!until.getAsBoolean()) {
-            if (times.mono().minus(begun).compareTo(limit) > 0) {
+            if (times.monotonicTime().minus(begun).compareTo(limit) > 0) {
                 throw new IllegalStateException("waited in vain for " + what);
             }
             sleep(50);
         }
-        return times.mono().minus(begun);
+        return times.monotonicTime().minus(begun);
     }
 
     static void sleep(long ms) {
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -101,7 +101,7 @@
     }
 
     static Duration begin(Fleet fleet, StubEnvironment town) throws IOException {
-        Duration begun = town.times.mono();
+        Duration begun = town.times.monotonicTime();
         fleet.startAll();
         town.putConfiguration(town.configuration(), 0, "first");
         town.listProcessors();
@@ -109,7 +109,7 @@
                 "readiness",
                 Duration.ofSeconds(40),
                 () -> fleet.intakes.stream().allMatch(town::ready));
-        return town.times.mono().minus(begun);
+        return town.times.monotonicTime().minus(begun);
     }
 
     private static void stay(Fleet fleet) {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
@@ -47,7 +47,7 @@
     private void observeFounders(ModelNode node, ReplicaState state) throws BrokenInvariant {
         boolean founding = state.commit() == 0
                 && state.baseIndex() == 0
-                && state.log().stream().noneMatch(entry -> entry.kind() == LogEntry.Kind.GROUP);
+                && state.log().stream().noneMatch(entry -> entry.kind() == LogEntry.Kind.MEMBERSHIP);
         if (!founding || state.group().isEmpty()) {
             return;
         }
@@ -79,7 +79,7 @@
         }
         entries.put(index, new Committed(entry.term(), entry.kind(), Arrays.hashCode(entry.bytes()), term));
         checkMajority(index, entry, group);
-        if (entry.kind() == LogEntry.Kind.GROUP) {
+        if (entry.kind() == LogEntry.Kind.MEMBERSHIP) {
             takeGroup(index, entry);
         }
     }
@@ -135,7 +135,7 @@
     void checkChanges(ModelNode node, ReplicaState state) throws BrokenInvariant {
         long open = 0;
         for (long index = Math.max(last(), state.baseIndex()) + 1; index <= state.lastIndex(); index++) {
-            open += state.entry(index).kind() == LogEntry.Kind.GROUP ? 1 : 0;
+            open += state.entry(index).kind() == LogEntry.Kind.MEMBERSHIP ? 1 : 0;
         }
         if (open > 1) {
             throw new BrokenInvariant(
--- a/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.woadvale.common.replication.LogEntry;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 
 /** Which entries have ever been synced, and under which identity. */
 final class DurableRecords {
@@ -20,7 +20,7 @@
     /** By identity: everything up to this index lies in a synced snapshot. */
     private final Map<String, Long> snapshots = new HashMap<>();
 
-    private final Map<String, Entry> bases = new HashMap<>();
+    private final Map<String, WalRecord> bases = new HashMap<>();
     private final Map<String, String> identities = new HashMap<>();
     private final Map<String, Integer> seen = new HashMap<>();
 
@@ -29,40 +29,40 @@
     }
 
     void observe(ModelNode node) {
-        List<Entry> records = node.disk().durable();
+        List<WalRecord> records = node.disk().durable();
         if (records.isEmpty()) {
             seen.put(node.name(), 0);
             return;
         }
-        Entry base = records.get(0);
-        if (base.kind() == Entry.Kind.BASE && bases.get(node.name()) != base) {
+        WalRecord base = records.get(0);
+        if (base.kind() == WalRecord.Kind.SNAPSHOT && bases.get(node.name()) != base) {
             observeBase(node.name(), base);
         }
         for (int i = seen.getOrDefault(node.name(), 0); i < records.size(); i++) {
-            Entry entry = records.get(i);
-            if (entry.kind() == Entry.Kind.ENTRY) {
+            WalRecord entry = records.get(i);
+            if (entry.kind() == WalRecord.Kind.ENTRY) {
                 marks.add(new Mark(identities.getOrDefault(node.name(), ""), entry.index(), entry.term()));
             }
         }
         seen.put(node.name(), records.size());
     }
 
-    private void observeBase(String node, Entry entry) {
-        Messages.Base base = decode(entry);
+    private void observeBase(String node, WalRecord entry) {
+        ReplicationMessages.ReplicaSnapshot base = decode(entry);
         bases.put(node, entry);
         identities.put(node, base.identity());
         seen.put(node, 1);
         snapshots.merge(base.identity(), base.index(), Math::max);
         long index = base.index();
-        for (LogEntry item : base.tail()) {
+        for (LogEntry item : base.entries()) {
             index++;
             marks.add(new Mark(base.identity(), index, item.term()));
         }
     }
 
-    private Messages.Base decode(Entry entry) {
+    private ReplicationMessages.ReplicaSnapshot decode(WalRecord entry) {
         try {
-            return codec.read(entry.bytes(), Messages.Base.class);
+            return codec.read(entry.bytes(), ReplicationMessages.ReplicaSnapshot.class);
         } catch (ServiceException e) {
             throw new IllegalStateException("unreadable base", e);
         }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 
 /** Hands everything on to another log; mutants change single calls. */
@@ -15,18 +15,18 @@
     }
 
     @Override
-    public Map<String, List<Entry>> recovered() {
+    public Map<String, List<WalRecord>> recovered() {
         return log.recovered();
     }
 
     @Override
-    public void append(List<Entry> entries, Runnable done) {
+    public void append(List<WalRecord> entries, Runnable done) {
         log.append(entries, done);
     }
 
     @Override
-    public void onPressure(String part, Runnable giveBase) {
-        log.onPressure(part, giveBase);
+    public void onSpaceNeeded(String part, Runnable giveBase) {
+        log.onSpaceNeeded(part, giveBase);
     }
 
     @Override
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public int largest() {
-        return log.largest();
+    public int largestRecordBytes() {
+        return log.largestRecordBytes();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.woadvale.common.replication.Phase;
 import org.woadvale.common.replication.ReplicaProbe.ReplicaState;
+import org.woadvale.common.replication.Role;
 
 /** Looks at every invariant of the replication engine in one state of the model. */
 final class InvariantChecker {
@@ -61,14 +61,14 @@
                     Invariant.STATE_MACHINES_AGREE,
                     node.name() + " has " + content + " after entry " + state.applied() + ", another " + before);
         }
-        boolean candidate = state.phase() == Phase.STANDING || state.phase() == Phase.OWNING;
+        boolean candidate = state.phase() == Role.CANDIDATE || state.phase() == Role.LEADER;
         if (candidate && !state.voter()) {
             throw new BrokenInvariant(Invariant.ONLY_VOTERS_STAND, node.name() + " stands and is no voter");
         }
     }
 
     private void checkLeader(ModelNode node, ReplicaState state) throws BrokenInvariant {
-        if (state.phase() != Phase.OWNING) {
+        if (state.phase() != Role.LEADER) {
             return;
         }
         String other = leaders.putIfAbsent(state.term(), node.name());
--- a/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.woadvale.common.replication.LogEntry;
-import org.woadvale.common.replication.Messages;
-import org.woadvale.common.replication.Phase;
 import org.woadvale.common.replication.ReplicaProbe;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.replication.ReplicationMessages;
+import org.woadvale.common.replication.Role;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 
 /** Engines without one of the rules of identity and membership change. */
@@ -28,21 +28,22 @@
         };
     }
 
-    private static Messages.Base emptyVoter(String identity, Map<String, String> group) {
-        return new Messages.Base(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
+    private static ReplicationMessages.ReplicaSnapshot emptyVoter(String identity, Map<String, String> group) {
+        return new ReplicationMessages.ReplicaSnapshot(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
     }
 
-    private static WriteAheadLog recoveringFrom(WriteAheadLog log, Messages.Base base, ModelNode node) {
-        Entry entry = new Entry(
+    private static WriteAheadLog recoveringFrom(
+            WriteAheadLog log, ReplicationMessages.ReplicaSnapshot base, ModelNode node) {
+        WalRecord entry = new WalRecord(
                 ModelNode.PARTITION,
-                Entry.Kind.BASE,
+                WalRecord.Kind.SNAPSHOT,
                 0,
                 0,
                 node.cluster().codec().write(base));
         log.append(List.of(entry), () -> {});
         return new ForwardingLog(log) {
             @Override
-            public Map<String, List<Entry>> recovered() {
+            public Map<String, List<WalRecord>> recovered() {
                 return Map.of(ModelNode.PARTITION, List.of(entry));
             }
         };
@@ -65,7 +66,7 @@
     private static boolean changeUnderWay(ModelCluster cluster, ModelNode leader) {
         ReplicaProbe.ReplicaState state = leader.state();
         return state.lastIndex() > state.commit()
-                && state.entry(state.lastIndex()).kind() == LogEntry.Kind.GROUP;
+                && state.entry(state.lastIndex()).kind() == LogEntry.Kind.MEMBERSHIP;
     }
 
     /** When the wanted members change, the leader goes on with all that were not in the group. */
@@ -98,7 +99,7 @@
             @Override
             public void afterStep(ModelCluster cluster) {
                 cluster.nodes().stream()
-                        .filter(node -> node.state().phase() == Phase.BLANK)
+                        .filter(node -> node.state().phase() == Role.UNINITIALIZED)
                         .filter(node -> !node.state().group().isEmpty())
                         .forEach(node -> ReplicaProbe.followUnsworn(node.replica()));
             }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ServiceException;
@@ -20,7 +20,7 @@
     private static final Duration LONGEST_FREEZE = UNIT.multipliedBy(12);
     private static final ReplicationTiming TIMING =
             new ReplicationTiming(UNIT.multipliedBy(4), UNIT, UNIT, UNIT.multipliedBy(2), UNIT.multipliedBy(4));
-    private static final Codec CODEC = Wire.codec(Wire.PILOT, List.of());
+    private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
 
     private final ModelSettings settings;
     private final ModelNetwork network = new ModelNetwork(this);
@@ -129,7 +129,7 @@
 
     Optional<ModelNode> actingLeader() {
         return nodes.values().stream()
-                .filter(node -> !node.frozen() && node.replica().mayAct())
+                .filter(node -> !node.frozen() && node.replica().isActiveLeader())
                 .findFirst();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelDisk.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 
 /** What a machine's disk holds of the partition, over all lives of the process. */
 final class ModelDisk {
     /** Records written together, and what runs once they are synced. */
-    record Write(List<Entry> entries, Runnable done) {}
+    record Write(List<WalRecord> entries, Runnable done) {}
 
-    private final List<Entry> durable = new ArrayList<>();
+    private final List<WalRecord> durable = new ArrayList<>();
     private List<Write> pending = new ArrayList<>();
 
-    List<Entry> durable() {
+    List<WalRecord> durable() {
         return List.copyOf(durable);
     }
 
     /** Empty before the first record was synced. */
-    Optional<Entry> base() {
+    Optional<WalRecord> base() {
         return durable.isEmpty() ? Optional.empty() : Optional.of(durable.get(0));
     }
 
@@ -30,7 +30,7 @@
         return !pending.isEmpty();
     }
 
-    void write(List<Entry> entries, Runnable done) {
+    void write(List<WalRecord> entries, Runnable done) {
         pending.add(new Write(entries, done));
     }
 
@@ -58,8 +58,8 @@
     }
 
     /** A base makes the earlier records needless. */
-    private void store(Entry entry) {
-        if (entry.kind() == Entry.Kind.BASE) {
+    private void store(WalRecord entry) {
+        if (entry.kind() == WalRecord.Kind.SNAPSHOT) {
             durable.clear();
         }
         durable.add(entry);
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.LongSupplier;
-import org.woadvale.common.replication.Env;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.rpc.RpcClient;
@@ -42,7 +42,7 @@
         timers = new ModelTimers(() -> mutant.clock(this, cluster.localTime(name)));
         log = new ModelWriteAheadLog(disk);
         machine = new RegisterMachine();
-        Env env = new Env(
+        NodeEnvironment env = new NodeEnvironment(
                 timers,
                 timers,
                 mutant.rpc(this, new Rpc()),
@@ -107,7 +107,7 @@
 
     void learnWanted(List<String> members) {
         wanted = members;
-        replica.want(members);
+        replica.setDesiredMembers(members);
     }
 
     /** The members that this node was told to be wanted. */
@@ -166,7 +166,7 @@
         }
 
         @Override
-        public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
             return cluster.network().ask(ModelNode.this, to, body, answer, limit);
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
@@ -25,18 +25,19 @@
     }
 
     @Override
-    public Duration mono() {
+    public Duration monotonicTime() {
         return clock.get();
     }
 
     @Override
-    public Instant wall() {
-        return EPOCH.plus(mono());
+    public Instant wallTime() {
+        return EPOCH.plus(monotonicTime());
     }
 
     @Override
     public TimerHandle after(Duration delay, Runnable task) {
-        Pending timer = new Pending(mono().plus(delay), order++, task.getClass().getName(), task);
+        Pending timer = new Pending(
+                monotonicTime().plus(delay), order++, task.getClass().getName(), task);
         pending.add(timer);
         pending.sort(Comparator.comparing(Pending::due).thenComparingLong(Pending::order));
         return () -> pending.remove(timer);
@@ -54,7 +55,7 @@
 
     /** Runs what is due at the present time, earliest first; what that sets for now runs too. */
     void runDue() {
-        Duration now = mono();
+        Duration now = monotonicTime();
         while (!pending.isEmpty() && pending.get(0).due().compareTo(now) <= 0) {
             pending.remove(0).task().run();
         }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 
 /** The write-ahead log of one life of a node; syncs happen when the model says so. */
@@ -23,18 +23,18 @@
     }
 
     @Override
-    public Map<String, List<Entry>> recovered() {
-        List<Entry> entries = disk.durable();
+    public Map<String, List<WalRecord>> recovered() {
+        List<WalRecord> entries = disk.durable();
         return entries.isEmpty() ? Map.of() : Map.of(ModelNode.PARTITION, entries);
     }
 
     @Override
-    public void append(List<Entry> entries, Runnable done) {
+    public void append(List<WalRecord> entries, Runnable done) {
         disk.write(entries, done);
     }
 
     @Override
-    public void onPressure(String part, Runnable giveBase) {
+    public void onSpaceNeeded(String part, Runnable giveBase) {
         snapshot = Optional.of(giveBase);
     }
 
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public int largest() {
+    public int largestRecordBytes() {
         return LARGEST_RECORD_BYTES;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
@@ -6,10 +6,10 @@
 import java.util.TreeSet;
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 import reactor.core.publisher.Mono;
 
@@ -46,7 +46,7 @@
             public WriteAheadLog log(ModelNode node, WriteAheadLog log) {
                 return new ForwardingLog(log) {
                     @Override
-                    public void append(List<Entry> entries, Runnable done) {
+                    public void append(List<WalRecord> entries, Runnable done) {
                         super.append(entries, () -> {});
                         node.timers().soon(done);
                     }
@@ -62,10 +62,10 @@
             public WriteAheadLog log(ModelNode node, WriteAheadLog log) {
                 return new ForwardingLog(log) {
                     @Override
-                    public void append(List<Entry> entries, Runnable done) {
+                    public void append(List<WalRecord> entries, Runnable done) {
                         super.append(
                                 entries.stream()
-                                        .filter(entry -> entry.kind() != Entry.Kind.VOTE)
+                                        .filter(entry -> entry.kind() != WalRecord.Kind.VOTE)
                                         .toList(),
                                 done);
                     }
@@ -82,10 +82,10 @@
                 return node.name().equals("a")
                         ? new ReplicationTiming(
                                 timing.lease().multipliedBy(3),
-                                timing.renew(),
-                                timing.look(),
-                                timing.ask(),
-                                timing.spread())
+                                timing.heartbeat(),
+                                timing.tick(),
+                                timing.requestTimeout(),
+                                timing.electionJitter())
                         : timing;
             }
         };
@@ -108,13 +108,13 @@
             public RpcClient rpc(ModelNode node, RpcClient rpc) {
                 return new ChangingRpc(
                         rpc,
-                        body -> body instanceof Messages.VoteAsk ask
-                                ? new Messages.VoteAsk(
-                                        ask.part(),
+                        body -> body instanceof ReplicationMessages.VoteRequest ask
+                                ? new ReplicationMessages.VoteRequest(
+                                        ask.partition(),
                                         ask.term(),
                                         Integer.MAX_VALUE,
                                         Integer.MAX_VALUE,
-                                        ask.dry(),
+                                        ask.preVote(),
                                         ask.leadershipTransferred())
                                 : body);
             }
@@ -137,8 +137,8 @@
         }
 
         @Override
-        public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-            return rpc.ask(to, change.apply(body), answer, limit);
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+            return rpc.call(to, change.apply(body), answer, limit);
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public byte[] view() {
+    public byte[] snapshot() {
         return content().getBytes(StandardCharsets.UTF_8);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateDigest.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateDigest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.woadvale.common.wal.Entry;
+import org.woadvale.common.wal.WalRecord;
 
 /**
  * A number for a state of the model: equal states have equal numbers. It follows the fields of the engine's objects, so
@@ -45,7 +45,7 @@
     }
 
     private void addNode(ModelNode node) {
-        StateDigest digest = new StateDigest(node.timers().mono());
+        StateDigest digest = new StateDigest(node.timers().monotonicTime());
         digest.add(node.replica());
         node.timers().pending().forEach(timer -> {
             digest.add(timer.due());
@@ -63,7 +63,7 @@
         mix(digest.hash);
     }
 
-    private void addRecord(Entry entry) {
+    private void addRecord(WalRecord entry) {
         mix(entry.kind().ordinal());
         mix(entry.index());
         mix(entry.term());
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
@@ -64,8 +64,8 @@
         }
 
         @Override
-        public byte[] view() {
-            return machine.view();
+        public byte[] snapshot() {
+            return machine.snapshot();
         }
 
         @Override
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** Stand-ins behind the platform's doors that leave out one mechanism each. design 12.3 */
@@ -23,17 +23,17 @@
 
     private BareReplicas() {}
 
-    private static Seams replies(Function<DeliveryClient.Reply, DeliveryClient.Reply> f) {
+    private static Seams replies(Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> f) {
         return Seams.none().withPost((a, p) -> c -> p.send(c).map(f));
     }
 
-    private static DeliveryClient.Reply other(DeliveryClient.Reply r, int status, String seal) {
+    private static DeliveryClient.DeliveryResponse other(DeliveryClient.DeliveryResponse r, int status, String seal) {
         Map<String, String> h = new HashMap<>(r.headers());
         h.remove(SEAL);
         if (!seal.isEmpty()) {
             h.put(SEAL, seal);
         }
-        return new DeliveryClient.Reply(status, h, r.body());
+        return new DeliveryClient.DeliveryResponse(status, h, r.body());
     }
 
     /** LOST: the stores' disks say "synced" and have not. */
@@ -61,7 +61,7 @@
         return Seams.none()
                 .withPost((a, p) -> c -> p.send(c)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
-                                ? Mono.just(new DeliveryClient.Reply(
+                                ? Mono.just(new DeliveryClient.DeliveryResponse(
                                         422, Map.of("x-attempt-id", c.headers().getOrDefault(ID, "")), new byte[0]))
                                 : Mono.error(e)));
     }
@@ -71,7 +71,8 @@
         return Seams.none().withPost((a, p) -> c -> {
             Map<String, String> h = new LinkedHashMap<>(c.headers());
             h.remove("X-Expect-Instance");
-            return p.send(new DeliveryClient.Call(c.method(), c.url(), h, c.body(), c.limit(), c.still(), c.echo()));
+            return p.send(new DeliveryClient.DeliveryRequest(
+                    c.method(), c.url(), h, c.body(), c.timeout(), c.stillPermitted(), c.expectedEcho()));
         });
     }
 
@@ -82,7 +83,8 @@
             byte first = b[0];
             b[0] = b[b.length - 1];
             b[b.length - 1] = first;
-            return p.send(new DeliveryClient.Call(c.method(), c.url(), c.headers(), b, c.limit(), c.still(), c.echo()));
+            return p.send(new DeliveryClient.DeliveryRequest(
+                    c.method(), c.url(), c.headers(), b, c.timeout(), c.stillPermitted(), c.expectedEcho()));
         });
     }
 
@@ -90,9 +92,9 @@
     static Seams lookFirstSendLater() {
         return Seams.none()
                 .withPost((a, p) -> c -> Mono.defer(() -> {
-                    boolean go = c.still().getAsBoolean();
-                    return p.send(new DeliveryClient.Call(
-                            c.method(), c.url(), c.headers(), c.body(), c.limit(), () -> go, c.echo()));
+                    boolean go = c.stillPermitted().getAsBoolean();
+                    return p.send(new DeliveryClient.DeliveryRequest(
+                            c.method(), c.url(), c.headers(), c.body(), c.timeout(), () -> go, c.expectedEcho()));
                 }));
     }
 
@@ -107,16 +109,21 @@
                 }
 
                 @Override
-                public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-                    if (!(body instanceof ControlMessages.ViewAsk n)
+                public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+                    if (!(body instanceof ControlMessages.ServiceViewRequest n)
                             || frozen.getAsBoolean()
-                                    && !last.keySet().containsAll(n.known().keySet())) {
-                        return b.ask(to, body, answer, limit);
+                                    && !last.keySet()
+                                            .containsAll(n.knownVersions().keySet())) {
+                        return b.call(to, body, answer, limit);
                     }
                     return frozen.getAsBoolean()
                             ? Mono.just(answer.cast(NaiveVariants.anew(n, last)))
-                            : b.ask(to, new ControlMessages.ViewAsk(n.known(), false), answer, limit)
-                                    .doOnNext(t -> ((ControlMessages.ViewReply) t)
+                            : b.call(
+                                            to,
+                                            new ControlMessages.ServiceViewRequest(n.knownVersions(), false),
+                                            answer,
+                                            limit)
+                                    .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
                                             .views()
                                             .forEach(v -> last.put(v.service(), v)));
                 }
@@ -134,20 +141,20 @@
             }
 
             @Override
-            public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-                if (body instanceof Commands.LeaseEndAsk e) {
-                    Commands.End x = e.end();
-                    Commands.End now = new Commands.End(
+            public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+                if (body instanceof MessageCommands.EndLeaseRequest e) {
+                    MessageCommands.End x = e.end();
+                    MessageCommands.End now = new MessageCommands.End(
                             x.handle(),
                             present.getOrDefault(x.handle(), x.attempt()),
-                            x.ending(),
+                            x.outcome(),
                             x.proof(),
                             x.due(),
                             x.at());
-                    return b.ask(to, new Commands.LeaseEndAsk(e.part(), now), answer, limit);
+                    return b.call(to, new MessageCommands.EndLeaseRequest(e.partition(), now), answer, limit);
                 }
-                return b.ask(to, body, answer, limit).doOnNext(t -> {
-                    if (t instanceof Commands.Pulled p) {
+                return b.call(to, body, answer, limit).doOnNext(t -> {
+                    if (t instanceof MessageCommands.LongPullResponse p) {
                         p.messages().forEach(m -> present.put(m.handle(), m.attempt()));
                     }
                 });
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
@@ -147,7 +147,7 @@
         });
     }
 
-    private static boolean unknown(Answer a) {
+    private static boolean unknown(Response a) {
         String kind = json(a).path("kind").asText();
         return a.status() != 202
                 && (kind.isEmpty()
@@ -155,7 +155,7 @@
                                 .definite());
     }
 
-    static JsonNode json(Answer a) {
+    static JsonNode json(Response a) {
         try {
             return Configurations.JSON.readTree(a.body());
         } catch (java.io.IOException e) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.dataplane.queue.RouteTerms;
 import org.woadvale.testkit.stub.TestConfiguration;
@@ -50,13 +50,13 @@
 
     /** On this machine; nobody gets at the part meanwhile. */
     private static void view(int mb) {
-        Codec codec = Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         MessageStateMachine m = new MessageStateMachine("m0", codec);
         Instant t = Instant.EPOCH;
-        for (long i = 1; m.weight() < (long) mb << 20; i++) {
+        for (long i = 1; m.storedBytes() < (long) mb << 20; i++) {
             m.apply(
                     i,
-                    new Commands.Accept(
+                    new MessageCommands.Accept(
                             "t",
                             "l",
                             "id" + i,
@@ -70,7 +70,7 @@
         List<Long> ms = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             long from = System.nanoTime();
-            byte[] view = m.view();
+            byte[] view = m.snapshot();
             MessageStateMachine other = new MessageStateMachine("m0", codec);
             long made = System.nanoTime();
             other.restore(view);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.runtime.ServiceException;
 
 /** Measures how long the core takes to make a new machine a voter everywhere after a member is gone. design 6.10 */
@@ -69,7 +69,7 @@
     public static boolean votesEverywhere(World world, String node) {
         return ServiceNames.controlParts().stream()
                 .map(p -> world.controlNode(node).replica(p))
-                .allMatch(r -> r.phase() != Phase.BLANK && r.group().containsKey(node));
+                .allMatch(r -> r.role() != Role.UNINITIALIZED && r.members().containsKey(node));
     }
 
     /** The sorted times of so many seeds. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.Edit;
 import org.woadvale.testkit.stub.Observations;
@@ -78,7 +78,7 @@
         });
     }
 
-    private static long present(Answer a) {
+    private static long present(Response a) {
         return Callers.json(a).path("details").path(0).asLong();
     }
 
@@ -86,7 +86,7 @@
         return new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
     }
 
-    private void put(String id, byte[] json, long base, Duration begun, Consumer<Answer> then) {
+    private void put(String id, byte[] json, long base, Duration begun, Consumer<Response> then) {
         w.request(w.lighthouses.get(w.sim.random().nextInt(3)), request(id, json, base), Duration.ofSeconds(4), a -> {
             if (a.isEmpty() || a.get().status() >= 500) {
                 w.sim.after(Duration.ofMillis(200), () -> put(id, json, base, begun, then));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -119,7 +119,7 @@
 
     /** Its intake goes on getting passes for the tenant that is used here, so that nothing but old subscriptions can stop it. */
     private static int hallOfAnotherThanTheHolder(FleetSimulation v) {
-        return v.w.pilot(v.w.intakes.get(0)).holds().contains("tenant/" + TestConfiguration.tenant(2)) ? 1 : 0;
+        return v.w.pilot(v.w.intakes.get(0)).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(2)) ? 1 : 0;
     }
 
     /** 07: a key is withdrawn while a zone is out of touch; it goes on being used, also for reads. */
@@ -152,7 +152,7 @@
             throws ServiceException {
         FleetSimulation v = begun(seed, SMALL, seams);
         String owner = v.w.lighthouses.stream()
-                .filter(l -> v.w.controlNode(l).replica("c0").mayAct())
+                .filter(l -> v.w.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         v.w.net.cutOff(owner);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
@@ -95,7 +95,7 @@
         });
     }
 
-    private void served(Optional<Answer> a, String used, String what) {
+    private void served(Optional<Response> a, String used, String what) {
         if (a.isPresent() && a.get().status() == 200) {
             w.seen.saw(w.seen.served, new Observations.KeyServed(used, what, w.sim.now()));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.Observations;
@@ -111,11 +111,11 @@
     }
 
     /** Repeats with the same request id until the answer is definite. */
-    public void put(Configuration l, long base, String id, Consumer<Answer> then) {
+    public void put(Configuration l, long base, String id, Consumer<Response> then) {
         put(l, base, id, w.presentLighthouses(), then);
     }
 
-    void put(Configuration l, long base, String id, List<String> at, Consumer<Answer> then) {
+    void put(Configuration l, long base, String id, List<String> at, Consumer<Response> then) {
         byte[] json = Configurations.write(l);
         puts++;
         Request q = new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
@@ -168,11 +168,11 @@
                                         asked))));
     }
 
-    void operate(Request q, Consumer<Answer> then) {
+    void operate(Request q, Consumer<Response> then) {
         operate(q, w.presentLighthouses(), then);
     }
 
-    private void operate(Request q, List<String> at, Consumer<Answer> then) {
+    private void operate(Request q, List<String> at, Consumer<Response> then) {
         w.request(at.get(w.sim.random().nextInt(at.size())), q, Duration.ofSeconds(4), a -> {
             if (a.isPresent() && a.get().status() < 500) {
                 then.accept(a.get());
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public Duration mono() {
+    public Duration monotonicTime() {
         return Duration.ofNanos((long) (sim.now().minus(started).toNanos() * timing));
     }
 
     @Override
-    public Instant wall() {
+    public Instant wallTime() {
         return EPOCH.plus(sim.now()).plus(calendarOff);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -6,8 +6,8 @@
 import java.util.function.IntSupplier;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.Edit;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
@@ -106,7 +106,7 @@
         return Map.of("authorization", "Bearer " + secret);
     }
 
-    private void submitted(Optional<Answer> answer, String secret, String id, Duration sent) {
+    private void submitted(Optional<Response> answer, String secret, String id, Duration sent) {
         Observations.Said said = said(answer);
         boolean accepted = said == Observations.Said.ACCEPTED;
         String handle = accepted
@@ -131,8 +131,8 @@
         }
     }
 
-    private static Observations.Said said(Optional<Answer> answer) {
-        int status = answer.map(Answer::status).orElse(0);
+    private static Observations.Said said(Optional<Response> answer) {
+        int status = answer.map(Response::status).orElse(0);
         if (status == 202) {
             return Observations.Said.ACCEPTED;
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -14,8 +14,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.Observations;
 import reactor.core.publisher.Mono;
 
@@ -31,7 +31,7 @@
     final Set<String> lost = new HashSet<>();
     private final Map<String, String> zones = new HashMap<>();
     private final int zoneCount;
-    private BiConsumer<Request, Answer> answers = (request, answer) -> {};
+    private BiConsumer<Request, Response> answers = (request, answer) -> {};
 
     Machines(Sim sim, int zoneCount) {
         this.sim = sim;
@@ -82,16 +82,20 @@
     }
 
     /** Sees each answer that a machine makes to a request from outside. */
-    public void watchAnswers(BiConsumer<Request, Answer> watcher) {
+    public void watchAnswers(BiConsumer<Request, Response> watcher) {
         answers = watcher;
     }
 
     /** A request from outside to one machine; no answer at all if it dies or stays away. */
     void reach(
-            String to, Request request, Supplier<Mono<Answer>> door, Duration limit, Consumer<Optional<Answer>> then) {
+            String to,
+            Request request,
+            Supplier<Mono<Response>> door,
+            Duration limit,
+            Consumer<Optional<Response>> then) {
         Host h = hosts.get(to);
         AtomicBoolean over = new AtomicBoolean();
-        Consumer<Optional<Answer>> once = a -> {
+        Consumer<Optional<Response>> once = a -> {
             if (over.compareAndSet(false, true)) {
                 then.accept(a);
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -62,7 +62,7 @@
         long[] passes = new long[3];
         for (String i : v.w.intakes) {
             if (v.w.host(i).alive()) {
-                var c = v.w.pilot(i).passes();
+                var c = v.w.pilot(i).tokenCounts();
                 passes[0] += c.atOnce();
                 passes[1] += c.waited();
                 passes[2] += c.asks();
@@ -149,7 +149,7 @@
         for (long seed = 1; seed <= 10; seed++) {
             FleetSimulation v = new FleetSimulation(seed, 8, 3, 4, eight, World.LARGE_RING).embark();
             String holder = v.w.intakes.stream()
-                    .filter(i -> v.w.pilot(i).holds().contains("tenant/tenant0"))
+                    .filter(i -> v.w.pilot(i).ownedBuckets().contains("tenant/tenant0"))
                     .findFirst()
                     .orElseThrow();
             List<String> others =
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.controlplane.partition.Operators;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
 import reactor.core.publisher.Mono;
 
 /** Control nodes with one rule of 6.11 left out, to show that the checks of the operators' history find its absence. */
@@ -26,7 +26,7 @@
         }
 
         <T> Mono<T> forward(String to, Object body, Class<T> answer, Duration limit) {
-            return rpc.ask(to, body, answer, limit);
+            return rpc.call(to, body, answer, limit);
         }
     }
 
@@ -35,13 +35,18 @@
         AtomicLong names = new AtomicLong();
         return Seams.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
-            public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-                return forward(to, body instanceof Operators.ConfigurationPut p ? renamed(p) : body, answer, limit);
+            public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+                return forward(
+                        to,
+                        body instanceof OperatorHttpHandler.PutConfigurationRequest p ? renamed(p) : body,
+                        answer,
+                        limit);
             }
 
-            private Operators.ConfigurationPut renamed(Operators.ConfigurationPut carried) {
+            private OperatorHttpHandler.PutConfigurationRequest renamed(
+                    OperatorHttpHandler.PutConfigurationRequest carried) {
                 ControlMessages.PutConfiguration put = carried.put();
-                return new Operators.ConfigurationPut(new ControlMessages.PutConfiguration(
+                return new OperatorHttpHandler.PutConfigurationRequest(new ControlMessages.PutConfiguration(
                         "sending-" + names.incrementAndGet(),
                         put.base(),
                         put.configuration(),
@@ -57,8 +62,8 @@
         Map<String, Object> seen = new ConcurrentHashMap<>();
         return Seams.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
-            public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-                if (!(body instanceof Operators.ConfigurationGet)) {
+            public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+                if (!(body instanceof OperatorHttpHandler.GetConfigurationRequest)) {
                     return forward(to, body, answer, limit);
                 }
                 return seen.containsKey(address)
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -18,7 +18,7 @@
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.Disk;
 import org.woadvale.dataplane.delivery.DeliveryClient;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
 /** Stand-ins that leave out one mechanism each; every never-line has a scenario that breaks with one. design 12.3 */
@@ -37,7 +37,7 @@
             }
 
             @Override
-            public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+            public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 return how.ask(b, to, body, answer, limit);
             }
         };
@@ -52,9 +52,9 @@
             }
 
             @Override
-            public Leaf open(String name, int size) throws java.io.IOException {
-                Leaf l = d.open(name, size);
-                return new Leaf() {
+            public DiskFile open(String name, int size) throws java.io.IOException {
+                DiskFile l = d.open(name, size);
+                return new DiskFile() {
                     @Override
                     public int size() throws java.io.IOException {
                         return l.size();
@@ -85,8 +85,8 @@
     /** 02: any 5xx is taken for "later". */
     static Seams anyErrorIsLater() {
         return Seams.none()
-                .withPost((a, p) ->
-                        c -> p.send(c).map(r -> r.status() >= 500 ? new DeliveryClient.Reply(503, r.body()) : r));
+                .withPost((a, p) -> c ->
+                        p.send(c).map(r -> r.status() >= 500 ? new DeliveryClient.DeliveryResponse(503, r.body()) : r));
     }
 
     /** 03: an answer that did not come in time is taken for "nothing was sent". */
@@ -95,8 +95,8 @@
                 .withRpc((a, b) -> rpc(b, new Asking() {
                     @Override
                     public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
-                        return x.ask(to, body, answer, limit)
-                                .onErrorMap(e -> body instanceof Commands.AcceptAsk
+                        return x.call(to, body, answer, limit)
+                                .onErrorMap(e -> body instanceof MessageCommands.AcceptRequest
                                                 && ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                         ? new ServiceException(ErrorKind.UNREACHABLE, "no answer")
                                         : e);
@@ -109,7 +109,7 @@
         return Seams.none()
                 .withPost((a, p) -> c -> p.send(c)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
-                                ? Mono.just(new DeliveryClient.Reply(422, new byte[0]))
+                                ? Mono.just(new DeliveryClient.DeliveryResponse(422, new byte[0]))
                                 : Mono.error(e)));
     }
 
@@ -120,18 +120,19 @@
             return rpc(b, new Asking() {
                 @Override
                 public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
-                    if (body instanceof Commands.ClockAsk) {
+                    if (body instanceof MessageCommands.ClockRequest) {
                         return clocks.containsKey(to)
                                 ? Mono.just(answer.cast(clocks.get(to)))
-                                : x.ask(to, body, answer, limit).doOnNext(t -> clocks.put(to, t));
+                                : x.call(to, body, answer, limit).doOnNext(t -> clocks.put(to, t));
                     }
-                    return x.ask(
+                    return x.call(
                             to,
-                            body instanceof Commands.AcceptAsk i
-                                    ? new Commands.AcceptAsk(
-                                            i.part(),
+                            body instanceof MessageCommands.AcceptRequest i
+                                    ? new MessageCommands.AcceptRequest(
+                                            i.partition(),
                                             i.accept(),
-                                            new Commands.Until(i.until().life(), Duration.ofDays(1)))
+                                            new MessageCommands.RemoteDeadline(
+                                                    i.deadline().incarnation(), Duration.ofDays(1)))
                                     : body,
                             answer,
                             limit);
@@ -144,8 +145,9 @@
     static Seams lookFirstSendLater() {
         return Seams.none()
                 .withPost((a, p) -> c -> Mono.defer(() -> {
-                    boolean go = c.still().getAsBoolean();
-                    return p.send(new DeliveryClient.Call(c.method(), c.url(), c.body(), c.limit(), () -> go));
+                    boolean go = c.stillPermitted().getAsBoolean();
+                    return p.send(
+                            new DeliveryClient.DeliveryRequest(c.method(), c.url(), c.body(), c.timeout(), () -> go));
                 }));
     }
 
@@ -156,15 +158,17 @@
             return rpc(b, new Asking() {
                 @Override
                 public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
-                    if (!(body instanceof ControlMessages.ViewAsk n)) {
-                        return x.ask(to, body, answer, limit);
+                    if (!(body instanceof ControlMessages.ServiceViewRequest n)) {
+                        return x.call(to, body, answer, limit);
                     }
-                    return x.ask(to, new ControlMessages.ViewAsk(n.known(), false), answer, limit)
-                            .doOnNext(
-                                    t -> ((ControlMessages.ViewReply) t).views().forEach(v -> last.put(v.service(), v)))
+                    return x.call(to, new ControlMessages.ServiceViewRequest(n.knownVersions(), false), answer, limit)
+                            .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
+                                    .views()
+                                    .forEach(v -> last.put(v.service(), v)))
                             .onErrorResume(e -> silent(e)
                                             && last.keySet()
-                                                    .containsAll(n.known().keySet())
+                                                    .containsAll(
+                                                            n.knownVersions().keySet())
                                     ? Mono.just(answer.cast(anew(n, last)))
                                     : Mono.error(e));
                 }
@@ -177,10 +181,11 @@
                 || ServiceException.of(e).kind() == ErrorKind.UNREACHABLE;
     }
 
-    static ControlMessages.ViewReply anew(ControlMessages.ViewAsk n, Map<String, ServiceView> last) {
+    static ControlMessages.ServiceViewResponse anew(
+            ControlMessages.ServiceViewRequest n, Map<String, ServiceView> last) {
         Map<String, Duration> ages = new HashMap<>();
         java.util.List<ServiceView> views = new java.util.ArrayList<>();
-        n.known()
+        n.knownVersions()
                 .forEach((s, version) -> java.util.Optional.ofNullable(last.get(s))
                         .ifPresent(v -> {
                             ages.put(s, Duration.ZERO);
@@ -188,7 +193,7 @@
                                 views.add(v);
                             }
                         }));
-        return new ControlMessages.ViewReply(views, ages, 0);
+        return new ControlMessages.ServiceViewResponse(views, ages, 0);
     }
 
     /** 09: a machine whose clock stands still for as long as told, as if it had been suspended. */
@@ -197,14 +202,14 @@
             private Duration last = Duration.ZERO;
 
             @Override
-            public Duration mono() {
-                last = stopped.test(a) && !last.isZero() ? last : t.mono();
+            public Duration monotonicTime() {
+                last = stopped.test(a) && !last.isZero() ? last : t.monotonicTime();
                 return last;
             }
 
             @Override
-            public Instant wall() {
-                return t.wall();
+            public Instant wallTime() {
+                return t.wallTime();
             }
         });
     }
@@ -214,14 +219,15 @@
         return Seams.none().withPost((a, p) -> c -> p.send(c).map(r -> r.status() == 200 ? proven(c, r) : r));
     }
 
-    private static DeliveryClient.Reply proven(DeliveryClient.Call c, DeliveryClient.Reply r) {
+    private static DeliveryClient.DeliveryResponse proven(
+            DeliveryClient.DeliveryRequest c, DeliveryClient.DeliveryResponse r) {
         try {
             JsonNode n = Configurations.read(c.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
             Map<String, Object> b = new LinkedHashMap<>();
             b.put("messageId", n.path("messageId").asText());
             b.put("attempt", n.path("attempt").asInt());
             b.put("receipt", "surely");
-            return r.body().length > 2 ? r : new DeliveryClient.Reply(200, Configurations.write(b));
+            return r.body().length > 2 ? r : new DeliveryClient.DeliveryResponse(200, Configurations.write(b));
         } catch (ServiceException e) {
             return r;
         }
@@ -231,7 +237,7 @@
     static Seams longLeases() {
         Function<Duration, Duration> longer = d -> d.multipliedBy(10);
         return Seams.none()
-                .withTiming(
-                        p -> new ReplicationTiming(longer.apply(p.lease()), p.renew(), p.look(), p.ask(), p.spread()));
+                .withTiming(p -> new ReplicationTiming(
+                        longer.apply(p.lease()), p.heartbeat(), p.tick(), p.requestTimeout(), p.electionJitter()));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.woadvale.common.config.Settings;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
@@ -25,11 +25,11 @@
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WriteAheadLog;
-import org.woadvale.controlplane.partition.ControlNode;
-import org.woadvale.controlplane.partition.Operators;
-import org.woadvale.controlplane.partition.ProcessorRegistry;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.node.ControlNode;
+import org.woadvale.controlplane.registry.ProcessorRegistry;
 import org.woadvale.dataplane.DataPlaneNode;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.platform.PlatformApi;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -48,7 +48,7 @@
     private final List<String> seeds;
     private final Map<String, ControlNode> controlNodes = new HashMap<>();
     private final Map<String, DataPlaneNode> pilots = new HashMap<>();
-    private final Map<String, Function<Request, Mono<Answer>>> doors = new HashMap<>();
+    private final Map<String, Function<Request, Mono<Response>>> doors = new HashMap<>();
     private final Seams seams;
     private Function<String, Mono<byte[]>> pages =
             path -> Mono.error(new ServiceException(ErrorKind.UNAVAILABLE, "no list yet"));
@@ -94,27 +94,28 @@
         boolean controlNode = lighthouses.contains(address);
         boolean store = stores.contains(address);
         RpcRouter router = new RpcRouter();
-        Codec codec =
-                controlNode ? Wire.codec(Wire.LIGHTHOUSE, Operators.types()) : Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = controlNode
+                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())
+                : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         h.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(h, codec));
         WriteAheadLog book = controlNode || store
                 ? RingWriteAheadLog.open(seams.disk().apply(address, h.disk), h, RING_FILES, World.LARGE_RING)
                 : new DisabledWriteAheadLog();
         book.onFailure(why -> h.kill());
-        Env env = new Env(
+        NodeEnvironment env = new NodeEnvironment(
                 seams.times().apply(address, h),
                 h,
                 rpc,
                 codec,
                 book,
                 sim.random()::nextLong,
-                seams.timing().apply(controlNode ? ReplicationTiming.core() : ReplicationTiming.usual()));
+                seams.timing().apply(controlNode ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
         CoreClient core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {});
         if (controlNode) {
             ControlNode n = new ControlNode(env, core, seeds, zone(address));
             n.route(router);
-            Operators o = new Operators(n, "");
+            OperatorHttpHandler o = new OperatorHttpHandler(n, "");
             o.route(router);
             controlNodes.put(address, n);
             doors.put(address, PlatformApi.control(o));
@@ -161,13 +162,13 @@
     }
 
     /** A request of a client, a fetching processor or the operator to one node. */
-    public void request(String to, Request q, Duration limit, Consumer<Optional<Answer>> then) {
+    public void request(String to, Request q, Duration limit, Consumer<Optional<Response>> then) {
         reach(to, q, () -> doors.get(to).apply(q), limit, then);
     }
 
     /** The same, waited for: nobody else waits meanwhile. */
-    public Optional<Answer> ask(String to, Request q, Duration limit) {
-        java.util.concurrent.atomic.AtomicReference<Optional<Answer>> out =
+    public Optional<Response> ask(String to, Request q, Duration limit) {
+        java.util.concurrent.atomic.AtomicReference<Optional<Response>> out =
                 new java.util.concurrent.atomic.AtomicReference<>();
         request(to, q, limit, out::set);
         sim.runUntil(() -> out.get() != null, limit.plusSeconds(1));
@@ -180,7 +181,7 @@
                 .filter(s -> host(s).alive()
                         && pilots.get(s).status().get("parts") instanceof Map<?, ?> parts
                         && parts.get(part) instanceof Map<?, ?> p
-                        && p.get("phase") == Phase.OWNING)
+                        && p.get("phase") == Role.LEADER)
                 .findFirst();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 
@@ -55,7 +55,7 @@
                 text.getBytes(StandardCharsets.UTF_8));
         Duration tried = network.sim.now();
         network.request(to, q, CALL, a -> {
-            int status = a.map(Answer::status).orElse(0);
+            int status = a.map(Response::status).orElse(0);
             seen.orderCalls.add(
                     new ObservationLog.OrderCall(text, base, p.configRevision(), tried, network.sim.now(), status));
             if (status == 0 || status >= 500 || status == 429 || status == 408) {
@@ -200,7 +200,7 @@
                         before.revision(),
                         sent,
                         network.sim.now(),
-                        a.map(Answer::status).orElse(0))));
+                        a.map(Response::status).orElse(0))));
     }
 
     private String anyControlNode() {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 
@@ -110,8 +110,8 @@
         network.request(node, request, PATIENCE, answer -> answered(id, answer));
     }
 
-    private void answered(String id, Optional<Answer> answer) {
-        int status = answer.map(Answer::status).orElse(0);
+    private void answered(String id, Optional<Response> answer) {
+        int status = answer.map(Response::status).orElse(0);
         answers.merge(status, 1, Integer::sum);
         String ref =
                 answer.map(a -> a.headers().getOrDefault("X-Message-Ref", id)).orElse("");
@@ -142,22 +142,23 @@
                 }));
     }
 
-    private void get(String path, ObservationLog.Sent sent, Consumer<Optional<Answer>> then) {
+    private void get(String path, ObservationLog.Sent sent, Consumer<Optional<Response>> then) {
         Map<String, String> headers = Map.of("host", PlatformSimulation.HOST, "authorization", "Token " + keyOf(sent));
         network.request(entry.any(), new Request("GET", path, headers, new byte[0]), READ_LIMIT, then);
     }
 
-    private static boolean served(Optional<Answer> answer) {
+    private static boolean served(Optional<Response> answer) {
         return answer.filter(a -> a.status() < 500).isPresent();
     }
 
-    private static ObservationLog.Shown shown(ObservationLog.Sent sent, Optional<Answer> state, Optional<Answer> body) {
+    private static ObservationLog.Shown shown(
+            ObservationLog.Sent sent, Optional<Response> state, Optional<Response> body) {
         return new ObservationLog.Shown(
                 sent.id(),
-                state.map(Answer::status).orElse(0),
+                state.map(Response::status).orElse(0),
                 state.map(a -> Callers.json(a).path("state").asText()).orElse(""),
                 state.map(a -> Callers.json(a).path("seal").asText()).orElse(""),
-                body.map(Answer::status).orElse(0),
+                body.map(Response::status).orElse(0),
                 body.filter(a -> a.status() == 200)
                         .map(a -> new String(a.body(), StandardCharsets.UTF_8))
                         .orElse(""));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
@@ -21,9 +21,9 @@
 /** Addresses at which processors take work, and the way there from the stores. */
 public final class ProcessorSimulation {
     private final NetworkSimulation network;
-    private final Map<String, Function<Request, Mono<Answer>>> at = new HashMap<>();
+    private final Map<String, Function<Request, Mono<Response>>> at = new HashMap<>();
     private final Set<String> silent = new HashSet<>();
-    private BiConsumer<Request, Answer> onRead = (q, a) -> {};
+    private BiConsumer<Request, Response> onRead = (q, a) -> {};
     private final Map<String, Duration> slowStreams = new HashMap<>();
     private double answerLoss;
 
@@ -32,7 +32,7 @@
     }
 
     /** Whoever was at the address before is there no more. */
-    public void place(String address, Function<Request, Mono<Answer>> processor) {
+    public void place(String address, Function<Request, Mono<Response>> processor) {
         at.put(address, processor);
     }
 
@@ -59,15 +59,15 @@
     }
 
     /** Told when a sender has read an answer. */
-    public void onRead(BiConsumer<Request, Answer> c) {
+    public void onRead(BiConsumer<Request, Response> c) {
         onRead = c;
     }
 
     DeliveryClient from(Host h) {
         return call -> Mono.defer(() -> {
-            Sinks.One<DeliveryClient.Reply> sink = Sinks.one();
+            Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
             h.after(
-                    call.limit(),
+                    call.timeout(),
                     () -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time")));
             String rest = call.url().substring("http://".length());
             String address = rest.substring(0, rest.indexOf('/'));
@@ -76,7 +76,7 @@
             network.sim.after(
                     network.net.delay().plus(slowStreams.getOrDefault(address, Duration.ZERO)),
                     () -> h.soon(() -> {
-                        if (!at.containsKey(address) || !call.still().getAsBoolean()) {
+                        if (!at.containsKey(address) || !call.stillPermitted().getAsBoolean()) {
                             sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "refused"));
                             return;
                         }
@@ -92,8 +92,8 @@
         return out;
     }
 
-    private void arrive(Host h, String address, Request q, Sinks.One<DeliveryClient.Reply> sink) {
-        Optional<Function<Request, Mono<Answer>>> p = Optional.ofNullable(at.get(address));
+    private void arrive(Host h, String address, Request q, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
+        Optional<Function<Request, Mono<Response>>> p = Optional.ofNullable(at.get(address));
         if (p.isEmpty()) {
             h.soon(() -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "reset")));
             return;
@@ -106,7 +106,7 @@
                                 network.sim.after(
                                         network.net.delay(),
                                         () -> h.soon(() -> {
-                                            if (sink.tryEmitValue(new DeliveryClient.Reply(
+                                            if (sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
                                                             a.status(), lower(a.headers()), a.body()))
                                                     == Sinks.EmitResult.OK) {
                                                 onRead.accept(q, a);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ObservationLog;
 
 /** One life of a processor that fetches its jobs, a call for each free slot. docs/platform.md 5 */
@@ -77,7 +77,7 @@
         });
     }
 
-    private void work(Answer job) {
+    private void work(Response job) {
         String message = job.headers().get("X-Attempt-Id");
         Duration began = network.sim.now();
         boolean turnedAway = network.sim.luck(habits.turnsAway());
@@ -112,11 +112,11 @@
         });
     }
 
-    private static Map<String, String> lease(Answer job) {
+    private static Map<String, String> lease(Response job) {
         return new LinkedHashMap<>(Map.of("x-lease-id", job.headers().get("X-Lease-Id")));
     }
 
-    private void extendLater(Answer job, boolean[] over) {
+    private void extendLater(Response job, boolean[] over) {
         network.sim.after(NetworkSimulation.LEASE.dividedBy(3), () -> {
             if (alive && !mute && !over[0]) {
                 network.request(
@@ -131,7 +131,7 @@
     }
 
     /** An end without an answer is said again, until it has one. */
-    private void end(Answer job, int outcome, String seal) {
+    private void end(Response job, int outcome, String seal) {
         if (!alive) {
             return;
         }
@@ -140,7 +140,7 @@
         h.put("x-server-seal", seal);
         String message = job.headers().get("X-Attempt-Id");
         network.request(entry.any(), new Request("POST", "/-/job-end/" + message, h, new byte[0]), CALL, a -> {
-            int status = a.map(Answer::status).orElse(0);
+            int status = a.map(Response::status).orElse(0);
             if (status == 0 || status >= 500) {
                 network.sim.after(AGAIN, () -> end(job, outcome, seal));
                 return;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
@@ -5,8 +5,8 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ObservationLog;
 import reactor.core.publisher.Mono;
 
@@ -69,12 +69,12 @@
         return q.headers().getOrDefault(name, "");
     }
 
-    private Answer answer(Request q, int status, boolean notRun) {
-        Answer a = new Answer(status, Map.of("X-Attempt-Id", header(q, "x-attempt-id")), new byte[0]);
+    private Response answer(Request q, int status, boolean notRun) {
+        Response a = new Response(status, Map.of("X-Attempt-Id", header(q, "x-attempt-id")), new byte[0]);
         return notRun ? a.with("X-Not-Executed", "1") : a;
     }
 
-    Mono<Answer> take(Request q) {
+    Mono<Response> take(Request q) {
         String message = header(q, "x-attempt-id");
         String expected = header(q, "x-expect-instance");
         boolean other = !expected.isEmpty() && !expected.equals(id);
@@ -100,7 +100,7 @@
         return run(q, message);
     }
 
-    private Mono<Answer> run(Request q, String message) {
+    private Mono<Response> run(Request q, String message) {
         Duration began = network.sim.now();
         Duration limit = Duration.ofMillis(Long.parseLong(header(q, "x-deadline-ms")));
         Duration work = habits.work(network.sim).plusMillis(busy >= slots ? 50 : 0);
@@ -129,7 +129,7 @@
             }
             seen.ended.add(new ObservationLog.Ended(message, outcome, seal, began, network.sim.now()));
             if (outcome > 0) {
-                Answer a = answer(q, outcome, false);
+                Response a = answer(q, outcome, false);
                 sink.success(seal.isEmpty() ? a : a.with("X-Server-Seal", seal));
             }
         }));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ObservationLog;
 
@@ -205,7 +205,7 @@
         return p.end(Duration.ofSeconds(10));
     }
 
-    void watchAnswers(BiConsumer<Request, Answer> watcher) {
+    void watchAnswers(BiConsumer<Request, Response> watcher) {
         r.watchAnswers(watcher);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -66,9 +66,9 @@
     }
 
     @Override
-    public Leaf open(String name, int size) {
+    public DiskFile open(String name, int size) {
         Platter p = files.computeIfAbsent(name, n -> new Platter(size));
-        return new Leaf() {
+        return new DiskFile() {
             @Override
             public int size() {
                 return p.synced.length;
