--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -140,14 +140,14 @@
         }
 
         @Override
-        public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
                         TimerHandle late = self.after(
                                 limit,
                                 () -> sink.tryEmitError(
                                         new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time.")));
-                        Frame ask = new Frame(1, Frame.Kind.ASK, body);
+                        Frame ask = new Frame(1, Frame.Kind.REQUEST, body);
                         byte[] bytes = codec.write(ask);
                         sent(self.address, to, ask, bytes);
                         long life = self.life();
@@ -157,12 +157,12 @@
                         }
                         return sink.asMono().doFinally(s -> late.cancel());
                     })
-                    .flatMap(f -> f.kind() == Frame.Kind.REFUSAL
-                            ? Mono.<T>error(fault((Frame.Refusal) f.body()))
+                    .flatMap(f -> f.kind() == Frame.Kind.ERROR
+                            ? Mono.<T>error(fault((Frame.ErrorResponse) f.body()))
                             : Mono.just(answer.cast(f.body())));
         }
 
-        private ServiceException fault(Frame.Refusal r) {
+        private ServiceException fault(Frame.ErrorResponse r) {
             return new ServiceException(ErrorKind.valueOf(r.kind()), r.message(), r.details());
         }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimPost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimPost.java
@@ -51,12 +51,12 @@
     Outside clock() {
         return new Outside() {
             @Override
-            public Duration mono() {
+            public Duration monotonicTime() {
                 return w.sim.now();
             }
 
             @Override
-            public Instant wall() {
+            public Instant wallTime() {
                 return Instant.EPOCH.plus(w.sim.now());
             }
 
@@ -85,9 +85,9 @@
 
     DeliveryClient from(Host h) {
         return call -> Mono.defer(() -> {
-            Sinks.One<DeliveryClient.Reply> sink = Sinks.one();
+            Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
             h.after(
-                    call.limit(),
+                    call.timeout(),
                     () -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time")));
             String rest = call.url().substring("http://".length());
             String address = rest.substring(0, rest.indexOf('/'));
@@ -97,8 +97,8 @@
                 w.sim.after(
                         w.net.delay(),
                         () -> h.soon(() -> {
-                            if (call.still().getAsBoolean()) {
-                                sink.tryEmitValue(new DeliveryClient.Reply(200, new byte[] {'{', '}'}));
+                            if (call.stillPermitted().getAsBoolean()) {
+                                sink.tryEmitValue(new DeliveryClient.DeliveryResponse(200, new byte[] {'{', '}'}));
                             }
                         }));
                 return sink.asMono();
@@ -106,7 +106,9 @@
             w.sim.after(
                     w.net.delay().plus(slowStreams.getOrDefault(id, Duration.ZERO)),
                     () -> h.soon(() -> {
-                        if (b.isEmpty() || down.contains(id) || !call.still().getAsBoolean()) {
+                        if (b.isEmpty()
+                                || down.contains(id)
+                                || !call.stillPermitted().getAsBoolean()) {
                             sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "refused"));
                             return;
                         }
@@ -127,7 +129,7 @@
         });
     }
 
-    private void arrive(Host h, String id, Backend b, Request q, Sinks.One<DeliveryClient.Reply> sink) {
+    private void arrive(Host h, String id, Backend b, Request q, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
         if (down.contains(id)) {
             return;
         }
@@ -137,8 +139,8 @@
                             if (!w.sim.luck(answerLoss) && !down.contains(id)) {
                                 w.sim.after(
                                         w.net.delay(),
-                                        () -> h.soon(() ->
-                                                sink.tryEmitValue(new DeliveryClient.Reply(a.status(), a.body()))));
+                                        () -> h.soon(() -> sink.tryEmitValue(
+                                                new DeliveryClient.DeliveryResponse(a.status(), a.body()))));
                             }
                         },
                         e -> {});
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 
 /** Simulated fleets that are played to see what they answer and store, in the ordinary course and under faults. */
@@ -25,7 +25,7 @@
     public record Folders(SimDisk control, SimDisk store) {}
 
     /** Plays one day behind each of the two HTTP interfaces and asks each place that no client of them asks. */
-    public static void play(BiConsumer<Request, Answer> watcher) throws ServiceException {
+    public static void play(BiConsumer<Request, Response> watcher) throws ServiceException {
         SeededPlatformDays day = new SeededPlatformDays(SEED);
         day.watchAnswers(watcher);
         day.run(DAY);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
@@ -81,18 +81,18 @@
         List<Integer> holders = new ArrayList<>();
         long terms = 0;
         for (String s : v.w.stores) {
-            stores.add(v.w.host(s).alive() ? v.w.pilot(s).owned() : 0);
+            stores.add(v.w.host(s).alive() ? v.w.pilot(s).ledCount() : 0);
         }
         for (String l : v.w.lighthouses) {
             controlNodes.add(
                     v.w.host(l).alive()
                             ? ServiceNames.controlParts().stream()
-                                    .filter(p -> v.w.controlNode(l).replica(p).phase() == Phase.OWNING)
+                                    .filter(p -> v.w.controlNode(l).replica(p).role() == Role.LEADER)
                                     .count()
                             : 0);
         }
         for (String i : v.w.intakes) {
-            holders.add(v.w.host(i).alive() ? v.w.pilot(i).holds().size() : 0);
+            holders.add(v.w.host(i).alive() ? v.w.pilot(i).ownedBuckets().size() : 0);
         }
         for (String p : ServiceNames.messageParts()) {
             terms += v.w.stores.stream()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -166,7 +166,7 @@
 
     private boolean everyPartitionIsLed() {
         return fleet.w.presentStores().stream()
-                        .mapToLong(store -> fleet.w.pilot(store).owned())
+                        .mapToLong(store -> fleet.w.pilot(store).ledCount())
                         .sum()
                 == ServiceNames.MESSAGE_PARTS;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import org.woadvale.common.config.Settings;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
@@ -24,10 +24,10 @@
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WriteAheadLog;
-import org.woadvale.controlplane.partition.ControlNode;
-import org.woadvale.controlplane.partition.Operators;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.dataplane.DataPlaneNode;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
@@ -50,7 +50,7 @@
     private List<String> joinSeeds;
 
     private final Map<String, ControlNode> controlNodes = new HashMap<>();
-    private final Map<String, Operators> operators = new HashMap<>();
+    private final Map<String, OperatorHttpHandler> operators = new HashMap<>();
     private final Map<String, DataPlaneNode> pilots = new HashMap<>();
     private final Seams seams;
 
@@ -126,27 +126,29 @@
         boolean controlNode = lighthouses.contains(address);
         boolean store = stores.contains(address);
         RpcRouter router = new RpcRouter();
-        Codec codec =
-                controlNode ? Wire.codec(Wire.LIGHTHOUSE, Operators.types()) : Wire.codec(Wire.PILOT, Commands.types());
+        Codec codec = controlNode
+                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())
+                : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         h.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(h, codec));
         WriteAheadLog book = controlNode || store
                 ? RingWriteAheadLog.open(seams.disk().apply(address, h.disk), h, RING_FILES, ringBytes)
                 : new DisabledWriteAheadLog();
         book.onFailure(why -> h.kill());
-        Env env = new Env(
+        NodeEnvironment env = new NodeEnvironment(
                 seams.times().apply(address, h),
                 h,
                 rpc,
                 codec,
                 book,
                 sim.random()::nextLong,
-                seams.timing().apply(controlNode || store ? ReplicationTiming.core() : ReplicationTiming.usual()));
+                seams.timing()
+                        .apply(controlNode || store ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
         CoreClient core = new CoreClient(rpc, sim.random()::nextLong, joinSeeds, CoreMembers.unknown(), l -> {});
         if (controlNode) {
             ControlNode n = new ControlNode(env, core, seeds.contains(address) ? seeds : List.of(), zone(address));
             n.route(router);
-            Operators o = new Operators(n, "");
+            OperatorHttpHandler o = new OperatorHttpHandler(n, "");
             o.route(router);
             controlNodes.put(address, n);
             operators.put(address, o);
@@ -196,13 +198,13 @@
     }
 
     /** A request from outside to one node; no answer at all if the node dies or stays away. */
-    public void request(String to, Request q, Duration limit, java.util.function.Consumer<Optional<Answer>> then) {
+    public void request(String to, Request q, Duration limit, java.util.function.Consumer<Optional<Response>> then) {
         reach(
                 to,
                 q,
                 () -> lighthouses.contains(to)
-                        ? operators.get(to).answer(q)
-                        : pilots.get(to).answer(q),
+                        ? operators.get(to).handle(q)
+                        : pilots.get(to).handle(q),
                 limit,
                 then);
     }
@@ -227,9 +229,9 @@
                                         .noneMatch(g -> g.stream().anyMatch(this::lost)))
                 && presentLighthouses().stream()
                         .allMatch(l -> ServiceNames.controlParts().stream()
-                                .allMatch(p -> controlNodes.get(l).replica(p).phase() != Phase.BLANK
-                                        && controlNodes.get(l).replica(p).phase() != Phase.STOPPED
-                                        && controlNodes.get(l).replica(p).group().keySet().stream()
+                                .allMatch(p -> controlNodes.get(l).replica(p).role() != Role.UNINITIALIZED
+                                        && controlNodes.get(l).replica(p).role() != Role.STOPPED
+                                        && controlNodes.get(l).replica(p).members().keySet().stream()
                                                 .noneMatch(this::lost)));
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.Clock;
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
@@ -88,7 +88,7 @@
         life++;
         running.forEach((handle, n) -> {
             for (int i = 0; i < n; i++) {
-                s.saw(s.died, new Observations.Died(handle, times.mono()));
+                s.saw(s.died, new Observations.Died(handle, times.monotonicTime()));
             }
         });
         running.clear();
@@ -101,10 +101,10 @@
         return Math.floorMod(random.getAsLong(), 10000L) < p * 10000;
     }
 
-    public Mono<Answer> answer(Request q) {
+    public Mono<Response> answer(Request q) {
         return Mono.defer(() -> {
             if (paced) {
-                s.saw(s.endpoints, new Observations.RequestAtEndpoint(service, times.mono()));
+                s.saw(s.endpoints, new Observations.RequestAtEndpoint(service, times.monotonicTime()));
             }
             try {
                 return q.method().equals("POST")
@@ -113,18 +113,18 @@
                                 q.segments().get(q.segments().size() - 1),
                                 q.path().replaceAll(".*attempt=", "")));
             } catch (ServiceException e) {
-                return Mono.just(Answer.of(e));
+                return Mono.just(Response.of(e));
             }
         });
     }
 
-    private synchronized Mono<Answer> work(JsonNode m) {
+    private synchronized Mono<Response> work(JsonNode m) {
         String handle = m.path("messageId").asText();
         int attempt = m.path("attempt").asInt();
         Manner now = manner.towards(m.path("tenant").asText());
         if (luck(now.later()) || fenced.contains(handle + "/" + attempt)) {
-            s.saw(s.turnedAway, new Observations.TurnedAway(handle, attempt, times.mono()));
-            return Mono.just(Answer.json(503, Map.of("error", "later")));
+            s.saw(s.turnedAway, new Observations.TurnedAway(handle, attempt, times.monotonicTime()));
+            return Mono.just(Response.json(503, Map.of("error", "later")));
         }
         s.saw(
                 s.ran,
@@ -137,10 +137,10 @@
                         attempt,
                         id,
                         service,
-                        times.mono()));
+                        times.monotonicTime()));
         running.merge(handle, 1, Integer::sum);
         int begunIn = life;
-        Mono<Answer> answer = Delays.pause(schedules, now.work())
+        Mono<Response> answer = Delays.pause(schedules, now.work())
                 .flatMap(x -> worked(handle, attempt, now, begunIn))
                 .cache();
         // once begun, the work goes on though whoever asked for it has gone
@@ -148,25 +148,25 @@
         return answer;
     }
 
-    private synchronized Mono<Answer> worked(String handle, int attempt, Manner now, int begunIn) {
+    private synchronized Mono<Response> worked(String handle, int attempt, Manner now, int begunIn) {
         if (begunIn != life) {
             return Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "the processor died"));
         }
         running.merge(handle, -1, (a, b) -> a + b == 0 ? null : a + b);
         if (luck(now.refuse())) {
-            s.saw(s.answered, new Observations.Answered(handle, attempt, id, times.mono(), false, ""));
-            return Mono.just(Answer.json(422, Map.of("error", "refused")));
+            s.saw(s.answered, new Observations.Answered(handle, attempt, id, times.monotonicTime(), false, ""));
+            return Mono.just(Response.json(422, Map.of("error", "refused")));
         }
         String receipt = id + ":" + handle + ":" + attempt;
         done.put(handle, new Done(attempt, receipt));
-        s.saw(s.answered, new Observations.Answered(handle, attempt, id, times.mono(), true, receipt));
+        s.saw(s.answered, new Observations.Answered(handle, attempt, id, times.monotonicTime(), true, receipt));
         if (luck(now.loseAnswer())) {
             return Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "the answer is lost"));
         }
         if (luck(now.breakAnswer())) {
-            return Mono.just(Answer.json(luck(0.5) ? 500 : 502, Map.of("error", "something broke after the work")));
+            return Mono.just(Response.json(luck(0.5) ? 500 : 502, Map.of("error", "something broke after the work")));
         }
-        return Mono.just(Answer.json(200, shown(handle, "done", attempt, receipt)));
+        return Mono.just(Response.json(200, shown(handle, "done", attempt, receipt)));
     }
 
     private static Map<String, Object> shown(String handle, String state, int attempt, String receipt) {
@@ -179,9 +179,9 @@
     }
 
     /** "Not known" is a promise that this attempt does not begin later; one without memory cannot give it. */
-    private synchronized Answer told(String handle, String attempt) {
+    private synchronized Response told(String handle, String attempt) {
         if (done.containsKey(handle)) {
-            return Answer.json(
+            return Response.json(
                     200,
                     shown(
                             handle,
@@ -190,12 +190,12 @@
                             done.get(handle).receipt()));
         }
         if (running.containsKey(handle)) {
-            return Answer.json(200, shown(handle, "running", 0, ""));
+            return Response.json(200, shown(handle, "running", 0, ""));
         }
         if (forgetful) {
-            return Answer.json(410, shown(handle, "unsure", 0, ""));
+            return Response.json(410, shown(handle, "unsure", 0, ""));
         }
         fenced.add(handle + "/" + attempt);
-        return Answer.json(404, shown(handle, "unknown", 0, ""));
+        return Response.json(404, shown(handle, "unknown", 0, ""));
     }
 }
--- a/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
+++ b/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
@@ -34,17 +34,17 @@
         }
 
         @Override
-        public void say(String line) {
+        public void print(String line) {
             transcript.add(line);
         }
 
         @Override
         public Duration now() {
-            return environment.times.mono();
+            return environment.times.monotonicTime();
         }
 
         @Override
-        public void rest(Duration duration) {
+        public void sleep(Duration duration) {
             LockSupport.parkNanos(duration.toNanos());
         }
     }
@@ -66,11 +66,12 @@
     void run(String name, Map<String, String> values) throws ServiceException {
         transcript.clear();
         assertTrue(
-                new Runner(this::send, new ScriptedOperator(), "", false).run(Runbooks.load(name), values),
+                new RunbookRunner(this::send, new ScriptedOperator(), "", false).run(Runbooks.load(name), values),
                 () -> name + ": " + String.join("\n", transcript));
     }
 
-    Wire.Got send(String method, String url, Map<String, String> headers, byte[] body) throws IOException {
+    HttpTransport.HttpResult send(String method, String url, Map<String, String> headers, byte[] body)
+            throws IOException {
         String rest = url.substring("http://".length());
         int slash = rest.indexOf('/');
         try {
@@ -81,7 +82,7 @@
             Map<String, String> firstValues = new HashMap<>();
             answer.headers()
                     .forEach((header, values) -> firstValues.put(header.toLowerCase(Locale.ROOT), values.get(0)));
-            return new Wire.Got(answer.status(), firstValues, answer.body());
+            return new HttpTransport.HttpResult(answer.status(), firstValues, answer.body());
         } catch (CompletionException e) {
             throw new IOException(String.valueOf(e.getCause()));
         }
--- a/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
@@ -64,7 +64,7 @@
         Matcher m = Pattern.compile("enum: \\[(bad_request[^\\]]*)\\]").matcher(schema);
         assertTrue(m.find(), "the kinds must be there");
         assertEquals(
-                Stream.of(ErrorKind.values()).map(ErrorKind::word).toList(),
+                Stream.of(ErrorKind.values()).map(ErrorKind::wireName).toList(),
                 List.of(m.group(1).split(",\\s*")));
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
@@ -14,13 +14,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.membership.ControlMessages;
-import org.woadvale.common.ratelimit.AdmissionTokens;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.ratelimit.TokenMessages;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.rpc.AtMostOnceRequest;
 import org.woadvale.common.rpc.RpcRequest;
-import org.woadvale.controlplane.partition.Operators;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.dataplane.queue.MessageCommands;
 
 /** docs/calls.md has a row for each call, says of it what its type says, and names only tests that there are. */
 class CallsTableTest {
@@ -43,13 +43,13 @@
 
     private static List<Class<?>> requests() {
         List<Class<?>> out = new ArrayList<>();
-        out.addAll(Messages.types());
+        out.addAll(ReplicationMessages.types());
         out.addAll(SnapshotMessages.types());
         out.addAll(ControlMessages.types());
         out.addAll(ControlMessages.later());
-        out.addAll(AdmissionTokens.types());
-        out.addAll(Commands.types());
-        out.addAll(Operators.types());
+        out.addAll(TokenMessages.types());
+        out.addAll(MessageCommands.types());
+        out.addAll(OperatorHttpHandler.types());
         out.removeIf(c -> !RpcRequest.class.isAssignableFrom(c));
         return out;
     }
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/HttpShapes.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/HttpShapes.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.Set;
 import java.util.TreeSet;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 
 /** The form of HTTP exchanges: method, path without ids, status, names of the headers, fields of the JSON body. */
 final class HttpShapes {
@@ -37,7 +37,7 @@
 
     private final Set<String> shapes = new TreeSet<>();
 
-    void saw(Request request, Answer answer) {
+    void saw(Request request, Response answer) {
         StringBuilder path = new StringBuilder();
         for (String segment : request.segments()) {
             path.append('/').append(FIXED.contains(segment) ? segment : "*");
@@ -46,7 +46,7 @@
                 + new TreeSet<>(answer.headers().keySet()) + " " + body(answer));
     }
 
-    private static String body(Answer answer) {
+    private static String body(Response answer) {
         boolean json = "application/json".equals(answer.headers().get("Content-Type"));
         if (!json || answer.status() == 200 && answer.headers().containsKey("ETag")) {
             return "-";
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -13,8 +13,8 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.replication.Env;
 import org.woadvale.common.replication.LogEntry;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.replication.ReplicationTiming;
@@ -22,9 +22,9 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
-import org.woadvale.controlplane.partition.ControlStateMachine;
+import org.woadvale.common.wal.WalRecord;
+import org.woadvale.controlplane.state.ControlStateMachine;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.testkit.simulation.Harness;
 import org.woadvale.testkit.simulation.Sim;
@@ -59,16 +59,16 @@
         }
         RingWriteAheadLog wal = RingWriteAheadLog.open(machine.disk(), machine.host(), RING_FILES, RING_BYTES);
         Codec codec = program.codec();
-        Env env = new Env(
+        NodeEnvironment env = new NodeEnvironment(
                 machine.host(),
                 machine.host(),
                 machine.rpc(codec),
                 codec,
                 wal,
                 sim.random()::nextLong,
-                ReplicationTiming.core());
+                ReplicationTiming.partitions());
         List<String> out = new ArrayList<>();
-        for (Map.Entry<String, List<Entry>> part : new TreeMap<>(wal.recovered()).entrySet()) {
+        for (Map.Entry<String, List<WalRecord>> part : new TreeMap<>(wal.recovered()).entrySet()) {
             StateMachine state = part.getKey().startsWith("c")
                     ? new ControlStateMachine(codec, HISTORY_BYTES)
                     : new MessageStateMachine(part.getKey(), codec);
@@ -76,7 +76,7 @@
             replica.start(part.getValue());
             ReplicaProbe.ReplicaState recovered = ReplicaProbe.state(replica);
             applyLog(recovered, state, codec);
-            out.add(line(part, recovered, codec.read(state.view(), Object.class)));
+            out.add(line(part, recovered, codec.read(state.snapshot(), Object.class)));
         }
         sim.run(Duration.ofSeconds(1));
         return out;
@@ -93,7 +93,8 @@
         }
     }
 
-    private static String line(Map.Entry<String, List<Entry>> part, ReplicaProbe.ReplicaState recovered, Object state)
+    private static String line(
+            Map.Entry<String, List<WalRecord>> part, ReplicaProbe.ReplicaState recovered, Object state)
             throws ReflectiveOperationException {
         return String.join(
                 " ",
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.controlplane.partition.Operators;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.dataplane.queue.MessageCommands;
 
 /** One line for each registered type: its number, the bytes of a sample, the first format's order of components. */
 final class StoredFrames {
@@ -25,12 +25,12 @@
     /** The types of one program. */
     record Program(String name, int ownFirst, List<Class<?>> own) {
         Codec codec() {
-            return Wire.codec(ownFirst, own);
+            return RpcTypeNumbers.codec(ownFirst, own);
         }
 
         Map<Integer, Class<?>> types() {
             Map<Integer, Class<?>> out = new TreeMap<>();
-            Wire.numbers(ownFirst, own).forEach((first, list) -> {
+            RpcTypeNumbers.numbers(ownFirst, own).forEach((first, list) -> {
                 for (int i = 0; i < list.size(); i++) {
                     out.put(first + i, list.get(i));
                 }
@@ -41,8 +41,8 @@
 
     static List<Program> programs() {
         return List.of(
-                new Program("control", Wire.LIGHTHOUSE, Operators.types()),
-                new Program("data", Wire.PILOT, Commands.types()));
+                new Program("control", RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types()),
+                new Program("data", RpcTypeNumbers.DATA_PLANE, MessageCommands.types()));
     }
 
     static List<String> lines() throws ReflectiveOperationException {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
@@ -41,24 +41,24 @@
         return wal;
     }
 
-    private void append(RingWriteAheadLog wal, Entry.Kind kind, long index, int bytes) {
-        wal.append(List.of(new Entry("m1", kind, index, 1, new byte[bytes])), () -> confirmed.add(index));
+    private void append(RingWriteAheadLog wal, WalRecord.Kind kind, long index, int bytes) {
+        wal.append(List.of(new WalRecord("m1", kind, index, 1, new byte[bytes])), () -> confirmed.add(index));
     }
 
     private static List<Long> recovered(RingWriteAheadLog wal) {
         return wal.recovered().getOrDefault("m1", List.of()).stream()
-                .map(Entry::index)
+                .map(WalRecord::index)
                 .toList();
     }
 
     @Test
     void aFullDiskConfirmsNothingAndGoesOnWhereItStopped() throws ServiceException {
         RingWriteAheadLog wal = open(SIZE);
-        append(wal, Entry.Kind.ENTRY, 1, 100);
+        append(wal, WalRecord.Kind.ENTRY, 1, 100);
         sim.run(Duration.ofMillis(20));
         h.disk().setFull(true);
         for (long i = 2; i <= 30; i++) {
-            append(wal, Entry.Kind.ENTRY, i, 100);
+            append(wal, WalRecord.Kind.ENTRY, i, 100);
             sim.run(Duration.ofMillis(100));
         }
         assertEquals(List.of(1L), confirmed);
@@ -76,7 +76,7 @@
     void aKillWhileTheDiskIsFullLosesNothingConfirmed(long killedAfter) throws ServiceException {
         RingWriteAheadLog wal = open(SIZE);
         for (long i = 1; i <= killedAfter * 7; i++) {
-            append(wal, Entry.Kind.ENTRY, i, 100);
+            append(wal, WalRecord.Kind.ENTRY, i, 100);
             h.disk().setFull(i % 5 == 0);
             sim.run(Duration.ofMillis(30));
         }
@@ -92,7 +92,7 @@
     void aBlankFolderOnAFullDiskIsMadeOnceThereIsRoom() throws ServiceException {
         h.disk().setFull(true);
         RingWriteAheadLog wal = open(SIZE);
-        append(wal, Entry.Kind.BASE, 1, 100);
+        append(wal, WalRecord.Kind.SNAPSHOT, 1, 100);
         sim.run(Duration.ofSeconds(5));
         assertEquals(List.of(), confirmed);
         h.disk().setFull(false);
@@ -106,7 +106,7 @@
         RingWriteAheadLog wal = open(LARGE_SIZE);
         h.disk().setFull(true);
         for (long i = 1; i <= 20; i++) {
-            append(wal, Entry.Kind.ENTRY, i, 200_000);
+            append(wal, WalRecord.Kind.ENTRY, i, 200_000);
         }
         sim.run(Duration.ofSeconds(1));
         assertTrue(wal.nearlyFull());
@@ -121,10 +121,10 @@
     void waitingSnapshotsReplaceWhatWaitsBeforeThem() throws ServiceException {
         RingWriteAheadLog wal = open(LARGE_SIZE);
         h.disk().setFull(true);
-        append(wal, Entry.Kind.ENTRY, 1, 100);
+        append(wal, WalRecord.Kind.ENTRY, 1, 100);
         sim.run(Duration.ofMillis(20));
         for (long i = 2; i <= 40; i++) {
-            append(wal, i % 10 == 0 ? Entry.Kind.BASE : Entry.Kind.ENTRY, i, 200_000);
+            append(wal, i % 10 == 0 ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY, i, 200_000);
         }
         h.disk().setFull(false);
         sim.run(Duration.ofSeconds(1));
--- a/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
@@ -7,17 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.replication.LogEntry;
-import org.woadvale.common.replication.Messages;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.dataplane.queue.Commands;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /** What the first version wrote into logs: a changed type or number shows here before it eats a disk. */
 class OldBytesTest {
-    private static final Codec CODEC = Wire.codec(Wire.PILOT, Commands.types());
+    private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
 
     private static <T> T read(String hex, Class<T> type) throws ServiceException {
         return CODEC.readFirst(HexFormat.of().parseHex(hex), type);
@@ -25,15 +25,21 @@
 
     @Test
     void commandsOfTheFirstVersionAreRead() throws ServiceException {
-        Commands.Accept a = read("9303010b00030102010a0082688269826c826f827401e807068273d00f", Commands.Accept.class);
+        MessageCommands.Accept a =
+                read("9303010b00030102010a0082688269826c826f827401e807068273d00f", MessageCommands.Accept.class);
         assertEquals("t l i o h", String.join(" ", a.tenant(), a.lane(), a.id(), a.orderKey(), a.hash()));
         assertEquals(new RouteTerms("s", 1000, 3, 500, false), a.terms());
         assertEquals(Instant.ofEpochSecond(10), a.due());
         assertEquals(Instant.ofEpochSecond(11), a.at());
         assertEquals(
-                new Commands.End(
-                        "m0-1", 2, Commands.Ending.DONE, "r", Instant.ofEpochSecond(10), Instant.ofEpochSecond(11)),
-                read("9503010b0004010a00016d302db18272", Commands.End.class));
+                new MessageCommands.End(
+                        "m0-1",
+                        2,
+                        MessageCommands.AttemptOutcome.SUCCEEDED,
+                        "r",
+                        Instant.ofEpochSecond(10),
+                        Instant.ofEpochSecond(11)),
+                read("9503010b0004010a00016d302db18272", MessageCommands.End.class));
     }
 
     @Test
@@ -41,8 +47,9 @@
         LogEntry i = read("710209010e", LogEntry.class);
         assertEquals(7, i.term());
         assertEquals(LogEntry.Kind.COMMAND, i.kind());
-        Messages.Base b = read("7019020003613ab103827869e40a040204010b01068276", Messages.Base.class);
-        assertEquals(Map.of("a:1", "x"), b.group());
+        ReplicationMessages.ReplicaSnapshot b =
+                read("7019020003613ab103827869e40a040204010b01068276", ReplicationMessages.ReplicaSnapshot.class);
+        assertEquals(Map.of("a:1", "x"), b.members());
         assertEquals(List.of(5L, 2L, 3L), List.of(b.index(), b.indexTerm(), b.term()));
     }
 
@@ -70,8 +77,8 @@
 
     @Test
     void twoBuildsReadEachOther() throws ServiceException {
-        Codec older = new Codec(Map.of(100, List.of(Short.class, Messages.Ok.class)));
-        Codec newer = new Codec(Map.of(100, List.of(LongRecord.class, Messages.Ok.class)));
+        Codec older = new Codec(Map.of(100, List.of(Short.class, ReplicationMessages.Acknowledgement.class)));
+        Codec newer = new Codec(Map.of(100, List.of(LongRecord.class, ReplicationMessages.Acknowledgement.class)));
         assertEquals(
                 new LongRecord("x", 7, List.of(), false), newer.read(older.write(new Short("x", 7)), LongRecord.class));
         assertEquals(
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.replication.Messages;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.ReplicationMessages;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WalRecord;
 
 class ReplicationTest {
     @Test
@@ -40,7 +40,7 @@
         String next = t.awaitOwner();
         assertFalse(next.equals(old), "another must own while the first is paused");
         t.sim.run(Duration.ofSeconds(1));
-        assertFalse(t.replicas.get(old).mayAct(), "the claim of the paused owner must be gone on waking");
+        assertFalse(t.replicas.get(old).isActiveLeader(), "the claim of the paused owner must be gone on waking");
     }
 
     @ParameterizedTest
@@ -107,8 +107,8 @@
         t.awaitOwner();
         t.sim.run(Duration.ofSeconds(5));
         assertTrue(t.words.get("b:1").words.contains("precious"));
-        assertEquals(Phase.FOLLOWING, t.replicas.get("c:1").phase());
-        assertFalse(t.replicas.get("b:1").phase() == Phase.BLANK, "b must be sworn again");
+        assertEquals(Role.FOLLOWER, t.replicas.get("c:1").role());
+        assertFalse(t.replicas.get("b:1").role() == Role.UNINITIALIZED, "b must be sworn again");
     }
 
     /** The naive way, which counts the blank disk at once, loses an accepted entry: why design 5.5 is needed. */
@@ -127,8 +127,8 @@
         assertEquals("early", t.say("early"));
         t.sim.run(Duration.ofSeconds(1));
         assertEquals("a:1", t.awaitOwner());
-        String identity = t.replicas.get("b:1").group().get("b:1");
-        Map<String, String> group = t.replicas.get("b:1").group();
+        String identity = t.replicas.get("b:1").members().get("b:1");
+        Map<String, String> group = t.replicas.get("b:1").members();
         t.net.cutOff("c:1");
         assertEquals("precious", t.say("precious"));
         t.hosts.get("a:1").kill();
@@ -138,8 +138,10 @@
             t.hosts.get("b:1").boot(new org.woadvale.common.rpc.RpcRouter());
             RingWriteAheadLog book = RingWriteAheadLog.open(
                     t.hosts.get("b:1").disk(), t.hosts.get("b:1").host(), 4, 512 << 10);
-            Messages.Base base = new Messages.Base(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
-            book.append(List.of(new Entry(Trio.PART, Entry.Kind.BASE, 0, 0, t.codec.write(base))), () -> {});
+            ReplicationMessages.ReplicaSnapshot base =
+                    new ReplicationMessages.ReplicaSnapshot(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
+            book.append(
+                    List.of(new WalRecord(Trio.PART, WalRecord.Kind.SNAPSHOT, 0, 0, t.codec.write(base))), () -> {});
             t.sim.run(Duration.ofMillis(100));
             t.hosts.get("b:1").kill();
         }
@@ -157,7 +159,7 @@
         t.sim.run(Duration.ofSeconds(6));
         assertEquals(
                 Set.of("a:1", "b:1", "d:1"),
-                t.replicas.get(t.awaitOwner()).group().keySet());
+                t.replicas.get(t.awaitOwner()).members().keySet());
         t.hosts.get(t.awaitOwner()).kill();
         assertEquals("two", t.say("two"));
         assertTrue(t.words.get("d:1").words.containsAll(List.of("one", "two")));
@@ -172,7 +174,7 @@
         String successor = t.replicas.get(old).successor().orElseThrow();
         Duration begun = t.sim.now();
         assertTrue(t.replicas.get(old).transferLeadership(successor));
-        assertFalse(t.replicas.get(old).mayAct(), "the claim is given up first");
+        assertFalse(t.replicas.get(old).isActiveLeader(), "the claim is given up first");
         t.sim.runUntil(() -> t.owner().filter(successor::equals).isPresent(), Duration.ofSeconds(3));
         assertTrue(
                 t.sim.now().minus(begun).compareTo(Duration.ofMillis(500)) < 0,
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingBytesTest.java
@@ -13,8 +13,8 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.Disk;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
@@ -43,9 +43,9 @@
         }
 
         @Override
-        public Leaf open(String name, int size) throws IOException {
-            Leaf leaf = disk.open(name, size);
-            return new Leaf() {
+        public DiskFile open(String name, int size) throws IOException {
+            DiskFile leaf = disk.open(name, size);
+            return new DiskFile() {
                 @Override
                 public int size() throws IOException {
                     return leaf.size();
@@ -92,8 +92,8 @@
         return RingWriteAheadLog.open(disk, h.host(), FILES, SIZE);
     }
 
-    private static Entry entry(long index, Entry.Kind kind, int size) {
-        return new Entry("m1", kind, index, 1, new byte[size]);
+    private static WalRecord entry(long index, WalRecord.Kind kind, int size) {
+        return new WalRecord("m1", kind, index, 1, new byte[size]);
     }
 
     /** Before: all twelve files stood in the heap at once, 96 MB for a state of a few. */
@@ -105,14 +105,16 @@
         long last = 0;
         while (b.filesWritten() <= FILES + 2) {
             last++;
-            b.append(List.of(entry(last, last % 20 == 0 ? Entry.Kind.BASE : Entry.Kind.ENTRY, RECORD)), () -> {});
+            b.append(
+                    List.of(entry(last, last % 20 == 0 ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY, RECORD)),
+                    () -> {});
             sim.run(Duration.ofMillis(20));
         }
         assertEquals(List.of(), failed);
         h.powerLoss();
-        List<Entry> found = open().recovered().get("m1");
+        List<WalRecord> found = open().recovered().get("m1");
         assertEquals(last, found.get(found.size() - 1).index());
-        assertEquals(Entry.Kind.BASE, found.get(0).kind());
+        assertEquals(WalRecord.Kind.SNAPSHOT, found.get(0).kind());
         assertTrue(disk.largestRead() < RECORD + 100, "at most one record is read at once, read " + disk.largestRead());
         assertTrue(disk.buffers.stream().mapToInt(x -> x.length).max().orElse(0) < RECORD + 100);
         // the first record of each file, each file in the order of its segment, the tail
@@ -136,14 +138,14 @@
     @Test
     void aBatchIsWrittenTogether() throws ServiceException {
         RingWriteAheadLog b = open();
-        List<Entry> batch = new ArrayList<>();
+        List<WalRecord> batch = new ArrayList<>();
         for (int i = 1; i <= 40; i++) {
-            batch.add(entry(i, Entry.Kind.ENTRY, 1000));
+            batch.add(entry(i, WalRecord.Kind.ENTRY, 1000));
         }
         b.append(batch, () -> {});
         sim.run(Duration.ofMillis(20));
         assertEquals(1, disk.writes.size());
-        b.append(List.of(entry(41, Entry.Kind.ENTRY, 300_000), entry(42, Entry.Kind.ENTRY, 10)), () -> {});
+        b.append(List.of(entry(41, WalRecord.Kind.ENTRY, 300_000), entry(42, WalRecord.Kind.ENTRY, 10)), () -> {});
         sim.run(Duration.ofMillis(20));
         h.kill();
         assertEquals(42, open().recovered().get("m1").size());
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
@@ -11,8 +11,8 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.Disk;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
@@ -44,9 +44,9 @@
         }
 
         @Override
-        public Leaf open(String name, int size) throws IOException {
-            Leaf leaf = disk.open(name, size);
-            return new Leaf() {
+        public DiskFile open(String name, int size) throws IOException {
+            DiskFile leaf = disk.open(name, size);
+            return new DiskFile() {
                 @Override
                 public int size() throws IOException {
                     return leaf.size();
@@ -88,7 +88,7 @@
                     .recovered()
                     .getOrDefault("m1", List.of())
                     .stream()
-                    .map(Entry::index)
+                    .map(WalRecord::index)
                     .toList();
             long lastConfirmed =
                     confirmed.stream().mapToLong(Long::longValue).max().orElse(0);
@@ -108,9 +108,10 @@
         wal.onFailure(failures::add);
         for (long i = 1; failures.isEmpty(); i++) {
             long index = i;
-            Entry.Kind kind = i % 4 == 0 ? Entry.Kind.BASE : Entry.Kind.ENTRY;
+            WalRecord.Kind kind = i % 4 == 0 ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY;
             wal.append(
-                    List.of(new Entry("m1", kind, i, 1, new byte[sim.random().nextInt(1500)])),
+                    List.of(new WalRecord(
+                            "m1", kind, i, 1, new byte[sim.random().nextInt(1500)])),
                     () -> confirmed.add(index));
             sim.run(Duration.ofMillis(sim.random().nextInt(6)));
         }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.runtime.ServiceException;
 
@@ -30,7 +30,7 @@
     private Trio afterManyChanges(long seed, int changes) throws ServiceException {
         Trio t = new Trio(seed, RING_FILE);
         t.net.watch((from, to, frame, bytes) -> {
-            if (frame.body() instanceof SnapshotMessages.SnapshotPiece) {
+            if (frame.body() instanceof SnapshotMessages.SnapshotChunkRequest) {
                 piecesSent.merge(to, 1, Integer::sum);
                 assertTrue(bytes < 300_000, "a piece of " + bytes + " bytes");
             }
@@ -57,7 +57,7 @@
     }
 
     private static boolean counts(Trio t, String node) {
-        return t.replicas.get(node).phase() == Phase.FOLLOWING;
+        return t.replicas.get(node).role() == Role.FOLLOWER;
     }
 
     @ParameterizedTest
@@ -123,7 +123,7 @@
     }
 
     private static Map<String, String> group(Trio t) {
-        return t.replicas.get(t.awaitOwner()).group();
+        return t.replicas.get(t.awaitOwner()).members();
     }
 
     /** The disk of a follower goes back to an earlier state; the others, the leader among them, run on. */
@@ -162,7 +162,7 @@
         t.hosts.get(victim).kill();
         t.hosts.get(victim).disk().become(t.hosts.get(leader).disk().copy());
         t.start(victim);
-        assertEquals(Phase.BLANK, t.replicas.get(victim).phase());
+        assertEquals(Role.UNINITIALIZED, t.replicas.get(victim).role());
         t.sim.run(Duration.ofSeconds(3));
         assertTrue(counts(t, victim));
         Map<String, String> after = group(t);
--- a/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.woadvale.common.membership.Wire;
-import org.woadvale.common.replication.Env;
-import org.woadvale.common.replication.Messages;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
+import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.replication.StateMachine;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
@@ -41,7 +41,7 @@
         }
 
         @Override
-        public byte[] view() {
+        public byte[] snapshot() {
             return codec.write(new ArrayList<>(words));
         }
 
@@ -60,7 +60,7 @@
     private final int ringFileSize;
     final Sim sim;
     final SimNet net;
-    final Codec codec = Wire.codec(Wire.PILOT, List.of());
+    final Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
     final Map<String, Harness> hosts = new LinkedHashMap<>();
     final Map<String, Replica> replicas = new LinkedHashMap<>();
     final Map<String, Words> words = new LinkedHashMap<>();
@@ -90,11 +90,11 @@
         h.boot(r);
         RingWriteAheadLog book = RingWriteAheadLog.open(h.disk(), h.host(), 4, ringFileSize);
         book.onFailure(why -> h.kill());
-        Env env = new Env(
-                h.host(), h.host(), h.rpc(codec), codec, book, sim.random()::nextLong, ReplicationTiming.usual());
+        NodeEnvironment env = new NodeEnvironment(
+                h.host(), h.host(), h.rpc(codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
         Words m = new Words(codec);
         Replica replica = new Replica(PART, wanted, m, env);
-        Messages.route(r, part -> Mono.just(replica));
+        ReplicationMessages.route(r, part -> Mono.just(replica));
         words.put(n, m);
         replicas.put(n, replica);
         replica.start(book.recovered().getOrDefault(PART, List.of()));
@@ -102,21 +102,21 @@
 
     void want(List<String> members) {
         wanted = members;
-        replicas.values().forEach(r -> r.want(members));
+        replicas.values().forEach(r -> r.setDesiredMembers(members));
     }
 
     Optional<String> owner() {
         return replicas.entrySet().stream()
                 .filter(e -> hosts.get(e.getKey()).alive()
-                        && e.getValue().phase() == Phase.OWNING
-                        && e.getValue().mayAct())
+                        && e.getValue().role() == Role.LEADER
+                        && e.getValue().isActiveLeader())
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
 
     long owners() {
         return replicas.entrySet().stream()
-                .filter(e -> hosts.get(e.getKey()).alive() && e.getValue().mayAct())
+                .filter(e -> hosts.get(e.getKey()).alive() && e.getValue().isActiveLeader())
                 .count();
     }
 
@@ -135,7 +135,7 @@
     String sayAt(String n, String word) {
         String[] out = {"open"};
         Mono<String> m = replicas.get(n).propose(word, String.class);
-        m.subscribe(x -> out[0] = x, e -> out[0] = ServiceException.of(e).kind().word());
+        m.subscribe(x -> out[0] = x, e -> out[0] = ServiceException.of(e).kind().wireName());
         sim.runUntil(() -> !out[0].equals("open"), Duration.ofSeconds(10));
         return out[0];
     }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.common.wal.Entry;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
 import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
@@ -35,12 +35,12 @@
         return RingWriteAheadLog.open(h.disk(), h.host(), FILES, SIZE);
     }
 
-    private static Entry entry(String part, long index, int size) {
-        return new Entry(part, Entry.Kind.ENTRY, index, 1, new byte[size]);
+    private static WalRecord entry(String part, long index, int size) {
+        return new WalRecord(part, WalRecord.Kind.ENTRY, index, 1, new byte[size]);
     }
 
-    private static Entry base(String part, long index) {
-        return new Entry(part, Entry.Kind.BASE, index, 1, new byte[10]);
+    private static WalRecord base(String part, long index) {
+        return new WalRecord(part, WalRecord.Kind.SNAPSHOT, index, 1, new byte[10]);
     }
 
     /** It was opened, and the oldest file zeroed though it was needed: every other reopening lost entries. */
@@ -75,7 +75,7 @@
             h.powerLoss();
             b = reopen();
             List<Long> kept = b.recovered().getOrDefault("m1", List.of()).stream()
-                    .map(Entry::index)
+                    .map(WalRecord::index)
                     .toList();
             assertTrue(kept.containsAll(confirmed), "confirmed " + confirmed + " kept " + kept);
             assertEquals(kept.stream().distinct().toList(), kept, "nothing may be read twice");
@@ -90,7 +90,7 @@
         b.onFailure(why -> failed[0] = true);
         long[] index = {0};
         RingWriteAheadLog book = b;
-        b.onPressure("m1", () -> book.append(List.of(base("m1", index[0])), () -> {}));
+        b.onSpaceNeeded("m1", () -> book.append(List.of(base("m1", index[0])), () -> {}));
         for (int i = 0; i < 300; i++) {
             b.append(List.of(entry("m1", ++index[0], 200)), () -> {});
             sim.run(Duration.ofMillis(20));
@@ -100,7 +100,7 @@
         assertEquals(
                 300,
                 reopen().recovered().get("m1").stream()
-                        .mapToLong(Entry::index)
+                        .mapToLong(WalRecord::index)
                         .max()
                         .orElse(0));
     }
@@ -112,11 +112,12 @@
         List<String> failed = new ArrayList<>();
         b.onFailure(failed::add);
         int[] asked = {0};
-        b.onPressure("m1", () -> {
+        b.onSpaceNeeded("m1", () -> {
             asked[0]++;
             sim.after(
                     Duration.ofMillis(60),
-                    () -> b.append(List.of(new Entry("m1", Entry.Kind.BASE, 1, 1, new byte[900])), () -> {}));
+                    () -> b.append(
+                            List.of(new WalRecord("m1", WalRecord.Kind.SNAPSHOT, 1, 1, new byte[900])), () -> {}));
         });
         for (int i = 1; i < 600; i++) {
             b.append(List.of(entry("m1", i, 60)), () -> {});
@@ -168,12 +169,13 @@
         h.disk().damage("ring-00", 200);
         RingWriteAheadLog d = reopen();
         assertEquals(
-                List.of(1L), d.recovered().get("m1").stream().map(Entry::index).toList());
+                List.of(1L),
+                d.recovered().get("m1").stream().map(WalRecord::index).toList());
         d.append(List.of(entry("m1", 9, 50)), () -> {});
         sim.run(Duration.ofMillis(20));
         h.kill();
         assertEquals(
                 List.of(1L, 9L),
-                reopen().recovered().get("m1").stream().map(Entry::index).toList());
+                reopen().recovered().get("m1").stream().map(WalRecord::index).toList());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
@@ -23,10 +23,10 @@
         v.w.sim.run(Duration.ofSeconds(3));
     }
 
-    private Answer ask(String to, String method, String path, String key, String body, Map<String, String> more) {
+    private Response ask(String to, String method, String path, String key, String body, Map<String, String> more) {
         Map<String, String> headers = new java.util.HashMap<>(more);
         headers.put("authorization", "Bearer " + key);
-        List<Answer> got = new ArrayList<>();
+        List<Response> got = new ArrayList<>();
         v.w.request(
                 to,
                 new Request(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
@@ -37,12 +37,12 @@
     }
 
     private String kind(String method, String path, String key, String body) {
-        Answer a = ask(v.w.intakes.get(0), method, path, key, body, Map.of());
+        Response a = ask(v.w.intakes.get(0), method, path, key, body, Map.of());
         return a.status() + " " + FleetSimulation.json(a).path("kind").asText();
     }
 
     private long stored() {
-        Answer a =
+        Response a =
                 ask(v.w.intakes.get(1), "GET", "/v1/messages?state=done", TestConfiguration.callerKey(0), "", Map.of());
         return FleetSimulation.json(a).path("messages").size();
     }
@@ -83,7 +83,7 @@
         assertEquals("400 bad_request", kind("POST", fetch, key, "{\"processor\":\"p0\",\"fetch\":\"a b\"}"));
         String done = "{\"processor\":\"p0\",\"attempt\":1,\"outcome\":\"done\",\"receipt\":\"r\"}";
         assertEquals("404 not_found", kind("POST", "/v1/messages/m0-99/outcome", key, done));
-        Answer a = ask(
+        Response a = ask(
                 v.w.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
@@ -94,7 +94,7 @@
         assertEquals(
                 "400 bad_request",
                 kind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("\"r\"", "\"\"")));
-        Answer late = ask(
+        Response late = ask(
                 v.w.intakes.get(0),
                 "POST",
                 "/v1/messages/" + handle + "/outcome",
@@ -112,7 +112,7 @@
 
     @Test
     void othersMessagesAreNotShown() {
-        Answer a = ask(
+        Response a = ask(
                 v.w.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
@@ -126,7 +126,7 @@
 
     @Test
     void overTheAllowanceIsThrottledWithATimeToComeBack() {
-        List<Answer> all = new ArrayList<>();
+        List<Response> all = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             v.w.request(
                     v.w.intakes.get(i % 2),
@@ -139,7 +139,7 @@
                     a -> all.add(a.orElseThrow()));
         }
         v.w.sim.run(Duration.ofSeconds(7));
-        List<Answer> refused = all.stream().filter(a -> a.status() == 429).toList();
+        List<Response> refused = all.stream().filter(a -> a.status() == 429).toList();
         assertTrue(refused.size() > 50, "refused " + refused.size());
         assertTrue(refused.stream().allMatch(a -> Integer.parseInt(a.headers().get("Retry-After")) >= 1));
         assertTrue(all.stream().filter(a -> a.status() == 202).count() <= 30 + 20, "burst and a second of the rate");
@@ -149,7 +149,7 @@
     void layoutsThatCannotBeTakenChangeNothing() {
         String l = v.w.lighthouses.get(1);
         Map<String, String> base = Map.of("if-match", "1", "x-request-id", "bad");
-        Answer a = ask(
+        Response a = ask(
                 l,
                 "PUT",
                 "/v1/layout",
@@ -158,7 +158,7 @@
                         + "\"timeLimitMs\":5000,\"attempts\":1}},\"tenants\":{\"T!\":{\"ratePerS\":1,\"burstSize\":1}}}",
                 base);
         assertEquals(422, a.status());
-        Answer unclear = ask(
+        Response unclear = ask(
                 l,
                 "PUT",
                 "/v1/layout",
@@ -174,14 +174,14 @@
                                 .path(0)
                                 .asText()
                                 .replaceAll(":.*", ""));
-        Answer stale = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "0", "x-request-id", "stale"));
+        Response stale = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "0", "x-request-id", "stale"));
         assertEquals(412, stale.status());
         assertEquals("1", FleetSimulation.json(stale).path("details").path(0).asText(), "the present version is named");
         assertEquals(400, ask(l, "PUT", "/v1/layout", "", "{}", Map.of()).status());
         assertEquals(
                 "\"1\"", ask(l, "GET", "/v1/layout", "", "", Map.of()).headers().get("ETag"));
-        Answer first = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
-        Answer again = ask(
+        Response first = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
+        Response again = ask(
                 v.w.lighthouses.get(2), "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
         assertEquals(2, FleetSimulation.json(first).path("version").asInt());
         assertEquals(2, FleetSimulation.json(again).path("version").asInt());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 
 /** Operators that change and read the configuration, and all that they were told; checks it as a register with CAS. */
 final class ConfigurationHistory {
@@ -99,11 +99,11 @@
         });
     }
 
-    private static int status(Optional<Answer> answer) {
-        return answer.map(Answer::status).orElse(0);
+    private static int status(Optional<Response> answer) {
+        return answer.map(Response::status).orElse(0);
     }
 
-    private static long revision(Answer answer) {
+    private static long revision(Response answer) {
         Matcher m = REVISION.matcher(new String(answer.body(), StandardCharsets.UTF_8));
         return m.find() ? Long.parseLong(m.group(1)) : 0;
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
@@ -25,7 +25,7 @@
         s = new Shore(21, 2);
     }
 
-    private Answer get(int controlNode) {
+    private Response get(int controlNode) {
         return s.r.ask(
                         s.r.lighthouses.get(controlNode),
                         new Request("GET", "/-/configuration", Map.of(), new byte[0]),
@@ -97,7 +97,7 @@
 
     private void refused(List<String> bad) {
         for (String text : bad) {
-            Answer a = s.put(text, 3, bad.indexOf(text) % 3);
+            Response a = s.put(text, 3, bad.indexOf(text) % 3);
             assertEquals(400, a.status(), text.substring(0, 80));
             assertTrue(Callers.json(a).path("details").size() > 0, "a fault by its path: " + new String(a.body()));
         }
@@ -135,7 +135,7 @@
                                 Map.of("if-match", Long.toString(base)),
                                 texts.get(i).getBytes()),
                         Duration.ofSeconds(5),
-                        a -> out.add(a.map(Answer::status).orElse(0)));
+                        a -> out.add(a.map(Response::status).orElse(0)));
             }
             s.r.sim.runUntil(() -> out.size() == 2, Duration.ofSeconds(6));
             assertEquals(Set.of(200, 412), Set.copyOf(out));
@@ -154,7 +154,7 @@
         s.accepted("/push/deep/1", "deep", Map.of());
         assertEquals("deep", new String(s.pull("i", 3000).body()));
         s.accepted("/push/1", "host", Map.of("host", "OTHER.example:80"));
-        Answer keyless = s.pull("i", 3000);
+        Response keyless = s.pull("i", 3000);
         assertEquals("host", new String(keyless.body()));
         s.accepted("/push/2", "flat", Map.of());
         assertEquals(204, s.pull("i", 1500).status(), "it is for the other service");
@@ -197,7 +197,7 @@
         assertEquals(400, s.send("/push/1", "b", Map.of("x-delay-ms", "soon")).status());
         assertEquals(400, s.send("/push/1", "b", Map.of("x-attempt-id", "")).status());
         assertEquals(400, s.send("/push/1", "b", Map.of("x-attempt-id", "a b")).status());
-        Optional<Answer> none = s.r.ask(
+        Optional<Response> none = s.r.ask(
                 s.r.lighthouses.get(0), new Request("GET", "/-/nothing", Map.of(), new byte[0]), Duration.ofSeconds(4));
         assertEquals(404, none.orElseThrow().status());
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.runtime.ServiceException;
 
 /** A control machine that is gone for good is exchanged by the core itself, before the next loss may come. design 6.10 */
@@ -28,7 +28,7 @@
     private static final Duration TOLD = Duration.ofMillis(350);
 
     private static Set<String> members(FleetSimulation v, String node) {
-        return new TreeSet<>(v.w.controlNode(node).lighthouses());
+        return new TreeSet<>(v.w.controlNode(node).controlNodes());
     }
 
     private static void configurationIsTaken(FleetSimulation v, String id) {
@@ -138,7 +138,7 @@
         assertTrue(!v.w.controlNode(removed).members().members().contains(removed), "it does not know");
         assertTrue(v.w.controlNode(successor).members().members().contains(successor));
         assertTrue(ServiceNames.controlParts().stream()
-                .noneMatch(p -> v.w.controlNode(removed).replica(p).phase() == Phase.OWNING));
+                .noneMatch(p -> v.w.controlNode(removed).replica(p).role() == Role.LEADER));
         v.w.lose(v.w.lighthouses.get(1));
         v.w.sim.run(Duration.ofSeconds(4));
         assertTrue(CoreExchange.votesEverywhere(v.w, removed), "it takes the next free place");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
@@ -25,12 +25,12 @@
 
     private final HttpDeliveryClient post = new HttpDeliveryClient();
 
-    private static DeliveryClient.Call call(Peer p, String id, Duration limit) {
+    private static DeliveryClient.DeliveryRequest call(Peer p, String id, Duration limit) {
         return call(p.address(), id, limit);
     }
 
-    private static DeliveryClient.Call call(String address, String id, Duration limit) {
-        return new DeliveryClient.Call(
+    private static DeliveryClient.DeliveryRequest call(String address, String id, Duration limit) {
+        return new DeliveryClient.DeliveryRequest(
                 "POST",
                 address + "/x?y=1",
                 Map.of("X-Attempt-Id", id, "Content-Length", "2"),
@@ -70,7 +70,7 @@
     @Test
     void streamIsInThePoolWhenItsReplyIsPublished() throws Exception {
         try (Peer p = new Peer((c, n, head) -> open(Peer.answer(200, "a", "", "ok")))) {
-            DeliveryClient.Reply last = post.send(call(p, "a", LIMIT))
+            DeliveryClient.DeliveryResponse last = post.send(call(p, "a", LIMIT))
                     .flatMap(first -> post.send(call(p, "a", LIMIT)))
                     .block();
             assertEquals(200, last.status());
@@ -152,7 +152,7 @@
         }
     }
 
-    private CompletableFuture<ErrorKind> kind(DeliveryClient.Call call) {
+    private CompletableFuture<ErrorKind> kind(DeliveryClient.DeliveryRequest call) {
         return post.send(call)
                 .map(r -> ErrorKind.CONFLICT)
                 .onErrorResume(e ->
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -13,13 +13,13 @@
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.Processor;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.membership.Wire;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.controlplane.partition.Operators;
+import org.woadvale.controlplane.api.OperatorHttpHandler;
 import reactor.core.publisher.Mono;
 
 /** A caller inside the fleet whose first answer is lost does not take its own success for a refusal: design 6.11. */
@@ -51,8 +51,8 @@
         }
 
         @Override
-        public <T> Mono<T> ask(String to, Object body, Class<T> answer, Duration limit) {
-            return rpc.ask(to, body, answer, limit).flatMap(a -> {
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+            return rpc.call(to, body, answer, limit).flatMap(a -> {
                 if (lost) {
                     return Mono.just(a);
                 }
@@ -63,8 +63,8 @@
     }
 
     private <T> T ask(String service, RepeatableRequest body, Class<T> type) {
-        RpcClient lossy = new FirstAnswerLost(
-                shore.r.net.rpc(shore.r.host(caller), Wire.codec(Wire.LIGHTHOUSE, Operators.types())));
+        RpcClient lossy = new FirstAnswerLost(shore.r.net.rpc(
+                shore.r.host(caller), RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())));
         CoreClient core = new CoreClient(lossy, () -> 1L, shore.r.lighthouses, CoreMembers.unknown(), l -> {});
         AtomicReference<T> out = new AtomicReference<>();
         core.ask(ServiceNames.controlPart(service), body, type).subscribe(out::set, e -> {
@@ -74,37 +74,40 @@
         return out.get();
     }
 
-    private ControlMessages.DutyReply duty(long term, long requestId) {
+    private ControlMessages.SingletonLeaseResponse duty(long term, long requestId) {
         return ask(
-                BUCKET, new ControlMessages.DutyAsk(BUCKET, caller, term, requestId), ControlMessages.DutyReply.class);
+                BUCKET,
+                new ControlMessages.SingletonLeaseRequest(BUCKET, caller, term, requestId),
+                ControlMessages.SingletonLeaseResponse.class);
     }
 
     @Test
     void dutyIsTakenOnceThoughItWasAskedForTwice() {
-        ControlMessages.DutyReply first = duty(0, 5);
-        assertTrue(first.yours());
-        assertEquals(1, first.duty().term());
+        ControlMessages.SingletonLeaseResponse first = duty(0, 5);
+        assertTrue(first.granted());
+        assertEquals(1, first.lease().term());
     }
 
     @Test
     void askWithATermOnlyRenews() {
-        assertEquals(1, duty(0, 5).duty().term());
-        assertTrue(duty(1, 0).yours());
-        ControlMessages.DutyReply next = duty(0, 6);
-        assertEquals(2, next.duty().term(), "a holder that knows of no term has restarted");
-        ControlMessages.DutyReply former = duty(1, 0);
-        assertFalse(former.yours());
-        assertEquals(2, former.duty().term(), "nothing was taken");
+        assertEquals(1, duty(0, 5).lease().term());
+        assertTrue(duty(1, 0).granted());
+        ControlMessages.SingletonLeaseResponse next = duty(0, 6);
+        assertEquals(2, next.lease().term(), "a holder that knows of no term has restarted");
+        ControlMessages.SingletonLeaseResponse former = duty(1, 0);
+        assertFalse(former.granted());
+        assertEquals(2, former.lease().term(), "nothing was taken");
     }
 
     @Test
     void writtenListIsAYes() {
         Processor processor = new Processor("http://10.9.9.9:1", false);
-        Operators.Processors now = ask(LIST, new Operators.ProcessorsGet(LIST), Operators.Processors.class);
-        ControlMessages.Done done = ask(
+        OperatorHttpHandler.ProcessorsResponse now = ask(
+                LIST, new OperatorHttpHandler.GetProcessorsRequest(LIST), OperatorHttpHandler.ProcessorsResponse.class);
+        ControlMessages.UpdateResult done = ask(
                 LIST,
                 new ControlMessages.PutProcessors(LIST, Map.of("p", processor), now.version() + 1, 9),
-                ControlMessages.Done.class);
-        assertTrue(done.ok(), "its own success is no refusal");
+                ControlMessages.UpdateResult.class);
+        assertTrue(done.accepted(), "its own success is no refusal");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
-import org.woadvale.common.replication.Phase;
+import org.woadvale.common.http.Response;
+import org.woadvale.common.replication.Role;
 import org.woadvale.common.runtime.ServiceException;
 
 /** A control machine that is cut off from the others for twenty seconds, with orders to it all the while. design 6.12 */
@@ -51,8 +51,8 @@
     private static String leader(NetworkSimulation network) {
         return network.lighthouses.stream()
                 .filter(l -> network.host(l).alive()
-                        && network.controlNode(l).replica("c0").phase() == Phase.OWNING
-                        && network.controlNode(l).replica("c0").mayAct())
+                        && network.controlNode(l).replica("c0").role() == Role.LEADER
+                        && network.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
@@ -107,7 +107,7 @@
 
     private static int readiness(NetworkSimulation network, String machine) {
         return network.ask(machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
-                .map(Answer::status)
+                .map(Response::status)
                 .orElse(0);
     }
 
@@ -141,7 +141,7 @@
             network.sim.run(Duration.ofSeconds(2));
             String frozen = leader(network);
             int at = network.lighthouses.indexOf(frozen);
-            List<Optional<Answer>> answers = new ArrayList<>();
+            List<Optional<Response>> answers = new ArrayList<>();
             network.request(
                     frozen,
                     new Request("GET", "/-/configuration", Map.of(), new byte[0]),
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.HttpGateway;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
@@ -28,7 +28,7 @@
     void whatWaitsForAStreamIsLookedAtAgain() throws Exception {
         AtomicInteger arrived = new AtomicInteger();
         CountDownLatch full = new CountDownLatch(64);
-        Sinks.One<Answer> answer = Sinks.one();
+        Sinks.One<Response> answer = Sinks.one();
         String address = Fleet.free();
         HttpGateway g = new HttpGateway(address, 1 << 16, q -> {
             arrived.incrementAndGet();
@@ -41,7 +41,7 @@
             HttpDeliveryClient post = new HttpDeliveryClient();
             List<Mono<ErrorKind>> all = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
-                all.add(post.send(new DeliveryClient.Call(
+                all.add(post.send(new DeliveryClient.DeliveryRequest(
                                 "POST",
                                 "http://" + address + "/messages",
                                 new byte[] {'{', '}'},
@@ -54,7 +54,7 @@
             all.forEach(Mono::subscribe);
             assertTrue(full.await(30, TimeUnit.SECONDS), "64 must arrive, " + arrived.get() + " did");
             may.set(false);
-            answer.tryEmitValue(Answer.json(200, java.util.Map.of()));
+            answer.tryEmitValue(Response.json(200, java.util.Map.of()));
             List<ErrorKind> kinds = all.stream().map(Mono::block).toList();
             assertEquals(64, arrived.get());
             assertEquals(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -18,13 +18,13 @@
         v.w.sim.run(Duration.ofSeconds(2));
         String part = org.woadvale.common.membership.ServiceNames.controlPart("service/" + FleetSimulation.service(0));
         String owner = v.w.lighthouses.stream()
-                .filter(l -> v.w.controlNode(l).replica(part).mayAct())
+                .filter(l -> v.w.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         // not the leader of c0: a machine that does not hear that one has no contact, and turns requests away (6.12)
         String asked = v.w.lighthouses.stream()
                 .filter(l ->
-                        !l.equals(owner) && !v.w.controlNode(l).replica("c0").mayAct())
+                        !l.equals(owner) && !v.w.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         for (int k = 1; k <= 6; k++) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 
 /** Fetched work is held by a lease: design 9.10. */
@@ -20,14 +20,14 @@
         return s;
     }
 
-    private static String part(Answer pulled) {
+    private static String part(Response pulled) {
         return pulled.headers().get("X-Lease-Id").replaceAll("-.*", "");
     }
 
     @Test
     void jobCarriesTheRequestAsItArrived() throws ServiceException {
         Shore s = withOne(1);
-        Answer a = s.pull("i-1", 1000);
+        Response a = s.pull("i-1", 1000);
         assertEquals(
                 "200 POST /pull/x?y=1 tenant-a bytes",
                 a.status() + " " + a.headers().get("X-Job-Method") + " "
@@ -42,9 +42,9 @@
     @Test
     void silentLeaseIsHandedAgainAndNotSooner() throws ServiceException {
         Shore s = withOne(2);
-        Answer first = s.pull("i-1", 1000);
+        Response first = s.pull("i-1", 1000);
         Duration given = s.r.sim.now();
-        Answer second = s.pull("i-2", 10_000);
+        Response second = s.pull("i-2", 10_000);
         long waited = s.r.sim.now().minus(given).toMillis();
         assertEquals(first.headers().get("X-Attempt-Id"), second.headers().get("X-Attempt-Id"));
         assertNotEquals(first.headers().get("X-Lease-Id"), second.headers().get("X-Lease-Id"));
@@ -54,7 +54,7 @@
     @Test
     void eachExtensionCountsAnew() throws ServiceException {
         Shore s = withOne(3);
-        Answer first = s.pull("i-1", 1000);
+        Response first = s.pull("i-1", 1000);
         for (int i = 0; i < 4; i++) {
             s.run(LEASE_MS * 2 / 3);
             assertEquals(200, s.extend(first));
@@ -69,7 +69,7 @@
     @Test
     void endIsTakenOnceAndSaidAgainHasTheSameAnswer() throws ServiceException {
         Shore s = withOne(4);
-        Answer a = s.pull("i-1", 1000);
+        Response a = s.pull("i-1", 1000);
         assertEquals(200, s.end(a, 200));
         assertEquals(200, s.end(a, 200));
         assertEquals(409, s.extend(a));
@@ -78,8 +78,8 @@
     @Test
     void olderLeaseIsGoneAfterANewerOne() throws ServiceException {
         Shore s = withOne(5);
-        Answer old = s.pull("i-1", 1000);
-        Answer fresh = s.pull("i-2", 10_000);
+        Response old = s.pull("i-1", 1000);
+        Response fresh = s.pull("i-2", 10_000);
         assertEquals(409, s.extend(old));
         assertEquals(409, s.end(old, 200));
         assertEquals(200, s.extend(fresh));
@@ -102,7 +102,7 @@
     @Test
     void newOwnerCountsFromTakingOver() throws ServiceException {
         Shore s = withOne(7);
-        Answer a = s.pull("i-1", 1000);
+        Response a = s.pull("i-1", 1000);
         s.run(1500);
         assertEquals(200, s.extend(a));
         Duration word = s.r.sim.now();
@@ -120,7 +120,7 @@
     @Test
     void takenEndIsRememberedAcrossOwners() throws ServiceException {
         Shore s = withOne(8);
-        Answer a = s.pull("i-1", 1000);
+        Response a = s.pull("i-1", 1000);
         assertEquals(200, s.end(a, 200));
         s.r.kill(s.r.owner(part(a)).orElseThrow());
         s.run(6000);
@@ -131,11 +131,11 @@
     void workGivenBackUnrunCountsAsNoAttempt() throws ServiceException {
         Shore s = withOne(9);
         for (int i = 0; i < 6; i++) {
-            Answer a = s.pull("i-1", 5000);
+            Response a = s.pull("i-1", 5000);
             assertEquals(200, a.status(), "round " + i);
             assertEquals(200, s.end(a, i % 2 == 0 ? 503 : 429));
         }
-        Answer last = s.pull("i-1", 5000);
+        Response last = s.pull("i-1", 5000);
         assertEquals(200, s.end(last, 200));
     }
 
@@ -145,7 +145,7 @@
         String handle = s.accepted("/pull/x", "poison", Map.of());
         for (int i = 0; i < 3; i++) {
             assertEquals("queued", s.state(handle).path("state").asText());
-            Answer a = s.pull("i-1", 20_000);
+            Response a = s.pull("i-1", 20_000);
             assertEquals(200, a.status(), "attempt " + i);
             assertEquals(200, s.end(a, 500));
         }
@@ -161,7 +161,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, s.pull("i-" + i, 10_000).status(), "round " + i);
         }
-        Answer a = s.pull("i-9", 10_000);
+        Response a = s.pull("i-9", 10_000);
         assertEquals(200, s.end(a, 200));
         assertEquals("completed", s.state(handle).path("state").asText());
         assertEquals(
@@ -178,7 +178,7 @@
         s.accepted("/turn/x", "second", key);
         assertEquals("first", new String(s.pull("i-1", 1000).body()));
         assertEquals(204, s.pull("i-2", 1000).status());
-        Answer again = s.pull("i-2", 10_000);
+        Response again = s.pull("i-2", 10_000);
         assertEquals("first", new String(again.body()));
         assertEquals(200, s.end(again, 422));
         assertEquals("second", new String(s.pull("i-2", 5000).body()));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
@@ -71,7 +71,7 @@
     /** As the platform's operator does it: on to another node after a second of silence or an unclear answer. */
     private void send(Request order, int node, AtomicReference<Duration> acknowledged) {
         shore.r.request(shore.r.lighthouses.get(node % 3), order, SILENCE, answer -> {
-            int status = answer.map(Answer::status).orElse(0);
+            int status = answer.map(Response::status).orElse(0);
             assertTrue(status < 400 || status >= 500, "refused with " + status);
             if (status == 200) {
                 acknowledged.compareAndSet(null, shore.r.sim.now());
@@ -84,7 +84,7 @@
     private String leader() {
         return shore.r.lighthouses.stream()
                 .filter(l -> shore.r.host(l).alive()
-                        && shore.r.controlNode(l).replica("c0").mayAct())
+                        && shore.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
@@ -93,7 +93,7 @@
         return shore.r
                 .controlNode(node)
                 .replica("c0")
-                .look(i -> shore.r.controlNode(node).machine("c0").view().length);
+                .look(i -> shore.r.controlNode(node).machine("c0").snapshot().length);
     }
 
     private void restartAfter(String node, long ms) throws ServiceException {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
@@ -39,7 +39,7 @@
     @When("the holder of an allowance is killed")
     public void killHolder() {
         String holder = v.w.intakes.stream()
-                .filter(i -> v.w.pilot(i).holds().contains("tenant/" + TestConfiguration.tenant(0)))
+                .filter(i -> v.w.pilot(i).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(0)))
                 .findFirst()
                 .orElseThrow();
         v.w.kill(holder);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
@@ -64,7 +64,7 @@
     private String leader() {
         return shore.r.lighthouses.stream()
                 .filter(l -> shore.r.host(l).alive()
-                        && shore.r.controlNode(l).replica("c0").mayAct())
+                        && shore.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
@@ -116,7 +116,7 @@
                         node,
                         request(text, version),
                         CALL,
-                        a -> statuses.add(a.map(Answer::status).orElse(0)));
+                        a -> statuses.add(a.map(Response::status).orElse(0)));
             }
             shore.run(1 + round);
             shore.r.kill(lost);
@@ -146,7 +146,7 @@
                         request(text, version),
                         CALL,
                         a -> statuses.computeIfAbsent(text, t -> new TreeSet<>())
-                                .add(a.map(Answer::status).orElse(0)));
+                                .add(a.map(Response::status).orElse(0)));
             }
         }
         shore.run(CALL.toMillis());
@@ -183,7 +183,7 @@
     void bytesThatCannotBeReadAreRefusedAndChangeNothing() {
         byte[] bytes = text(version + 2, "r-odd").getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length / 2] = (byte) 0xff;
-        Optional<Answer> answer = shore.r.ask(
+        Optional<Response> answer = shore.r.ask(
                 shore.r.lighthouses.get(0),
                 new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(version)), bytes),
                 CALL);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
@@ -23,7 +23,7 @@
     private final HttpDeliveryClient client = new HttpDeliveryClient();
 
     private String said(Peer p, String id, Duration limit) {
-        DeliveryClient.Call call = new DeliveryClient.Call(
+        DeliveryClient.DeliveryRequest call = new DeliveryClient.DeliveryRequest(
                 "POST",
                 p.address() + "/x",
                 Map.of("X-Attempt-Id", id, "Content-Length", "2"),
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -20,7 +20,7 @@
         String part = ServiceNames.controlPart(KEY);
         String owner = s.r.lighthouses.stream()
                 .filter(l ->
-                        s.r.host(l).alive() && s.r.controlNode(l).replica(part).mayAct())
+                        s.r.host(l).alive() && s.r.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         return s.r.controlNode(owner)
@@ -80,7 +80,7 @@
     void nextOwnerOfTheLayoutsPartReadsOn() throws ServiceException {
         Shore s = new Shore(4, 1);
         String owner = s.r.lighthouses.stream()
-                .filter(l -> s.r.controlNode(l).replica("c0").mayAct())
+                .filter(l -> s.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         s.r.kill(owner);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
@@ -31,7 +31,7 @@
 
     private static String holder(FleetSimulation v) {
         return v.w.intakes.stream()
-                .filter(i -> v.w.pilot(i).holds().stream().anyMatch(b -> b.startsWith("endpoint/")))
+                .filter(i -> v.w.pilot(i).ownedBuckets().stream().anyMatch(b -> b.startsWith("endpoint/")))
                 .findFirst()
                 .orElseThrow();
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -57,16 +57,16 @@
         assertTrue(
                 v.w.sim.runUntil(
                         () -> v.w.pilot(fresh).groups().size() == 4
-                                && v.w.pilot(fresh).owned() == 2,
+                                && v.w.pilot(fresh).ledCount() == 2,
                         Duration.ofSeconds(120)),
                 "it has " + v.w.pilot(fresh).groups().keySet() + ", owns "
-                        + v.w.pilot(fresh).owned());
+                        + v.w.pilot(fresh).ledCount());
         v.w.sim.run(Duration.ofSeconds(20));
         long terms = terms(v);
         v.w.sim.run(Duration.ofSeconds(60));
         assertEquals(terms, terms(v), "parts go on changing hands");
         for (String s : v.w.stores) {
-            assertEquals(2, v.w.pilot(s).owned(), s);
+            assertEquals(2, v.w.pilot(s).ledCount(), s);
         }
         assertFalse(v.kinds().containsKey("unavailable"), v.kinds().toString());
         ended(v);
@@ -111,10 +111,10 @@
                         () -> status.get() == 200
                                 && CoreExchange.votesEverywhere(v.w, spare)
                                 && v.w.controlNode(spare)
-                                        .lighthouses()
+                                        .controlNodes()
                                         .equals(wanted.stream().sorted().toList()),
                         Duration.ofSeconds(60)),
-                "not seated: " + v.w.controlNode(spare).lighthouses());
+                "not seated: " + v.w.controlNode(spare).controlNodes());
         v.w.kill(v.w.lighthouses.get(1));
         v.w.sim.run(Duration.ofSeconds(8));
         AtomicInteger taken = new AtomicInteger();
@@ -190,7 +190,7 @@
             v.w.sim.run(Duration.ofSeconds(6));
         }
         for (String s : v.w.stores) {
-            long owned = v.w.pilot(s).owned();
+            long owned = v.w.pilot(s).ledCount();
             assertTrue(owned >= 2 && owned <= 3, s + " owns " + owned + " of 8 parts");
         }
         assertFalse(v.kinds().containsKey("unavailable"), v.kinds().toString());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
@@ -21,7 +21,7 @@
         return s.got.get(from + 1).at().minus(s.got.get(from).at());
     }
 
-    private static Mono<Answer> silenceUntil(Shore s, int n, Request q) {
+    private static Mono<Response> silenceUntil(Shore s, int n, Request q) {
         return s.got.size() < n ? Mono.never() : Mono.just(Shore.done(q));
     }
 
@@ -52,7 +52,7 @@
         Shore s = new Shore(3, 1);
         s.processor("i-1", "same", AT, q -> {
             int n = s.got.size();
-            Answer notRun = Shore.answer(q, 503).with("X-Not-Executed", "1");
+            Response notRun = Shore.answer(q, 503).with("X-Not-Executed", "1");
             return Mono.just(
                     n <= 5 ? Shore.answer(q, 502) : n <= 9 ? notRun : n <= 10 ? Shore.answer(q, 421) : Shore.done(q));
         });
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.cli.KnownFile;
+import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
-import org.woadvale.common.membership.Wire;
+import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.runtime.ServiceException;
 
@@ -48,10 +48,10 @@
                             () -> status.get() == 200
                                     && CoreExchange.votesEverywhere(v.w, fresh)
                                     && v.w.controlNode(fresh)
-                                            .lighthouses()
+                                            .controlNodes()
                                             .equals(wanted.stream().sorted().toList()),
                             Duration.ofSeconds(60)),
-                    "not seated: " + v.w.controlNode(fresh).lighthouses());
+                    "not seated: " + v.w.controlNode(fresh).controlNodes());
             v.w.sim.run(Duration.ofSeconds(10));
         }
         new ConfigurationOperator(v).changeAt(v.w.presentLighthouses());
@@ -66,8 +66,8 @@
     @Test
     void whatWasLearnedIsKeptInTheDataFolder(@TempDir Path folder) {
         CoreMembers learned = new CoreMembers(17, List.of("10.0.0.1:1", "10.0.0.2:1"));
-        new KnownFile(folder.toString()).write(learned);
-        assertEquals(learned, new KnownFile(folder.toString()).read());
+        new CoreMembersFile(folder.toString()).write(learned);
+        assertEquals(learned, new CoreMembersFile(folder.toString()).read());
     }
 
     /** Before: any other list was taken, so one process that held an old list spread it. */
@@ -76,15 +76,16 @@
         CoreMembers newer = new CoreMembers(9, List.of("10.0.0.2:1", "10.0.0.4:1"));
         List<CoreMembers> written = new ArrayList<>();
         Sim sim = new Sim(1);
-        RpcClient rpc = new SimNet(sim).rpc(new Host("10.0.0.9:1", sim), Wire.codec(Wire.PILOT, List.of()));
+        RpcClient rpc = new SimNet(sim)
+                .rpc(new Host("10.0.0.9:1", sim), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()));
         CoreClient core = new CoreClient(rpc, () -> 0, List.of("10.0.0.1:1"), newer, written::add);
-        core.known(new CoreMembers(8, List.of("10.0.0.1:1")));
-        core.known(new CoreMembers(0, List.of("10.0.0.1:1")));
-        core.known(new CoreMembers(12, List.of()));
+        core.adopt(new CoreMembers(8, List.of("10.0.0.1:1")));
+        core.adopt(new CoreMembers(0, List.of("10.0.0.1:1")));
+        core.adopt(new CoreMembers(12, List.of()));
         assertEquals(newer, core.members());
         assertEquals(List.of(), written);
         CoreMembers newest = new CoreMembers(10, List.of("10.0.0.4:1"));
-        core.known(newest);
+        core.adopt(newest);
         assertEquals(newest, core.members());
         assertEquals(List.of(newest), written);
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 import reactor.core.publisher.Mono;
@@ -70,13 +70,13 @@
         return new ConfigurationStub.Service(name, 0, 100, dedup, pull, at);
     }
 
-    Answer put(ConfigurationStub p, long base, int controlNode) {
+    Response put(ConfigurationStub p, long base, int controlNode) {
         return put(p.text(), base, controlNode);
     }
 
-    Answer put(String text, long base, int controlNode) {
+    Response put(String text, long base, int controlNode) {
         for (int i = 0; i < 20; i++) {
-            Optional<Answer> a = r.ask(
+            Optional<Response> a = r.ask(
                     r.lighthouses.get((controlNode + i) % 3),
                     new Request(
                             "PUT",
@@ -93,7 +93,7 @@
 
     /** A processor at an address, on the list, whose answers are the script's. */
     void processor(
-            String id, String service, String address, java.util.function.Function<Request, Mono<Answer>> script) {
+            String id, String service, String address, java.util.function.Function<Request, Mono<Response>> script) {
         r.processorSimulation.place(address, q -> {
             got.add(new Got(q, r.sim.now()));
             return script.apply(q);
@@ -102,8 +102,8 @@
         r.sim.run(SOON);
     }
 
-    static Answer done(Request q) {
-        return new Answer(
+    static Response done(Request q) {
+        return new Response(
                 200,
                 Map.of(
                         "X-Attempt-Id",
@@ -113,11 +113,11 @@
                 new byte[0]);
     }
 
-    static Answer answer(Request q, int status) {
-        return new Answer(status, Map.of("X-Attempt-Id", q.headers().getOrDefault("x-attempt-id", "")), new byte[0]);
+    static Response answer(Request q, int status) {
+        return new Response(status, Map.of("X-Attempt-Id", q.headers().getOrDefault("x-attempt-id", "")), new byte[0]);
     }
 
-    Answer send(String path, String body, Map<String, String> more) {
+    Response send(String path, String body, Map<String, String> more) {
         Map<String, String> h = new LinkedHashMap<>(Map.of("host", HOST, "authorization", "Token " + KEY));
         h.put("x-attempt-id", "a" + ids++);
         h.putAll(more);
@@ -126,7 +126,7 @@
 
     /** The handle of an accepted message; what was refused for now is sent anew. */
     String accepted(String path, String body, Map<String, String> more) {
-        Answer a = send(path, body, more);
+        Response a = send(path, body, more);
         for (int i = 0; i < 20 && (a.status() == 503 || a.status() == 429); i++) {
             run(100);
             a = send(path, body, more);
@@ -135,7 +135,7 @@
         return a.headers().get("X-Message-Ref");
     }
 
-    Answer front(String method, String path, Map<String, String> headers, String body) {
+    Response front(String method, String path, Map<String, String> headers, String body) {
         return r.ask(
                         r.intakes.get(0),
                         new Request(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
@@ -143,12 +143,12 @@
                 .orElseThrow();
     }
 
-    Answer pull(String instance, long waitMs) {
+    Response pull(String instance, long waitMs) {
         return front(
                 "POST", "/-/pull/desk", Map.of("x-instance-id", instance, "x-poll-wait-ms", Long.toString(waitMs)), "");
     }
 
-    int extend(Answer pulled) {
+    int extend(Response pulled) {
         return front(
                         "POST",
                         "/-/job-extend/" + pulled.headers().get("X-Attempt-Id"),
@@ -157,7 +157,7 @@
                 .status();
     }
 
-    int end(Answer pulled, int outcome) {
+    int end(Response pulled, int outcome) {
         Map<String, String> h = new LinkedHashMap<>(
                 Map.of("x-lease-id", pulled.headers().get("X-Lease-Id"), "x-job-outcome", Integer.toString(outcome)));
         if (outcome == 200) {
@@ -168,12 +168,12 @@
     }
 
     JsonNode state(String handle) {
-        Answer a = front("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
+        Response a = front("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
         assertEquals(200, a.status());
         return Callers.json(a);
     }
 
-    Answer bytes(String handle) {
+    Response bytes(String handle) {
         return front("GET", "/-/message-body/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.http.Answer;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
 
 /** Fetches wait at one store at a time: design 9.10. */
@@ -23,8 +23,8 @@
                 new byte[0]);
     }
 
-    private static List<Answer> waiting(Shore s, int n, long waitMs) {
-        List<Answer> out = new ArrayList<>();
+    private static List<Response> waiting(Shore s, int n, long waitMs) {
+        List<Response> out = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             s.r.request(
                     s.r.intakes.get(i % s.r.intakes.size()),
@@ -42,7 +42,7 @@
         assertEquals(204, s.pull("i-1", 1000).status());
         long took = s.r.sim.now().minus(asked).toMillis();
         assertTrue(took >= 900 && took < 2000, "took " + took + " ms");
-        Answer none = s.front("POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
+        Response none = s.front("POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
         assertEquals("204 ", none.status() + " " + new String(none.body()));
         assertEquals(
                 400,
@@ -54,7 +54,7 @@
     @Test
     void waitingFetchGetsWhatBecomesDue() throws ServiceException {
         Shore s = new Shore(2, 3);
-        List<Answer> out = waiting(s, 6, 10_000);
+        List<Response> out = waiting(s, 6, 10_000);
         s.run(1000);
         Duration sent = s.r.sim.now();
         s.accepted("/pull/x", "b", Map.of());
@@ -68,13 +68,13 @@
     void oneMessageGoesToOneFetchOnly() throws ServiceException {
         for (long seed = 3; seed < 6; seed++) {
             Shore s = new Shore(seed, 3);
-            List<Answer> out = waiting(s, 30, 2500);
+            List<Response> out = waiting(s, 30, 2500);
             for (int i = 0; i < 12; i++) {
                 s.accepted("/pull/" + i, "b" + i, Map.of());
             }
             s.run(2600);
             HashSet<String> ids = new HashSet<>();
-            List<Answer> jobs = out.stream().filter(a -> a.status() == 200).toList();
+            List<Response> jobs = out.stream().filter(a -> a.status() == 200).toList();
             jobs.forEach(a -> ids.add(a.headers().get("X-Attempt-Id")));
             assertEquals(12, jobs.size());
             assertEquals(12, ids.size(), "each once");
@@ -86,7 +86,7 @@
         Shore s = new Shore(6, 1);
         Duration sent = s.r.sim.now();
         s.accepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
-        Answer a = s.pull("i-1", 8000);
+        Response a = s.pull("i-1", 8000);
         long after = s.r.sim.now().minus(sent).toMillis();
         assertEquals("late", new String(a.body()));
         assertTrue(after >= 1400 && after < 2600, "after " + after + " ms");
@@ -96,7 +96,7 @@
     @Test
     void fetchOfADeadIntakeLosesNothing() throws ServiceException {
         Shore s = new Shore(7, 2);
-        List<Answer> out = new ArrayList<>();
+        List<Response> out = new ArrayList<>();
         s.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
         s.r.request(s.r.intakes.get(1), pull("i-1", 8000), Duration.ofSeconds(30), a -> a.ifPresent(out::add));
         s.run(400);
--- a/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
@@ -19,12 +19,12 @@
 class BackendTest {
     private static final Clock CLOCK = new Clock() {
         @Override
-        public Duration mono() {
+        public Duration monotonicTime() {
             return Duration.ZERO;
         }
 
         @Override
-        public Instant wall() {
+        public Instant wallTime() {
             return Instant.EPOCH;
         }
     };
