--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -82,9 +82,9 @@
                     throw new ServiceException(
                             ErrorKind.BAD_REQUEST, "There is no command " + verb + "; see " + name + " --help.");
             }
-        } catch (ServiceException e) {
-            System.err.println(
-                    name + ": " + e.getMessage() + (e.details().isEmpty() ? "" : " " + String.join("; ", e.details())));
+        } catch (ServiceException failure) {
+            System.err.println(name + ": " + failure.getMessage()
+                    + (failure.details().isEmpty() ? "" : " " + String.join("; ", failure.details())));
             return 2;
         }
     }
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -36,16 +36,16 @@
     private Configurations() {}
 
     public static Configuration configuration(byte[] json) throws ServiceException {
-        Configuration l = read(json, Configuration.class, ErrorKind.INVALID_LAYOUT);
-        List<String> faults = new ArrayList<>(faults(l));
+        Configuration configuration = read(json, Configuration.class, ErrorKind.INVALID_LAYOUT);
+        List<String> faults = new ArrayList<>(faults(configuration));
         if (faults.isEmpty()) {
-            faults.addAll(crossFaults(l));
+            faults.addAll(crossFaults(configuration));
         }
         if (!faults.isEmpty()) {
             throw new ServiceException(
                     ErrorKind.INVALID_LAYOUT, "The layout has " + faults.size() + " faults.", faults);
         }
-        return l;
+        return configuration;
     }
 
     /** A configuration that was taken: it is used as it is, whatever this build would say of it, or knows of it. */
@@ -96,33 +96,33 @@
                 .toList();
     }
 
-    private static List<String> crossFaults(Configuration l) {
+    private static List<String> crossFaults(Configuration configuration) {
         List<String> out = new ArrayList<>();
         Map<String, String> addresses = new HashMap<>();
-        l.services().forEach((n, s) -> {
-            if (!s.address().isEmpty()) {
-                Optional.ofNullable(addresses.putIfAbsent(s.address().replaceAll("/+$", ""), n))
+        configuration.services().forEach((n, service) -> {
+            if (!service.address().isEmpty()) {
+                Optional.ofNullable(addresses.putIfAbsent(service.address().replaceAll("/+$", ""), n))
                         .ifPresent(other ->
                                 out.add("services." + n + ".address: is " + other + "'s too; it would get both rates"));
             }
-            boolean endpoint = s.kind() == Configuration.Kind.ENDPOINT;
-            if (endpoint && s.address().isEmpty()) {
+            boolean endpoint = service.kind() == Configuration.Kind.ENDPOINT;
+            if (endpoint && service.address().isEmpty()) {
                 out.add("services." + n + ".address: an endpoint needs one");
             }
-            if (endpoint && s.ratePerS() < 1) {
+            if (endpoint && service.ratePerS() < 1) {
                 out.add("services." + n + ".ratePerS: an endpoint needs a rate of at least 1");
             }
-            if (!endpoint && !s.address().isEmpty()) {
+            if (!endpoint && !service.address().isEmpty()) {
                 out.add("services." + n + ".address: processors are listed by the platform");
             }
         });
         Map<Configuration.Door, String> doors = new HashMap<>();
-        l.lanes().forEach((n, lane) -> {
+        configuration.lanes().forEach((n, lane) -> {
             lane.doors()
-                    .forEach(d -> Optional.ofNullable(doors.putIfAbsent(d, n))
-                            .ifPresent(other -> out.add(
-                                    "lanes." + n + ".doors: " + d.host() + d.prefix() + " is " + other + "'s too")));
-            if (!l.services().containsKey(lane.service())) {
+                    .forEach(door -> Optional.ofNullable(doors.putIfAbsent(door, n))
+                            .ifPresent(other -> out.add("lanes." + n + ".doors: " + door.host() + door.prefix() + " is "
+                                    + other + "'s too")));
+            if (!configuration.services().containsKey(lane.service())) {
                 out.add("lanes." + n + ".service: no service " + lane.service());
             }
             if (lane.attemptMs() > lane.timeLimitMs()) {
@@ -130,14 +130,16 @@
             }
         });
         Set<String> hashes = new HashSet<>();
-        l.keys().forEach((n, k) -> {
-            if (k.role() == Configuration.Role.CALLER && !l.tenants().containsKey(k.tenant())) {
-                out.add("keys." + n + ".tenant: no tenant " + k.tenant());
+        configuration.keys().forEach((n, key) -> {
+            if (key.role() == Configuration.Role.CALLER
+                    && !configuration.tenants().containsKey(key.tenant())) {
+                out.add("keys." + n + ".tenant: no tenant " + key.tenant());
             }
-            if (k.role() == Configuration.Role.PROCESSOR && !l.services().containsKey(k.service())) {
-                out.add("keys." + n + ".service: no service " + k.service());
+            if (key.role() == Configuration.Role.PROCESSOR
+                    && !configuration.services().containsKey(key.service())) {
+                out.add("keys." + n + ".service: no service " + key.service());
             }
-            if (!hashes.add(k.sha256())) {
+            if (!hashes.add(key.sha256())) {
                 out.add("keys." + n + ".sha256: used by two keys");
             }
         });
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -108,49 +108,52 @@
                     Configurations.read(Files.readAllBytes(Path.of(file)), Settings.class, ErrorKind.BAD_REQUEST));
         } catch (IOException e) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "Cannot read the boot file " + file + ".");
-        } catch (ServiceException e) {
-            String where = e.details().isEmpty()
-                    ? e.getMessage()
-                    : e.details().get(0).replace(".<list element>", "").replace(".<iterable element>", "");
+        } catch (ServiceException failure) {
+            String where = failure.details().isEmpty()
+                    ? failure.getMessage()
+                    : failure.details().get(0).replace(".<list element>", "").replace(".<iterable element>", "");
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The boot file " + file + " is invalid at " + where + ".");
         }
     }
 
-    public static Settings checked(Settings b) throws ServiceException {
-        List<String> faults = new java.util.ArrayList<>(Configurations.faults(b));
-        if (faults.isEmpty() && b.ringFiles() < 4) {
+    public static Settings checked(Settings settings) throws ServiceException {
+        List<String> faults = new java.util.ArrayList<>(Configurations.faults(settings));
+        if (faults.isEmpty() && settings.ringFiles() < 4) {
             faults.add("ringFiles: must be at least 4");
         }
-        if (faults.isEmpty() && b.roles().contains("store") && b.data().isEmpty()) {
+        if (faults.isEmpty()
+                && settings.roles().contains("store")
+                && settings.data().isEmpty()) {
             faults.add("data: a store needs a data folder");
         }
-        if (faults.isEmpty() && b.roles().contains("store")) {
-            sizes(b, Runtime.getRuntime().maxMemory() >> 20).ifPresent(faults::add);
+        if (faults.isEmpty() && settings.roles().contains("store")) {
+            sizes(settings, Runtime.getRuntime().maxMemory() >> 20).ifPresent(faults::add);
         }
         if (!faults.isEmpty()) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "invalid", faults);
         }
-        return b;
+        return settings;
     }
 
     /** Whole parts must fit into ring files, into the ring twice, and into the heap: design 9.8. */
-    static Optional<String> sizes(Settings b, long heapMb) {
+    static Optional<String> sizes(Settings settings, long heapMb) {
         int parts = ServiceNames.MESSAGE_PARTS;
-        if (b.partMb() * 2 > b.ringFileMb()) {
-            return Optional.of(
-                    "partMb: a part of " + b.partMb() + " MB needs ringFileMb of at least " + 2 * b.partMb());
+        if (settings.partMb() * 2 > settings.ringFileMb()) {
+            return Optional.of("partMb: a part of " + settings.partMb() + " MB needs ringFileMb of at least "
+                    + 2 * settings.partMb());
         }
         // of each part an old base, a new one and the log between them, and the file that is being written
-        int ring = parts * (2 * b.partMb() + Math.min(LOG_MB, Math.max(1, b.ringFileMb() / 4))) + b.ringFileMb();
-        if (ring > b.ringFiles() * b.ringFileMb()) {
-            return Optional.of("partMb: " + parts + " parts of " + b.partMb() + " MB need a ring of " + ring
-                    + " MB, it has " + b.ringFiles() * b.ringFileMb());
+        int ring = parts * (2 * settings.partMb() + Math.min(LOG_MB, Math.max(1, settings.ringFileMb() / 4)))
+                + settings.ringFileMb();
+        if (ring > settings.ringFiles() * settings.ringFileMb()) {
+            return Optional.of("partMb: " + parts + " parts of " + settings.partMb() + " MB need a ring of " + ring
+                    + " MB, it has " + settings.ringFiles() * settings.ringFileMb());
         }
-        return parts * b.partMb() * HEAP_PER_MB <= heapMb
+        return parts * settings.partMb() * HEAP_PER_MB <= heapMb
                 ? Optional.empty()
-                : Optional.of("partMb: " + parts + " parts of " + b.partMb() + " MB need a heap of "
-                        + (int) (parts * b.partMb() * HEAP_PER_MB) + " MB, it has " + heapMb);
+                : Optional.of("partMb: " + parts + " parts of " + settings.partMb() + " MB need a heap of "
+                        + (int) (parts * settings.partMb() * HEAP_PER_MB) + " MB, it has " + heapMb);
     }
 
     /** Where to listen, if that is not the address by which others know this process. */
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -26,7 +26,7 @@
     private static final Duration EARLY_POLL_LIMIT = Duration.ofMillis(100);
     private static final Duration HOME_BYPASS = Duration.ofSeconds(1);
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final String zone;
     private final LockedShard shard = new LockedShard();
@@ -35,8 +35,8 @@
     private final List<BiConsumer<String, ServiceView>> listeners = new ArrayList<>();
     private TimerHandle polling = () -> {};
 
-    public ViewSubscriptions(NodeEnvironment env, CoreClient core, String zone) {
-        this.env = env;
+    public ViewSubscriptions(NodeEnvironment environment, CoreClient core, String zone) {
+        this.environment = environment;
         this.core = core;
         this.zone = zone;
     }
@@ -45,7 +45,7 @@
         List.of(ServiceNames.CONFIGURATION, ServiceNames.INTAKES, ServiceNames.STORES)
                 .forEach(this::subscribe);
         poll();
-        polling = env.timers().every(POLL_INTERVAL, this::poll);
+        polling = environment.timers().every(POLL_INTERVAL, this::poll);
     }
 
     public void stop() {
@@ -63,9 +63,9 @@
     /** The view if its age is proven to be under the limit; empty otherwise. Wants the service from now on. */
     public Optional<ServiceView> fresh(String service) {
         return shard.get(() -> {
-            SubscribedView f = touch(service);
-            boolean ok = f.received && age(f).compareTo(MAX_AGE) < 0;
-            return ok ? Optional.of(f.view) : Optional.empty();
+            SubscribedView subscribedView = touch(service);
+            boolean ok = subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0;
+            return ok ? Optional.of(subscribedView.view) : Optional.empty();
         });
     }
 
@@ -77,12 +77,13 @@
     /** ControlMessages the core for one service at once, when waiting for the next poll would refuse somebody. */
     public void pollSoon(String service) {
         Map<String, Long> known = shard.get(() -> {
-            SubscribedView f = touch(service);
-            if (!f.lastEarlyPoll.isZero() && now().minus(f.lastEarlyPoll).compareTo(EARLY_POLL_LIMIT) < 0) {
+            SubscribedView subscribedView = touch(service);
+            if (!subscribedView.lastEarlyPoll.isZero()
+                    && now().minus(subscribedView.lastEarlyPoll).compareTo(EARLY_POLL_LIMIT) < 0) {
                 return Map.<String, Long>of();
             }
-            f.lastEarlyPoll = now();
-            return Map.of(service, f.received ? f.view.version() : -1L);
+            subscribedView.lastEarlyPoll = now();
+            return Map.of(service, subscribedView.received ? subscribedView.view.version() : -1L);
         });
         if (!known.isEmpty()) {
             fetch(service, known);
@@ -99,21 +100,21 @@
 
     private void fetch(String service, Map<String, Long> known) {
         Duration sent = now();
-        pollCore(ServiceNames.controlPart(service), known).subscribe(r -> adopt(r, sent), e -> {});
+        pollCore(ServiceNames.controlPart(service), known).subscribe(response -> adopt(response, sent), e -> {});
     }
 
     private SubscribedView touch(String service) {
-        SubscribedView f = subscriptions.computeIfAbsent(service, SubscribedView::new);
-        f.interestUntil = now().plus(INTEREST_TTL);
-        return f;
+        SubscribedView subscribedView = subscriptions.computeIfAbsent(service, SubscribedView::new);
+        subscribedView.interestUntil = now().plus(INTEREST_TTL);
+        return subscribedView;
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
-    private Duration age(SubscribedView f) {
-        return now().minus(f.confirmed);
+    private Duration age(SubscribedView subscribedView) {
+        return now().minus(subscribedView.confirmed);
     }
 
     private Optional<String> homeNode(String service) {
@@ -122,14 +123,14 @@
         return ServiceNames.rendezvousOwner(
                 "home/" + ServiceNames.controlPart(service),
                 members.entrySet().stream()
-                        .filter(e -> e.getValue().zone().equals(zone))
+                        .filter(entry -> entry.getValue().zone().equals(zone))
                         .map(Map.Entry::getKey)
                         .toList());
     }
 
     private Map<String, MemberLease> members(String role) {
         return Optional.ofNullable(subscriptions.get(role))
-                .map(f -> f.view.members())
+                .map(subscribedView -> subscribedView.view.members())
                 .orElse(Map.of());
     }
 
@@ -137,34 +138,38 @@
         Map<String, Map<String, Long>> byHome = new HashMap<>();
         Map<String, Map<String, Long>> byPart = new HashMap<>();
         shard.run(() -> {
-            subscriptions.values().removeIf(f -> !f.permanent && now().compareTo(f.interestUntil) > 0);
-            subscriptions.forEach((s, f) -> {
+            subscriptions
+                    .values()
+                    .removeIf(subscribedView ->
+                            !subscribedView.permanent && now().compareTo(subscribedView.interestUntil) > 0);
+            subscriptions.forEach((s, subscribedView) -> {
                 Optional<String> home = homeNode(s);
                 // the first view after a start comes from the core: a home may know less than we knew before. design
                 // 7.1
-                boolean direct = !f.received
+                boolean direct = !subscribedView.received
                         || home.isEmpty()
-                        || home.get().equals(env.self())
-                        || now().compareTo(f.bypassHomeUntil) < 0;
+                        || home.get().equals(environment.self())
+                        || now().compareTo(subscribedView.bypassHomeUntil) < 0;
                 (direct
                                 ? byPart.computeIfAbsent(ServiceNames.controlPart(s), k -> new HashMap<>())
                                 : byHome.computeIfAbsent(home.get(), k -> new HashMap<>()))
-                        .put(s, f.received ? f.view.version() : -1L);
+                        .put(s, subscribedView.received ? subscribedView.view.version() : -1L);
             });
         });
         byPart.forEach((part, known) -> {
             Duration sent = now();
             pollCore(part, known)
                     .subscribe(
-                            r -> {
-                                adopt(r, sent);
-                                core.onEpochSeen(r.coreEpoch(), core.likelyLeader(part));
+                            response -> {
+                                adopt(response, sent);
+                                core.onEpochSeen(response.coreEpoch(), core.likelyLeader(part));
                             },
                             e -> {});
         });
         byHome.forEach((home, known) -> {
             Duration sent = now();
-            env.rpc()
+            environment
+                    .rpc()
                     .call(
                             home,
                             new ControlMessages.ServiceViewRequest(known),
@@ -172,10 +177,10 @@
                             HOME_REQUEST_TIMEOUT)
                     .flatMap(ViewSubscriptions::unpacked)
                     .subscribe(
-                            r -> {
-                                adopt(r, sent);
-                                core.onEpochSeen(r.coreEpoch(), home);
-                                bypassHome(known, r);
+                            response -> {
+                                adopt(response, sent);
+                                core.onEpochSeen(response.coreEpoch(), home);
+                                bypassHome(known, response);
                             },
                             e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
         });
@@ -191,39 +196,40 @@
     }
 
     /** A home that does not serve, or serves old subscriptions, is passed over for a while. */
-    private void bypassHome(Map<String, Long> asked, ControlMessages.ServiceViewResponse r) {
+    private void bypassHome(Map<String, Long> asked, ControlMessages.ServiceViewResponse response) {
         shard.run(() -> asked.keySet().forEach(s -> {
-            Duration age = r.ages().getOrDefault(s, MAX_AGE);
-            Optional.ofNullable(subscriptions.get(s)).ifPresent(f -> {
+            Duration age = response.ages().getOrDefault(s, MAX_AGE);
+            Optional.ofNullable(subscriptions.get(s)).ifPresent(subscribedView -> {
                 if (age.compareTo(MAX_AGE.dividedBy(2)) > 0) {
-                    f.bypassHomeUntil = now().plus(HOME_BYPASS);
+                    subscribedView.bypassHomeUntil = now().plus(HOME_BYPASS);
                 }
             });
         }));
     }
 
-    private void adopt(ControlMessages.ServiceViewResponse r, Duration sent) {
+    private void adopt(ControlMessages.ServiceViewResponse response, Duration sent) {
         Map<String, ServiceView> views = new HashMap<>();
-        r.views().forEach(v -> views.put(v.service(), v));
+        response.views().forEach(view -> views.put(view.service(), view));
         List<ServiceView> changed = new ArrayList<>();
-        shard.run(() -> r.ages()
-                .forEach((s, age) -> Optional.ofNullable(subscriptions.get(s)).ifPresent(f -> {
-                    ServiceView v = views.getOrDefault(s, f.view);
-                    if (f.received && v.version() < f.view.version()) {
+        shard.run(() -> response.ages()
+                .forEach((s, age) -> Optional.ofNullable(subscriptions.get(s)).ifPresent(subscribedView -> {
+                    ServiceView view = views.getOrDefault(s, subscribedView.view);
+                    if (subscribedView.received && view.version() < subscribedView.view.version()) {
                         return;
                     }
-                    if (!f.received && !views.containsKey(s)) {
+                    if (!subscribedView.received && !views.containsKey(s)) {
                         return;
                     }
-                    if (!f.received || v.version() > f.view.version()) {
-                        f.view = v;
-                        f.received = true;
-                        changed.add(v);
+                    if (!subscribedView.received || view.version() > subscribedView.view.version()) {
+                        subscribedView.view = view;
+                        subscribedView.received = true;
+                        changed.add(view);
                     }
                     Duration at = sent.minus(age);
-                    f.confirmed = at.compareTo(f.confirmed) > 0 ? at : f.confirmed;
+                    subscribedView.confirmed =
+                            at.compareTo(subscribedView.confirmed) > 0 ? at : subscribedView.confirmed;
                 })));
-        changed.forEach(v -> listeners.forEach(l -> l.accept(v.service(), v)));
+        changed.forEach(view -> listeners.forEach(l -> l.accept(view.service(), view)));
     }
 
     /** As a home node: what is held, with its age; what is not held yet is followed from now on. */
@@ -236,11 +242,11 @@
             List<ServiceView> views = new ArrayList<>();
             Map<String, Duration> ages = new HashMap<>();
             ask.knownVersions().forEach((s, version) -> {
-                SubscribedView f = touch(s);
-                if (f.received && age(f).compareTo(MAX_AGE) < 0) {
-                    ages.put(s, age(f));
-                    if (f.view.version() != version) {
-                        views.add(f.view);
+                SubscribedView subscribedView = touch(s);
+                if (subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0) {
+                    ages.put(s, age(subscribedView));
+                    if (subscribedView.view.version() != version) {
+                        views.add(subscribedView.view);
                     }
                 }
             });
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -72,24 +72,25 @@
         return body(in).flatMap(b -> app.apply(new Request(in.method().name(), in.uri(), headers(in), b)))
                 .switchIfEmpty(Mono.error(new ServiceException(ErrorKind.INTERNAL, "No answer was made.")))
                 .onErrorResume(e -> {
-                    ServiceException f = ServiceException.of(e);
+                    ServiceException failure = ServiceException.of(e);
                     LOG.log(
-                            f.kind().level(),
+                            failure.kind().level(),
                             "gate: {} {} ended as {}: {}",
                             in.method(),
                             in.uri(),
-                            f.kind().wireName(),
-                            f.getMessage());
-                    return Mono.just(Response.of(f));
+                            failure.kind().wireName(),
+                            failure.getMessage());
+                    return Mono.just(Response.of(failure));
                 })
-                .flatMap(a -> {
-                    out.status(a.status());
-                    a.headers().forEach(out::header);
-                    out.header("Content-Length", Integer.toString(a.body().length));
+                .flatMap(response -> {
+                    out.status(response.status());
+                    response.headers().forEach(out::header);
+                    out.header("Content-Length", Integer.toString(response.body().length));
                     if (closing || MalformedRequestHandler.is(in)) {
                         out.header("Connection", "close");
                     }
-                    return out.send(Mono.just(Unpooled.wrappedBuffer(a.body()))).then();
+                    return out.send(Mono.just(Unpooled.wrappedBuffer(response.body())))
+                            .then();
                 });
     }
 
@@ -126,7 +127,7 @@
 
     private static Map<String, String> headers(HttpServerRequest in) {
         Map<String, String> out = new HashMap<>();
-        in.requestHeaders().forEach(e -> out.put(e.getKey().toLowerCase(Locale.ROOT), e.getValue()));
+        in.requestHeaders().forEach(entry -> out.put(entry.getKey().toLowerCase(Locale.ROOT), entry.getValue()));
         return out;
     }
 
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -17,7 +17,7 @@
 
     static boolean is(HttpServerRequest in) {
         AtomicBoolean out = new AtomicBoolean();
-        in.withConnection(c -> out.set(c.channel().hasAttr(KEY)));
+        in.withConnection(connection -> out.set(connection.channel().hasAttr(KEY)));
         return out.get();
     }
 
--- a/common/src/main/java/org/woadvale/common/http/Response.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -20,21 +20,21 @@
     }
 
     /** The table from kind to answer is ErrorKind itself. */
-    public static Response of(ServiceException f) {
+    public static Response of(ServiceException failure) {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("kind", f.kind().wireName());
-        body.put("message", String.valueOf(f.getMessage()));
-        body.put("details", f.details());
-        Response a = json(f.kind().status(), body);
-        return retryAfter(f).map(s -> a.with("Retry-After", s)).orElse(a);
+        body.put("kind", failure.kind().wireName());
+        body.put("message", String.valueOf(failure.getMessage()));
+        body.put("details", failure.details());
+        Response response = json(failure.kind().status(), body);
+        return retryAfter(failure).map(s -> response.with("Retry-After", s)).orElse(response);
     }
 
-    private static Optional<String> retryAfter(ServiceException f) {
-        if (!f.kind().retryable()) {
+    private static Optional<String> retryAfter(ServiceException failure) {
+        if (!failure.kind().retryable()) {
             return Optional.empty();
         }
-        if (f.kind() == ErrorKind.THROTTLED && !f.details().isEmpty()) {
-            return Optional.of(f.details().get(0));
+        if (failure.kind() == ErrorKind.THROTTLED && !failure.details().isEmpty()) {
+            return Optional.of(failure.details().get(0));
         }
         return Optional.of("1");
     }
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -87,7 +87,7 @@
                         new ControlMessages.CoreMembersRequest(true),
                         ControlMessages.CoreMembersResponse.class,
                         ATTEMPT_TIMEOUT)
-                .subscribe(r -> adopt(new CoreMembers(r.epoch(), r.members())), e -> {});
+                .subscribe(response -> adopt(new CoreMembers(response.epoch(), response.members())), e -> {});
     }
 
     public String likelyLeader(String part) {
@@ -104,15 +104,15 @@
         return rpc.call(to, body, type, ATTEMPT_TIMEOUT)
                 .doOnNext(t -> leaderHints.put(part, to))
                 .onErrorResume(e -> {
-                    ServiceException f = ServiceException.of(e);
+                    ServiceException failure = ServiceException.of(e);
                     leaderHints.remove(part, to);
-                    if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(f.kind()) || left <= 1) {
-                        return Mono.error(f);
+                    if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind()) || left <= 1) {
+                        return Mono.error(failure);
                     }
-                    String next =
-                            f.kind() == ErrorKind.NOT_OWNER && !f.details().isEmpty()
-                                    ? f.details().get(0)
-                                    : nextNode(to);
+                    String next = failure.kind() == ErrorKind.NOT_OWNER
+                                    && !failure.details().isEmpty()
+                            ? failure.details().get(0)
+                            : nextNode(to);
                     return attempt(part, body, type, next, left - 1);
                 });
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -50,13 +50,13 @@
      * A first term starts full; a later one at the level handed over. Unless the passes of earlier terms are dead,
      * as many as the bucket holds above that level may still be out. design 8.4
      */
-    public AggregateBucket(long term, double handedLevel, boolean clear, RateLimit a, Duration now) {
+    public AggregateBucket(long term, double handedLevel, boolean clear, RateLimit limit, Duration now) {
         this.term = term;
         boolean first = term <= 1;
-        double level = first ? a.burst() : Math.max(0, Math.min(a.burst(), handedLevel));
-        this.formerOutstanding = first || clear ? 0 : a.burst() - level;
+        double level = first ? limit.burst() : Math.max(0, Math.min(limit.burst(), handedLevel));
+        this.formerOutstanding = first || clear ? 0 : limit.burst() - level;
         this.formerOutstandingUntil = now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN);
-        this.bucket = new Bucket(a, level, now);
+        this.bucket = new Bucket(limit, level, now);
     }
 
     private void fill(Duration to) {
@@ -84,51 +84,51 @@
         return Math.max(1, requesters.size());
     }
 
-    public void change(RateLimit a, Duration now) {
+    public void change(RateLimit limit, Duration now) {
         expireGrants(now);
-        bucket.change(a);
+        bucket.change(limit);
     }
 
     /** Step by step: the time in which passes were out is not counted as time of filling once they are dead. */
     private void expireGrants(Duration now) {
         while (!byEnd.isEmpty() && byEnd.peek().until.compareTo(now) <= 0) {
-            Grant g = byEnd.poll();
-            fill(g.until);
-            outstanding -= g.out();
-            byId.remove(g.requester + "/" + g.id);
+            Grant grant = byEnd.poll();
+            fill(grant.until);
+            outstanding -= grant.out();
+            byId.remove(grant.requester + "/" + grant.id);
         }
-        requesters.values().removeIf(x -> now.minus(x.last()).compareTo(ACTIVE_WINDOW) > 0);
+        requesters.values().removeIf(requester -> now.minus(requester.last()).compareTo(ACTIVE_WINDOW) > 0);
         fill(now);
     }
 
-    private void report(String asker, TokenMessages.UsageReport r) {
-        Optional.ofNullable(byId.get(asker + "/" + r.grant()))
-                .filter(g -> !g.closed)
-                .ifPresent(g -> {
-                    int before = g.out();
-                    g.spent = Math.max(g.spent, Math.min(r.spent(), g.granted));
-                    if (r.closed()) {
-                        bucket.putBack(g.granted - g.spent);
-                        g.closed = true;
+    private void report(String asker, TokenMessages.UsageReport report) {
+        Optional.ofNullable(byId.get(asker + "/" + report.grant()))
+                .filter(grant -> !grant.closed)
+                .ifPresent(grant -> {
+                    int before = grant.out();
+                    grant.spent = Math.max(grant.spent, Math.min(report.spent(), grant.granted));
+                    if (report.closed()) {
+                        bucket.putBack(grant.granted - grant.spent);
+                        grant.closed = true;
                     }
-                    outstanding += g.out() - before;
+                    outstanding += grant.out() - before;
                 });
     }
 
     /** Idempotent by asker and grant id; never grants more than the aggregate holds, nor for longer than the lease. */
     public TokenMessages.TokenResponse grant(
-            String asker, TokenMessages.TokenRequest a, Duration leaseEnd, Duration now) {
+            String asker, TokenMessages.TokenRequest request, Duration leaseEnd, Duration now) {
         expireGrants(now);
-        a.reports().forEach(r -> report(asker, r));
+        request.reports().forEach(report -> report(asker, report));
         fill(now);
         Duration left = leaseEnd.minus(now);
         Duration life = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
-        Grant known = byId.get(asker + "/" + a.grant());
+        Grant known = byId.get(asker + "/" + request.grant());
         if (known != null) {
-            return new TokenMessages.TokenResponse(a.grant(), known.granted, Duration.ZERO, term, life);
+            return new TokenMessages.TokenResponse(request.grant(), known.granted, Duration.ZERO, term, life);
         }
-        if (a.grant() == TokenMessages.NO_GRANT) {
-            return new TokenMessages.TokenResponse(a.grant(), 0, Duration.ZERO, term, life);
+        if (request.grant() == TokenMessages.NO_GRANT) {
+            return new TokenMessages.TokenResponse(request.grant(), 0, Duration.ZERO, term, life);
         }
         int most = Optional.ofNullable(requesters.get(asker))
                 .map(Requester::largestRequest)
@@ -137,16 +137,19 @@
         // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted. design 8.3
         RateLimit mine = bucket.limit();
         int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / active());
-        int want = Math.max(Math.min(batch, most), a.minimum());
+        int want = Math.max(Math.min(batch, most), request.minimum());
         int n = (int) Math.min(want, Math.floor(bucket.level() + 1e-9));
         if (n <= 0 || !bucket.take(n)) {
-            return new TokenMessages.TokenResponse(a.grant(), 0, bucket.until(1), term, life);
+            return new TokenMessages.TokenResponse(request.grant(), 0, bucket.until(1), term, life);
         }
-        Grant g = new Grant(
-                asker, a.grant(), n, now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
-        byId.put(asker + "/" + a.grant(), g);
-        byEnd.add(g);
+        Grant grant = new Grant(
+                asker,
+                request.grant(),
+                n,
+                now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
+        byId.put(asker + "/" + request.grant(), grant);
+        byEnd.add(grant);
         outstanding += n;
-        return new TokenMessages.TokenResponse(a.grant(), n, Duration.ZERO, term, life);
+        return new TokenMessages.TokenResponse(request.grant(), n, Duration.ZERO, term, life);
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
@@ -14,13 +14,13 @@
         this.filled = from;
     }
 
-    public static Bucket full(RateLimit a, Duration now) {
-        return new Bucket(a, a.burst(), now);
+    public static Bucket full(RateLimit limit, Duration now) {
+        return new Bucket(limit, limit.burst(), now);
     }
 
-    public void change(RateLimit a) {
-        limit = a;
-        level = Math.min(level, a.burst());
+    public void change(RateLimit rateLimit) {
+        limit = rateLimit;
+        level = Math.min(level, rateLimit.burst());
     }
 
     /** Fills up to the burst less what is out; a time before the start of filling adds nothing. */
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
@@ -40,35 +40,35 @@
     private int lastBatch;
 
     public int left(Duration now) {
-        return batches.stream().mapToInt(l -> l.left(now)).sum();
+        return batches.stream().mapToInt(batch -> batch.left(now)).sum();
     }
 
     public Optional<AdmissionToken> take(Duration now) {
-        for (TokenBatch l : batches) {
-            if (l.left(now) > 0) {
-                l.drawn++;
-                return Optional.of(new AdmissionToken(l.grant, l.until));
+        for (TokenBatch batch : batches) {
+            if (batch.left(now) > 0) {
+                batch.drawn++;
+                return Optional.of(new AdmissionToken(batch.grant, batch.until));
             }
         }
         return Optional.empty();
     }
 
-    private Optional<TokenBatch> inUse(AdmissionToken p) {
+    private Optional<TokenBatch> inUse(AdmissionToken token) {
         return batches.stream()
-                .filter(l -> l.grant == p.grant() && !l.closed && l.drawn > l.settled)
+                .filter(batch -> batch.grant == token.grant() && !batch.closed && batch.drawn > batch.settled)
                 .findFirst();
     }
 
     /** A pass drawn for work that was definitely refused is spendable again while it lives. */
-    public void returnToken(AdmissionToken p) {
-        inUse(p).ifPresent(l -> l.drawn--);
+    public void returnToken(AdmissionToken token) {
+        inUse(token).ifPresent(batch -> batch.drawn--);
     }
 
     /** Only now is the pass reported as spent; a report can so never be taken back. */
-    public void markSpent(AdmissionToken p) {
-        inUse(p).ifPresent(l -> {
-            l.settled++;
-            l.reported = false;
+    public void markSpent(AdmissionToken token) {
+        inUse(token).ifPresent(batch -> {
+            batch.settled++;
+            batch.reported = false;
         });
     }
 
@@ -89,7 +89,7 @@
 
     /** Something was spent that the holder still counts as out. */
     public boolean hasUnreportedUsage() {
-        return batches.stream().anyMatch(l -> !l.reported && l.settled > 0);
+        return batches.stream().anyMatch(batch -> !batch.reported && batch.settled > 0);
     }
 
     public boolean isTiny() {
@@ -100,19 +100,21 @@
     public List<TokenMessages.UsageReport> reports(Duration now) {
         List<TokenMessages.UsageReport> out = new ArrayList<>();
         for (Iterator<TokenBatch> i = batches.iterator(); i.hasNext(); ) {
-            TokenBatch l = i.next();
-            if (now.compareTo(l.until) >= 0) {
+            TokenBatch batch = i.next();
+            if (now.compareTo(batch.until) >= 0) {
                 i.remove();
                 continue;
             }
-            boolean old =
-                    now.compareTo(l.until.minus(TokenMessages.TOKEN_LIFETIME).plus(RETURN_BEFORE_EXPIRY)) >= 0;
-            if (old || l.settled == l.granted) {
-                l.closed = true;
+            boolean old = now.compareTo(
+                            batch.until.minus(TokenMessages.TOKEN_LIFETIME).plus(RETURN_BEFORE_EXPIRY))
+                    >= 0;
+            if (old || batch.settled == batch.granted) {
+                batch.closed = true;
             }
-            if (!l.reported || l.closed) {
-                out.add(new TokenMessages.UsageReport(l.grant, l.closed ? l.drawn : l.settled, l.closed));
-                l.reported = true;
+            if (!batch.reported || batch.closed) {
+                out.add(new TokenMessages.UsageReport(
+                        batch.grant, batch.closed ? batch.drawn : batch.settled, batch.closed));
+                batch.reported = true;
             }
         }
         return out;
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -45,7 +45,7 @@
     /** Counts for the measurements: drawn at once, after a wait, or not at all. */
     public record Counts(long atOnce, long waited, long throttled, long asks) {}
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final LockedShard shard = new LockedShard();
     private final Map<String, BucketState> buckets = new HashMap<>();
@@ -56,14 +56,14 @@
     private long throttled;
     private long requests;
 
-    public LocalBuckets(NodeEnvironment env, ViewSubscriptions subscriptions) {
-        this.env = env;
+    public LocalBuckets(NodeEnvironment environment, ViewSubscriptions subscriptions) {
+        this.environment = environment;
         this.subscriptions = subscriptions;
-        this.nextGrant = env.random().getAsLong() >>> 8;
+        this.nextGrant = environment.random().getAsLong() >>> 8;
     }
 
     public void start() {
-        ticking = env.timers().every(Duration.ofMillis(25), this::onTick);
+        ticking = environment.timers().every(Duration.ofMillis(25), this::onTick);
     }
 
     public void stop() {
@@ -71,156 +71,169 @@
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     /** At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one and by WAIT. */
     public Mono<LocalBucket.AdmissionToken> take(String bucket, Duration wait) {
         return Mono.defer(() -> shard.get(() -> {
-            BucketState l = buckets.computeIfAbsent(bucket, b -> new BucketState());
-            l.lastUsed = now();
-            Optional<LocalBucket.AdmissionToken> p = l.waiting.isEmpty() ? l.localBucket.take(now()) : Optional.empty();
-            if (p.isPresent()) {
+            BucketState bucketState = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            bucketState.lastUsed = now();
+            Optional<LocalBucket.AdmissionToken> token =
+                    bucketState.waiting.isEmpty() ? bucketState.localBucket.take(now()) : Optional.empty();
+            if (token.isPresent()) {
                 atOnce++;
-                refill(bucket, l);
-                return Mono.just(p.get());
+                refill(bucket, bucketState);
+                return Mono.just(token.get());
             }
-            boolean hopeless = l.retry.compareTo(MAX_WAIT) > 0 && l.notBefore.compareTo(now()) > 0;
-            if (l.waiting.size() >= MAX_WAITING || hopeless) {
+            boolean hopeless = bucketState.retry.compareTo(MAX_WAIT) > 0 && bucketState.notBefore.compareTo(now()) > 0;
+            if (bucketState.waiting.size() >= MAX_WAITING || hopeless) {
                 throttled++;
-                return Mono.error(throttled(l));
+                return Mono.error(throttled(bucketState));
             }
-            PendingAdmission w =
+            PendingAdmission pending =
                     new PendingAdmission(Sinks.one(), now().plus(wait.compareTo(MAX_WAIT) < 0 ? wait : MAX_WAIT));
-            l.waiting.add(w);
-            refill(bucket, l);
-            return w.sink().asMono();
+            bucketState.waiting.add(pending);
+            refill(bucket, bucketState);
+            return pending.sink().asMono();
         }));
     }
 
     /** Without any wait; for the leaving direction, where the next look tries again. */
     public Optional<LocalBucket.AdmissionToken> tryTake(String bucket) {
         return shard.get(() -> {
-            BucketState l = buckets.computeIfAbsent(bucket, b -> new BucketState());
-            l.lastUsed = now();
-            Optional<LocalBucket.AdmissionToken> p = l.localBucket.take(now());
-            p.ifPresent(x -> atOnce++);
-            l.requestLost = p.isEmpty();
-            refill(bucket, l);
-            return p;
+            BucketState bucketState = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            bucketState.lastUsed = now();
+            Optional<LocalBucket.AdmissionToken> optional = bucketState.localBucket.take(now());
+            optional.ifPresent(token -> atOnce++);
+            bucketState.requestLost = optional.isEmpty();
+            refill(bucket, bucketState);
+            return optional;
         });
     }
 
-    public boolean isValid(LocalBucket.AdmissionToken p) {
-        return now().compareTo(p.until()) < 0;
+    public boolean isValid(LocalBucket.AdmissionToken token) {
+        return now().compareTo(token.until()) < 0;
     }
 
-    public void returnToken(String bucket, LocalBucket.AdmissionToken p) {
-        shard.run(() -> Optional.ofNullable(buckets.get(bucket)).ifPresent(l -> l.localBucket.returnToken(p)));
+    public void returnToken(String bucket, LocalBucket.AdmissionToken token) {
+        shard.run(() -> Optional.ofNullable(buckets.get(bucket))
+                .ifPresent(bucketState -> bucketState.localBucket.returnToken(token)));
     }
 
-    public void markSpent(String bucket, LocalBucket.AdmissionToken p) {
-        shard.run(() -> Optional.ofNullable(buckets.get(bucket)).ifPresent(l -> l.localBucket.markSpent(p)));
+    public void markSpent(String bucket, LocalBucket.AdmissionToken token) {
+        shard.run(() -> Optional.ofNullable(buckets.get(bucket))
+                .ifPresent(bucketState -> bucketState.localBucket.markSpent(token)));
     }
 
-    private ServiceException throttled(BucketState l) {
-        long s = Math.max(1, (l.retry.toMillis() + 999) / 1000);
+    private ServiceException throttled(BucketState bucket) {
+        long s = Math.max(1, (bucket.retry.toMillis() + 999) / 1000);
         return new ServiceException(ErrorKind.THROTTLED, "The allowance is spent for now.", List.of(Long.toString(s)));
     }
 
     private void onTick() {
-        shard.run(() -> buckets.forEach((b, l) -> {
-            servePending(l);
-            while (!l.waiting.isEmpty() && now().compareTo(l.waiting.peek().until()) >= 0) {
-                PendingAdmission w = l.waiting.poll();
+        shard.run(() -> buckets.forEach((b, bucket) -> {
+            servePending(bucket);
+            while (!bucket.waiting.isEmpty()
+                    && now().compareTo(bucket.waiting.peek().until()) >= 0) {
+                PendingAdmission pending = bucket.waiting.poll();
                 throttled++;
-                ServiceException f = throttled(l);
-                shard.afterUnlock(() -> w.sink().tryEmitError(f));
+                ServiceException failure = throttled(bucket);
+                shard.afterUnlock(() -> pending.sink().tryEmitError(failure));
             }
-            if (now().minus(l.lastUsed).compareTo(IDLE_AFTER) < 0) {
-                refill(b, l);
-                report(b, l);
+            if (now().minus(bucket.lastUsed).compareTo(IDLE_AFTER) < 0) {
+                refill(b, bucket);
+                report(b, bucket);
             }
         }));
     }
 
-    private void servePending(BucketState l) {
-        while (!l.waiting.isEmpty()) {
-            Optional<LocalBucket.AdmissionToken> p = l.localBucket.take(now());
-            if (p.isEmpty()) {
+    private void servePending(BucketState bucket) {
+        while (!bucket.waiting.isEmpty()) {
+            Optional<LocalBucket.AdmissionToken> token = bucket.localBucket.take(now());
+            if (token.isEmpty()) {
                 return;
             }
-            PendingAdmission w = l.waiting.poll();
+            PendingAdmission pending = bucket.waiting.poll();
             waited++;
-            shard.afterUnlock(() -> w.sink().tryEmitValue(p.get()));
+            shard.afterUnlock(() -> pending.sink().tryEmitValue(token.get()));
         }
     }
 
-    private void refill(String bucket, BucketState l) {
-        boolean need = !l.waiting.isEmpty() || l.requestLost || (l.localBucket.isLow(now()) && !l.localBucket.isTiny());
-        if (!need || l.requestInFlight || now().compareTo(l.notBefore) < 0) {
+    private void refill(String bucket, BucketState bucketState) {
+        boolean need = !bucketState.waiting.isEmpty()
+                || bucketState.requestLost
+                || (bucketState.localBucket.isLow(now()) && !bucketState.localBucket.isTiny());
+        if (!need || bucketState.requestInFlight || now().compareTo(bucketState.notBefore) < 0) {
             return;
         }
         Optional<String> holder =
                 Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
         if (holder.isEmpty()) {
-            l.notBefore = now().plus(RETRY_PAUSE);
+            bucketState.notBefore = now().plus(RETRY_PAUSE);
             shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
             return;
         }
-        if (l.pending == 0 || now().minus(l.pendingSince).compareTo(TokenMessages.TOKEN_LIFETIME.dividedBy(2)) > 0) {
-            l.pending = ++nextGrant;
-            l.pendingSince = now();
+        if (bucketState.pending == 0
+                || now().minus(bucketState.pendingSince).compareTo(TokenMessages.TOKEN_LIFETIME.dividedBy(2)) > 0) {
+            bucketState.pending = ++nextGrant;
+            bucketState.pendingSince = now();
         }
-        l.requestInFlight = true;
-        l.lastReport = now();
+        bucketState.requestInFlight = true;
+        bucketState.lastReport = now();
         requests++;
-        Duration since = l.pendingSince;
+        Duration since = bucketState.pendingSince;
         TokenMessages.TokenRequest ask = new TokenMessages.TokenRequest(
-                bucket, l.pending, Math.max(l.waiting.size(), l.requestLost ? 1 : 0), l.localBucket.reports(now()));
-        shard.afterUnlock(() -> env.rpc()
+                bucket,
+                bucketState.pending,
+                Math.max(bucketState.waiting.size(), bucketState.requestLost ? 1 : 0),
+                bucketState.localBucket.reports(now()));
+        shard.afterUnlock(() -> environment
+                .rpc()
                 .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(
-                        r -> shard.run(() -> onGranted(bucket, l, r, since)),
+                        response -> shard.run(() -> onGranted(bucket, bucketState, response, since)),
                         e -> shard.run(() -> {
-                            l.requestInFlight = false;
-                            l.notBefore = now().plus(RETRY_PAUSE);
+                            bucketState.requestInFlight = false;
+                            bucketState.notBefore = now().plus(RETRY_PAUSE);
                             // the holder may be another by now: design 8.4
                             shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
                         })));
     }
 
     /** What is spent is told soon: the holder fills only what is not out. */
-    private void report(String bucket, BucketState l) {
+    private void report(String bucket, BucketState bucketState) {
         Optional<String> holder =
                 Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
-        if (l.requestInFlight
+        if (bucketState.requestInFlight
                 || holder.isEmpty()
-                || !l.localBucket.hasUnreportedUsage()
-                || now().minus(l.lastReport).compareTo(REPORT_INTERVAL) < 0) {
+                || !bucketState.localBucket.hasUnreportedUsage()
+                || now().minus(bucketState.lastReport).compareTo(REPORT_INTERVAL) < 0) {
             return;
         }
-        l.lastReport = now();
+        bucketState.lastReport = now();
         requests++;
-        TokenMessages.TokenRequest ask =
-                new TokenMessages.TokenRequest(bucket, TokenMessages.NO_GRANT, 0, l.localBucket.reports(now()));
-        shard.afterUnlock(() -> env.rpc()
+        TokenMessages.TokenRequest ask = new TokenMessages.TokenRequest(
+                bucket, TokenMessages.NO_GRANT, 0, bucketState.localBucket.reports(now()));
+        shard.afterUnlock(() -> environment
+                .rpc()
                 .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
-                .subscribe(r -> {}, e -> {}));
-    }
-
-    private void onGranted(String bucket, BucketState l, TokenMessages.TokenResponse r, Duration asked) {
-        l.requestInFlight = false;
-        l.requestLost = false;
-        l.pending = 0;
-        l.localBucket.onGranted(r.grant(), r.granted(), asked, r.lifetime(), now());
-        l.retry = r.granted() > 0 ? RETRY_PAUSE : r.retryAfter();
-        if (r.granted() == 0) {
-            Duration pause = r.retryAfter().compareTo(MAX_WAIT) > 0 ? MAX_WAIT : r.retryAfter();
-            l.notBefore = now().plus(pause.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : pause);
+                .subscribe(response -> {}, e -> {}));
+    }
+
+    private void onGranted(
+            String bucket, BucketState bucketState, TokenMessages.TokenResponse response, Duration asked) {
+        bucketState.requestInFlight = false;
+        bucketState.requestLost = false;
+        bucketState.pending = 0;
+        bucketState.localBucket.onGranted(response.grant(), response.granted(), asked, response.lifetime(), now());
+        bucketState.retry = response.granted() > 0 ? RETRY_PAUSE : response.retryAfter();
+        if (response.granted() == 0) {
+            Duration pause = response.retryAfter().compareTo(MAX_WAIT) > 0 ? MAX_WAIT : response.retryAfter();
+            bucketState.notBefore = now().plus(pause.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : pause);
         }
-        servePending(l);
-        refill(bucket, l);
+        servePending(bucketState);
+        refill(bucket, bucketState);
     }
 
     public Counts counts() {
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -37,7 +37,7 @@
         boolean releasing;
     }
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final Function<String, Optional<RateLimit>> limits;
@@ -51,12 +51,12 @@
     private long requests;
 
     public TokenGranters(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             CoreClient core,
             ViewSubscriptions subscriptions,
             Function<String, Optional<RateLimit>> allowances,
             Supplier<Set<String>> buckets) {
-        this.env = env;
+        this.environment = environment;
         this.core = core;
         this.subscriptions = subscriptions;
         this.limits = allowances;
@@ -64,7 +64,7 @@
     }
 
     public void start() {
-        ticking = env.timers().every(Duration.ofMillis(200), this::onTick);
+        ticking = environment.timers().every(Duration.ofMillis(200), this::onTick);
     }
 
     public void stop() {
@@ -72,14 +72,14 @@
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     private void onTick() {
         Set<String> ring = subscriptions.latest(ServiceNames.INTAKES).members().keySet();
         for (String b : buckets.get()) {
             boolean mine = ServiceNames.rendezvousOwner(b, ring)
-                    .filter(env.self()::equals)
+                    .filter(environment.self()::equals)
                     .isPresent();
             boolean deputy = !mine && preferredOwner(b, ring);
             shard.run(() -> acquireOrRelease(b, mine, deputy));
@@ -91,25 +91,26 @@
 
     /** Stands once the first of the ring has let its lease lapse; the ring itself is told of that later. design 8.4 */
     private boolean preferredOwner(String b, Set<String> ring) {
-        SingletonLease d = subscriptions.latest(b).singleton();
+        SingletonLease singleton = subscriptions.latest(b).singleton();
         Optional<String> first = ServiceNames.rendezvousOwner(b, ring);
         Set<String> rest = new TreeSet<>(ring);
         first.ifPresent(rest::remove);
-        return first.filter(d.owner()::equals).isPresent()
+        return first.filter(singleton.owner()::equals).isPresent()
                 && ServiceNames.rendezvousOwner(b, rest)
-                        .filter(env.self()::equals)
+                        .filter(environment.self()::equals)
                         .isPresent();
     }
 
     private void acquireOrRelease(String b, boolean mine, boolean deputy) {
         Optional<OwnedBucket> h = Optional.ofNullable(owned.get(b));
         if (h.isPresent()) {
-            OwnedBucket x = h.get();
-            x.notPreferredSince = mine ? Duration.ZERO : x.notPreferredSince.isZero() ? now() : x.notPreferredSince;
-            if (draining || (!mine && now().minus(x.notPreferredSince).compareTo(STABLE_AFTER) > 0)) {
+            OwnedBucket owned = h.get();
+            owned.notPreferredSince =
+                    mine ? Duration.ZERO : owned.notPreferredSince.isZero() ? now() : owned.notPreferredSince;
+            if (draining || (!mine && now().minus(owned.notPreferredSince).compareTo(STABLE_AFTER) > 0)) {
                 release(b);
             } else {
-                requestLease(b, x.bucket.term());
+                requestLease(b, owned.bucket.term());
             }
         } else if ((mine || deputy) && !draining) {
             requestLease(b, 0);
@@ -124,44 +125,49 @@
         shard.afterUnlock(() -> core.ask(
                         ServiceNames.controlPart(b),
                         new ControlMessages.SingletonLeaseRequest(
-                                b, env.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
+                                b, environment.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
                         ControlMessages.SingletonLeaseResponse.class)
-                .doFinally(s -> env.timers().after(Duration.ofMillis(250), () -> shard.run(() -> requesting.remove(b))))
-                .subscribe(r -> shard.run(() -> onLeaseResponse(b, r, sent)), e -> {}));
+                .doFinally(signal ->
+                        environment.timers().after(Duration.ofMillis(250), () -> shard.run(() -> requesting.remove(b))))
+                .subscribe(response -> shard.run(() -> onLeaseResponse(b, response, sent)), e -> {}));
     }
 
-    private void onLeaseResponse(String b, ControlMessages.SingletonLeaseResponse r, Duration sent) {
-        if (!r.granted() || draining) {
+    private void onLeaseResponse(String b, ControlMessages.SingletonLeaseResponse response, Duration sent) {
+        if (!response.granted() || draining) {
             owned.remove(b);
             return;
         }
         Duration end = sent.plus(ReplicationTiming.defaults().leaderLease());
-        OwnedBucket h = owned.get(b);
-        if (h == null || h.bucket.term() != r.lease().term()) {
+        OwnedBucket ownedBucket = owned.get(b);
+        if (ownedBucket == null || ownedBucket.bucket.term() != response.lease().term()) {
             Optional<RateLimit> a = limits.apply(b);
             if (a.isEmpty()) {
                 return;
             }
-            h = new OwnedBucket();
-            h.bucket = new AggregateBucket(
-                    r.lease().term(), r.lease().level(), r.lease().clear(), a.get(), now());
-            owned.put(b, h);
-            LOG.info("tide: holds {} in term {}.", b, r.lease().term());
+            ownedBucket = new OwnedBucket();
+            ownedBucket.bucket = new AggregateBucket(
+                    response.lease().term(),
+                    response.lease().level(),
+                    response.lease().clear(),
+                    a.get(),
+                    now());
+            owned.put(b, ownedBucket);
+            LOG.info("tide: holds {} in term {}.", b, response.lease().term());
         }
-        h.leaseEnd = end;
+        ownedBucket.leaseEnd = end;
     }
 
     /** The old holder stops first; then the level goes to the core for the next one. */
     private void release(String b) {
-        OwnedBucket h = owned.remove(b);
-        if (h == null || h.leaseEnd.compareTo(now()) <= 0) {
+        OwnedBucket ownedBucket = owned.remove(b);
+        if (ownedBucket == null || ownedBucket.leaseEnd.compareTo(now()) <= 0) {
             return;
         }
-        ControlMessages.ReleaseSingletonRequest r =
-                new ControlMessages.ReleaseSingletonRequest(b, env.self(), h.bucket.term(), h.bucket.level(now()));
-        LOG.info("tide: gives up {} with level {}.", b, r.level());
-        shard.afterUnlock(() -> core.ask(ServiceNames.controlPart(b), r, ControlMessages.UpdateResult.class)
-                .subscribe(d -> {}, e -> {}));
+        ControlMessages.ReleaseSingletonRequest request = new ControlMessages.ReleaseSingletonRequest(
+                b, environment.self(), ownedBucket.bucket.term(), ownedBucket.bucket.level(now()));
+        LOG.info("tide: gives up {} with level {}.", b, request.level());
+        shard.afterUnlock(() -> core.ask(ServiceNames.controlPart(b), request, ControlMessages.UpdateResult.class)
+                .subscribe(result -> {}, e -> {}));
     }
 
     public void drain() {
@@ -171,22 +177,23 @@
         });
     }
 
-    public Mono<TokenMessages.TokenResponse> onTokenRequest(String asker, TokenMessages.TokenRequest a) {
-        Optional<RateLimit> allowance = limits.apply(a.bucket());
+    public Mono<TokenMessages.TokenResponse> onTokenRequest(String asker, TokenMessages.TokenRequest request) {
+        Optional<RateLimit> allowance = limits.apply(request.bucket());
         return Mono.defer(() -> shard.get(() -> {
-            OwnedBucket h = owned.get(a.bucket());
-            if (h == null || now().compareTo(h.leaseEnd) >= 0) {
+            OwnedBucket ownedBucket = owned.get(request.bucket());
+            if (ownedBucket == null || now().compareTo(ownedBucket.leaseEnd) >= 0) {
                 return Mono.error(
-                        new ServiceException(ErrorKind.NOT_OWNER, "This node does not hold " + a.bucket() + "."));
+                        new ServiceException(ErrorKind.NOT_OWNER, "This node does not hold " + request.bucket() + "."));
             }
             if (allowance.isEmpty()) {
                 return Mono.error(new ServiceException(ErrorKind.STALE_VIEW, "The layout here is not proven fresh."));
             }
-            h.bucket.change(allowance.get(), now());
-            TokenMessages.TokenResponse r = h.bucket.grant(asker, a, h.leaseEnd, now());
+            ownedBucket.bucket.change(allowance.get(), now());
+            TokenMessages.TokenResponse response =
+                    ownedBucket.bucket.grant(asker, request, ownedBucket.leaseEnd, now());
             requests++;
-            granted += r.granted();
-            return Mono.just(r);
+            granted += response.granted();
+            return Mono.just(response);
         }));
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -11,101 +11,106 @@
 /** First formation, and the promotion by which a replica may vote again: design 5.5. */
 final class Bootstrap {
     private static final Duration RETRY_PERIOD = Duration.ofMillis(300);
-    private final Replica r;
+    private final Replica replica;
     private final Map<String, String> uninitializedMembers = new TreeMap<>();
     private Duration nextAttempt = Duration.ZERO;
 
-    Bootstrap(Replica r) {
-        this.r = r;
+    Bootstrap(Replica replica) {
+        this.replica = replica;
     }
 
     /** Only the first of the wanted list founds, and only when every member reports blank. */
     void onTick() {
-        boolean first = !r.desiredMembers.isEmpty() && r.desiredMembers.get(0).equals(r.environment.self());
-        if (!first || !r.membership.latest().isEmpty() || r.now().compareTo(nextAttempt) < 0) {
+        boolean first = !replica.desiredMembers.isEmpty()
+                && replica.desiredMembers.get(0).equals(replica.environment.self());
+        if (!first || !replica.membership.latest().isEmpty() || replica.now().compareTo(nextAttempt) < 0) {
             return;
         }
-        nextAttempt = r.now().plus(RETRY_PERIOD);
+        nextAttempt = replica.now().plus(RETRY_PERIOD);
         uninitializedMembers.clear();
-        uninitializedMembers.put(r.environment.self(), r.identity);
-        for (String n : r.desiredMembers) {
-            if (!n.equals(r.environment.self())) {
-                r.shard.afterUnlock(() -> r.environment
+        uninitializedMembers.put(replica.environment.self(), replica.identity);
+        for (String n : replica.desiredMembers) {
+            if (!n.equals(replica.environment.self())) {
+                replica.shard.afterUnlock(() -> replica.environment
                         .rpc()
                         .call(
                                 n,
-                                new ReplicationMessages.BootstrapStatusRequest(r.partition),
+                                new ReplicationMessages.BootstrapStatusRequest(replica.partition),
                                 ReplicationMessages.BootstrapStatusResponse.class,
-                                r.environment.timing().requestTimeout())
-                        .subscribe(b -> r.shard.run(() -> onStatus(n, b)), e -> {}));
+                                replica.environment.timing().requestTimeout())
+                        .subscribe(response -> replica.shard.run(() -> onStatus(n, response)), e -> {}));
             }
         }
-        if (r.desiredMembers.size() == 1) {
-            onStatus(r.environment.self(), new ReplicationMessages.BootstrapStatusResponse(true, r.identity));
+        if (replica.desiredMembers.size() == 1) {
+            onStatus(
+                    replica.environment.self(),
+                    new ReplicationMessages.BootstrapStatusResponse(true, replica.identity));
         }
     }
 
-    private void onStatus(String from, ReplicationMessages.BootstrapStatusResponse b) {
-        if (!b.uninitialized()
-                || r.role != Role.UNINITIALIZED
-                || !r.membership.latest().isEmpty()) {
+    private void onStatus(String from, ReplicationMessages.BootstrapStatusResponse response) {
+        if (!response.uninitialized()
+                || replica.role != Role.UNINITIALIZED
+                || !replica.membership.latest().isEmpty()) {
             return;
         }
-        uninitializedMembers.put(from, b.identity());
-        if (!uninitializedMembers.keySet().containsAll(r.desiredMembers)) {
+        uninitializedMembers.put(from, response.identity());
+        if (!uninitializedMembers.keySet().containsAll(replica.desiredMembers)) {
             return;
         }
         Map<String, String> group = new TreeMap<>(uninitializedMembers);
         initialize(group);
         group.forEach((n, id) -> {
-            if (!n.equals(r.environment.self())) {
-                send(n, new ReplicationMessages.BootstrapRequest(r.partition, id, group));
+            if (!n.equals(replica.environment.self())) {
+                send(n, new ReplicationMessages.BootstrapRequest(replica.partition, id, group));
             }
         });
     }
 
-    private void send(String n, ReplicationMessages.BootstrapRequest f) {
-        r.shard.afterUnlock(() -> r.environment
+    private void send(String n, ReplicationMessages.BootstrapRequest request) {
+        replica.shard.afterUnlock(() -> replica.environment
                 .rpc()
                 .call(
                         n,
-                        f,
+                        request,
                         ReplicationMessages.Acknowledgement.class,
-                        r.environment.timing().requestTimeout())
+                        replica.environment.timing().requestTimeout())
                 .subscribe(ok -> {}, e -> {}));
     }
 
     private void initialize(Map<String, String> group) {
-        r.membership.reset(group);
+        replica.membership.reset(group);
         // design 5.5: before the bootstrap nobody could hold a lease
-        r.leaderLeaseUntil = r.now();
+        replica.leaderLeaseUntil = replica.now();
         becomeVoter("the group is founded");
     }
 
     private void becomeVoter(String why) {
-        r.voter = true;
-        r.transitionTo(Role.FOLLOWER, why);
-        r.storage.storeSnapshot();
+        replica.voter = true;
+        replica.transitionTo(Role.FOLLOWER, why);
+        replica.storage.storeSnapshot();
     }
 
     /** Voter again once a committed group entry names our new identity; it was committed without us. */
     void promoteIfMember() {
-        if (r.role == Role.UNINITIALIZED
-                && r.identity.equals(r.membership.committed().get(r.environment.self()))) {
-            Replica.LOG.info("keeper: {} at {} has caught up and counts again.", r.partition, r.environment.self());
+        if (replica.role == Role.UNINITIALIZED
+                && replica.identity.equals(replica.membership.committed().get(replica.environment.self()))) {
+            Replica.LOG.info(
+                    "keeper: {} at {} has caught up and counts again.", replica.partition, replica.environment.self());
             becomeVoter("seated by a committed entry");
         }
     }
 
     Mono<Object> onRequest(Object body) {
-        boolean blank = r.role == Role.UNINITIALIZED && r.membership.latest().isEmpty();
+        boolean blank = replica.role == Role.UNINITIALIZED
+                && replica.membership.latest().isEmpty();
         if (body instanceof ReplicationMessages.BootstrapStatusRequest) {
-            return Mono.just(new ReplicationMessages.BootstrapStatusResponse(blank, r.identity));
+            return Mono.just(new ReplicationMessages.BootstrapStatusResponse(blank, replica.identity));
         }
-        if (body instanceof ReplicationMessages.BootstrapRequest f) {
-            if (blank && f.identity().equals(r.identity)) {
+        if (body instanceof ReplicationMessages.BootstrapRequest request) {
+            if (blank && request.identity().equals(replica.identity)) {
                 Sinks.One<Object> out = Sinks.one();
-                initialize(f.members());
+                initialize(request.members());
                 out.tryEmitValue(new ReplicationMessages.Acknowledgement(true));
                 return out.asMono();
             }
--- a/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
@@ -11,13 +11,13 @@
 final class CommitTracker {
     private record PendingProposal(long term, Sinks.One<Object> sink) {}
 
-    private final Replica r;
+    private final Replica replica;
     private final TreeMap<Long, PendingProposal> pending = new TreeMap<>();
     private long commitIndex;
     private long appliedIndex;
 
-    CommitTracker(Replica r) {
-        this.r = r;
+    CommitTracker(Replica replica) {
+        this.replica = replica;
     }
 
     long commitIndex() {
@@ -46,41 +46,43 @@
         commitIndex = index;
         while (appliedIndex < commitIndex) {
             appliedIndex++;
-            apply(r.replicatedLog.get(appliedIndex));
+            apply(replica.replicatedLog.get(appliedIndex));
         }
-        r.membership.onCommitted(commitIndex);
-        r.bootstrap.promoteIfMember();
+        replica.membership.onCommitted(commitIndex);
+        replica.bootstrap.promoteIfMember();
     }
 
     private void apply(LogEntry item) {
         Object result = "";
         if (item.kind() == LogEntry.Kind.COMMAND) {
             try {
-                result =
-                        r.stateMachine.apply(appliedIndex, r.environment.codec().read(item.bytes(), Object.class));
-            } catch (ServiceException e) {
-                result = e;
+                result = replica.stateMachine.apply(
+                        appliedIndex, replica.environment.codec().read(item.bytes(), Object.class));
+            } catch (ServiceException failure) {
+                result = failure;
             }
         }
         Object answer = result;
-        Optional.ofNullable(pending.remove(appliedIndex)).ifPresent(w -> {
-            if (w.term() == item.term()) {
-                r.shard.afterUnlock(() -> w.sink().tryEmitValue(answer));
+        Optional.ofNullable(pending.remove(appliedIndex)).ifPresent(pendingProposal -> {
+            if (pendingProposal.term() == item.term()) {
+                replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitValue(answer));
             } else {
-                r.shard.afterUnlock(() -> w.sink().tryEmitError(outcomeUnknown()));
+                replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitError(outcomeUnknown()));
             }
         });
     }
 
     /** The lease is gone: what waits may still be committed by the next owner, or not. */
     void failPending() {
-        pending.values().forEach(w -> r.shard.afterUnlock(() -> w.sink().tryEmitError(outcomeUnknown())));
+        pending.values()
+                .forEach(pendingProposal ->
+                        replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitError(outcomeUnknown())));
         pending.clear();
     }
 
     private ServiceException outcomeUnknown() {
         return new ServiceException(
                 ErrorKind.UNKNOWN_OUTCOME,
-                "The part " + r.partition + " changed its owner before the commit was known.");
+                "The part " + replica.partition + " changed its owner before the commit was known.");
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/Follower.java
+++ b/common/src/main/java/org/woadvale/common/replication/Follower.java
@@ -13,37 +13,39 @@
 
 /** Sampling changes and views from the owner: design 5.4. */
 final class Follower {
-    private final Replica r;
+    private final Replica replica;
     private Optional<Sinks.One<Object>> voteBeingStored = Optional.empty();
     private final SnapshotReceiver snapshotReceiver;
 
-    Follower(Replica r) {
-        this.r = r;
-        this.snapshotReceiver = new SnapshotReceiver(r.environment.wal().largestRecordBytes());
+    Follower(Replica replica) {
+        this.replica = replica;
+        this.snapshotReceiver = new SnapshotReceiver(replica.environment.wal().largestRecordBytes());
     }
 
     private ReplicationMessages.AppendEntriesResponse reply(boolean ok, long match) {
-        return new ReplicationMessages.AppendEntriesResponse(r.term, ok, match, r.identity, r.electable);
+        return new ReplicationMessages.AppendEntriesResponse(
+                replica.term, ok, match, replica.identity, replica.electable);
     }
 
     private boolean acceptLeader(String from, long term) {
-        if (term < r.term) {
+        if (term < replica.term) {
             return false;
         }
-        if (term > r.term) {
-            r.adoptTerm(term, "a new owner");
+        if (term > replica.term) {
+            replica.adoptTerm(term, "a new owner");
         }
-        if (r.role == Role.CANDIDATE) {
-            r.transitionTo(Role.FOLLOWER, "another was elected");
+        if (replica.role == Role.CANDIDATE) {
+            replica.transitionTo(Role.FOLLOWER, "another was elected");
         }
-        if (!r.votedFor.equals(from)) {
-            r.votedFor = from;
+        if (!replica.votedFor.equals(from)) {
+            replica.votedFor = from;
             voteBeingStored = Optional.of(Sinks.one());
             Sinks.One<Object> noted = voteBeingStored.get();
-            r.storage.storeVote(() -> r.shard.afterUnlock(() -> noted.tryEmitValue(Boolean.TRUE)));
+            replica.storage.storeVote(() -> replica.shard.afterUnlock(() -> noted.tryEmitValue(Boolean.TRUE)));
         }
-        r.leaderId = from;
-        r.leaderLeaseUntil = r.now().plus(r.environment.timing().lease());
+        replica.leaderId = from;
+        replica.leaderLeaseUntil =
+                replica.now().plus(replica.environment.timing().lease());
         return true;
     }
 
@@ -54,12 +56,12 @@
         return n.map(s -> s.asMono().then(reply)).orElse(reply);
     }
 
-    Mono<Object> onAppendEntries(String from, ReplicationMessages.AppendEntriesRequest a) {
-        return afterVoteStored(take(from, a));
+    Mono<Object> onAppendEntries(String from, ReplicationMessages.AppendEntriesRequest request) {
+        return afterVoteStored(take(from, request));
     }
 
-    Mono<Object> onInstallSnapshot(String from, ReplicationMessages.InstallSnapshotRequest p) {
-        return afterVoteStored(take(from, p));
+    Mono<Object> onInstallSnapshot(String from, ReplicationMessages.InstallSnapshotRequest request) {
+        return afterVoteStored(take(from, request));
     }
 
     Mono<Object> onSnapshotMessage(String from, Object body) {
@@ -73,16 +75,16 @@
     }
 
     private SnapshotChunkResponse reply(ChunkStatus status, long nextOffset, long match) {
-        return new SnapshotChunkResponse(r.term, status, nextOffset, match, r.identity, r.electable);
+        return new SnapshotChunkResponse(replica.term, status, nextOffset, match, replica.identity, replica.electable);
     }
 
     private Mono<Object> take(String from, SnapshotChunkRequest piece) {
         if (!acceptLeader(from, piece.term())) {
             return Mono.just(reply(ChunkStatus.OUTDATED_TERM, 0, 0));
         }
-        if (piece.snapshot().index() <= r.commits.appliedIndex()) {
-            return Mono.just(
-                    reply(ChunkStatus.INSTALLED, 0, Math.min(r.commits.appliedIndex(), r.storage.syncedIndex())));
+        if (piece.snapshot().index() <= replica.commits.appliedIndex()) {
+            return Mono.just(reply(
+                    ChunkStatus.INSTALLED, 0, Math.min(replica.commits.appliedIndex(), replica.storage.syncedIndex())));
         }
         SnapshotReceiver.ReceivedChunk progress = snapshotReceiver.receive(piece);
         if (progress.snapshot().isEmpty()) {
@@ -90,10 +92,14 @@
         }
         try {
             byte[] whole = progress.snapshot().orElseThrow().bytes();
-            return install(from, piece, r.environment.codec().read(whole, ReplicationMessages.ReplicaSnapshot.class));
-        } catch (ServiceException e) {
+            return install(
+                    from, piece, replica.environment.codec().read(whole, ReplicationMessages.ReplicaSnapshot.class));
+        } catch (ServiceException failure) {
             Replica.LOG.error(
-                    "keeper: {} at {} cannot read a snapshot from {}.", r.partition, r.environment.self(), from);
+                    "keeper: {} at {} cannot read a snapshot from {}.",
+                    replica.partition,
+                    replica.environment.self(),
+                    from);
             return Mono.just(reply(ChunkStatus.CORRUPT, 0, 0));
         }
     }
@@ -104,93 +110,107 @@
             return Mono.just(reply(ChunkStatus.CORRUPT, 0, 0));
         }
         Replica.LOG.info(
-                "keeper: {} at {} takes a snapshot up to {} from {}.", r.partition, r.environment.self(), index, from);
+                "keeper: {} at {} takes a snapshot up to {} from {}.",
+                replica.partition,
+                replica.environment.self(),
+                index,
+                from);
         Sinks.One<Object> out = Sinks.one();
-        r.storage.installSnapshot(base, () -> {
-            SnapshotChunkResponse answer = reply(ChunkStatus.INSTALLED, 0, Math.min(index, r.storage.syncedIndex()));
-            r.shard.afterUnlock(() -> out.tryEmitValue(answer));
+        replica.storage.installSnapshot(base, () -> {
+            SnapshotChunkResponse answer =
+                    reply(ChunkStatus.INSTALLED, 0, Math.min(index, replica.storage.syncedIndex()));
+            replica.shard.afterUnlock(() -> out.tryEmitValue(answer));
         });
-        r.bootstrap.promoteIfMember();
+        replica.bootstrap.promoteIfMember();
         return out.asMono();
     }
 
     /** Only the leader of this term can say so, and only of the identity that it heard. design 5.8 */
     private Mono<Object> onRevokeIdentity(String from, SnapshotMessages.RevokeIdentityRequest message) {
-        boolean concerned = message.term() == r.term
-                && from.equals(r.leaderId)
-                && message.identity().equals(r.identity);
-        boolean follows = r.role == Role.FOLLOWER || r.role == Role.UNINITIALIZED;
+        boolean concerned = message.term() == replica.term
+                && from.equals(replica.leaderId)
+                && message.identity().equals(replica.identity);
+        boolean follows = replica.role == Role.FOLLOWER || replica.role == Role.UNINITIALIZED;
         if (!concerned || !follows) {
             return Mono.just(new ReplicationMessages.Acknowledgement(false));
         }
         Replica.LOG.error(
-                "keeper: {} at {} had lost what it confirmed; it counts as lost.", r.partition, r.environment.self());
+                "keeper: {} at {} had lost what it confirmed; it counts as lost.",
+                replica.partition,
+                replica.environment.self());
         Sinks.One<Object> out = Sinks.one();
-        r.storage.replaceIdentity(
-                () -> r.shard.afterUnlock(() -> out.tryEmitValue(new ReplicationMessages.Acknowledgement(true))));
-        r.transitionTo(Role.UNINITIALIZED, "its identity was revoked");
+        replica.storage.replaceIdentity(
+                () -> replica.shard.afterUnlock(() -> out.tryEmitValue(new ReplicationMessages.Acknowledgement(true))));
+        replica.transitionTo(Role.UNINITIALIZED, "its identity was revoked");
         return out.asMono();
     }
 
-    private Mono<Object> take(String from, ReplicationMessages.AppendEntriesRequest a) {
-        if (!acceptLeader(from, a.term())) {
+    private Mono<Object> take(String from, ReplicationMessages.AppendEntriesRequest request) {
+        if (!acceptLeader(from, request.term())) {
             return Mono.just(reply(false, 0));
         }
-        if (a.prevIndex() > r.replicatedLog.lastIndex()) {
-            return Mono.just(reply(false, r.replicatedLog.lastIndex()));
+        if (request.prevIndex() > replica.replicatedLog.lastIndex()) {
+            return Mono.just(reply(false, replica.replicatedLog.lastIndex()));
         }
-        if (r.replicatedLog.contains(a.prevIndex()) && r.replicatedLog.termAt(a.prevIndex()) != a.prevTerm()) {
-            return Mono.just(reply(false, Math.max(r.commits.commitIndex(), a.prevIndex() - 1)));
+        if (replica.replicatedLog.contains(request.prevIndex())
+                && replica.replicatedLog.termAt(request.prevIndex()) != request.prevTerm()) {
+            return Mono.just(reply(false, Math.max(replica.commits.commitIndex(), request.prevIndex() - 1)));
         }
-        long index = a.prevIndex();
+        long index = request.prevIndex();
         List<LogEntry> fresh = new ArrayList<>();
-        for (LogEntry item : a.entries()) {
+        for (LogEntry item : request.entries()) {
             index++;
-            if (index <= r.replicatedLog.baseIndex()) {
+            if (index <= replica.replicatedLog.baseIndex()) {
                 continue;
             }
-            if (fresh.isEmpty() && index <= r.replicatedLog.lastIndex()) {
-                if (r.replicatedLog.termAt(index) == item.term()) {
+            if (fresh.isEmpty() && index <= replica.replicatedLog.lastIndex()) {
+                if (replica.replicatedLog.termAt(index) == item.term()) {
                     continue;
                 }
-                r.storage.truncateFrom(index);
+                replica.storage.truncateFrom(index);
             }
             fresh.add(item);
         }
-        long match = a.prevIndex() + a.entries().size();
+        long match = request.prevIndex() + request.entries().size();
         Sinks.One<Object> out = Sinks.one();
         if (fresh.isEmpty()) {
-            r.commits.advanceTo(Math.min(a.commitIndex(), Math.min(match, r.replicatedLog.lastIndex())));
-            return Mono.just(reply(true, Math.min(match, r.storage.syncedIndex())));
+            replica.commits.advanceTo(
+                    Math.min(request.commitIndex(), Math.min(match, replica.replicatedLog.lastIndex())));
+            return Mono.just(reply(true, Math.min(match, replica.storage.syncedIndex())));
         }
-        long term = r.term;
-        r.storage.append(fresh, () -> {
-            boolean still = r.term == term;
+        long term = replica.term;
+        replica.storage.append(fresh, () -> {
+            boolean still = replica.term == term;
             ReplicationMessages.AppendEntriesResponse answer =
-                    reply(still, still ? Math.min(match, r.storage.syncedIndex()) : 0);
-            r.shard.afterUnlock(() -> out.tryEmitValue(answer));
+                    reply(still, still ? Math.min(match, replica.storage.syncedIndex()) : 0);
+            replica.shard.afterUnlock(() -> out.tryEmitValue(answer));
         });
-        r.commits.advanceTo(Math.min(a.commitIndex(), Math.min(match, r.replicatedLog.lastIndex())));
+        replica.commits.advanceTo(Math.min(request.commitIndex(), Math.min(match, replica.replicatedLog.lastIndex())));
         return out.asMono();
     }
 
-    private Mono<Object> take(String from, ReplicationMessages.InstallSnapshotRequest p) {
-        if (!acceptLeader(from, p.term())) {
+    private Mono<Object> take(String from, ReplicationMessages.InstallSnapshotRequest request) {
+        if (!acceptLeader(from, request.term())) {
             return Mono.just(reply(false, 0));
         }
-        long index = p.snapshot().index();
-        if (index <= r.commits.appliedIndex()) {
-            return Mono.just(reply(true, Math.min(r.commits.appliedIndex(), r.storage.syncedIndex())));
+        long index = request.snapshot().index();
+        if (index <= replica.commits.appliedIndex()) {
+            return Mono.just(reply(true, Math.min(replica.commits.appliedIndex(), replica.storage.syncedIndex())));
         }
         Replica.LOG.info(
-                "keeper: {} at {} takes a view up to {} from {}.", r.partition, r.environment.self(), index, from);
+                "keeper: {} at {} takes a view up to {} from {}.",
+                replica.partition,
+                replica.environment.self(),
+                index,
+                from);
         Sinks.One<Object> out = Sinks.one();
-        long term = r.term;
-        r.storage.installSnapshot(p.snapshot(), () -> {
-            ReplicationMessages.AppendEntriesResponse answer = reply(r.term == term, r.term == term ? index : 0);
-            r.shard.afterUnlock(() -> out.tryEmitValue(answer));
+        long term = replica.term;
+        replica.storage.installSnapshot(request.snapshot(), () -> {
+            ReplicationMessages.AppendEntriesResponse answer =
+                    reply(replica.term == term, replica.term == term ? index : 0);
+            replica.shard.afterUnlock(() -> out.tryEmitValue(answer));
         });
-        r.bootstrap.promoteIfMember();
+        replica.bootstrap.promoteIfMember();
         return out.asMono();
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -28,7 +28,7 @@
 
     Set<String> members() {
         Set<String> all = new TreeSet<>(committed.keySet());
-        change.ifPresent(c -> all.addAll(c.members().keySet()));
+        change.ifPresent(change -> all.addAll(change.members().keySet()));
         return all;
     }
 
@@ -43,7 +43,7 @@
 
     /** An owner starts a change only after the former one was committed. */
     void onAppended(long index, Map<String, String> members) {
-        change.ifPresent(c -> committed = c.members());
+        change.ifPresent(change -> committed = change.members());
         change = Optional.of(new Change(index, new TreeMap<>(members)));
     }
 
@@ -67,7 +67,7 @@
 
     private static boolean hasMajority(Map<String, String> members, Map<String, String> agreeing) {
         long n = members.entrySet().stream()
-                .filter(e -> e.getValue().equals(agreeing.get(e.getKey())))
+                .filter(entry -> entry.getValue().equals(agreeing.get(entry.getKey())))
                 .count();
         return !members.isEmpty() && n * 2 > members.size();
     }
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -8,26 +8,26 @@
 
 /** Standing, and voting for others: design 5.3. */
 final class LeaderElection {
-    private final Replica r;
+    private final Replica replica;
     private Duration electionDueAt = Duration.ZERO;
     private Map<String, String> votes = new TreeMap<>();
 
-    LeaderElection(Replica r) {
-        this.r = r;
+    LeaderElection(Replica replica) {
+        this.replica = replica;
     }
 
     void onTick() {
-        if (wasLastLeader() && r.membership.latest().containsKey(r.environment.self())) {
-            electionDueAt = electionDueAt.isZero() ? r.now().plus(electionTimeout()) : electionDueAt;
-            if (r.now().compareTo(electionDueAt) >= 0) {
+        if (wasLastLeader() && replica.membership.latest().containsKey(replica.environment.self())) {
+            electionDueAt = electionDueAt.isZero() ? replica.now().plus(electionTimeout()) : electionDueAt;
+            if (replica.now().compareTo(electionDueAt) >= 0) {
                 startElection(false);
             }
-        } else if (r.now().compareTo(r.leaderLeaseUntil) < 0
-                || !r.membership.latest().containsKey(r.environment.self())) {
+        } else if (replica.now().compareTo(replica.leaderLeaseUntil) < 0
+                || !replica.membership.latest().containsKey(replica.environment.self())) {
             electionDueAt = Duration.ZERO;
         } else if (electionDueAt.isZero()) {
-            electionDueAt = r.now().plus(electionTimeout());
-        } else if (r.now().compareTo(electionDueAt) >= 0) {
+            electionDueAt = replica.now().plus(electionTimeout());
+        } else if (replica.now().compareTo(electionDueAt) >= 0) {
             startElection(false);
         }
     }
@@ -37,109 +37,121 @@
      * life. design 5.3
      */
     private boolean wasLastLeader() {
-        return r.term > 0 && r.votedFor.equals(r.environment.self()) && r.leaderId.isEmpty();
+        return replica.term > 0 && replica.votedFor.equals(replica.environment.self()) && replica.leaderId.isEmpty();
     }
 
     /** The first of the wanted list stands first; the others leave it time: owners spread by placement. */
     private Duration electionTimeout() {
-        Duration spread = r.environment.timing().electionJitter();
-        long jitter = Math.floorMod(r.environment.random().getAsLong(), spread.toNanos());
-        boolean first = !r.desiredMembers.isEmpty() && r.desiredMembers.get(0).equals(r.environment.self());
+        Duration spread = replica.environment.timing().electionJitter();
+        long jitter = Math.floorMod(replica.environment.random().getAsLong(), spread.toNanos());
+        boolean first = !replica.desiredMembers.isEmpty()
+                && replica.desiredMembers.get(0).equals(replica.environment.self());
         return first ? Duration.ofNanos(jitter / 8) : spread.dividedBy(2).plusNanos(jitter);
     }
 
     /** A dry round first, so that a replica nobody would elect does not raise the term. */
     void startElection(boolean leadershipTransferred) {
         electionDueAt = Duration.ZERO;
-        r.transitionTo(Role.CANDIDATE, "the part is vacant");
-        r.leaderId = "";
-        requestVotes(r.term + 1, true, leadershipTransferred);
+        replica.transitionTo(Role.CANDIDATE, "the part is vacant");
+        replica.leaderId = "";
+        requestVotes(replica.term + 1, true, leadershipTransferred);
     }
 
     private void requestVotes(long term, boolean dry, boolean leadershipTransferred) {
-        votes = new TreeMap<>(Map.of(r.environment.self(), r.identity));
+        votes = new TreeMap<>(Map.of(replica.environment.self(), replica.identity));
         ReplicationMessages.VoteRequest ask = new ReplicationMessages.VoteRequest(
-                r.partition, term, r.replicatedLog.lastIndex(), r.replicatedLog.lastTerm(), dry, leadershipTransferred);
-        for (String n : r.membership.membersExcept(r.environment.self())) {
-            r.shard.afterUnlock(() -> r.environment
+                replica.partition,
+                term,
+                replica.replicatedLog.lastIndex(),
+                replica.replicatedLog.lastTerm(),
+                dry,
+                leadershipTransferred);
+        for (String n : replica.membership.membersExcept(replica.environment.self())) {
+            replica.shard.afterUnlock(() -> replica.environment
                     .rpc()
                     .call(
                             n,
                             ask,
                             ReplicationMessages.VoteResponse.class,
-                            r.environment.timing().requestTimeout())
-                    .subscribe(v -> r.shard.run(() -> onVoteResponse(n, ask, v)), e -> {}));
+                            replica.environment.timing().requestTimeout())
+                    .subscribe(response -> replica.shard.run(() -> onVoteResponse(n, ask, response)), e -> {}));
         }
-        r.environment
+        replica.environment
                 .timers()
                 .after(
-                        r.environment.timing().requestTimeout(),
-                        () -> r.shard.run(() -> {
-                            if (r.role == Role.CANDIDATE && (dry ? r.term + 1 : r.term) == term) {
-                                r.transitionTo(Role.FOLLOWER, "no majority in time");
+                        replica.environment.timing().requestTimeout(),
+                        () -> replica.shard.run(() -> {
+                            if (replica.role == Role.CANDIDATE && (dry ? replica.term + 1 : replica.term) == term) {
+                                replica.transitionTo(Role.FOLLOWER, "no majority in time");
                             }
                         }));
     }
 
-    private void onVoteResponse(String from, ReplicationMessages.VoteRequest ask, ReplicationMessages.VoteResponse v) {
-        r.adoptTerm(v.term(), "a neighbour is ahead");
-        long expected = ask.preVote() ? r.term + 1 : r.term;
-        if (r.role != Role.CANDIDATE || ask.term() != expected || !v.granted()) {
+    private void onVoteResponse(
+            String from, ReplicationMessages.VoteRequest ask, ReplicationMessages.VoteResponse response) {
+        replica.adoptTerm(response.term(), "a neighbour is ahead");
+        long expected = ask.preVote() ? replica.term + 1 : replica.term;
+        if (replica.role != Role.CANDIDATE || ask.term() != expected || !response.granted()) {
             return;
         }
-        votes.put(from, v.identity());
-        if (!r.membership.hasMajority(votes)) {
+        votes.put(from, response.identity());
+        if (!replica.membership.hasMajority(votes)) {
             return;
         }
         if (ask.preVote()) {
-            r.term = ask.term();
-            r.votedFor = r.environment.self();
-            long term = r.term;
-            r.storage.storeVote(() -> {
-                if (r.role == Role.CANDIDATE && r.term == term) {
+            replica.term = ask.term();
+            replica.votedFor = replica.environment.self();
+            long term = replica.term;
+            replica.storage.storeVote(() -> {
+                if (replica.role == Role.CANDIDATE && replica.term == term) {
                     requestVotes(term, false, ask.leadershipTransferred());
                 }
             });
         } else {
-            r.transitionTo(Role.LEADER, "elected");
-            r.leaderId = r.environment.self();
-            r.leader.onElected();
+            replica.transitionTo(Role.LEADER, "elected");
+            replica.leaderId = replica.environment.self();
+            replica.leader.onElected();
         }
     }
 
-    Mono<Object> onVoteRequest(String from, ReplicationMessages.VoteRequest a) {
-        boolean leaseRuns =
-                r.now().compareTo(r.leaderLeaseUntil) < 0 || (r.role == Role.LEADER && r.leader.leaseRunning());
+    Mono<Object> onVoteRequest(String from, ReplicationMessages.VoteRequest request) {
+        boolean leaseRuns = replica.now().compareTo(replica.leaderLeaseUntil) < 0
+                || (replica.role == Role.LEADER && replica.leader.leaseRunning());
         // whoever held the lease and stands now has given it up, or lost it with its former life
-        boolean itsOwn = from.equals(r.votedFor) && r.role != Role.LEADER;
-        boolean complete = a.lastTerm() > r.replicatedLog.lastTerm()
-                || (a.lastTerm() == r.replicatedLog.lastTerm() && a.lastIndex() >= r.replicatedLog.lastIndex());
-        boolean free = a.term() > r.term || (a.term() == r.term && (r.votedFor.equals(from)));
-        if (!r.voter || (leaseRuns && !a.leadershipTransferred() && !itsOwn) || !complete || !free) {
-            return Mono.just(new ReplicationMessages.VoteResponse(r.term, false, r.identity));
+        boolean itsOwn = from.equals(replica.votedFor) && replica.role != Role.LEADER;
+        boolean complete = request.lastTerm() > replica.replicatedLog.lastTerm()
+                || (request.lastTerm() == replica.replicatedLog.lastTerm()
+                        && request.lastIndex() >= replica.replicatedLog.lastIndex());
+        boolean free =
+                request.term() > replica.term || (request.term() == replica.term && (replica.votedFor.equals(from)));
+        if (!replica.voter || (leaseRuns && !request.leadershipTransferred() && !itsOwn) || !complete || !free) {
+            return Mono.just(new ReplicationMessages.VoteResponse(replica.term, false, replica.identity));
         }
-        if (a.preVote()) {
-            return Mono.just(new ReplicationMessages.VoteResponse(r.term, true, r.identity));
+        if (request.preVote()) {
+            return Mono.just(new ReplicationMessages.VoteResponse(replica.term, true, replica.identity));
         }
-        if (a.term() > r.term) {
-            r.term = a.term();
-            r.leaderId = "";
-            r.votedFor = from;
-            if (r.role == Role.LEADER || r.role == Role.CANDIDATE) {
-                r.transitionTo(Role.FOLLOWER, "voted for " + from);
+        if (request.term() > replica.term) {
+            replica.term = request.term();
+            replica.leaderId = "";
+            replica.votedFor = from;
+            if (replica.role == Role.LEADER || replica.role == Role.CANDIDATE) {
+                replica.transitionTo(Role.FOLLOWER, "voted for " + from);
             }
         }
-        electionDueAt = r.now().plus(r.environment.timing().lease());
-        long term = r.term;
+        electionDueAt = replica.now().plus(replica.environment.timing().lease());
+        long term = replica.term;
         Sinks.One<Object> out = Sinks.one();
-        r.storage.storeVote(() -> r.shard.afterUnlock(
-                () -> out.tryEmitValue(new ReplicationMessages.VoteResponse(term, true, r.identity))));
+        replica.storage.storeVote(() -> replica.shard.afterUnlock(
+                () -> out.tryEmitValue(new ReplicationMessages.VoteResponse(term, true, replica.identity))));
         return out.asMono();
     }
 
     /** The owner has given up its lease in our favour. */
-    Mono<Object> onStartElection(String from, ReplicationMessages.StartElectionRequest s) {
-        boolean ready = r.role == Role.FOLLOWER && r.voter && s.term() == r.term && from.equals(r.leaderId);
+    Mono<Object> onStartElection(String from, ReplicationMessages.StartElectionRequest request) {
+        boolean ready = replica.role == Role.FOLLOWER
+                && replica.voter
+                && request.term() == replica.term
+                && from.equals(replica.leaderId);
         if (ready) {
             startElection(true);
         }
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -13,33 +13,33 @@
 
     private LegacyFormat() {}
 
-    static WalRecord upgraded(WalRecord e, Codec c) throws ServiceException {
-        if (e.format() > FIRST_FORMAT) {
-            return e;
+    static WalRecord upgraded(WalRecord record, Codec codec) throws ServiceException {
+        if (record.format() > FIRST_FORMAT) {
+            return record;
         }
-        Object o = c.readFirst(e.bytes(), Object.class);
-        if (o instanceof LogEntry i) {
-            o = upgraded(i, c);
-        } else if (o instanceof ReplicationMessages.ReplicaSnapshot b) {
+        Object o = codec.readFirst(record.bytes(), Object.class);
+        if (o instanceof LogEntry logEntry) {
+            o = upgraded(logEntry, codec);
+        } else if (o instanceof ReplicationMessages.ReplicaSnapshot snapshot) {
             List<LogEntry> tail = new ArrayList<>();
-            for (LogEntry i : b.entries()) {
-                tail.add(upgraded(i, c));
+            for (LogEntry entry : snapshot.entries()) {
+                tail.add(upgraded(entry, codec));
             }
             o = new ReplicationMessages.ReplicaSnapshot(
-                    b.identity(),
-                    b.term(),
-                    b.votedFor(),
-                    b.voter(),
-                    b.index(),
-                    b.indexTerm(),
-                    b.members(),
-                    c.upgrade(b.state()),
+                    snapshot.identity(),
+                    snapshot.term(),
+                    snapshot.votedFor(),
+                    snapshot.voter(),
+                    snapshot.index(),
+                    snapshot.indexTerm(),
+                    snapshot.members(),
+                    codec.upgrade(snapshot.state()),
                     tail);
         }
-        return new WalRecord(e.partition(), e.kind(), e.index(), e.term(), c.write(o));
+        return new WalRecord(record.partition(), record.kind(), record.index(), record.term(), codec.write(o));
     }
 
-    private static LogEntry upgraded(LogEntry i, Codec c) throws ServiceException {
-        return new LogEntry(i.term(), i.kind(), c.upgrade(i.bytes()));
+    private static LogEntry upgraded(LogEntry entry, Codec codec) throws ServiceException {
+        return new LogEntry(entry.term(), entry.kind(), codec.upgrade(entry.bytes()));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -18,7 +18,7 @@
     /** When the latest confirmed renewal was sent, by the owner's clock. */
     Duration lastContact = Duration.ZERO;
 
-    private final Replica r;
+    private final Replica replica;
     private final Leader leading;
     private final String follower;
     private final long term;
@@ -44,13 +44,13 @@
     /** Pieces without an answer since the latest one. */
     private int lostChunks;
 
-    LogAppender(Replica r, Leader leading, String to) {
-        this.r = r;
+    LogAppender(Replica replica, Leader leading, String to) {
+        this.replica = replica;
         this.leading = leading;
         this.follower = to;
-        this.term = r.term;
-        this.nextIndex = r.replicatedLog.lastIndex() + 1;
-        this.startedAt = r.now();
+        this.term = replica.term;
+        this.nextIndex = replica.replicatedLog.lastIndex() + 1;
+        this.startedAt = replica.now();
     }
 
     boolean upToDateAs(String memberIdentity) {
@@ -58,44 +58,49 @@
     }
 
     private boolean inLeaderTerm() {
-        return r.role == Role.LEADER && r.term == term;
+        return replica.role == Role.LEADER && replica.term == term;
     }
 
     /** A renewal is due each renew time; entries go at once. */
     void send(boolean look) {
-        boolean soon = matchIndex == 0 && Joining.recently(r, follower, startedAt) || holdsUnsynced && !unresponsive;
-        Duration pause =
-                soon ? r.environment.timing().tick() : r.environment.timing().heartbeat();
-        boolean due = lastSent.isZero() || r.now().compareTo(lastSent.plus(pause)) >= 0;
-        boolean behind = nextIndex <= r.replicatedLog.lastIndex() && !unresponsive && (!look || matchIndex > 0 || due);
+        boolean soon =
+                matchIndex == 0 && Joining.recently(replica, follower, startedAt) || holdsUnsynced && !unresponsive;
+        Duration pause = soon
+                ? replica.environment.timing().tick()
+                : replica.environment.timing().heartbeat();
+        boolean due = lastSent.isZero() || replica.now().compareTo(lastSent.plus(pause)) >= 0;
+        boolean behind =
+                nextIndex <= replica.replicatedLog.lastIndex() && !unresponsive && (!look || matchIndex > 0 || due);
         if (inFlight || !inLeaderTerm() || !(due || behind)) {
             return;
         }
         inFlight = true;
-        lastSent = r.now();
+        lastSent = replica.now();
         Duration at = lastSent;
-        commitIndexSent = r.commits.commitIndex();
-        if (nextIndex <= r.replicatedLog.baseIndex()) {
+        commitIndexSent = replica.commits.commitIndex();
+        if (nextIndex <= replica.replicatedLog.baseIndex()) {
             sendSnapshotChunk(at);
             return;
         }
-        List<LogEntry> items = r.replicatedLog.entriesAfter(nextIndex - 1, batchBytes);
+        List<LogEntry> items = replica.replicatedLog.entriesAfter(nextIndex - 1, batchBytes);
         ReplicationMessages.AppendEntriesRequest ask = new ReplicationMessages.AppendEntriesRequest(
-                r.partition,
+                replica.partition,
                 term,
                 nextIndex - 1,
-                r.replicatedLog.termAt(nextIndex - 1),
+                replica.replicatedLog.termAt(nextIndex - 1),
                 items,
-                r.commits.commitIndex());
+                replica.commits.commitIndex());
         long upTo = nextIndex - 1 + items.size();
-        r.shard.afterUnlock(() -> r.environment
+        replica.shard.afterUnlock(() -> replica.environment
                 .rpc()
                 .call(
                         follower,
                         ask,
                         ReplicationMessages.AppendEntriesResponse.class,
-                        r.environment.timing().requestTimeout())
-                .subscribe(a -> r.shard.run(() -> answered(a, at, upTo)), e -> r.shard.run(this::onRequestLost)));
+                        replica.environment.timing().requestTimeout())
+                .subscribe(
+                        response -> replica.shard.run(() -> answered(response, at, upTo)),
+                        e -> replica.shard.run(this::onRequestLost)));
     }
 
     /** No answer in time: the next call is smaller, so that a slow disk or link can keep up with it. */
@@ -108,24 +113,25 @@
 
     private void sendSnapshotChunk(Duration at) {
         SnapshotSender sender = snapshotSender.orElseGet(() -> new SnapshotSender(
-                r.storage.snapshotForFollowers(), r.environment.timing().requestTimeout()));
+                replica.storage.snapshotForFollowers(),
+                replica.environment.timing().requestTimeout()));
         snapshotSender = Optional.of(sender);
         catchingUp = true;
         if (needsWholeSnapshot) {
             sendWholeSnapshot(sender, at);
             return;
         }
-        SnapshotMessages.SnapshotChunkRequest piece = sender.nextChunk(r.partition, term);
-        r.shard.afterUnlock(() -> r.environment
+        SnapshotMessages.SnapshotChunkRequest piece = sender.nextChunk(replica.partition, term);
+        replica.shard.afterUnlock(() -> replica.environment
                 .rpc()
                 .call(
                         follower,
                         piece,
                         SnapshotMessages.SnapshotChunkResponse.class,
-                        r.environment.timing().requestTimeout())
+                        replica.environment.timing().requestTimeout())
                 .subscribe(
-                        reply -> r.shard.run(() -> answered(reply, at, sender)),
-                        e -> r.shard.run(
+                        reply -> replica.shard.run(() -> answered(reply, at, sender)),
+                        e -> replica.shard.run(
                                 () -> onChunkLost(ServiceException.of(e).kind()))));
     }
 
@@ -137,19 +143,21 @@
     }
 
     private void sendWholeSnapshot(SnapshotSender sender, Duration at) {
-        ReplicationMessages.InstallSnapshotRequest whole =
-                new ReplicationMessages.InstallSnapshotRequest(r.partition, term, r.storage.snapshotWithoutIdentity());
+        ReplicationMessages.InstallSnapshotRequest whole = new ReplicationMessages.InstallSnapshotRequest(
+                replica.partition, term, replica.storage.snapshotWithoutIdentity());
         long upTo = whole.snapshot().index();
         snapshotSender = Optional.empty();
         needsWholeSnapshot = false;
-        r.shard.afterUnlock(() -> r.environment
+        replica.shard.afterUnlock(() -> replica.environment
                 .rpc()
                 .call(
                         follower,
                         whole,
                         ReplicationMessages.AppendEntriesResponse.class,
-                        r.environment.timing().requestTimeout())
-                .subscribe(a -> r.shard.run(() -> answered(a, at, upTo)), e -> r.shard.run(this::onRequestLost)));
+                        replica.environment.timing().requestTimeout())
+                .subscribe(
+                        response -> replica.shard.run(() -> answered(response, at, upTo)),
+                        e -> replica.shard.run(this::onRequestLost)));
     }
 
     private void answered(SnapshotMessages.SnapshotChunkResponse reply, Duration at, SnapshotSender sender) {
@@ -159,7 +167,7 @@
             return;
         }
         lostChunks = 0;
-        sender.onResponse(reply, r.now().minus(at));
+        sender.onResponse(reply, replica.now().minus(at));
         switch (reply.status()) {
             case INSTALLED -> {
                 snapshotSender = Optional.empty();
@@ -183,7 +191,7 @@
     /** What every answer tells; false if the follower knows a later term. */
     private boolean noteResponse(long answeredTerm, String answeredIdentity, boolean answeredWilling, Duration at) {
         if (answeredTerm > term) {
-            r.adoptTerm(answeredTerm, "a follower is ahead");
+            replica.adoptTerm(answeredTerm, "a follower is ahead");
             return false;
         }
         String counted = answeredIdentity.equals(revokedIdentity) ? "" : answeredIdentity;
@@ -207,8 +215,8 @@
     /** The index from which the log must be kept for a follower on its way from a snapshot, if it still answers. */
     Optional<Long> firstIndexNeeded() {
         Duration heardAt = lastContact.compareTo(startedAt) > 0 ? lastContact : startedAt;
-        Duration patience = r.environment.timing().lease().multipliedBy(2);
-        if (!catchingUp || r.now().compareTo(heardAt.plus(patience)) > 0) {
+        Duration patience = replica.environment.timing().lease().multipliedBy(2);
+        if (!catchingUp || replica.now().compareTo(heardAt.plus(patience)) > 0) {
             return Optional.empty();
         }
         return Optional.of(snapshotSender.map(SnapshotSender::index).orElse(nextIndex - 1));
@@ -218,57 +226,61 @@
     private void revokeIdentity(String reported) {
         if (!reported.equals(revokedIdentity)) {
             Replica.LOG.error(
-                    "keeper: {} of {} reports less than it had confirmed; it counts as lost.", follower, r.partition);
+                    "keeper: {} of {} reports less than it had confirmed; it counts as lost.",
+                    follower,
+                    replica.partition);
         }
         revokedIdentity = reported;
         identity = "";
         matchIndex = 0;
-        r.shard.afterUnlock(() -> r.environment
+        replica.shard.afterUnlock(() -> replica.environment
                 .rpc()
                 .call(
                         follower,
-                        new SnapshotMessages.RevokeIdentityRequest(r.partition, term, revokedIdentity),
+                        new SnapshotMessages.RevokeIdentityRequest(replica.partition, term, revokedIdentity),
                         ReplicationMessages.Acknowledgement.class,
-                        r.environment.timing().requestTimeout())
+                        replica.environment.timing().requestTimeout())
                 .subscribe(ok -> {}, e -> {}));
     }
 
-    private void answered(ReplicationMessages.AppendEntriesResponse a, Duration at, long upTo) {
+    private void answered(ReplicationMessages.AppendEntriesResponse response, Duration at, long upTo) {
         inFlight = false;
         unresponsive = false;
         if (!inLeaderTerm()) {
             return;
         }
-        if (!noteResponse(a.term(), a.identity(), a.electable(), at)) {
+        if (!noteResponse(response.term(), response.identity(), response.electable(), at)) {
             return;
         }
-        boolean lostWhatItConfirmed = !a.success() && a.matchIndex() < matchIndex;
-        if (lostWhatItConfirmed || a.identity().equals(revokedIdentity)) {
-            revokeIdentity(a.identity());
+        boolean lostWhatItConfirmed = !response.success() && response.matchIndex() < matchIndex;
+        if (lostWhatItConfirmed || response.identity().equals(revokedIdentity)) {
+            revokeIdentity(response.identity());
         }
         commitIndexAtResponse = commitIndexSent;
-        if (a.success()) {
-            matchIndex = identity.isEmpty() ? 0 : Math.max(matchIndex, a.matchIndex());
-            holdsUnsynced = a.matchIndex() < upTo;
+        if (response.success()) {
+            matchIndex = identity.isEmpty() ? 0 : Math.max(matchIndex, response.matchIndex());
+            holdsUnsynced = response.matchIndex() < upTo;
             catchingUp = catchingUp && matchIndex < commitIndexAtResponse;
             // what it holds and has not synced is not sent again: the next answers tell when it is
-            nextIndex = Math.max(upTo + 1, Math.min(nextIndex, r.replicatedLog.lastIndex() + 1));
+            nextIndex = Math.max(upTo + 1, Math.min(nextIndex, replica.replicatedLog.lastIndex() + 1));
             batchBytes = Math.min(ReplicatedLog.BATCH_BYTES, batchBytes * 2);
         } else {
-            nextIndex = Math.min(nextIndex, a.matchIndex() + 1);
+            nextIndex = Math.min(nextIndex, response.matchIndex() + 1);
         }
         leading.advanceCommit();
-        if (inLeaderTerm() && (nextIndex <= r.replicatedLog.lastIndex() && a.matchIndex() >= upTo || !a.success())) {
+        if (inLeaderTerm()
+                && (nextIndex <= replica.replicatedLog.lastIndex() && response.matchIndex() >= upTo
+                        || !response.success())) {
             send(false);
         } else if (inLeaderTerm()
-                && commitIndexSent < r.commits.commitIndex()
-                && r.commits.commitIndex() >= r.replicatedLog.lastIndex()) {
+                && commitIndexSent < replica.commits.commitIndex()
+                && replica.commits.commitIndex() >= replica.replicatedLog.lastIndex()) {
             scheduleCommitNotice();
         }
     }
 
     /** Followers learn of commits soon, so that an successor is ready and an promotion is taken. */
     private void scheduleCommitNotice() {
-        lastSent = lastSent.minus(r.environment.timing().heartbeat());
+        lastSent = lastSent.minus(replica.environment.timing().heartbeat());
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -46,18 +46,19 @@
     private Runnable onChange = () -> {};
     private TimerHandle ticking = () -> {};
 
-    public Replica(String part, List<String> wanted, StateMachine machine, NodeEnvironment env) {
+    public Replica(String part, List<String> wanted, StateMachine machine, NodeEnvironment environment) {
         this.partition = part;
         this.desiredMembers = List.copyOf(wanted);
         this.stateMachine = machine;
-        this.environment = env;
+        this.environment = environment;
         this.commits = new CommitTracker(this);
         this.storage = new ReplicaStorage(this);
         this.election = new LeaderElection(this);
         this.follower = new Follower(this);
         this.leader = new Leader(this);
         this.bootstrap = new Bootstrap(this);
-        this.leaderLeaseUntil = env.clock().monotonicTime().plus(env.timing().lease());
+        this.leaderLeaseUntil =
+                environment.clock().monotonicTime().plus(environment.timing().lease());
     }
 
     public void start(List<WalRecord> recovered) throws ServiceException {
@@ -65,8 +66,8 @@
             try {
                 storage.recover(recovered);
                 return Optional.empty();
-            } catch (ServiceException e) {
-                return Optional.of(e);
+            } catch (ServiceException failure) {
+                return Optional.of(failure);
             }
         });
         if (bad.isPresent()) {
@@ -173,8 +174,8 @@
         return shard.get(() -> MajorityContactTime.of(this));
     }
 
-    public void onChange(Runnable r) {
-        onChange = r;
+    public void onChange(Runnable task) {
+        onChange = task;
     }
 
     public void setDesiredMembers(List<String> members) {
@@ -233,16 +234,16 @@
             if (role == Role.STOPPED) {
                 return Mono.error(new ServiceException(ErrorKind.STOPPING, "The part is stopped here."));
             }
-            if (body instanceof ReplicationMessages.VoteRequest a) {
-                return election.onVoteRequest(from, a);
-            } else if (body instanceof ReplicationMessages.AppendEntriesRequest a) {
-                return follower.onAppendEntries(from, a);
-            } else if (body instanceof ReplicationMessages.InstallSnapshotRequest a) {
-                return follower.onInstallSnapshot(from, a);
+            if (body instanceof ReplicationMessages.VoteRequest voteRequest) {
+                return election.onVoteRequest(from, voteRequest);
+            } else if (body instanceof ReplicationMessages.AppendEntriesRequest appendEntriesRequest) {
+                return follower.onAppendEntries(from, appendEntriesRequest);
+            } else if (body instanceof ReplicationMessages.InstallSnapshotRequest installSnapshotRequest) {
+                return follower.onInstallSnapshot(from, installSnapshotRequest);
             } else if (SnapshotMessages.types().contains(body.getClass())) {
                 return follower.onSnapshotMessage(from, body);
-            } else if (body instanceof ReplicationMessages.StartElectionRequest a) {
-                return election.onStartElection(from, a);
+            } else if (body instanceof ReplicationMessages.StartElectionRequest request) {
+                return election.onStartElection(from, request);
             }
             return bootstrap.onRequest(body);
         }));
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -15,13 +15,13 @@
     /** So many bytes of the log are kept for followers that are on their way from a snapshot. */
     private static final long KEPT_FOR_FOLLOWERS = 4L << 20;
 
-    private final Replica r;
+    private final Replica replica;
     private long syncedIndex;
     /** Shared by all followers that need one; gone with the last of them. */
     private WeakReference<SnapshotContent> latestSnapshot = new WeakReference<>(null);
 
-    ReplicaStorage(Replica r) {
-        this.r = r;
+    ReplicaStorage(Replica replica) {
+        this.replica = replica;
     }
 
     long syncedIndex() {
@@ -30,112 +30,120 @@
 
     void recover(List<WalRecord> entries) throws ServiceException {
         if (entries.isEmpty()) {
-            r.identity = ReplicaIdentity.create(r.environment.random(), r.environment.self());
+            replica.identity = ReplicaIdentity.create(replica.environment.random(), replica.environment.self());
             storeSnapshot();
             return;
         }
         for (WalRecord stored : entries) {
-            WalRecord e = LegacyFormat.upgraded(stored, r.environment.codec());
-            switch (e.kind()) {
+            WalRecord record = LegacyFormat.upgraded(stored, replica.environment.codec());
+            switch (record.kind()) {
                 case SNAPSHOT ->
-                    restoreSnapshot(r.environment.codec().read(e.bytes(), ReplicationMessages.ReplicaSnapshot.class));
+                    restoreSnapshot(replica.environment
+                            .codec()
+                            .read(record.bytes(), ReplicationMessages.ReplicaSnapshot.class));
                 case VOTE -> {
-                    r.term = e.term();
-                    r.votedFor = r.environment.codec().read(e.bytes(), String.class);
+                    replica.term = record.term();
+                    replica.votedFor = replica.environment.codec().read(record.bytes(), String.class);
                 }
-                default -> replay(e);
+                default -> replay(record);
             }
         }
-        syncedIndex = r.replicatedLog.lastIndex();
-        if (!ReplicaIdentity.belongsTo(r.identity, r.environment.self())) {
+        syncedIndex = replica.replicatedLog.lastIndex();
+        if (!ReplicaIdentity.belongsTo(replica.identity, replica.environment.self())) {
             Replica.LOG.error(
-                    "keeper: the disk of {} was written as {}: it counts as lost.", r.environment.self(), r.identity);
+                    "keeper: the disk of {} was written as {}: it counts as lost.",
+                    replica.environment.self(),
+                    replica.identity);
             replaceIdentity(() -> {});
-        } else if (r.voter) {
-            r.transitionTo(Role.FOLLOWER, "recovered");
+        } else if (replica.voter) {
+            replica.transitionTo(Role.FOLLOWER, "recovered");
         }
     }
 
     /** What is stored may be used to catch up, but this replica neither votes nor counts until it is promoted again. */
     void replaceIdentity(Runnable then) {
-        r.identity = ReplicaIdentity.create(r.environment.random(), r.environment.self());
-        r.voter = false;
+        replica.identity = ReplicaIdentity.create(replica.environment.random(), replica.environment.self());
+        replica.voter = false;
         storeSnapshot(then);
     }
 
-    private void restoreSnapshot(ReplicationMessages.ReplicaSnapshot b) {
-        r.identity = b.identity();
-        r.term = b.term();
-        r.votedFor = b.votedFor();
-        r.voter = b.voter();
-        r.replicatedLog.reset(b.index(), b.indexTerm(), List.of());
-        r.membership.reset(b.members());
-        if (b.state().length > 0) {
-            r.stateMachine.restore(b.state());
+    private void restoreSnapshot(ReplicationMessages.ReplicaSnapshot snapshot) {
+        replica.identity = snapshot.identity();
+        replica.term = snapshot.term();
+        replica.votedFor = snapshot.votedFor();
+        replica.voter = snapshot.voter();
+        replica.replicatedLog.reset(snapshot.index(), snapshot.indexTerm(), List.of());
+        replica.membership.reset(snapshot.members());
+        if (snapshot.state().length > 0) {
+            replica.stateMachine.restore(snapshot.state());
         }
-        r.commits.resetTo(b.index());
-        long i = b.index();
-        for (LogEntry item : b.entries()) {
+        replica.commits.resetTo(snapshot.index());
+        long i = snapshot.index();
+        for (LogEntry item : snapshot.entries()) {
             i++;
             appendInMemory(i, item);
         }
     }
 
-    private void replay(WalRecord e) throws ServiceException {
-        r.replicatedLog.truncateFrom(e.index());
-        r.membership.truncateFrom(e.index());
-        if (e.term() > r.term) {
+    private void replay(WalRecord record) throws ServiceException {
+        replica.replicatedLog.truncateFrom(record.index());
+        replica.membership.truncateFrom(record.index());
+        if (record.term() > replica.term) {
             // a build that did not note its owners: nobody is known to hold a lease of this term. design 5.3
-            r.term = e.term();
-            r.votedFor = "";
+            replica.term = record.term();
+            replica.votedFor = "";
         }
-        appendInMemory(e.index(), r.environment.codec().read(e.bytes(), LogEntry.class));
+        appendInMemory(record.index(), replica.environment.codec().read(record.bytes(), LogEntry.class));
     }
 
     private void appendInMemory(long index, LogEntry item) {
-        r.replicatedLog.append(item);
+        replica.replicatedLog.append(item);
         if (item.kind() == LogEntry.Kind.MEMBERSHIP) {
-            r.membership.onAppended(index, decodeMembers(item));
+            replica.membership.onAppended(index, decodeMembers(item));
         }
     }
 
     Map<String, String> decodeMembers(LogEntry item) {
         try {
             Map<String, String> out = new TreeMap<>();
-            r.environment.codec().read(item.bytes(), Map.class).forEach((k, v) -> out.put((String) k, (String) v));
+            replica.environment
+                    .codec()
+                    .read(item.bytes(), Map.class)
+                    .forEach((k, v) -> out.put((String) k, (String) v));
             return out;
-        } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable group entry", e);
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("unreadable group entry", failure);
         }
     }
 
     /** Adds to the memory log and to the disk; then runs once synced, unless the entry was cut since. */
     void append(List<LogEntry> items, Runnable then) {
-        long first = r.replicatedLog.lastIndex() + 1;
+        long first = replica.replicatedLog.lastIndex() + 1;
         List<WalRecord> out = new ArrayList<>();
         for (LogEntry item : items) {
-            long index = r.replicatedLog.lastIndex() + 1;
+            long index = replica.replicatedLog.lastIndex() + 1;
             appendInMemory(index, item);
             out.add(new WalRecord(
-                    r.partition,
+                    replica.partition,
                     WalRecord.Kind.ENTRY,
                     index,
                     item.term(),
-                    r.environment.codec().write(item)));
+                    replica.environment.codec().write(item)));
         }
-        long last = r.replicatedLog.lastIndex();
-        long lastTerm = r.replicatedLog.lastTerm();
+        long last = replica.replicatedLog.lastIndex();
+        long lastTerm = replica.replicatedLog.lastTerm();
         if (last < first) {
             then.run();
             return;
         }
-        r.environment
+        replica.environment
                 .wal()
                 .append(
                         out,
-                        () -> r.shard.run(() -> {
-                            if (r.role != Role.STOPPED) {
-                                if (r.replicatedLog.contains(last) && r.replicatedLog.termAt(last) == lastTerm) {
+                        () -> replica.shard.run(() -> {
+                            if (replica.role != Role.STOPPED) {
+                                if (replica.replicatedLog.contains(last)
+                                        && replica.replicatedLog.termAt(last) == lastTerm) {
                                     syncedIndex = Math.max(syncedIndex, last);
                                 }
                                 then.run();
@@ -144,41 +152,41 @@
     }
 
     void truncateFrom(long index) {
-        r.replicatedLog.truncateFrom(index);
-        r.membership.truncateFrom(index);
+        replica.replicatedLog.truncateFrom(index);
+        replica.membership.truncateFrom(index);
         syncedIndex = Math.min(syncedIndex, index - 1);
     }
 
     void storeVote(Runnable then) {
-        r.environment
+        replica.environment
                 .wal()
                 .append(
                         List.of(new WalRecord(
-                                r.partition,
+                                replica.partition,
                                 WalRecord.Kind.VOTE,
                                 0,
-                                r.term,
-                                r.environment.codec().write(r.votedFor))),
-                        () -> r.shard.run(() -> {
-                            if (r.role != Role.STOPPED) {
+                                replica.term,
+                                replica.environment.codec().write(replica.votedFor))),
+                        () -> replica.shard.run(() -> {
+                            if (replica.role != Role.STOPPED) {
                                 then.run();
                             }
                         }));
     }
 
     ReplicationMessages.ReplicaSnapshot snapshot() {
-        long upTo = r.commits.appliedIndex();
-        List<LogEntry> tail = r.replicatedLog.entries();
-        int skip = (int) (upTo - r.replicatedLog.baseIndex());
+        long upTo = replica.commits.appliedIndex();
+        List<LogEntry> tail = replica.replicatedLog.entries();
+        int skip = (int) (upTo - replica.replicatedLog.baseIndex());
         return new ReplicationMessages.ReplicaSnapshot(
-                r.identity,
-                r.term,
-                r.votedFor,
-                r.voter,
+                replica.identity,
+                replica.term,
+                replica.votedFor,
+                replica.voter,
                 upTo,
-                r.replicatedLog.termAt(upTo),
-                r.membership.committed(),
-                r.stateMachine.snapshot(),
+                replica.replicatedLog.termAt(upTo),
+                replica.membership.committed(),
+                replica.stateMachine.snapshot(),
                 List.copyOf(tail.subList(skip, tail.size())));
     }
 
@@ -186,16 +194,16 @@
     ReplicationMessages.ReplicaSnapshot snapshotWithoutIdentity() {
         ReplicationMessages.ReplicaSnapshot own = snapshot();
         return new ReplicationMessages.ReplicaSnapshot(
-                "", r.term, "", false, own.index(), own.indexTerm(), own.members(), own.state(), List.of());
+                "", replica.term, "", false, own.index(), own.indexTerm(), own.members(), own.state(), List.of());
     }
 
     /** The same snapshot as long as the log goes on from it: a follower that is on its way gets no other one. */
     SnapshotContent snapshotForFollowers() {
         SnapshotContent latest = latestSnapshot.get();
-        if (latest == null || latest.index() < r.replicatedLog.baseIndex()) {
+        if (latest == null || latest.index() < replica.replicatedLog.baseIndex()) {
             ReplicationMessages.ReplicaSnapshot base = snapshotWithoutIdentity();
             latest = SnapshotContent.of(
-                    base.index(), base.indexTerm(), r.environment.codec().write(base));
+                    base.index(), base.indexTerm(), replica.environment.codec().write(base));
             latestSnapshot = new WeakReference<>(latest);
         }
         return latest;
@@ -207,26 +215,29 @@
 
     /** A new base makes every earlier record of the part needless. */
     void storeSnapshot(Runnable then) {
-        if (r.role == Role.STOPPED) {
+        if (replica.role == Role.STOPPED) {
             return;
         }
-        ReplicationMessages.ReplicaSnapshot b = snapshot();
-        long keptFrom = r.replicatedLog.bytes() > KEPT_FOR_FOLLOWERS ? b.index() : r.leader.firstIndexNeeded(b.index());
-        r.replicatedLog.compacted(b.index(), keptFrom);
-        long last = r.replicatedLog.lastIndex();
-        long lastTerm = r.replicatedLog.lastTerm();
-        r.environment
+        ReplicationMessages.ReplicaSnapshot snapshot = snapshot();
+        long keptFrom = replica.replicatedLog.bytes() > KEPT_FOR_FOLLOWERS
+                ? snapshot.index()
+                : replica.leader.firstIndexNeeded(snapshot.index());
+        replica.replicatedLog.compacted(snapshot.index(), keptFrom);
+        long last = replica.replicatedLog.lastIndex();
+        long lastTerm = replica.replicatedLog.lastTerm();
+        replica.environment
                 .wal()
                 .append(
                         List.of(new WalRecord(
-                                r.partition,
+                                replica.partition,
                                 WalRecord.Kind.SNAPSHOT,
-                                b.index(),
-                                b.term(),
-                                r.environment.codec().write(b))),
-                        () -> r.shard.run(() -> {
-                            if (r.role != Role.STOPPED) {
-                                if (r.replicatedLog.contains(last) && r.replicatedLog.termAt(last) == lastTerm) {
+                                snapshot.index(),
+                                snapshot.term(),
+                                replica.environment.codec().write(snapshot))),
+                        () -> replica.shard.run(() -> {
+                            if (replica.role != Role.STOPPED) {
+                                if (replica.replicatedLog.contains(last)
+                                        && replica.replicatedLog.termAt(last) == lastTerm) {
                                     syncedIndex = Math.max(syncedIndex, last);
                                 }
                                 then.run();
@@ -235,21 +246,21 @@
     }
 
     /** Replaces all we have by the owner's view. */
-    void installSnapshot(ReplicationMessages.ReplicaSnapshot b, Runnable then) {
-        r.replicatedLog.reset(b.index(), b.indexTerm(), List.of());
-        r.membership.reset(b.members());
-        r.stateMachine.restore(b.state());
-        r.commits.resetTo(b.index());
-        syncedIndex = Math.min(syncedIndex, b.index());
+    void installSnapshot(ReplicationMessages.ReplicaSnapshot snapshot, Runnable then) {
+        replica.replicatedLog.reset(snapshot.index(), snapshot.indexTerm(), List.of());
+        replica.membership.reset(snapshot.members());
+        replica.stateMachine.restore(snapshot.state());
+        replica.commits.resetTo(snapshot.index());
+        syncedIndex = Math.min(syncedIndex, snapshot.index());
         storeSnapshot(then);
     }
 
     void compactIfNeeded() {
-        ReplicatedLog log = r.replicatedLog;
+        ReplicatedLog log = replica.replicatedLog;
         boolean large = log.bytesAfterCompacted()
-                        > Math.min(COMPACTION_BYTES, r.environment.wal().largestRecordBytes() / 4)
+                        > Math.min(COMPACTION_BYTES, replica.environment.wal().largestRecordBytes() / 4)
                 || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
-        if (large && r.commits.appliedIndex() > log.compactedIndex()) {
+        if (large && replica.commits.appliedIndex() > log.compactedIndex()) {
             storeSnapshot();
         }
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -78,7 +78,7 @@
     private void discardTo(long index) {
         baseTerm = termAt(index);
         int n = (int) (index - baseIndex);
-        items.subList(0, n).forEach(i -> bytes -= i.bytes().length);
+        items.subList(0, n).forEach(entry -> bytes -= entry.bytes().length);
         items.subList(0, n).clear();
         baseIndex = index;
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
@@ -69,26 +69,30 @@
 
     /** Every ask of replicas goes to the replica of its part here. */
     public static RpcRouter route(RpcRouter router, Function<String, Mono<Replica>> at) {
-        return router.on(VoteRequest.class, (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+        return router.on(
+                        VoteRequest.class,
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
                 .on(
                         AppendEntriesRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
                 .on(
                         InstallSnapshotRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
                 .on(
                         StartElectionRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
                 .on(
                         BootstrapStatusRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
-                .on(BootstrapRequest.class, (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
+                .on(
+                        BootstrapRequest.class,
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
                 .on(
                         SnapshotMessages.SnapshotChunkRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)))
+                        (f, chunk) -> at.apply(chunk.partition()).flatMap(replica -> replica.handle(f, chunk)))
                 .on(
                         SnapshotMessages.RevokeIdentityRequest.class,
-                        (f, a) -> at.apply(a.partition()).flatMap(r -> r.handle(f, a)));
+                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)));
     }
 
     public static List<Class<?>> types() {
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -32,34 +32,34 @@
     }
 
     private Kryo createKryo(boolean first) {
-        Kryo k = new Kryo();
-        k.setRegistrationRequired(true);
-        k.setReferences(false);
-        k.setMaxDepth(MAX_DEPTH);
-        BoundedSerializers.registerMutable(k);
-        k.register(TreeMap.class, 23);
-        k.register(Duration.class, 24);
-        k.register(Instant.class, 25);
-        k.register(Optional.class, 26);
-        register(k, Frame.class, 27, first);
-        k.register(Frame.Kind.class, 28);
-        register(k, Frame.ErrorResponse.class, 29, first);
-        k.register(java.util.LinkedHashMap.class, 30);
-        k.register(java.util.TreeSet.class, 31);
-        BoundedSerializers.registerImmutable(k);
+        Kryo kryo = new Kryo();
+        kryo.setRegistrationRequired(true);
+        kryo.setReferences(false);
+        kryo.setMaxDepth(MAX_DEPTH);
+        BoundedSerializers.registerMutable(kryo);
+        kryo.register(TreeMap.class, 23);
+        kryo.register(Duration.class, 24);
+        kryo.register(Instant.class, 25);
+        kryo.register(Optional.class, 26);
+        register(kryo, Frame.class, 27, first);
+        kryo.register(Frame.Kind.class, 28);
+        register(kryo, Frame.ErrorResponse.class, 29, first);
+        kryo.register(java.util.LinkedHashMap.class, 30);
+        kryo.register(java.util.TreeSet.class, 31);
+        BoundedSerializers.registerImmutable(kryo);
         types.forEach((from, list) -> {
             for (int i = 0; i < list.size(); i++) {
-                register(k, list.get(i), from + i, first);
+                register(kryo, list.get(i), from + i, first);
             }
         });
-        return k;
+        return kryo;
     }
 
-    private static void register(Kryo k, Class<?> type, int id, boolean first) {
+    private static void register(Kryo kryo, Class<?> type, int id, boolean first) {
         if (type.isRecord()) {
-            k.register(type, new RecordSerializer(type, first), id);
+            kryo.register(type, new RecordSerializer(type, first), id);
         } else {
-            k.register(type, id);
+            kryo.register(type, id);
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -46,7 +46,7 @@
                             sink.asMono(),
                             limit,
                             new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time."))
-                    .doFinally(s -> open.remove(id));
+                    .doFinally(signal -> open.remove(id));
         });
     }
 
@@ -58,13 +58,13 @@
      * Takes a response in the order in which it came, so that of two to one call the first counts; the caller goes on
      * by the executor. A response that no call waits for (a second one, or one that came too late) changes nothing.
      */
-    public void onResponse(Frame f, Consumer<Runnable> executor) {
-        Optional.ofNullable(open.remove(f.id()))
+    public void onResponse(Frame frame, Consumer<Runnable> executor) {
+        Optional.ofNullable(open.remove(frame.id()))
                 .ifPresent(sink -> executor.accept(() -> {
-                    if (f.kind() == Frame.Kind.ERROR) {
-                        sink.tryEmitError(failure(f.body()));
+                    if (frame.kind() == Frame.Kind.ERROR) {
+                        sink.tryEmitError(failure(frame.body()));
                     } else {
-                        sink.tryEmitValue(f.body());
+                        sink.tryEmitValue(frame.body());
                     }
                 }));
     }
@@ -95,11 +95,12 @@
         return Mono.<Object>from(router.handle(from, ask.body()))
                 .map(o -> new Frame(ask.id(), Frame.Kind.RESPONSE, o))
                 .onErrorResume(e -> {
-                    ServiceException f = ServiceException.of(e);
+                    ServiceException failure = ServiceException.of(e);
                     return Mono.just(new Frame(
                             ask.id(),
                             Frame.Kind.ERROR,
-                            new Frame.ErrorResponse(f.kind().name(), String.valueOf(f.getMessage()), f.details())));
+                            new Frame.ErrorResponse(
+                                    failure.kind().name(), String.valueOf(failure.getMessage()), failure.details())));
                 });
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -52,21 +52,22 @@
             this.constructor = type.getDeclaredConstructor(
                     Arrays.stream(components).map(RecordComponent::getType).toArray(Class[]::new));
             constructor.setAccessible(true);
-            Arrays.stream(components).forEach(p -> p.getAccessor().setAccessible(true));
+            Arrays.stream(components)
+                    .forEach(component -> component.getAccessor().setAccessible(true));
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Override
-    public void write(Kryo k, Output out, Object o) {
+    public void write(Kryo kryo, Output out, Object o) {
         if (firstFormat) {
             throw new IllegalStateException("the first format is only read");
         }
         out.writeVarInt(components.length, true);
         try {
-            for (RecordComponent p : components) {
-                k.writeClassAndObject(out, p.getAccessor().invoke(o));
+            for (RecordComponent component : components) {
+                kryo.writeClassAndObject(out, component.getAccessor().invoke(o));
             }
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
@@ -74,15 +75,16 @@
     }
 
     @Override
-    public Object read(Kryo k, Input in, Class<? extends Object> wanted) {
-        Object[] args =
-                Arrays.stream(components).map(p -> defaultValue(p.getType())).toArray();
+    public Object read(Kryo kryo, Input in, Class<? extends Object> wanted) {
+        Object[] args = Arrays.stream(components)
+                .map(component -> defaultValue(component.getType()))
+                .toArray();
         if (firstFormat) {
-            readFirst(k, in, args);
+            readFirst(kryo, in, args);
         } else {
             int n = in.readVarInt(true);
             for (int i = 0; i < n; i++) {
-                Object o = k.readClassAndObject(in);
+                Object o = kryo.readClassAndObject(in);
                 if (i < args.length) {
                     args[i] = o;
                 }
@@ -95,7 +97,7 @@
         }
     }
 
-    private void readFirst(Kryo k, Input in, Object[] args) {
+    private void readFirst(Kryo kryo, Input in, Object[] args) {
         int[] order = java.util.stream.IntStream.range(0, components.length)
                 .boxed()
                 .filter(i -> !components[i].isAnnotationPresent(Since.class))
@@ -105,8 +107,8 @@
         for (int i : order) {
             Class<?> c = components[i].getType();
             args[i] = c.isPrimitive()
-                    ? k.readObject(in, c)
-                    : k.isFinal(c) ? k.readObjectOrNull(in, c) : k.readClassAndObject(in);
+                    ? kryo.readObject(in, c)
+                    : kryo.isFinal(c) ? kryo.readObjectOrNull(in, c) : kryo.readClassAndObject(in);
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -101,8 +101,8 @@
         } else if (state == State.OPEN) {
             try {
                 onFrame(codec.read(bytes, Frame.class));
-            } catch (ServiceException e) {
-                refuse(e.getMessage());
+            } catch (ServiceException failure) {
+                refuse(failure.getMessage());
             }
         }
     }
@@ -133,11 +133,11 @@
         handshake.tryEmitValue(Boolean.TRUE);
     }
 
-    private void onFrame(Frame f) {
-        if (f.kind() == Frame.Kind.REQUEST) {
-            timers.soon(() -> PendingCalls.serve(router, peer, f).subscribe(this::send));
+    private void onFrame(Frame frame) {
+        if (frame.kind() == Frame.Kind.REQUEST) {
+            timers.soon(() -> PendingCalls.serve(router, peer, frame).subscribe(this::send));
         } else {
-            pendingCalls.onResponse(f, timers::soon);
+            pendingCalls.onResponse(frame, timers::soon);
         }
     }
 
@@ -147,9 +147,9 @@
                 .then(pendingCalls.call(body, limit, this::send));
     }
 
-    private void send(Frame f) {
+    private void send(Frame frame) {
         framesSent.incrementAndGet();
-        connection.channel().writeAndFlush(Unpooled.wrappedBuffer(codec.write(f)));
+        connection.channel().writeAndFlush(Unpooled.wrappedBuffer(codec.write(frame)));
     }
 
     private void refuse(String why) {
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -76,17 +76,17 @@
     }
 
     private void accept(Connection c) {
-        RpcConnection s = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.empty());
-        incoming.put(s, Boolean.TRUE);
-        c.onDispose(() -> incoming.remove(s));
-        s.open();
+        RpcConnection connection = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.empty());
+        incoming.put(connection, Boolean.TRUE);
+        c.onDispose(() -> incoming.remove(connection));
+        connection.open();
     }
 
     @Override
     public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
         Mono<Object> got = self.equals(to)
                 ? local(body, limit)
-                : connections.computeIfAbsent(to, this::connect).flatMap(s -> s.call(body, limit));
+                : connections.computeIfAbsent(to, this::connect).flatMap(connection -> connection.call(body, limit));
         return got.flatMap(o -> answer.isInstance(o)
                 ? Mono.just(answer.cast(o))
                 : Mono.error(new ServiceException(
@@ -109,13 +109,14 @@
                 .option(io.netty.channel.ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
                 .connect()
                 .map(c -> {
-                    RpcConnection s = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.of(to));
+                    RpcConnection connection =
+                            new RpcConnection(c, self, codec, router, timers, framesSent, Optional.of(to));
                     c.onDispose(() -> {
                         connections.remove(to);
-                        s.onClosed();
+                        connection.onClosed();
                     });
-                    s.open();
-                    return s;
+                    connection.open();
+                    return connection;
                 })
                 .onErrorMap(e -> new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + "."))
                 .doOnError(e -> timers.after(Duration.ofMillis(100), () -> connections.remove(to)))
--- a/common/src/main/java/org/woadvale/common/runtime/Delays.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Delays.java
@@ -11,10 +11,11 @@
     /** Fails with the fault after the limit, unless the work has ended. */
     public static <T> Mono<T> limit(Timers sch, Mono<T> work, Duration limit, ServiceException fault) {
         return Mono.create(sink -> {
-            TimerHandle s = sch.after(limit, () -> sink.error(fault));
-            Disposable d = work.doFinally(x -> s.cancel()).subscribe(sink::success, sink::error, sink::success);
+            TimerHandle timer = sch.after(limit, () -> sink.error(fault));
+            Disposable d =
+                    work.doFinally(signal -> timer.cancel()).subscribe(sink::success, sink::error, sink::success);
             sink.onCancel(() -> {
-                s.cancel();
+                timer.cancel();
                 d.dispose();
             });
         });
@@ -22,8 +23,8 @@
 
     public static Mono<Boolean> pause(Timers sch, Duration d) {
         return Mono.create(sink -> {
-            TimerHandle s = sch.after(d, () -> sink.success(Boolean.TRUE));
-            sink.onCancel(s::cancel);
+            TimerHandle timer = sch.after(d, () -> sink.success(Boolean.TRUE));
+            sink.onCancel(timer::cancel);
         });
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
+++ b/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
@@ -28,8 +28,8 @@
                 Runnable[] out = deferred.toArray(Runnable[]::new);
                 deferred.clear();
                 lock.unlock();
-                for (Runnable r : out) {
-                    r.run();
+                for (Runnable task : out) {
+                    task.run();
                 }
             }
         }
--- a/common/src/main/java/org/woadvale/common/runtime/ServiceException.java
+++ b/common/src/main/java/org/woadvale/common/runtime/ServiceException.java
@@ -28,8 +28,8 @@
 
     /** Any throwable as a fault; what is not ours is an internal fault with unknown outcome. */
     public static ServiceException of(Throwable e) {
-        if (e instanceof ServiceException f) {
-            return f;
+        if (e instanceof ServiceException failure) {
+            return failure;
         }
         return new ServiceException(ErrorKind.INTERNAL, e.getClass().getSimpleName() + ": " + e.getMessage());
     }
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -49,22 +49,22 @@
 
     private void pump() {
         while (running < width && !queue.isEmpty()) {
-            Waiting<I, O> w = queue.poll();
+            Waiting<I, O> waiting = queue.poll();
             running++;
-            shard.afterUnlock(() -> begin(w));
+            shard.afterUnlock(() -> begin(waiting));
         }
     }
 
-    private void begin(Waiting<I, O> w) {
-        Mono.defer(() -> work.apply(w.in()))
-                .doFinally(s -> shard.run(() -> {
+    private void begin(Waiting<I, O> waiting) {
+        Mono.defer(() -> work.apply(waiting.in()))
+                .doFinally(signal -> shard.run(() -> {
                     running--;
                     pump();
                 }))
                 .subscribe(
-                        v -> w.out().tryEmitValue(v),
-                        e -> w.out().tryEmitError(e),
-                        () -> w.out().tryEmitEmpty());
+                        v -> waiting.out().tryEmitValue(v),
+                        e -> waiting.out().tryEmitError(e),
+                        () -> waiting.out().tryEmitEmpty());
     }
 
     public int waiting() {
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -32,8 +32,8 @@
         this.onGiveUp = onGivenUp;
     }
 
-    public synchronized Supervisor with(Component c) {
-        children.add(c);
+    public synchronized Supervisor with(Component component) {
+        children.add(component);
         return this;
     }
 
@@ -45,44 +45,44 @@
     @Override
     public synchronized void start() throws ServiceException {
         running = true;
-        for (Component c : children) {
-            c.start();
-            LOG.info("lantern: started {}.", c.name());
+        for (Component component : children) {
+            component.start();
+            LOG.info("lantern: started {}.", component.name());
         }
         checking = timers.every(CHECK_INTERVAL, this::checkComponents);
     }
 
     private synchronized void checkComponents() {
-        for (Component c : children) {
-            if (running && !gaveUp && !c.alive() && !pending.contains(c)) {
-                restart(c);
+        for (Component component : children) {
+            if (running && !gaveUp && !component.alive() && !pending.contains(component)) {
+                restart(component);
             }
         }
     }
 
-    private void restart(Component c) {
-        int n = restarts.merge(c, 1, Integer::sum);
+    private void restart(Component component) {
+        int n = restarts.merge(component, 1, Integer::sum);
         if (n > MAX_RESTARTS) {
-            LOG.error("lantern: {} died {} times, giving up.", c.name(), n);
+            LOG.error("lantern: {} died {} times, giving up.", component.name(), n);
             gaveUp = true;
             onGiveUp.run();
             return;
         }
-        LOG.warn("lantern: {} died, starting it again.", c.name());
-        pending.add(c);
-        timers.after(CHECK_INTERVAL.multipliedBy(1L << n), () -> restartNow(c));
+        LOG.warn("lantern: {} died, starting it again.", component.name());
+        pending.add(component);
+        timers.after(CHECK_INTERVAL.multipliedBy(1L << n), () -> restartNow(component));
     }
 
-    private synchronized void restartNow(Component c) {
-        pending.remove(c);
-        if (!running || c.alive()) {
+    private synchronized void restartNow(Component component) {
+        pending.remove(component);
+        if (!running || component.alive()) {
             return;
         }
         try {
-            c.stop();
-            c.start();
-        } catch (ServiceException e) {
-            LOG.error("lantern: {} did not start: {}", c.name(), e.getMessage());
+            component.stop();
+            component.start();
+        } catch (ServiceException failure) {
+            LOG.error("lantern: {} did not start: {}", component.name(), failure.getMessage());
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -17,15 +17,15 @@
     private final ExecutorService disk;
 
     public SystemTimers(int threads) {
-        pool = new ScheduledThreadPoolExecutor(threads, r -> daemon(r, "work"));
+        pool = new ScheduledThreadPoolExecutor(threads, task -> daemon(task, "work"));
         pool.setRemoveOnCancelPolicy(true);
-        disk = Executors.newSingleThreadExecutor(r -> daemon(r, "disk"));
+        disk = Executors.newSingleThreadExecutor(task -> daemon(task, "disk"));
     }
 
-    private static Thread daemon(Runnable r, String name) {
-        Thread t = new Thread(r, name);
-        t.setDaemon(true);
-        return t;
+    private static Thread daemon(Runnable task, String name) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        return thread;
     }
 
     @Override
--- a/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
@@ -23,9 +23,9 @@
 
     @Override
     public List<String> list() throws IOException {
-        try (Stream<Path> s = Files.list(folder)) {
-            return s.filter(Files::isRegularFile)
-                    .map(p -> p.getFileName().toString())
+        try (Stream<Path> stream = Files.list(folder)) {
+            return stream.filter(Files::isRegularFile)
+                    .map(path -> path.getFileName().toString())
                     .sorted()
                     .toList();
         }
@@ -66,8 +66,8 @@
     @Override
     public boolean deleteSetAside() throws IOException {
         List<Path> old;
-        try (Stream<Path> s = Files.list(folder)) {
-            old = s.filter(p -> p.getFileName().toString().startsWith(SET_ASIDE))
+        try (Stream<Path> stream = Files.list(folder)) {
+            old = stream.filter(path -> path.getFileName().toString().startsWith(SET_ASIDE))
                     .toList();
         }
         for (Path aside : old) {
@@ -79,8 +79,8 @@
 
     private static void deleteFolder(Path aside) throws IOException {
         List<Path> files;
-        try (Stream<Path> s = Files.list(aside)) {
-            files = s.toList();
+        try (Stream<Path> stream = Files.list(aside)) {
+            files = stream.toList();
         }
         for (Path file : files) {
             Files.delete(file);
--- a/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
+++ b/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
@@ -12,8 +12,8 @@
         /** Bytes of the log entries; snapshots are not counted, since each replaces the one before it. */
         long entryBytes() {
             return entries.stream()
-                    .filter(e -> e.kind() == WalRecord.Kind.ENTRY)
-                    .mapToLong(e -> e.bytes().length)
+                    .filter(record -> record.kind() == WalRecord.Kind.ENTRY)
+                    .mapToLong(record -> record.bytes().length)
                     .sum();
         }
     }
@@ -33,16 +33,16 @@
     private void dropReplaced(PendingAppend group) {
         Set<String> replaced = new HashSet<>();
         group.entries().stream()
-                .filter(e -> e.kind() == WalRecord.Kind.SNAPSHOT)
-                .forEach(e -> replaced.add(e.partition()));
+                .filter(record -> record.kind() == WalRecord.Kind.SNAPSHOT)
+                .forEach(record -> replaced.add(record.partition()));
         if (replaced.isEmpty()) {
             return;
         }
-        groups.replaceAll(g -> new PendingAppend(
-                g.entries().stream()
-                        .filter(e -> !replaced.contains(e.partition()))
+        groups.replaceAll(pendingAppend -> new PendingAppend(
+                pendingAppend.entries().stream()
+                        .filter(record -> !replaced.contains(record.partition()))
                         .toList(),
-                g.done()));
+                pendingAppend.done()));
         entryBytes = groups.stream().mapToLong(PendingAppend::entryBytes).sum();
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -48,33 +48,38 @@
     }
 
     /** All of the record but its bytes, which follow: a large base is not copied once more. */
-    static byte[] header(long segment, long batch, WalRecord e) {
-        byte[] part = e.partition().getBytes(StandardCharsets.UTF_8);
+    static byte[] header(long segment, long batch, WalRecord record) {
+        byte[] part = record.partition().getBytes(StandardCharsets.UTF_8);
         return withChecksum(
-                ByteBuffer.allocate(size(e) - e.bytes().length)
+                ByteBuffer.allocate(size(record) - record.bytes().length)
                         .position(HEADER_BYTES)
                         .put(FORMAT)
                         .putLong(segment)
                         .putLong(batch)
-                        .put((byte) e.kind().ordinal())
+                        .put((byte) record.kind().ordinal())
                         .putShort((short) part.length)
                         .put(part)
-                        .putLong(e.index())
-                        .putLong(e.term())
-                        .putInt(e.bytes().length),
-                e.bytes());
+                        .putLong(record.index())
+                        .putLong(record.term())
+                        .putInt(record.bytes().length),
+                record.bytes());
     }
 
-    static int size(WalRecord e) {
-        return HEADER_BYTES + 18 + 2 + e.partition().getBytes(StandardCharsets.UTF_8).length + 20 + e.bytes().length;
+    static int size(WalRecord record) {
+        return HEADER_BYTES
+                + 18
+                + 2
+                + record.partition().getBytes(StandardCharsets.UTF_8).length
+                + 20
+                + record.bytes().length;
     }
 
-    private static byte[] withChecksum(ByteBuffer b, byte[] follow) {
+    private static byte[] withChecksum(ByteBuffer buffer, byte[] follow) {
         CRC32C crc = new CRC32C();
-        crc.update(b.array(), HEADER_BYTES, b.capacity() - HEADER_BYTES);
+        crc.update(buffer.array(), HEADER_BYTES, buffer.capacity() - HEADER_BYTES);
         crc.update(follow);
-        b.putInt(0, b.capacity() + follow.length).putInt(4, (int) crc.getValue());
-        return b.array();
+        buffer.putInt(0, buffer.capacity() + follow.length).putInt(4, (int) crc.getValue());
+        return buffer.array();
     }
 
     /** Empty where no whole, sound record stands at the place. */
@@ -86,37 +91,37 @@
         if (len < HEADER_BYTES + 18 || len > file.size() - at) {
             return Optional.empty();
         }
-        ByteBuffer b = file.look(at, len);
+        ByteBuffer buffer = file.look(at, len);
         CRC32C crc = new CRC32C();
-        crc.update(b.slice(HEADER_BYTES, len - HEADER_BYTES));
-        if ((int) crc.getValue() != b.getInt(4)) {
+        crc.update(buffer.slice(HEADER_BYTES, len - HEADER_BYTES));
+        if ((int) crc.getValue() != buffer.getInt(4)) {
             return Optional.empty();
         }
-        byte format = b.get(HEADER_BYTES);
+        byte format = buffer.get(HEADER_BYTES);
         if (format > FORMAT) {
             throw new NewerFormatException(format);
         }
         try {
-            return body(b.position(HEADER_BYTES), at + len);
+            return body(buffer.position(HEADER_BYTES), at + len);
         } catch (BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
-    private static Optional<DecodedRecord> body(ByteBuffer b, int next) {
-        byte format = b.get();
-        long segment = b.getLong();
-        long batch = b.getLong();
-        byte kind = b.get();
+    private static Optional<DecodedRecord> body(ByteBuffer buffer, int next) {
+        byte format = buffer.get();
+        long segment = buffer.getLong();
+        long batch = buffer.getLong();
+        byte kind = buffer.get();
         if (kind == END_OF_SEGMENT) {
             return Optional.of(new DecodedRecord(segment, batch, next, Optional.empty()));
         }
-        byte[] part = new byte[b.getShort()];
-        b.get(part);
-        long index = b.getLong();
-        long term = b.getLong();
-        byte[] bytes = new byte[b.getInt()];
-        b.get(bytes);
+        byte[] part = new byte[buffer.getShort()];
+        buffer.get(part);
+        long index = buffer.getLong();
+        long term = buffer.getLong();
+        byte[] bytes = new byte[buffer.getInt()];
+        buffer.get(bytes);
         return Optional.of(new DecodedRecord(
                 segment,
                 batch,
--- a/common/src/main/java/org/woadvale/common/wal/Recovery.java
+++ b/common/src/main/java/org/woadvale/common/wal/Recovery.java
@@ -29,7 +29,7 @@
 
     static Recovery run(List<Disk.DiskFile> files)
             throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
-        Recovery r = new Recovery();
+        Recovery recovery = new Recovery();
         long newest = -1;
         long oldest = Long.MAX_VALUE;
         int n = files.size();
@@ -48,19 +48,19 @@
             for (int i = 1; i < n; i++) {
                 mustBeUnused(new ReadWindow(files.get(i)), i);
             }
-            r.checkTail(new ReadWindow(files.get(0)), 0, 0);
-            return r;
+            recovery.checkTail(new ReadWindow(files.get(0)), 0, 0);
+            return recovery;
         }
         boolean wrapped = newest - oldest + 1 == n;
         for (long s = oldest; s <= newest; s++) {
-            r.segment(new ReadWindow(files.get((int) (s % n))), s, s == newest, wrapped && s == oldest);
+            recovery.segment(new ReadWindow(files.get((int) (s % n))), s, s == newest, wrapped && s == oldest);
         }
-        boolean rolled = r.segment == newest + 1;
-        r.checkOldest(oldest, Math.max(0, newest - n + 1), rolled && newest + 1 >= n);
+        boolean rolled = recovery.segment == newest + 1;
+        recovery.checkOldest(oldest, Math.max(0, newest - n + 1), rolled && newest + 1 >= n);
         if (!wrapped || rolled) {
-            r.checkTail(new ReadWindow(files.get((int) ((newest + 1) % n))), newest + 1, 0);
+            recovery.checkTail(new ReadWindow(files.get((int) ((newest + 1) % n))), newest + 1, 0);
         }
-        return r;
+        return recovery;
     }
 
     /** All segments that the ring can hold must be there, but for the oldest while the next one is written over it. */
@@ -94,8 +94,8 @@
             throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
         int at = 0;
         while (true) {
-            Optional<RecordFormat.DecodedRecord> f = RecordFormat.read(file, at);
-            if (f.isEmpty() || f.get().segment() != s) {
+            Optional<RecordFormat.DecodedRecord> decoded = RecordFormat.read(file, at);
+            if (decoded.isEmpty() || decoded.get().segment() != s) {
                 if (mayBeWrittenOver) {
                     oldestBreaksOff = true;
                     recordsByPartition.clear();
@@ -110,28 +110,28 @@
                 pos = at;
                 return;
             }
-            batch = f.get().batch();
-            at = f.get().next();
-            if (f.get().endsSegment()) {
+            batch = decoded.get().batch();
+            at = decoded.get().next();
+            if (decoded.get().endsSegment()) {
                 if (last) {
                     segment = s + 1;
                     pos = 0;
                 }
                 return;
             }
-            accept(f.get().record().orElseThrow(), s);
+            accept(decoded.get().record().orElseThrow(), s);
         }
     }
 
-    private void accept(WalRecord e, long s) {
-        if (e.kind() == WalRecord.Kind.SNAPSHOT) {
-            recordsByPartition.put(e.partition(), new ArrayList<>());
-            oldestNeeded.put(e.partition(), s);
+    private void accept(WalRecord record, long s) {
+        if (record.kind() == WalRecord.Kind.SNAPSHOT) {
+            recordsByPartition.put(record.partition(), new ArrayList<>());
+            oldestNeeded.put(record.partition(), s);
         }
         recordsByPartition
-                .computeIfAbsent(e.partition(), p -> new ArrayList<>())
-                .add(e);
-        oldestNeeded.putIfAbsent(e.partition(), s);
+                .computeIfAbsent(record.partition(), p -> new ArrayList<>())
+                .add(record);
+        oldestNeeded.putIfAbsent(record.partition(), s);
     }
 
     /** A sound record of a later batch beyond the break proves that synced bytes were lost. */
@@ -142,8 +142,8 @@
                     || file.look(at + RecordFormat.HEADER_BYTES + 1, 8).getLong() != s) {
                 continue;
             }
-            Optional<RecordFormat.DecodedRecord> f = RecordFormat.read(file, at);
-            if (f.isPresent() && f.get().batch() > batch + 1) {
+            Optional<RecordFormat.DecodedRecord> decoded = RecordFormat.read(file, at);
+            if (decoded.isPresent() && decoded.get().batch() > batch + 1) {
                 throw new DamagedLogException("segment " + s + " is damaged at " + from + ", before synced records");
             }
         }
--- a/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
+++ b/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
@@ -103,21 +103,21 @@
 
     @Test
     void badBootFileIsOneSentenceNamingTheField(@TempDir Path dir) throws Exception {
-        Path p = dir.resolve("boot.json");
-        Files.writeString(p, """
+        Path path = dir.resolve("boot.json");
+        Files.writeString(path, """
             {"address":"nowhere","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"]}""");
-        String m = assertThrows(ServiceException.class, () -> Settings.read(p.toString()))
+        String m = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
                 .getMessage();
         assertTrue(m.contains("invalid at address: "), m);
         assertTrue(m.contains("must be IP:port"), m);
-        Files.writeString(p, """
+        Files.writeString(path, """
             {"address":"127.0.0.1:70000","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"]}""");
-        assertTrue(assertThrows(ServiceException.class, () -> Settings.read(p.toString()))
+        assertTrue(assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
                 .getMessage()
                 .contains("at address: "));
-        Files.writeString(p, """
+        Files.writeString(path, """
             {"address":"127.0.0.1:3","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"],"roles":["store"]}""");
-        String m2 = assertThrows(ServiceException.class, () -> Settings.read(p.toString()))
+        String m2 = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
                 .getMessage();
         assertTrue(m2.contains("invalid at data: a store needs a data folder"), m2);
     }
--- a/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
@@ -29,9 +29,9 @@
     @BeforeEach
     void start() throws Exception {
         port = LoopbackPorts.free();
-        gate = new HttpGateway("127.0.0.1:" + port, 1000, q -> {
-            reached.add(q.path() + " " + new String(q.body(), StandardCharsets.ISO_8859_1));
-            return Mono.just(new Response(200, java.util.Map.of("X-Path", q.path()), new byte[] {'o', 'k'}));
+        gate = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
+            reached.add(request.path() + " " + new String(request.body(), StandardCharsets.ISO_8859_1));
+            return Mono.just(new Response(200, java.util.Map.of("X-Path", request.path()), new byte[] {'o', 'k'}));
         });
         gate.start();
     }
@@ -43,22 +43,22 @@
 
     /** All that comes back until the other side ends the stream; the caller says no more. */
     private String said(String text, boolean halfClose) throws IOException {
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            s.getOutputStream().flush();
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().flush();
             if (halfClose) {
-                s.shutdownOutput();
+                socket.shutdownOutput();
             }
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
     private static List<String> statuses(String answer) {
-        Matcher m = Pattern.compile("HTTP/1\\.1 ([0-9]{3})").matcher(answer);
+        Matcher matcher = Pattern.compile("HTTP/1\\.1 ([0-9]{3})").matcher(answer);
         List<String> out = new ArrayList<>();
-        while (m.find()) {
-            out.add(m.group(1));
+        while (matcher.find()) {
+            out.add(matcher.group(1));
         }
         return out;
     }
@@ -151,14 +151,15 @@
         stop();
         Sinks.One<Response> later = Sinks.one();
         CountDownLatch open = new CountDownLatch(1);
-        gate = new HttpGateway("127.0.0.1:" + port, 1000, q -> {
+        gate = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
             open.countDown();
             return later.asMono();
         });
         gate.start();
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(10_000);
-            s.getOutputStream().write(post("Content-Length: 5\r\n", "hello").getBytes(StandardCharsets.ISO_8859_1));
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(10_000);
+            socket.getOutputStream()
+                    .write(post("Content-Length: 5\r\n", "hello").getBytes(StandardCharsets.ISO_8859_1));
             assertTrue(open.await(10, TimeUnit.SECONDS));
             Thread stopping = new Thread(gate::stop);
             stopping.start();
@@ -166,7 +167,7 @@
                 Thread.onSpinWait();
             }
             later.tryEmitValue(new Response(200, java.util.Map.of(), "whole".getBytes()));
-            String answer = new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nwhole"), answer);
             assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"), answer);
             stopping.join();
@@ -174,8 +175,8 @@
     }
 
     private boolean takesStreams() {
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            return s.isConnected();
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            return socket.isConnected();
         } catch (IOException e) {
             return false;
         }
--- a/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
@@ -35,16 +35,16 @@
 
     @BeforeEach
     void start() throws Exception {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            port = s.getLocalPort();
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            port = serverSocket.getLocalPort();
         }
-        gateway = new HttpGateway("127.0.0.1:" + port, 1000, q -> {
-            reached.add(q.path());
-            if (q.path().equals("/held")) {
+        gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
+            reached.add(request.path());
+            if (request.path().equals("/held")) {
                 holding.countDown();
-                return held.asMono().map(x -> answer(q));
+                return held.asMono().map(x -> answer(request));
             }
-            return Mono.just(answer(q));
+            return Mono.just(answer(request));
         });
         gateway.start();
     }
@@ -54,11 +54,13 @@
         gateway.stop();
     }
 
-    private static Response answer(Request q) {
+    private static Response answer(Request request) {
         return new Response(
-                q.path().equals("/empty") ? 204 : 200,
-                Map.of("X-Path", q.path()),
-                q.path().equals("/empty") ? new byte[0] : ("body of " + q.path()).getBytes(StandardCharsets.UTF_8));
+                request.path().equals("/empty") ? 204 : 200,
+                Map.of("X-Path", request.path()),
+                request.path().equals("/empty")
+                        ? new byte[0]
+                        : ("body of " + request.path()).getBytes(StandardCharsets.UTF_8));
     }
 
     private static String get(String path) {
@@ -70,25 +72,25 @@
     }
 
     private Socket open() throws IOException {
-        Socket s = new Socket("127.0.0.1", port);
-        s.setSoTimeout(20_000);
-        return s;
+        Socket socket = new Socket("127.0.0.1", port);
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
-    private static void say(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-        s.getOutputStream().flush();
+    private static void say(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+        socket.getOutputStream().flush();
     }
 
-    private static String rest(Socket s) throws IOException {
-        return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    private static String rest(Socket socket) throws IOException {
+        return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     /** What comes up to the given end of it. */
-    private static String until(Socket s, String end) throws IOException {
+    private static String until(Socket socket, String end) throws IOException {
         StringBuilder out = new StringBuilder();
         while (out.indexOf(end) < 0) {
-            int next = s.getInputStream().read();
+            int next = socket.getInputStream().read();
             assertTrue(next >= 0, "ended after " + out);
             out.append((char) next);
         }
@@ -96,17 +98,17 @@
     }
 
     private String said(String text) throws IOException {
-        try (Socket s = open()) {
-            say(s, text);
-            return rest(s);
+        try (Socket socket = open()) {
+            say(socket, text);
+            return rest(socket);
         }
     }
 
     private static List<String> paths(String answers) {
-        Matcher m = Pattern.compile("(?i)\r\nx-path: (\\S+)").matcher(answers);
+        Matcher matcher = Pattern.compile("(?i)\r\nx-path: (\\S+)").matcher(answers);
         List<String> out = new ArrayList<>();
-        while (m.find()) {
-            out.add(m.group(1));
+        while (matcher.find()) {
+            out.add(matcher.group(1));
         }
         return out;
     }
@@ -114,11 +116,11 @@
     /** The second and third are there while the first is still being answered. */
     @RepeatedTest(20)
     void pipelinedRequestsGetTheirAnswersInOrder() throws Exception {
-        try (Socket s = open()) {
-            say(s, get("/held") + get("/2") + get("/3"));
+        try (Socket socket = open()) {
+            say(socket, get("/held") + get("/2") + get("/3"));
             assertTrue(holding.await(20, TimeUnit.SECONDS));
             held.tryEmitValue("go");
-            assertEquals(List.of("/held", "/2", "/3"), paths(until(s, "body of /3")));
+            assertEquals(List.of("/held", "/2", "/3"), paths(until(socket, "body of /3")));
         }
     }
 
@@ -143,9 +145,9 @@
     @Test
     void answersWithoutABodyHaveNone() throws Exception {
         String answers;
-        try (Socket s = open()) {
-            say(s, "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + get("/empty") + get("/3"));
-            answers = until(s, "body of /3");
+        try (Socket socket = open()) {
+            say(socket, "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + get("/empty") + get("/3"));
+            answers = until(socket, "body of /3");
         }
         assertEquals(List.of("/1", "/empty", "/3"), paths(answers));
         assertFalse(answers.contains("body of /1"), answers);
@@ -155,12 +157,12 @@
     @Test
     void requestThatComesInPiecesIsOneRequest() throws Exception {
         String whole = "POST /pieces HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
-        try (Socket s = open()) {
-            s.setTcpNoDelay(true);
+        try (Socket socket = open()) {
+            socket.setTcpNoDelay(true);
             for (int i = 0; i < whole.length(); i++) {
-                say(s, whole.substring(i, i + 1));
+                say(socket, whole.substring(i, i + 1));
             }
-            assertEquals(List.of("/pieces"), paths(rest(s)));
+            assertEquals(List.of("/pieces"), paths(rest(socket)));
         }
         assertEquals(List.of("/pieces"), reached);
     }
--- a/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
@@ -37,13 +37,13 @@
     /** The answer is the request said again, by another thread than the one that read it. */
     @BeforeContainer
     static void start() throws IOException, ServiceException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            port = s.getLocalPort();
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            port = serverSocket.getLocalPort();
         }
         gateway = new HttpGateway(
                 "127.0.0.1:" + port,
                 10_000,
-                q -> Mono.fromSupplier(() -> new Response(200, Map.of("X-Path", q.path()), q.body()))
+                request -> Mono.fromSupplier(() -> new Response(200, Map.of("X-Path", request.path()), request.body()))
                         .subscribeOn(Schedulers.parallel()));
         gateway.start();
     }
@@ -82,21 +82,21 @@
     /** Reads until so many answers have come, or until the gateway closes; the caller ends its side for none. */
     private static List<String> answers(byte[] bytes, int piece, int expected) throws IOException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(60_000);
-            s.setTcpNoDelay(true);
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(60_000);
+            socket.setTcpNoDelay(true);
             for (int i = 0; i < bytes.length; i += piece) {
-                s.getOutputStream().write(bytes, i, Math.min(piece, bytes.length - i));
+                socket.getOutputStream().write(bytes, i, Math.min(piece, bytes.length - i));
             }
             if (expected == 0) {
-                s.shutdownOutput();
+                socket.shutdownOutput();
             }
             byte[] part = new byte[4096];
             int n = 0;
             while (n >= 0) {
                 in.write(part, 0, n);
                 boolean complete = expected > 0 && answers(in.toByteArray()).size() >= expected;
-                n = complete ? -1 : s.getInputStream().read(part);
+                n = complete ? -1 : socket.getInputStream().read(part);
             }
         } catch (SocketTimeoutException e) {
             throw e;
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -37,11 +37,11 @@
     @Test
     void oversizedBodiesNeverReachTheApplicationAndFaultsBecomeAnswers() throws Exception {
         String address = LoopbackPorts.freeAddress();
-        HttpGateway gate = new HttpGateway(address, 100, q -> {
+        HttpGateway gate = new HttpGateway(address, 100, request -> {
             reached.incrementAndGet();
-            return q.body().length == 3
+            return request.body().length == 3
                     ? Mono.error(new ServiceException(ErrorKind.THROTTLED, "later", java.util.List.of("7")))
-                    : Mono.just(Response.json(200, q.body().length));
+                    : Mono.just(Response.json(200, request.body().length));
         });
         gate.start();
         try {
@@ -63,7 +63,7 @@
     @Test
     void everyAnswerDeclaresItsLength() throws Exception {
         String address = LoopbackPorts.freeAddress();
-        HttpGateway gate = new HttpGateway(address, 100, q -> switch (q.body().length) {
+        HttpGateway gate = new HttpGateway(address, 100, request -> switch (request.body().length) {
             case 1 -> Mono.just(Response.json(202, "taken"));
             case 2 -> Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "not known"));
             case 3 -> throw new IllegalStateException("thrown");
@@ -74,12 +74,12 @@
             int[] statuses = {500, 202, 504, 500, 500, 413};
             int[] lengths = {0, 1, 2, 3, 4, 101};
             for (int i = 0; i < lengths.length; i++) {
-                HttpResponse<String> r = post(address, lengths[i], true);
-                assertEquals(statuses[i], r.statusCode(), "for " + lengths[i]);
+                HttpResponse<String> response = post(address, lengths[i], true);
+                assertEquals(statuses[i], response.statusCode(), "for " + lengths[i]);
                 assertEquals(
-                        r.body().length(),
-                        r.headers().firstValueAsLong("Content-Length").orElse(-1));
-                assertTrue(r.body().length() > 0, "for " + lengths[i]);
+                        response.body().length(),
+                        response.headers().firstValueAsLong("Content-Length").orElse(-1));
+                assertTrue(response.body().length() > 0, "for " + lengths[i]);
             }
         } finally {
             gate.stop();
--- a/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
@@ -39,7 +39,7 @@
     }
 
     private static String outcome(Mono<ControlMessages.UpdateResult> call) {
-        return call.map(d -> "done")
+        return call.map(result -> "done")
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block();
     }
