--- a/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
+++ b/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class AggregateBucketTest {
-    private static final RateLimit A = new RateLimit(10, 20);
+    private static final RateLimit limit = new RateLimit(10, 20);
 
     private static final Duration FAR = Duration.ofDays(1);
 
@@ -26,73 +26,74 @@
 
     @Test
     void repeatedAskIsTheSameGrant() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(10, h.grant("x", ask(1, 10), FAR, ms(1)).granted());
-        assertEquals(10, h.grant("x", ask(1, 10), FAR, ms(2)).granted());
-        assertEquals(10, h.outstanding());
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        assertEquals(10, bucket.grant("x", ask(1, 10), FAR, ms(1)).granted());
+        assertEquals(10, bucket.grant("x", ask(1, 10), FAR, ms(2)).granted());
+        assertEquals(10, bucket.outstanding());
     }
 
     @Test
     void grantsNeverExceedTheAggregateAndRestOnlyReturnsAfterTheirLife() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(20, h.grant("x", ask(1, 50), FAR, ms(0)).granted());
-        assertEquals(0, h.grant("y", ask(1, 1), FAR, ms(900)).granted(), "all are out: nothing may be filled");
-        assertTrue(h.grant("y", ask(2, 1), FAR, ms(1300)).granted() > 0, "dead passes make room");
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        assertEquals(20, bucket.grant("x", ask(1, 50), FAR, ms(0)).granted());
+        assertEquals(0, bucket.grant("y", ask(1, 1), FAR, ms(900)).granted(), "all are out: nothing may be filled");
+        assertTrue(bucket.grant("y", ask(2, 1), FAR, ms(1300)).granted() > 0, "dead passes make room");
     }
 
     /** Before: 17, since the time in which all were out was counted as time of filling once they were dead. */
     @Test
     void nothingIsFilledForTheTimeInWhichAllWasOut() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(20, h.grant("x", ask(1, 20), FAR, ms(0)).granted());
-        assertEquals(6, h.grant("y", ask(1, 20), FAR, ms(1700)).granted(), "x may have spent its last at 0.999 s");
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        assertEquals(20, bucket.grant("x", ask(1, 20), FAR, ms(0)).granted());
+        assertEquals(6, bucket.grant("y", ask(1, 20), FAR, ms(1700)).granted(), "x may have spent its last at 0.999 s");
     }
 
     @Test
     void givenBackPassesAreGrantedAgainButOnlyOnce() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        h.grant("x", ask(1, 20), FAR, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        bucket.grant("x", ask(1, 20), FAR, ms(0));
         TokenMessages.UsageReport back = new TokenMessages.UsageReport(1, 5, true);
         assertEquals(
                 15,
-                h.grant("y", ask(1, 20), FAR, ms(0)).granted()
-                        + h.grant("x", ask(2, 20, back), FAR, ms(0)).granted());
-        assertEquals(0, h.grant("x", ask(3, 20, back), FAR, ms(0)).granted());
+                bucket.grant("y", ask(1, 20), FAR, ms(0)).granted()
+                        + bucket.grant("x", ask(2, 20, back), FAR, ms(0)).granted());
+        assertEquals(0, bucket.grant("x", ask(3, 20, back), FAR, ms(0)).granted());
     }
 
     @Test
     void laterTermStartsEmptyAndFillsOnlyOnceOldPassesAreDead() {
-        AggregateBucket h = new AggregateBucket(2, 0, false, A, ms(0));
-        assertEquals(0, h.grant("x", ask(1, 1), FAR, ms(1000)).granted());
-        assertEquals(6, h.grant("x", ask(2, 9), FAR, ms(1700)).granted(), "0.6 s of filling");
+        AggregateBucket bucket = new AggregateBucket(2, 0, false, limit, ms(0));
+        assertEquals(0, bucket.grant("x", ask(1, 1), FAR, ms(1000)).granted());
+        assertEquals(6, bucket.grant("x", ask(2, 9), FAR, ms(1700)).granted(), "0.6 s of filling");
     }
 
     @Test
     void batchIsASecondOfTheRateByActiveAskers() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, new RateLimit(12, 100), ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, new RateLimit(12, 100), ms(0));
         long id = 0;
         for (String n : List.of("x", "y", "z")) {
             for (int i = 0; i < 5; i++) {
-                h.grant(n, ask(++id, 0, new TokenMessages.UsageReport(id - 1, 12, true)), FAR, ms(0));
+                bucket.grant(n, ask(++id, 0, new TokenMessages.UsageReport(id - 1, 12, true)), FAR, ms(0));
             }
         }
-        assertEquals(4, h.grant("z", ask(++id, 0), FAR, ms(0)).granted());
-        h.grant("z", ask(++id, 0), FAR, ms(2900));
-        assertEquals(12, h.grant("z", ask(++id, 0), FAR, ms(5000)).granted(), "the others have not asked for long");
+        assertEquals(4, bucket.grant("z", ask(++id, 0), FAR, ms(0)).granted());
+        bucket.grant("z", ask(++id, 0), FAR, ms(2900));
+        assertEquals(
+                12, bucket.grant("z", ask(++id, 0), FAR, ms(5000)).granted(), "the others have not asked for long");
     }
 
     @Test
     void newcomerStartsSmallSoThatOneCannotEmptyTheBucket() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, new RateLimit(40, 40), ms(0));
-        assertEquals(1, h.grant("x", ask(1, 0), FAR, ms(0)).granted());
-        assertEquals(2, h.grant("x", ask(2, 0), FAR, ms(0)).granted());
-        assertEquals(4, h.grant("x", ask(3, 0), FAR, ms(0)).granted());
-        assertEquals(3, h.grant("y", ask(1, 3), FAR, ms(0)).granted(), "as many as wait are granted at once");
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, new RateLimit(40, 40), ms(0));
+        assertEquals(1, bucket.grant("x", ask(1, 0), FAR, ms(0)).granted());
+        assertEquals(2, bucket.grant("x", ask(2, 0), FAR, ms(0)).granted());
+        assertEquals(4, bucket.grant("x", ask(3, 0), FAR, ms(0)).granted());
+        assertEquals(3, bucket.grant("y", ask(1, 3), FAR, ms(0)).granted(), "as many as wait are granted at once");
     }
 
     /** A holder that is there, gone until its lease has lapsed, or moved in order. */
     private static final class Chain {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
+        AggregateBucket h = new AggregateBucket(1, -1, false, limit, ms(0));
         long leaseEnd;
         long goneUntil = -1;
         int lapses;
@@ -101,14 +102,14 @@
         void look(long t, Random random) {
             if (goneUntil >= 0) {
                 if (t >= goneUntil) {
-                    h = new AggregateBucket(h.term() + 1, 0, true, A, ms(t));
+                    h = new AggregateBucket(h.term() + 1, 0, true, limit, ms(t));
                     goneUntil = -1;
                 }
             } else if (random.nextInt(800) == 0) {
                 goneUntil = leaseEnd + 100;
                 lapses++;
             } else if (random.nextInt(800) == 0) {
-                h = new AggregateBucket(h.term() + 1, h.level(ms(t)), false, A, ms(t));
+                h = new AggregateBucket(h.term() + 1, h.level(ms(t)), false, limit, ms(t));
                 moves++;
             }
             if (goneUntil < 0 && t % 250 == 0) {
@@ -130,26 +131,27 @@
         for (long t = 0; t < 40_000; t += 5) {
             chain.look(t, random);
             int n = random.nextInt(3);
-            LocalBucket p = localBuckets.get(n);
+            LocalBucket bucket = localBuckets.get(n);
             if (random.nextInt(4) == 0 && chain.goneUntil < 0) {
-                TokenMessages.TokenRequest a = new TokenMessages.TokenRequest("b", ++id, 1, p.reports(ms(t)));
+                TokenMessages.TokenRequest request =
+                        new TokenMessages.TokenRequest("b", ++id, 1, bucket.reports(ms(t)));
                 int fate = random.nextInt(10);
                 if (fate > 0) {
-                    TokenMessages.TokenResponse r = chain.h.grant("n" + n, a, ms(chain.leaseEnd), ms(t));
+                    TokenMessages.TokenResponse response = chain.h.grant("n" + n, request, ms(chain.leaseEnd), ms(t));
                     if (fate > 1) {
-                        p.onGranted(r.grant(), r.granted(), ms(t), r.lifetime(), ms(t));
+                        bucket.onGranted(response.grant(), response.granted(), ms(t), response.lifetime(), ms(t));
                     }
                 }
             }
             long now = t;
             // long pauses, so that passes are hoarded and the last moment of their life is tried
             if (t / 1000 % 3 != 0) {
-                p.take(ms(t)).ifPresent(pass -> {
+                bucket.take(ms(t)).ifPresent(pass -> {
                     if (random.nextInt(5) == 0) {
-                        p.returnToken(pass);
+                        bucket.returnToken(pass);
                     } else {
                         accepted.add(now);
-                        p.markSpent(pass);
+                        bucket.markSpent(pass);
                     }
                 });
             }
@@ -162,7 +164,9 @@
         for (int i = 0; i < accepted.size(); i++) {
             for (int j = i; j < accepted.size(); j++) {
                 double window = (accepted.get(j) - accepted.get(i)) / 1000.0;
-                assertTrue(j - i + 1 <= A.burst() + A.ratePerS() * window + 1, "window " + window + ": " + (j - i + 1));
+                assertTrue(
+                        j - i + 1 <= limit.burst() + limit.ratePerS() * window + 1,
+                        "window " + window + ": " + (j - i + 1));
             }
         }
     }
@@ -170,19 +174,19 @@
     /** Else the next term would have to wait for them to die before it fills. */
     @Test
     void noPassOutlivesItsHoldersClaim() {
-        AggregateBucket h = new AggregateBucket(1, -1, false, A, ms(0));
-        assertEquals(ms(300), h.grant("x", ask(1, 5), ms(300), ms(0)).lifetime());
-        assertEquals(ms(200), h.grant("x", ask(1, 5), ms(300), ms(100)).lifetime(), "nor by asking again");
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        assertEquals(ms(300), bucket.grant("x", ask(1, 5), ms(300), ms(0)).lifetime());
+        assertEquals(ms(200), bucket.grant("x", ask(1, 5), ms(300), ms(100)).lifetime(), "nor by asking again");
         assertEquals(
                 TokenMessages.TOKEN_LIFETIME,
-                h.grant("x", ask(2, 1), ms(1900), ms(100)).lifetime());
+                bucket.grant("x", ask(2, 1), ms(1900), ms(100)).lifetime());
     }
 
     @Test
     void termAfterALapseFillsAtOnceAndAMoveKeepsItsLevel() {
-        AggregateBucket lapsed = new AggregateBucket(2, 0, true, A, ms(0));
+        AggregateBucket lapsed = new AggregateBucket(2, 0, true, limit, ms(0));
         assertEquals(5, lapsed.grant("x", ask(1, 9), FAR, ms(500)).granted());
-        AggregateBucket moved = new AggregateBucket(2, 8, false, A, ms(0));
+        AggregateBucket moved = new AggregateBucket(2, 8, false, limit, ms(0));
         assertEquals(8, moved.grant("x", ask(1, 20), FAR, ms(0)).granted());
         assertEquals(
                 0, moved.grant("y", ask(1, 20), FAR, ms(1000)).granted(), "12 of earlier terms and 8 of this are out");
--- a/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
@@ -41,8 +41,8 @@
         try {
             CODEC.read(bytes, Frame.class);
             return true;
-        } catch (ServiceException e) {
-            assertEquals(ErrorKind.BAD_REQUEST, e.kind());
+        } catch (ServiceException failure) {
+            assertEquals(ErrorKind.BAD_REQUEST, failure.kind());
             return false;
         }
     }
--- a/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
@@ -31,11 +31,11 @@
 
     @BeforeEach
     void start() throws Exception {
-        RpcRouter router = new RpcRouter().on(Question.class, (from, q) -> {
-            return q.words().equals("nothing") ? Mono.empty() : Mono.just(new Question(q.words() + "!"));
+        RpcRouter router = new RpcRouter().on(Question.class, (from, question) -> {
+            return question.words().equals("nothing") ? Mono.empty() : Mono.just(new Question(question.words() + "!"));
         });
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            caller = new TcpRpcClient("127.0.0.1:" + s.getLocalPort(), CODEC, router, timers);
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            caller = new TcpRpcClient("127.0.0.1:" + serverSocket.getLocalPort(), CODEC, router, timers);
         }
         caller.start();
     }
@@ -80,27 +80,27 @@
 
     @Test
     void secondAnswerReachesNobody() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, f, out) ->
-                        say(out, answer(f.id(), words(f))) && say(out, answer(f.id(), "second to " + words(f))))) {
+                (c, frame, out) -> say(out, answer(frame.id(), words(frame)))
+                        && say(out, answer(frame.id(), "second to " + words(frame))))) {
             for (String w : List.of("a", "b", "c", "d")) {
-                assertEquals(w, asked(p.address(), w, LONG));
+                assertEquals(w, asked(scriptedRpcPeer.address(), w, LONG));
             }
-            assertEquals(1, p.connections());
+            assertEquals(1, scriptedRpcPeer.connections());
         }
     }
 
     @Test
     void answerThatNobodyAskedForReachesNobody() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, f, out) ->
-                        say(out, answer(f.id() + 1_000_000, "another's")) && say(out, answer(f.id(), words(f))))) {
+                (c, frame, out) -> say(out, answer(frame.id() + 1_000_000, "another's"))
+                        && say(out, answer(frame.id(), words(frame))))) {
             for (String w : List.of("a", "b", "c", "d")) {
-                assertEquals(w, asked(p.address(), w, LONG));
+                assertEquals(w, asked(scriptedRpcPeer.address(), w, LONG));
             }
         }
     }
@@ -109,64 +109,66 @@
     @Test
     void answerAfterTheTimeOutIsNotTheNextCallsAnswer() throws Exception {
         AtomicReference<Frame> held = new AtomicReference<>();
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(CODEC, "", (c, f, out) -> {
-            if (held.compareAndSet(null, f)) {
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> {
+            if (held.compareAndSet(null, frame)) {
                 return true;
             }
-            return say(out, answer(held.get().id(), "late")) && say(out, answer(f.id(), words(f)));
+            return say(out, answer(held.get().id(), "late")) && say(out, answer(frame.id(), words(frame)));
         })) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", SHORT));
-            assertEquals("b", asked(p.address(), "b", LONG));
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", SHORT));
+            assertEquals("b", asked(scriptedRpcPeer.address(), "b", LONG));
         }
     }
 
     @Test
     void closeBeforeTheAnswerLeavesTheOutcomeUnknownAndSendsNothingAgain() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(CODEC, "", (c, f, out) -> false)) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", LONG));
-            assertEquals(1, p.requests.size());
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> false)) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
+            assertEquals(1, scriptedRpcPeer.requests.size());
         }
     }
 
     @Test
     void halfAnAnswerIsNoAnswer() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(CODEC, "", (c, f, out) -> {
-            byte[] whole = answer(f.id(), "whole");
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> {
+            byte[] whole = answer(frame.id(), "whole");
             out.writeInt(whole.length);
             out.write(whole, 0, whole.length - 1);
             out.flush();
             return false;
         })) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", LONG));
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
         }
     }
 
     /** Both connections number their calls from one; the first call's number is another call's on the second. */
     @Test
     void numbersOfAnEarlierConnectionMeanNothing() throws Exception {
-        try (ScriptedRpcPeer p =
-                new ScriptedRpcPeer(CODEC, "", (c, f, out) -> c > 1 && say(out, answer(f.id(), words(f))))) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", LONG));
-            assertEquals("b", asked(p.address(), "b", LONG));
-            assertEquals(2, p.connections());
-            assertEquals(p.requests.get(0).id(), p.requests.get(1).id());
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+                CODEC, "", (c, frame, out) -> c > 1 && say(out, answer(frame.id(), words(frame))))) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
+            assertEquals("b", asked(scriptedRpcPeer.address(), "b", LONG));
+            assertEquals(2, scriptedRpcPeer.connections());
+            assertEquals(
+                    scriptedRpcPeer.requests.get(0).id(),
+                    scriptedRpcPeer.requests.get(1).id());
         }
     }
 
     @Test
     void closeBeforeTheGreetingMeansNothingWasSent() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(CODEC, " ", (c, f, out) -> true)) {
-            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(p.address(), "a", LONG));
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, " ", (c, frame, out) -> true)) {
+            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(scriptedRpcPeer.address(), "a", LONG));
         }
     }
 
     /** Another node listens at the address: it is not asked, and the failure says that nothing was sent. */
     @Test
     void anotherNodeAtTheAddressIsAskedNothing() throws Exception {
-        try (ScriptedRpcPeer p =
-                new ScriptedRpcPeer(CODEC, "127.0.0.1:1", (c, f, out) -> say(out, answer(f.id(), words(f))))) {
-            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(p.address(), "a", LONG));
-            assertEquals(List.of(), p.requests);
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+                CODEC, "127.0.0.1:1", (c, frame, out) -> say(out, answer(frame.id(), words(frame))))) {
+            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(scriptedRpcPeer.address(), "a", LONG));
+            assertEquals(List.of(), scriptedRpcPeer.requests);
         }
     }
 
@@ -174,11 +176,11 @@
     @Test
     void refusalOfAnUnknownKindLeavesTheOutcomeUnknown() throws Exception {
         Frame.ErrorResponse newer = new Frame.ErrorResponse("INVENTED_LATER", "words", List.of());
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(
-                CODEC, "", (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.ERROR, newer))))) {
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+                CODEC, "", (c, frame, out) -> say(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, newer))))) {
             ServiceException failure = ServiceException.of(
-                    caller.call(p.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
-                            .<Throwable>map(q -> new AssertionError("answered"))
+                    caller.call(scriptedRpcPeer.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
+                            .<Throwable>map(question -> new AssertionError("answered"))
                             .onErrorResume(Mono::just)
                             .block(LONG));
             assertEquals(ErrorKind.UNKNOWN_OUTCOME, failure.kind());
@@ -187,11 +189,11 @@
 
     @Test
     void refusalWithoutItsFormLeavesTheOutcomeUnknown() throws Exception {
-        try (ScriptedRpcPeer p = new ScriptedRpcPeer(
+        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, f, out) -> say(out, CODEC.write(new Frame(f.id(), Frame.Kind.ERROR, new Question("x")))))) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(p.address(), "a", LONG));
+                (c, frame, out) -> say(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, new Question("x")))))) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
         }
     }
 
--- a/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
@@ -33,12 +33,12 @@
 
     @BeforeEach
     void start() throws Exception {
-        RpcRouter router = new RpcRouter().on(Question.class, (from, q) -> {
-            handled.add(q.words());
-            return Mono.just(q);
+        RpcRouter router = new RpcRouter().on(Question.class, (from, question) -> {
+            handled.add(question.words());
+            return Mono.just(question);
         });
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            called = new TcpRpcClient("127.0.0.1:" + s.getLocalPort(), CODEC, router, timers);
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            called = new TcpRpcClient("127.0.0.1:" + serverSocket.getLocalPort(), CODEC, router, timers);
         }
         called.start();
     }
@@ -52,16 +52,16 @@
     /** All that the called side says to these bytes after its greeting, until it closes. */
     private byte[] said(byte[] hello, byte[]... rest) throws IOException {
         int port = Integer.parseInt(called.self().substring(called.self().indexOf(':') + 1));
-        try (Socket s = new Socket("127.0.0.1", port)) {
-            s.setSoTimeout(20_000);
-            DataOutputStream out = new DataOutputStream(s.getOutputStream());
+        try (Socket socket = new Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(20_000);
+            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             ScriptedRpcPeer.write(out, hello);
             for (byte[] r : rest) {
                 out.write(r);
             }
             out.flush();
-            s.shutdownOutput();
-            DataInputStream in = new DataInputStream(s.getInputStream());
+            socket.shutdownOutput();
+            DataInputStream in = new DataInputStream(socket.getInputStream());
             in.readNBytes(in.readInt());
             return in.readAllBytes();
         }
@@ -119,8 +119,8 @@
         try {
             CODEC.read(frame, Object.class);
             return true;
-        } catch (ServiceException e) {
-            assertEquals(ErrorKind.BAD_REQUEST, e.kind());
+        } catch (ServiceException failure) {
+            assertEquals(ErrorKind.BAD_REQUEST, failure.kind());
             return false;
         }
     }
--- a/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
+++ b/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
@@ -60,30 +60,30 @@
         out.flush();
     }
 
-    private static void daemon(Runnable r) {
-        Thread t = new Thread(r, "scripted-peer");
-        t.setDaemon(true);
-        t.start();
+    private static void daemon(Runnable task) {
+        Thread thread = new Thread(task, "scripted-peer");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void accept() {
         while (!server.isClosed()) {
             try {
-                Socket s = server.accept();
-                s.setTcpNoDelay(true);
-                sockets.add(s);
+                Socket socket = server.accept();
+                socket.setTcpNoDelay(true);
+                sockets.add(socket);
                 int connection = sockets.size();
-                daemon(() -> serve(s, connection));
+                daemon(() -> serve(socket, connection));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket s, int connection) {
-        try (s) {
-            DataInputStream in = new DataInputStream(s.getInputStream());
-            DataOutputStream out = new DataOutputStream(s.getOutputStream());
+    private void serve(Socket socket, int connection) {
+        try (socket) {
+            DataInputStream in = new DataInputStream(socket.getInputStream());
+            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             if (greetsAs.isBlank()) {
                 in.readNBytes(in.readInt());
                 return;
@@ -105,8 +105,8 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : List.copyOf(sockets)) {
-            s.close();
+        for (Socket socket : List.copyOf(sockets)) {
+            socket.close();
         }
     }
 }
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -28,26 +28,26 @@
     private static final Codec CODEC = new Codec(Map.of(100, List.of(Question.class)));
     private final SystemTimers schedules = new SystemTimers(2);
     private TcpRpcClient a;
-    private TcpRpcClient b;
+    private TcpRpcClient tcpRpcClient;
 
     @BeforeEach
     void open() throws Exception {
-        RpcRouter r = new RpcRouter()
+        RpcRouter router = new RpcRouter()
                 .on(
                         Question.class,
-                        (from, q) -> q.words().isEmpty()
+                        (from, question) -> question.words().isEmpty()
                                 ? Mono.error(new ServiceException(ErrorKind.CONFLICT, "empty", List.of("x")))
-                                : Mono.just(new Question(q.words() + "!")));
+                                : Mono.just(new Question(question.words() + "!")));
         a = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, new RpcRouter(), schedules);
-        b = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, r, schedules);
+        tcpRpcClient = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, router, schedules);
         a.start();
-        b.start();
+        tcpRpcClient.start();
     }
 
     @AfterEach
     void close() {
         a.stop();
-        b.stop();
+        tcpRpcClient.stop();
         schedules.close();
     }
 
@@ -60,12 +60,13 @@
     void answersAndFaultsTravel() {
         assertEquals(
                 "hi!",
-                a.call(b.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
+                a.call(tcpRpcClient.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
                         .block()
                         .words());
-        ServiceException f = fault(a.call(b.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
-        assertEquals(ErrorKind.CONFLICT, f.kind());
-        assertEquals(List.of("x"), f.details());
+        ServiceException failure =
+                fault(a.call(tcpRpcClient.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
+        assertEquals(ErrorKind.CONFLICT, failure.kind());
+        assertEquals(List.of("x"), failure.details());
     }
 
     @Test
@@ -79,18 +80,20 @@
 
     /** Returns what the socket gives after our bytes: -1 says that the stream was closed. */
     private int afterSending(byte[]... frames) throws IOException {
-        try (Socket s = new Socket(
-                "127.0.0.1", Integer.parseInt(b.self().substring(b.self().indexOf(':') + 1)))) {
-            s.setSoTimeout(15000);
-            DataOutputStream out = new DataOutputStream(s.getOutputStream());
+        try (Socket socket = new Socket(
+                "127.0.0.1",
+                Integer.parseInt(
+                        tcpRpcClient.self().substring(tcpRpcClient.self().indexOf(':') + 1)))) {
+            socket.setSoTimeout(15000);
+            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             for (byte[] f : frames) {
                 out.writeInt(f.length);
                 out.write(f);
             }
             out.flush();
-            int hello = new java.io.DataInputStream(s.getInputStream()).readInt();
-            s.getInputStream().readNBytes(hello);
-            return s.getInputStream().read();
+            int hello = new java.io.DataInputStream(socket.getInputStream()).readInt();
+            socket.getInputStream().readNBytes(hello);
+            return socket.getInputStream().read();
         }
     }
 
--- a/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
+++ b/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
@@ -34,8 +34,9 @@
         assertEquals(
                 TABLE,
                 Arrays.stream(ErrorKind.values())
-                        .map(k -> k.wireName() + " " + k.status() + " " + (k.definite() ? "definite" : "unknown") + " "
-                                + (k.retryable() ? "retryable" : "final"))
+                        .map(kind ->
+                                kind.wireName() + " " + kind.status() + " " + (kind.definite() ? "definite" : "unknown")
+                                        + " " + (kind.retryable() ? "retryable" : "final"))
                         .collect(Collectors.joining("\n")));
     }
 }
--- a/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
@@ -28,8 +28,8 @@
     }
 
     private List<Path> setAsideFolders() throws IOException {
-        try (Stream<Path> s = Files.list(folder)) {
-            return s.filter(Files::isDirectory).toList();
+        try (Stream<Path> stream = Files.list(folder)) {
+            return stream.filter(Files::isDirectory).toList();
         }
     }
 
--- a/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
@@ -41,15 +41,15 @@
 
     @Test
     void recordsOfTheFirstFormatAreRead() throws RecordFormat.NewerFormatException, IOException {
-        RecordFormat.DecodedRecord f = read(FORMAT_1).orElseThrow();
-        assertEquals(3, f.segment());
-        assertEquals(9, f.batch());
-        WalRecord e = f.record().orElseThrow();
-        assertEquals("m1", e.partition());
-        assertEquals(1, e.format());
-        assertEquals(5, e.index());
-        assertEquals(2, e.term());
-        assertArrayEquals(new byte[] {1, 2, 3}, e.bytes());
+        RecordFormat.DecodedRecord decodedRecord = read(FORMAT_1).orElseThrow();
+        assertEquals(3, decodedRecord.segment());
+        assertEquals(9, decodedRecord.batch());
+        WalRecord record = decodedRecord.record().orElseThrow();
+        assertEquals("m1", record.partition());
+        assertEquals(1, record.format());
+        assertEquals(5, record.index());
+        assertEquals(2, record.term());
+        assertArrayEquals(new byte[] {1, 2, 3}, record.bytes());
     }
 
     @Test
--- a/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
@@ -131,7 +131,7 @@
         RingWriteAheadLog wal;
         try {
             wal = RingWriteAheadLog.open(disk, new InOrder(), FILES, SIZE);
-        } catch (ServiceException e) {
+        } catch (ServiceException failure) {
             return;
         }
         wal.recovered().forEach(this::assertWasWritten);
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -54,34 +54,35 @@
         DRAIN.get().run();
     }
 
-    public static void check(Settings b) throws ServiceException {
-        if (b.data().isEmpty()) {
+    public static void check(Settings settings) throws ServiceException {
+        if (settings.data().isEmpty()) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The boot file is invalid at data: a lighthouse needs a data folder.");
         }
-        if (!b.join() && !b.seeds().contains(b.address())) {
+        if (!settings.join() && !settings.seeds().contains(settings.address())) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST,
                     "The boot file is invalid at seeds: the first lighthouses name themselves; set join for a later one.");
         }
-        if (!b.roles().isEmpty()) {
+        if (!settings.roles().isEmpty()) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The boot file is invalid at roles: a lighthouse has none.");
         }
     }
 
-    static Supervisor grow(Settings b, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
+    static Supervisor grow(Settings settings, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
         return grow(
-                b,
+                settings,
                 schedules,
                 onGivenUp,
                 Optional.empty(),
-                o -> List.of(new HttpGateway(b.http(), OperatorHttpHandler.MAX_CONFIGURATION, o::handle)));
+                handler -> List.of(
+                        new HttpGateway(settings.http(), OperatorHttpHandler.MAX_CONFIGURATION, handler::handle)));
     }
 
     /** The tree with other doors for operators, and with a registry that has the processors. design 1 */
     public static Supervisor grow(
-            Settings b,
+            Settings settings,
             SystemTimers schedules,
             Runnable onGivenUp,
             Optional<ProcessorSource> registry,
@@ -89,29 +90,34 @@
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(b.address(), b.listenAt(), codec, router, schedules);
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, schedules);
         RingWriteAheadLog book;
         try {
             book = RingWriteAheadLog.open(
-                    new FolderDisk(Path.of(b.data(), "ring")), schedules, b.ringFiles(), b.ringFileMb() << 20);
+                    new FolderDisk(Path.of(settings.data(), "ring")),
+                    schedules,
+                    settings.ringFiles(),
+                    settings.ringFileMb() << 20);
         } catch (IOException e) {
             throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + b.data() + ": " + e.getMessage());
+                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
         book.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
-        CoreMembersFile known = new CoreMembersFile(b.data());
-        NodeEnvironment env = new NodeEnvironment(
+        CoreMembersFile known = new CoreMembersFile(settings.data());
+        NodeEnvironment environment = new NodeEnvironment(
                 new SystemClock(), schedules, rpc, codec, book, random::nextLong, ReplicationTiming.partitions());
-        CoreClient core = new CoreClient(rpc, random::nextLong, b.seeds(), known.read(), known::write);
-        ControlNode node = new ControlNode(env, core, b.join() ? List.of() : b.seeds(), b.zone());
+        CoreClient core = new CoreClient(rpc, random::nextLong, settings.seeds(), known.read(), known::write);
+        ControlNode node =
+                new ControlNode(environment, core, settings.join() ? List.of() : settings.seeds(), settings.zone());
         node.route(router);
-        OperatorHttpHandler operators = new OperatorHttpHandler(node, b.operatorKeySha256());
+        OperatorHttpHandler operators = new OperatorHttpHandler(node, settings.operatorKeySha256());
         operators.route(router);
         DRAIN.set(() -> drain(node));
         Supervisor tree =
                 new Supervisor("lighthouse", schedules, onGivenUp).with(rpc).with(node);
-        registry.ifPresent(r -> tree.with(new ProcessorRegistry(env, node, r, ROLL)));
+        registry.ifPresent(
+                processorSource -> tree.with(new ProcessorRegistry(environment, node, processorSource, ROLL)));
         doors.apply(operators).forEach(tree::with);
         return tree;
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
@@ -71,19 +71,20 @@
     }
 
     public void route(org.woadvale.common.rpc.RpcRouter router) {
-        ControlStateMachine m = node.machine("c0");
+        ControlStateMachine stateMachine = node.machine("c0");
         router.on(
                         PutConfigurationRequest.class,
-                        (f, a) -> node.replica("c0").propose(a.put(), ControlMessages.ConfigurationAccepted.class))
+                        (f, request) ->
+                                node.replica("c0").propose(request.put(), ControlMessages.ConfigurationAccepted.class))
                 .on(
                         GetConfigurationRequest.class,
-                        (f, a) -> node.replica("c0")
-                                .read(i -> m.configurations().revisions())
-                                .flatMap(steps -> findRevision(steps, a.version())))
+                        (f, request) -> node.replica("c0")
+                                .read(i -> stateMachine.configurations().revisions())
+                                .flatMap(steps -> findRevision(steps, request.version())))
                 .on(
                         GetHistoryRequest.class,
-                        (f, a) -> node.replica("c0")
-                                .read(i -> m.configurations().revisions())
+                        (f, request) -> node.replica("c0")
+                                .read(i -> stateMachine.configurations().revisions())
                                 .map(s -> new HistoryResponse(
                                         s.stream()
                                                 .map(ConfigurationLog.ConfigurationRevision::version)
@@ -96,11 +97,11 @@
                                                 .toList())))
                 .on(
                         GetProcessorsRequest.class,
-                        (f, a) -> node.replica(ServiceNames.controlPart(a.service()))
+                        (f, request) -> node.replica(ServiceNames.controlPart(request.service()))
                                 .read(i -> {
-                                    ServiceView v = node.machine(ServiceNames.controlPart(a.service()))
-                                            .service(a.service());
-                                    return new ProcessorsResponse(v.processors(), v.version());
+                                    ServiceView view = node.machine(ServiceNames.controlPart(request.service()))
+                                            .service(request.service());
+                                    return new ProcessorsResponse(view.processors(), view.version());
                                 }));
     }
 
@@ -111,35 +112,37 @@
                     0, "", Configurations.write(org.woadvale.common.config.Configuration.empty()), new byte[0]));
         }
         return Mono.justOrEmpty(steps.stream()
-                        .filter(s -> version < 0 ? s == steps.get(steps.size() - 1) : s.version() == version)
+                        .filter(revision ->
+                                version < 0 ? revision == steps.get(steps.size() - 1) : revision.version() == version)
                         .findFirst()
-                        .map(s -> new ConfigurationResponse(s.version(), s.author(), s.configuration(), s.original())))
+                        .map(revision -> new ConfigurationResponse(
+                                revision.version(), revision.author(), revision.configuration(), revision.original())))
                 .switchIfEmpty(Mono.error(
                         new ServiceException(ErrorKind.NOT_FOUND, "The version " + version + " is not kept.")));
     }
 
-    public Mono<Response> handle(Request q) {
-        return Mono.defer(() -> route(q))
+    public Mono<Response> handle(Request request) {
+        return Mono.defer(() -> route(request))
                 .onErrorResume(e -> Mono.just(Response.of(asUnavailable(ServiceException.of(e)))));
     }
 
     /** Where the owner was not found nothing was written; where it was lost midway nobody knows yet. */
-    private static ServiceException asUnavailable(ServiceException f) {
-        return f.kind() == ErrorKind.NOT_OWNER || f.kind() == ErrorKind.UNREACHABLE
+    private static ServiceException asUnavailable(ServiceException failure) {
+        return failure.kind() == ErrorKind.NOT_OWNER || failure.kind() == ErrorKind.UNREACHABLE
                 ? new ServiceException(ErrorKind.UNAVAILABLE, "No owner of the part could be reached.")
-                : f;
+                : failure;
     }
 
     /** A read that got no answer in time has changed nothing. */
-    private static ServiceException asFailedRead(ServiceException f) {
-        return f.kind() == ErrorKind.UNKNOWN_OUTCOME
+    private static ServiceException asFailedRead(ServiceException failure) {
+        return failure.kind() == ErrorKind.UNKNOWN_OUTCOME
                 ? new ServiceException(ErrorKind.UNAVAILABLE, "No answer of a leader came in time.")
-                : f;
+                : failure;
     }
 
-    private Mono<Response> route(Request q) {
-        List<String> s = q.segments();
-        String op = q.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size())));
+    private Mono<Response> route(Request request) {
+        List<String> s = request.segments();
+        String op = request.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size())));
         if (op.equals("GET v1/liveness")) {
             return Mono.just(Response.json(200, Map.of("alive", true)));
         } else if (op.equals("GET v1/readiness")) {
@@ -148,29 +151,29 @@
             return Mono.just(Response.json(200, Map.of("parts", node.status(), "lighthouses", node.controlNodes())));
         }
         if (!operatorKeySha256.isEmpty()
-                && q.secret()
+                && request.secret()
                         .map(Configurations::sha256)
                         .filter(operatorKeySha256::equals)
                         .isEmpty()) {
             return Mono.error(new ServiceException(ErrorKind.UNAUTHORISED, "The operator key is missing or wrong."));
         }
         return switch (op) {
-            case "PUT v1/layout" -> putConfiguration(q);
+            case "PUT v1/layout" -> putConfiguration(request);
             case "GET v1/layout" -> s.size() > 2 && s.get(2).equals("history") ? getHistory() : getConfiguration(s);
             case "POST v1/drain" -> Mono.just(Response.json(200, Map.of("drained", node.drain())));
-            case "GET v1/services", "PUT v1/services", "DELETE v1/services" -> platform.processors(q, s);
-            case "PUT v1/core" -> platform.core(q);
-            default -> Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + q.path() + "."));
+            case "GET v1/services", "PUT v1/services", "DELETE v1/services" -> platform.processors(request, s);
+            case "PUT v1/core" -> platform.core(request);
+            default -> Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + request.path() + "."));
         };
     }
 
-    private Mono<Response> putConfiguration(Request q) {
+    private Mono<Response> putConfiguration(Request request) {
         try {
-            Configurations.configuration(q.body());
-        } catch (ServiceException e) {
-            return Mono.error(e);
+            Configurations.configuration(request.body());
+        } catch (ServiceException failure) {
+            return Mono.error(failure);
         }
-        Optional<Long> base = q.header("if-match")
+        Optional<Long> base = request.header("if-match")
                 .map(h -> h.replace("\"", ""))
                 .filter(h -> h.matches("[0-9]{1,18}"))
                 .map(Long::valueOf);
@@ -178,17 +181,19 @@
             return Mono.error(new ServiceException(
                     ErrorKind.BAD_REQUEST, "If-Match must carry the base version, a whole number."));
         }
-        String id = q.header("x-request-id")
+        String id = request.header("x-request-id")
                 .orElseGet(() -> "auto-" + ThreadLocalRandom.current().nextLong());
         if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
             return Mono.error(
                     new ServiceException(ErrorKind.BAD_REQUEST, "X-Request-Id must be 1 to 64 letters, digits, . _ -"));
         }
         ControlMessages.PutConfiguration put = new ControlMessages.PutConfiguration(
-                id, base.get(), q.body(), q.header("x-author").orElse(""));
+                id, base.get(), request.body(), request.header("x-author").orElse(""));
         return putConfiguration(put)
-                .map(t -> Response.json(200, Map.of("version", t.version(), "repeated", t.repeated(), "requestId", id))
-                        .with("ETag", "\"" + t.version() + "\""));
+                .map(accepted -> Response.json(
+                                200,
+                                Map.of("version", accepted.version(), "repeated", accepted.repeated(), "requestId", id))
+                        .with("ETag", "\"" + accepted.version() + "\""));
     }
 
     public ControlNode node() {
@@ -196,8 +201,8 @@
     }
 
     /** Checked by the caller; the answer is a definite yes or no, or UNKNOWN_OUTCOME. design 6.4 */
-    public Mono<ControlMessages.ConfigurationAccepted> putConfiguration(ControlMessages.PutConfiguration p) {
-        return node.call("c0", new PutConfigurationRequest(p), ControlMessages.ConfigurationAccepted.class);
+    public Mono<ControlMessages.ConfigurationAccepted> putConfiguration(ControlMessages.PutConfiguration put) {
+        return node.call("c0", new PutConfigurationRequest(put), ControlMessages.ConfigurationAccepted.class);
     }
 
     /** A kept configuration by its version, the newest for -1. */
@@ -209,21 +214,21 @@
     private Mono<Response> getConfiguration(List<String> s) {
         long version = s.size() > 2 && s.get(2).matches("[0-9]{1,18}") ? Long.parseLong(s.get(2)) : -1;
         return configuration(version)
-                .map(l -> new Response(200, Map.of("Content-Type", "application/json"), l.configuration())
-                        .with("ETag", "\"" + l.version() + "\""));
+                .map(response -> new Response(200, Map.of("Content-Type", "application/json"), response.configuration())
+                        .with("ETag", "\"" + response.version() + "\""));
     }
 
     private Mono<Response> getHistory() {
-        return node.call("c0", new GetHistoryRequest(0), HistoryResponse.class).map(h -> {
+        return node.call("c0", new GetHistoryRequest(0), HistoryResponse.class).map(history -> {
             List<Map<String, Object>> rows = new java.util.ArrayList<>();
-            for (int i = 0; i < h.versions().size(); i++) {
+            for (int i = 0; i < history.versions().size(); i++) {
                 rows.add(Map.of(
                         "version",
-                        h.versions().get(i),
+                        history.versions().get(i),
                         "requestId",
-                        h.requests().get(i),
+                        history.requests().get(i),
                         "author",
-                        h.authors().get(i)));
+                        history.authors().get(i)));
             }
             return Response.json(200, Map.of("versions", rows));
         });
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
@@ -29,12 +29,12 @@
     }
 
     /** PUT /v1/core with {"lighthouses": [...]}: one may be exchanged at a time. design 6.6 */
-    Mono<Response> core(Request q) {
+    Mono<Response> core(Request request) {
         try {
             List<String> wanted = new ArrayList<>();
-            Configurations.read(q.body(), JsonNode.class, ErrorKind.BAD_REQUEST)
+            Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST)
                     .path("lighthouses")
-                    .forEach(n -> wanted.add(n.asText()));
+                    .forEach(node -> wanted.add(node.asText()));
             if (wanted.size() != 3
                     || !wanted.stream().allMatch(a -> a.matches(ADDRESS))
                     || new HashSet<>(wanted).size() != 3) {
@@ -56,12 +56,12 @@
                             ServiceNames.controlPart(ServiceNames.CORE),
                             new ControlMessages.PutCore(wanted, node.controlNodes()),
                             ControlMessages.UpdateResult.class)
-                    .flatMap(d -> d.accepted()
+                    .flatMap(result -> result.accepted()
                             ? Mono.just(Response.json(200, Map.of("lighthouses", wanted)))
                             : Mono.error(new ServiceException(
                                     ErrorKind.CONFLICT, "Another exchange is under way; look at GET /v1/status.")));
-        } catch (ServiceException e) {
-            return Mono.error(e);
+        } catch (ServiceException failure) {
+            return Mono.error(failure);
         }
     }
 
@@ -75,11 +75,11 @@
     /** A change holds on to the list that was read, so that one held up on its way cannot undo a later one. design 6.7 */
     private Mono<Boolean> change(String service, LongFunction<RepeatableRequest> command, int left) {
         return list(service)
-                .flatMap(p -> node.call(
+                .flatMap(response -> node.call(
                         ServiceNames.controlPart(service),
-                        command.apply(p.version() + 1),
+                        command.apply(response.version() + 1),
                         ControlMessages.UpdateResult.class))
-                .flatMap(d -> d.accepted()
+                .flatMap(result -> result.accepted()
                         ? Mono.just(true)
                         : left > 1
                                 ? change(service, command, left - 1)
@@ -88,21 +88,23 @@
     }
 
     /** /v1/services/{service}/processors[/{id}] */
-    Mono<Response> processors(Request q, List<String> s) {
-        boolean list =
-                s.size() == 4 && s.get(3).equals("processors") && q.method().equals("GET");
-        boolean one =
-                s.size() == 5 && s.get(3).equals("processors") && !q.method().equals("GET");
+    Mono<Response> processors(Request request, List<String> s) {
+        boolean list = s.size() == 4
+                && s.get(3).equals("processors")
+                && request.method().equals("GET");
+        boolean one = s.size() == 5
+                && s.get(3).equals("processors")
+                && !request.method().equals("GET");
         if (!list && !one
                 || !s.get(2).matches("[a-z0-9][a-z0-9_-]{0,62}")
                 || one && !s.get(4).matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-            return Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + q.path() + "."));
+            return Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + request.path() + "."));
         }
         String service = ServiceNames.processors(s.get(2));
         if (list) {
-            return list(service).map(p -> Response.json(200, p.processors()));
+            return list(service).map(response -> Response.json(200, response.processors()));
         }
-        if (q.method().equals("DELETE")) {
+        if (request.method().equals("DELETE")) {
             return change(
                             service,
                             v -> new ControlMessages.DropProcessor(
@@ -111,20 +113,21 @@
                     .thenReturn(Response.json(200, Map.of("removed", s.get(4))));
         }
         try {
-            JsonNode body = Configurations.read(q.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
+            JsonNode body = Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
             String address = body.path("address").asText("");
             if (!address.matches("(http://[0-9.]+:[0-9]{1,5}(/[A-Za-z0-9/_.-]*)?)?")) {
                 throw new ServiceException(ErrorKind.BAD_REQUEST, "address must be http://IP:port or empty.");
             }
-            Processor p = new Processor(address, body.path("leaving").asBoolean(false));
+            Processor processor = new Processor(address, body.path("leaving").asBoolean(false));
             return change(
                             service,
                             v -> new ControlMessages.PutProcessor(
-                                    service, s.get(4), p, v, ControlMessages.newRequestId()),
+                                    service, s.get(4), processor, v, ControlMessages.newRequestId()),
                             CHANGES)
-                    .thenReturn(Response.json(200, Map.of("id", s.get(4), "address", address, "leaving", p.leaving())));
-        } catch (ServiceException e) {
-            return Mono.error(e);
+                    .thenReturn(Response.json(
+                            200, Map.of("id", s.get(4), "address", address, "leaving", processor.leaving())));
+        } catch (ServiceException failure) {
+            return Mono.error(failure);
         }
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -68,10 +68,10 @@
         rejectedUpdates.addAll(refusedOrders);
         bytes = 0;
         ids.forEach(this::remember);
-        from.forEach(s -> {
-            add(s);
-            if (!acceptedUpdates.containsKey(s.requestId())) {
-                remember(new AcceptedUpdate(s.requestId(), s.version(), digest(s)));
+        from.forEach(revision -> {
+            add(revision);
+            if (!acceptedUpdates.containsKey(revision.requestId())) {
+                remember(new AcceptedUpdate(revision.requestId(), revision.version(), digest(revision)));
             }
         });
     }
@@ -81,27 +81,27 @@
         return Configurations.sha256(original.length > 0 ? original : configuration);
     }
 
-    private static String digest(ConfigurationRevision s) {
-        return digest(s.configuration(), s.original());
+    private static String digest(ConfigurationRevision revision) {
+        return digest(revision.configuration(), revision.original());
     }
 
-    private void remember(AcceptedUpdate k) {
-        acceptedUpdates.put(k.requestId(), k);
+    private void remember(AcceptedUpdate update) {
+        acceptedUpdates.put(update.requestId(), update);
         if (acceptedUpdates.size() > MAX_ACCEPTED) {
             acceptedUpdates.remove(acceptedUpdates.keySet().iterator().next());
         }
     }
 
-    private void add(ConfigurationRevision s) {
-        revisions.add(s);
-        bytes += size(s);
+    private void add(ConfigurationRevision revision) {
+        revisions.add(revision);
+        bytes += size(revision);
         while (revisions.size() > 1 && (revisions.size() > MAX_REVISIONS || bytes > maxHistoryBytes)) {
             bytes -= size(revisions.remove(0));
         }
     }
 
-    private static int size(ConfigurationRevision s) {
-        return s.configuration().length + s.original().length;
+    private static int size(ConfigurationRevision revision) {
+        return revision.configuration().length + revision.original().length;
     }
 
     /** Decides an order; the same order again has the decision that it had. design 6.11 */
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LogManager.getLogger("watch");
     private final Replica replica;
     private final ControlStateMachine stateMachine;
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
     private final Map<String, Duration> lastHeartbeat = new HashMap<>();
     /** Terms of duties that are being given to the next: a renewal that comes meanwhile is too late. */
@@ -33,14 +33,14 @@
     private Duration leaderSince = Duration.ZERO;
     private long leaderTerm;
 
-    public LeaseManager(Replica replica, ControlStateMachine machine, NodeEnvironment env) {
+    public LeaseManager(Replica replica, ControlStateMachine machine, NodeEnvironment environment) {
         this.replica = replica;
         this.stateMachine = machine;
-        this.env = env;
+        this.environment = environment;
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     private boolean lapsed(String key) {
@@ -72,72 +72,73 @@
         return replica.read(i -> i).flatMap(then);
     }
 
-    public Mono<ControlMessages.UpdateResult> lease(ControlMessages.RenewLeaseRequest a) {
+    public Mono<ControlMessages.UpdateResult> lease(ControlMessages.RenewLeaseRequest request) {
         return ifLeader(i -> {
-            noteHeartbeat(a.service() + "|" + a.node());
-            MemberLease known = replica.look(x -> stateMachine.service(a.service()))
+            noteHeartbeat(request.service() + "|" + request.node());
+            MemberLease known = replica.look(x -> stateMachine.service(request.service()))
                     .members()
-                    .get(a.node());
-            if (a.memberLease().equals(known)) {
+                    .get(request.node());
+            if (request.memberLease().equals(known)) {
                 return Mono.just(new ControlMessages.UpdateResult(true));
             }
-            LOG.info("watch: {} joins {}.", a.node(), a.service());
+            LOG.info("watch: {} joins {}.", request.node(), request.service());
             return replica.propose(
-                    new ControlMessages.PutMember(a.service(), a.node(), a.memberLease()),
+                    new ControlMessages.PutMember(request.service(), request.node(), request.memberLease()),
                     ControlMessages.UpdateResult.class);
         });
     }
 
-    public Mono<ControlMessages.UpdateResult> leave(ControlMessages.LeaveRequest a) {
-        return ifLeader(i -> Optional.ofNullable(replica.look(x -> stateMachine.service(a.service()))
+    public Mono<ControlMessages.UpdateResult> leave(ControlMessages.LeaveRequest request) {
+        return ifLeader(i -> Optional.ofNullable(replica.look(x -> stateMachine.service(request.service()))
                         .members()
-                        .get(a.node()))
-                .map(s -> replica.propose(
-                        new ControlMessages.DropMember(a.service(), a.node(), s.incarnation()),
+                        .get(request.node()))
+                .map(lease -> replica.propose(
+                        new ControlMessages.DropMember(request.service(), request.node(), lease.incarnation()),
                         ControlMessages.UpdateResult.class))
                 .orElse(Mono.just(new ControlMessages.UpdateResult(true))));
     }
 
-    public Mono<ControlMessages.SingletonLeaseResponse> acquireSingleton(ControlMessages.SingletonLeaseRequest a) {
+    public Mono<ControlMessages.SingletonLeaseResponse> acquireSingleton(
+            ControlMessages.SingletonLeaseRequest request) {
         return ifLeader(i -> {
-            SingletonLease d =
-                    replica.look(x -> stateMachine.service(a.service())).singleton();
-            String key = "duty|" + a.service();
-            boolean goes = shard.get(() -> grantedSingletons.getOrDefault(key, 0L) == a.term());
-            if (d.owner().equals(a.node()) && d.term() == a.term() && !goes) {
+            SingletonLease singleton =
+                    replica.look(x -> stateMachine.service(request.service())).singleton();
+            String key = "duty|" + request.service();
+            boolean goes = shard.get(() -> grantedSingletons.getOrDefault(key, 0L) == request.term());
+            if (singleton.owner().equals(request.node()) && singleton.term() == request.term() && !goes) {
                 noteHeartbeat(key);
                 // the renewal counts only while the part is ours: design 6.3
                 return replica.isActiveLeader()
-                        ? Mono.just(new ControlMessages.SingletonLeaseResponse(true, d))
-                        : Mono.just(new ControlMessages.SingletonLeaseResponse(false, d));
+                        ? Mono.just(new ControlMessages.SingletonLeaseResponse(true, singleton))
+                        : Mono.just(new ControlMessages.SingletonLeaseResponse(false, singleton));
             }
-            if (a.term() != 0) {
-                return Mono.just(new ControlMessages.SingletonLeaseResponse(false, d));
+            if (request.term() != 0) {
+                return Mono.just(new ControlMessages.SingletonLeaseResponse(false, singleton));
             }
-            boolean givenAway = shard.get(() -> grantedSingletons.getOrDefault(key, 0L) == d.term());
-            if (!givenAway && isRepeat(a, d)) {
+            boolean givenAway = shard.get(() -> grantedSingletons.getOrDefault(key, 0L) == singleton.term());
+            if (!givenAway && isRepeat(request, singleton)) {
                 noteHeartbeat(key);
-                return Mono.just(new ControlMessages.SingletonLeaseResponse(replica.isActiveLeader(), d));
+                return Mono.just(new ControlMessages.SingletonLeaseResponse(replica.isActiveLeader(), singleton));
             }
             // design 8.4: a holder that knows of no term has restarted, so nobody grants in its old term any more
-            boolean restarted = d.owner().equals(a.node());
-            boolean lapsed = !d.vacant() && lapsed(key);
-            if (!d.vacant() && !restarted && !lapsed) {
-                return Mono.just(new ControlMessages.SingletonLeaseResponse(false, d));
+            boolean restarted = singleton.owner().equals(request.node());
+            boolean lapsed = !singleton.vacant() && lapsed(key);
+            if (!singleton.vacant() && !restarted && !lapsed) {
+                return Mono.just(new ControlMessages.SingletonLeaseResponse(false, singleton));
             }
-            shard.run(() -> grantedSingletons.put(key, d.term()));
+            shard.run(() -> grantedSingletons.put(key, singleton.term()));
             return replica.propose(
                             new ControlMessages.AcquireSingleton(
-                                    a.service(), a.node(), d.term(), lapsed, a.requestId()),
+                                    request.service(), request.node(), singleton.term(), lapsed, request.requestId()),
                             ControlMessages.SingletonLeaseResponse.class)
-                    .doOnNext(r -> {
-                        if (r.granted()) {
+                    .doOnNext(response -> {
+                        if (response.granted()) {
                             noteHeartbeat(key);
                             LOG.info(
                                     "watch: {} takes {} in term {}.",
-                                    a.node(),
-                                    a.service(),
-                                    r.lease().term());
+                                    request.node(),
+                                    request.service(),
+                                    response.lease().term());
                         }
                     });
         });
@@ -149,9 +150,10 @@
                 && replica.look(i -> stateMachine.appliedRequests().singletonTerm(ask.requestId())) == duty.term();
     }
 
-    public Mono<ControlMessages.UpdateResult> release(ControlMessages.ReleaseSingletonRequest r) {
+    public Mono<ControlMessages.UpdateResult> release(ControlMessages.ReleaseSingletonRequest request) {
         return ifLeader(i -> replica.propose(
-                new ControlMessages.ReleaseSingleton(r.service(), r.node(), r.term(), r.level()),
+                new ControlMessages.ReleaseSingleton(
+                        request.service(), request.node(), request.term(), request.level()),
                 ControlMessages.UpdateResult.class));
     }
 
@@ -160,14 +162,14 @@
         if (replica.role() != Role.LEADER || !replica.isActiveLeader()) {
             return;
         }
-        for (ServiceView v : replica.look(i -> stateMachine.services()).values()) {
-            v.members().forEach((node, memberLease) -> {
-                if (lapsed(v.service() + "|" + node)) {
-                    LOG.info("watch: the claim of {} in {} lapsed.", node, v.service());
+        for (ServiceView view : replica.look(i -> stateMachine.services()).values()) {
+            view.members().forEach((node, memberLease) -> {
+                if (lapsed(view.service() + "|" + node)) {
+                    LOG.info("watch: the claim of {} in {} lapsed.", node, view.service());
                     replica.propose(
-                                    new ControlMessages.DropMember(v.service(), node, memberLease.incarnation()),
+                                    new ControlMessages.DropMember(view.service(), node, memberLease.incarnation()),
                                     ControlMessages.UpdateResult.class)
-                            .subscribe(d -> {}, e -> {});
+                            .subscribe(result -> {}, e -> {});
                 }
             });
         }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -45,7 +45,7 @@
     /** The leader that this machine followed last, and when it heard it last. */
     private record FormerLeader(String node, Duration lastContact) {}
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final String zone;
     private final Replica c0;
@@ -65,13 +65,13 @@
     private volatile Optional<Boolean> successorComes = Optional.empty();
 
     public CoreMembership(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             CoreClient core,
             String zone,
             Replica c0,
             ControlStateMachine machine,
             Supplier<List<Replica>> replicas) {
-        this.env = env;
+        this.environment = environment;
         this.core = core;
         this.zone = zone;
         this.c0 = c0;
@@ -92,7 +92,7 @@
         }
         lastTick = now();
         c0.leaderId()
-                .filter(leader -> !leader.equals(env.self()))
+                .filter(leader -> !leader.equals(environment.self()))
                 .ifPresent(leader -> formerLeader = new FormerLeader(leader, c0.lastMajorityContact()));
         decideExchange();
         if (leavingSince.isEmpty()) {
@@ -103,7 +103,7 @@
     /** Only a machine that is no member repeats itself; a member tells each new leader once where it stands. */
     private void announce() {
         String leader = c0.leaderId().orElse("");
-        boolean member = core.controlNodes().contains(env.self());
+        boolean member = core.controlNodes().contains(environment.self());
         if (member && leader.isEmpty()) {
             core.refreshMembers(); // it may have been replaced while it was away
         }
@@ -113,11 +113,11 @@
         Duration sent = now();
         core.ask(
                         ServiceNames.controlPart(ServiceNames.CORE),
-                        new ControlMessages.AnnounceStandbyRequest(env.self(), zone),
+                        new ControlMessages.AnnounceStandbyRequest(environment.self(), zone),
                         ControlMessages.CoreMembersResponse.class)
                 .subscribe(
-                        r -> {
-                            core.adopt(new CoreMembers(r.epoch(), r.members()));
+                        response -> {
+                            core.adopt(new CoreMembers(response.epoch(), response.members()));
                             announcedTo = leader;
                             answeredAt = sent;
                         },
@@ -161,20 +161,22 @@
             leaveAsked = now();
             core.ask(
                             ServiceNames.controlPart(ServiceNames.CORE),
-                            new ControlMessages.LeaveCoreRequest(env.self()),
+                            new ControlMessages.LeaveCoreRequest(environment.self()),
                             ControlMessages.UpdateResult.class)
-                    .subscribe(d -> successorComes = Optional.of(d.accepted()), e -> {});
+                    .subscribe(result -> successorComes = Optional.of(result.accepted()), e -> {});
         }
         return successorComes.orElse(now().minus(since).compareTo(LEAVE_ANSWER) < 0);
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     /** The members of each control partition's group, as far as they are known here. */
     private List<Set<String>> groups() {
-        return replicas.get().stream().map(r -> r.members().keySet()).toList();
+        return replicas.get().stream()
+                .map(replica -> replica.members().keySet())
+                .toList();
     }
 
     /** At most one exchange at a time, and only by a leader that a majority follows. */
@@ -201,8 +203,8 @@
         proposing.set(true);
         LOG.info("core: members {}, {}.", members, why);
         c0.propose(new ControlMessages.ChangeCore(members, epoch), ControlMessages.UpdateResult.class)
-                .doFinally(s -> proposing.set(false))
-                .subscribe(d -> {}, e -> {});
+                .doFinally(signal -> proposing.set(false))
+                .subscribe(result -> {}, e -> {});
     }
 
     /** Who is to be replaced: a member that said so, or else the one that was out of contact for longest. */
@@ -222,7 +224,7 @@
     }
 
     private boolean isAbsent(String member) {
-        return !member.equals(env.self()) && timeSinceContact(member).compareTo(ABSENT_AFTER) > 0;
+        return !member.equals(environment.self()) && timeSinceContact(member).compareTo(ABSENT_AFTER) > 0;
     }
 
     /** A new leader counts anew, but for the one before it: that one was silent for a lease, or nobody was elected. */
@@ -241,10 +243,10 @@
                 .filter(m -> !m.equals(leaver) && announcements.containsKey(m))
                 .forEach(m -> taken.add(announcements.get(m).zone()));
         return announcements.entrySet().stream()
-                .filter(e -> !present.members().contains(e.getKey()) && !isLeaving(e.getKey()))
-                .filter(e -> now().minus(e.getValue().receivedAt()).compareTo(ANNOUNCEMENT_VALID) < 0)
+                .filter(entry -> !present.members().contains(entry.getKey()) && !isLeaving(entry.getKey()))
+                .filter(entry -> now().minus(entry.getValue().receivedAt()).compareTo(ANNOUNCEMENT_VALID) < 0)
                 .min(Comparator.<Map.Entry<String, Announcement>, Boolean>comparing(
-                                e -> taken.contains(e.getValue().zone()))
+                                entry -> taken.contains(entry.getValue().zone()))
                         .thenComparing(Map.Entry::getKey))
                 .map(Map.Entry::getKey);
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -17,14 +17,14 @@
     /** The platform asks once a second; a change of leader is no reason to leave the list. */
     private static final Duration READINESS = Duration.ofMillis(1800);
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final Replica c0;
     private final Supplier<Duration> announcementAnsweredAt;
 
     public MajorityContact(
-            NodeEnvironment env, CoreClient core, Replica c0, Supplier<Duration> announcementAnsweredAt) {
-        this.env = env;
+            NodeEnvironment environment, CoreClient core, Replica c0, Supplier<Duration> announcementAnsweredAt) {
+        this.environment = environment;
         this.core = core;
         this.c0 = c0;
         this.announcementAnsweredAt = announcementAnsweredAt;
@@ -55,10 +55,10 @@
     }
 
     private boolean member() {
-        return core.controlNodes().contains(env.self());
+        return core.controlNodes().contains(environment.self());
     }
 
     private Duration age(Duration at) {
-        return env.clock().monotonicTime().minus(at);
+        return environment.clock().monotonicTime().minus(at);
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -30,14 +30,14 @@
         volatile boolean maybeApplied;
     }
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final BooleanSupplier inContact;
     /** What leaves here may not arrive although renewals still come in: a link that is cut one way. */
     private volatile boolean unanswered;
 
-    public RetryingCoreClient(NodeEnvironment env, CoreClient core, BooleanSupplier inContact) {
-        this.env = env;
+    public RetryingCoreClient(NodeEnvironment environment, CoreClient core, BooleanSupplier inContact) {
+        this.environment = environment;
         this.core = core;
         this.inContact = inContact;
     }
@@ -67,7 +67,7 @@
                         ErrorKind.UNAVAILABLE,
                         "This machine has no contact with a majority of the core; nothing was changed."));
             }
-            return Delays.pause(env.timers(), CONTACT_CHECK).then(awaitContact(until));
+            return Delays.pause(environment.timers(), CONTACT_CHECK).then(awaitContact(until));
         });
     }
 
@@ -88,7 +88,7 @@
             if (late || !inContact.getAsBoolean()) {
                 return Mono.error(progress.maybeApplied ? unknownOutcome() : noLeader());
             }
-            return Delays.pause(env.timers(), CONTACT_CHECK).then(contactLost(until, progress));
+            return Delays.pause(environment.timers(), CONTACT_CHECK).then(contactLost(until, progress));
         });
     }
 
@@ -106,13 +106,13 @@
             if (now().compareTo(until) >= 0) {
                 return Mono.error(unknownByNow ? unknownOutcome() : failure);
             }
-            return Delays.pause(env.timers(), RETRY_PAUSE)
+            return Delays.pause(environment.timers(), RETRY_PAUSE)
                     .then(Mono.defer(() -> attempt(partition, request, responseType, until, progress)));
         });
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     private static ServiceException noLeader() {
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -37,7 +37,7 @@
 
     private static final int HISTORY_BYTES = 512 << 10;
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final Map<String, ControlPartition> partitions = new LinkedHashMap<>();
     private final LeaderSightings leaders = new LeaderSightings();
@@ -51,21 +51,24 @@
     private volatile boolean draining;
 
     /** A control node that joins a running core is voting by the owners once {@code wantedCore} names it. */
-    public ControlNode(NodeEnvironment env, CoreClient core, List<String> wantedCore, String zone) {
-        this.env = env;
+    public ControlNode(NodeEnvironment environment, CoreClient core, List<String> wantedCore, String zone) {
+        this.environment = environment;
         this.core = core;
         for (String p : ServiceNames.controlParts()) {
-            ControlStateMachine m = new ControlStateMachine(
-                    env.codec(), Math.min(HISTORY_BYTES, env.wal().largestRecordBytes() / 4));
-            Replica r = new Replica(p, rotated(wantedCore, p), m, env);
-            partitions.put(p, new ControlPartition(r, m, new LeaseManager(r, m, env)));
+            ControlStateMachine stateMachine = new ControlStateMachine(
+                    environment.codec(),
+                    Math.min(HISTORY_BYTES, environment.wal().largestRecordBytes() / 4));
+            Replica replica = new Replica(p, rotated(wantedCore, p), stateMachine, environment);
+            partitions.put(
+                    p,
+                    new ControlPartition(replica, stateMachine, new LeaseManager(replica, stateMachine, environment)));
         }
         ControlPartition c0 = partitions.get(ServiceNames.controlPart(ServiceNames.CORE));
-        this.membership = new CoreMembership(env, core, zone, c0.replica(), c0.stateMachine(), this::replicas);
+        this.membership = new CoreMembership(environment, core, zone, c0.replica(), c0.stateMachine(), this::replicas);
         ControlPartition stores = partitions.get(ServiceNames.controlPart(ServiceNames.STORES));
-        this.placement = new PlacementDriver(env, stores.replica(), stores.stateMachine());
-        this.contact = new MajorityContact(env, core, c0.replica(), membership::answeredAt);
-        this.retryingClient = new RetryingCoreClient(env, core, contact::now);
+        this.placement = new PlacementDriver(environment, stores.replica(), stores.stateMachine());
+        this.contact = new MajorityContact(environment, core, c0.replica(), membership::answeredAt);
+        this.retryingClient = new RetryingCoreClient(environment, core, contact::now);
     }
 
     /** Each part has another first control node, so owners are spread. */
@@ -84,31 +87,31 @@
         ReplicationMessages.route(router, id -> partition(id).map(ControlPartition::replica))
                 .on(
                         ControlMessages.RenewLeaseRequest.class,
-                        (f, a) -> partitionOf(a.service())
-                                .flatMap(p -> p.leases().lease(a))
-                                .doOnNext(done -> onLeaseRenewed(a.service())))
+                        (f, request) -> partitionOf(request.service())
+                                .flatMap(partition -> partition.leases().lease(request))
+                                .doOnNext(done -> onLeaseRenewed(request.service())))
                 .on(
                         ControlMessages.LeaveRequest.class,
-                        (f, a) ->
-                                partitionOf(a.service()).flatMap(p -> p.leases().leave(a)))
+                        (f, request) -> partitionOf(request.service())
+                                .flatMap(partition -> partition.leases().leave(request)))
                 .on(
                         ControlMessages.SingletonLeaseRequest.class,
-                        (f, a) ->
-                                partitionOf(a.service()).flatMap(p -> p.leases().acquireSingleton(a)))
+                        (f, request) -> partitionOf(request.service())
+                                .flatMap(partition -> partition.leases().acquireSingleton(request)))
                 .on(
                         ControlMessages.ReleaseSingletonRequest.class,
-                        (f, a) ->
-                                partitionOf(a.service()).flatMap(p -> p.leases().release(a)))
+                        (f, request) -> partitionOf(request.service())
+                                .flatMap(partition -> partition.leases().release(request)))
                 .on(
                         ControlMessages.ServiceViewRequest.class,
-                        (f, a) -> changedViews(a).map(r -> compression.pack(a, r)))
-                .on(ControlMessages.CoreMembersRequest.class, (f, a) -> Mono.just(core.membersResponse()))
-                .on(ControlMessages.AnnounceStandbyRequest.class, (f, a) -> membership.onAnnouncement(a))
-                .on(ControlMessages.LeaveCoreRequest.class, (f, a) -> membership.onLeaveRequest(a))
-                .on(ControlMessages.PutCore.class, (f, a) -> change(ServiceNames.CORE, a))
-                .on(ControlMessages.PutProcessor.class, (f, a) -> change(a.service(), a))
-                .on(ControlMessages.DropProcessor.class, (f, a) -> change(a.service(), a))
-                .on(ControlMessages.PutProcessors.class, (f, a) -> change(a.service(), a));
+                        (f, request) -> changedViews(request).map(response -> compression.pack(request, response)))
+                .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()))
+                .on(ControlMessages.AnnounceStandbyRequest.class, (f, request) -> membership.onAnnouncement(request))
+                .on(ControlMessages.LeaveCoreRequest.class, (f, request) -> membership.onLeaveRequest(request))
+                .on(ControlMessages.PutCore.class, (f, put) -> change(ServiceNames.CORE, put))
+                .on(ControlMessages.PutProcessor.class, (f, put) -> change(put.service(), put))
+                .on(ControlMessages.DropProcessor.class, (f, drop) -> change(drop.service(), drop))
+                .on(ControlMessages.PutProcessors.class, (f, put) -> change(put.service(), put));
     }
 
     /** The boot values changed while we run. */
@@ -132,7 +135,8 @@
     }
 
     private Mono<ControlMessages.UpdateResult> change(String service, Object command) {
-        return partitionOf(service).flatMap(p -> p.replica().propose(command, ControlMessages.UpdateResult.class));
+        return partitionOf(service)
+                .flatMap(partition -> partition.replica().propose(command, ControlMessages.UpdateResult.class));
     }
 
     /** Every service asked for is of one part; the age is nothing, since the lease was checked just now. */
@@ -140,14 +144,20 @@
         String id = ServiceNames.controlPart(
                 ask.knownVersions().keySet().stream().findFirst().orElse(ServiceNames.CONFIGURATION));
         return partition(id)
-                .flatMap(p -> p.replica()
+                .flatMap(partition -> partition
+                        .replica()
                         .read(i -> ServiceViewQuery.changed(
-                                id, p.stateMachine(), ask, core.members().epoch())));
+                                id,
+                                partition.stateMachine(),
+                                ask,
+                                core.members().epoch())));
     }
 
     public List<String> controlNodes() {
         TreeSet<String> all = new TreeSet<>();
-        partitions.values().forEach(p -> all.addAll(p.replica().members().keySet()));
+        partitions
+                .values()
+                .forEach(partition -> all.addAll(partition.replica().members().keySet()));
         return all.isEmpty() ? core.controlNodes() : new ArrayList<>(all);
     }
 
@@ -158,11 +168,11 @@
 
     @Override
     public void start() throws ServiceException {
-        for (Map.Entry<String, ControlPartition> e : partitions.entrySet()) {
-            e.getValue().replica().start(env.wal().recovered().getOrDefault(e.getKey(), List.of()));
+        for (Map.Entry<String, ControlPartition> entry : partitions.entrySet()) {
+            entry.getValue().replica().start(environment.wal().recovered().getOrDefault(entry.getKey(), List.of()));
         }
-        ticking = env.timers().every(Duration.ofMillis(250), this::onTick);
-        refreshing = env.timers().every(Duration.ofSeconds(2), core::refreshMembers);
+        ticking = environment.timers().every(Duration.ofMillis(250), this::onTick);
+        refreshing = environment.timers().every(Duration.ofSeconds(2), core::refreshMembers);
         membership.onTick();
     }
 
@@ -175,7 +185,7 @@
         CoreMembers wanted = membership.committed();
         core.adopt(wanted);
         if (!wanted.members().isEmpty()) {
-            partitions.forEach((id, p) -> p.replica().setDesiredMembers(rotated(wanted.members(), id)));
+            partitions.forEach((id, partition) -> partition.replica().setDesiredMembers(rotated(wanted.members(), id)));
         }
     }
 
@@ -183,7 +193,7 @@
         membership.onTick();
         followCoreMembers();
         observeLeaders();
-        partitions.values().forEach(p -> p.leases().expireLapsed());
+        partitions.values().forEach(partition -> partition.leases().expireLapsed());
         placement.onTick();
         if (draining) {
             transferLeadership();
@@ -194,10 +204,10 @@
 
     /** The first control node of a part's list owns it once it is back and up to date; one move at a look. */
     private void balanceLeaders() {
-        for (Map.Entry<String, ControlPartition> e : partitions.entrySet()) {
-            Replica r = e.getValue().replica();
-            String first = rotated(core.controlNodes(), e.getKey()).get(0);
-            if (r.successor().filter(first::equals).isPresent() && r.transferLeadership(first)) {
+        for (Map.Entry<String, ControlPartition> entry : partitions.entrySet()) {
+            Replica replica = entry.getValue().replica();
+            String first = rotated(core.controlNodes(), entry.getKey()).get(0);
+            if (replica.successor().filter(first::equals).isPresent() && replica.transferLeadership(first)) {
                 return;
             }
         }
@@ -206,33 +216,38 @@
     /** Owners hand over before they stop. */
     public boolean drain() {
         draining = true;
-        partitions.values().forEach(p -> p.replica().declineLeadership());
+        partitions.values().forEach(partition -> partition.replica().declineLeadership());
         transferLeadership();
         boolean exchanging = membership.leave();
         return !exchanging
-                && partitions.values().stream().noneMatch(p -> p.replica().role() == Role.LEADER);
+                && partitions.values().stream()
+                        .noneMatch(partition -> partition.replica().role() == Role.LEADER);
     }
 
     private void transferLeadership() {
-        partitions.values().forEach(p -> p.replica().successor().ifPresent(p.replica()::transferLeadership));
+        partitions
+                .values()
+                .forEach(partition ->
+                        partition.replica().successor().ifPresent(partition.replica()::transferLeadership));
     }
 
     @Override
     public void stop() {
         ticking.cancel();
         refreshing.cancel();
-        partitions.values().forEach(p -> p.replica().stop());
+        partitions.values().forEach(partition -> partition.replica().stop());
     }
 
     private void observeLeaders() {
-        partitions.forEach(
-                (id, p) -> leaders.observe(id, p.replica(), env.clock().monotonicTime()));
+        partitions.forEach((id, partition) ->
+                leaders.observe(id, partition.replica(), environment.clock().monotonicTime()));
     }
 
     /** A part that changes hands in order is without an owner for a moment; that is no reason to turn operators away. */
     public boolean ready() {
         observeLeaders();
-        return contact.ready(leaders.allRecent(partitions.keySet(), env.clock().monotonicTime()));
+        return contact.ready(
+                leaders.allRecent(partitions.keySet(), environment.clock().monotonicTime()));
     }
 
     /** An operator's request, repeated while the part has no leader. */
@@ -250,17 +265,17 @@
 
     public Map<String, Object> status() {
         Map<String, Object> out = new LinkedHashMap<>();
-        partitions.forEach((id, p) -> out.put(
+        partitions.forEach((id, partition) -> out.put(
                 id,
                 Map.of(
                         "phase",
-                        p.replica().role(),
+                        partition.replica().role(),
                         "term",
-                        p.replica().term(),
+                        partition.replica().term(),
                         "owner",
-                        p.replica().leaderId().orElse(""),
+                        partition.replica().leaderId().orElse(""),
                         "group",
-                        p.replica().members().keySet())));
+                        partition.replica().members().keySet())));
         return out;
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
@@ -11,14 +11,14 @@
 
 /** Writes the placement of the message partitions and tells the stores of it, while this node leads it. design 6.9 */
 public final class PlacementDriver {
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final Replica replica;
     private final ControlStateMachine machine;
     private final ReplicaPlacement placement = new ReplicaPlacement();
     private long looked = -1;
 
-    public PlacementDriver(NodeEnvironment env, Replica replica, ControlStateMachine machine) {
-        this.env = env;
+    public PlacementDriver(NodeEnvironment environment, Replica replica, ControlStateMachine machine) {
+        this.environment = environment;
         this.replica = replica;
         this.machine = machine;
     }
@@ -36,7 +36,8 @@
         }
         ServiceView stores = replica.look(index -> machine.service(ServiceNames.STORES));
         looked = stores.version();
-        Map<String, List<String>> next = placement.next(stores, env.clock().monotonicTime());
+        Map<String, List<String>> next =
+                placement.next(stores, environment.clock().monotonicTime());
         if (!next.equals(stores.placement())) {
             replica.propose(
                             new ControlMessages.PutPlacement(next, stores.version()),
@@ -50,12 +51,13 @@
         ControlMessages.PlacementChanged notice = new ControlMessages.PlacementChanged(stores.version());
         stores.members()
                 .keySet()
-                .forEach(store -> env.rpc()
+                .forEach(store -> environment
+                        .rpc()
                         .call(
                                 store,
                                 notice,
                                 ControlMessages.UpdateResult.class,
-                                env.timing().requestTimeout())
+                                environment.timing().requestTimeout())
                         .subscribe(done -> {}, e -> {}));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -32,34 +32,35 @@
         }
     }
 
-    Optional<Change> next(ServiceView v, Duration now) {
-        boolean allThere = v.placement().values().stream().allMatch(members::containsAll);
+    Optional<Change> next(ServiceView view, Duration now) {
+        boolean allThere = view.placement().values().stream().allMatch(members::containsAll);
         if (!allThere
                 || now.minus(stableSince).compareTo(STABLE_PERIOD) < 0
                 || now.minus(lastChange).compareTo(PAUSE_BETWEEN_CHANGES) < 0) {
             return Optional.empty();
         }
-        Optional<Change> c = copy(v).or(() -> first(v));
-        c.ifPresent(x -> lastChange = now);
+        Optional<Change> c = copy(view).or(() -> first(view));
+        c.ifPresent(change -> lastChange = now);
         return c;
     }
 
     /** A copy goes from a fuller store to the emptiest while they differ by two, and no part gets into fewer zones. */
-    private Optional<Change> copy(ServiceView v) {
-        Map<String, Integer> load = load(v.placement());
+    private Optional<Change> copy(ServiceView view) {
+        Map<String, Integer> load = load(view.placement());
         Comparator<String> byLoad =
                 Comparator.<String>comparingInt(n -> load.getOrDefault(n, 0)).thenComparing(n -> n);
         String least = Collections.min(members, byLoad);
         return members.stream()
                 .sorted(byLoad.reversed())
                 .filter(n -> load.getOrDefault(n, 0) - load.getOrDefault(least, 0) >= 2)
-                .flatMap(fuller -> v.placement().entrySet().stream()
+                .flatMap(fuller -> view.placement().entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
-                        .filter(e ->
-                                e.getValue().contains(fuller) && !e.getValue().contains(least))
-                        .map(e -> new Change(e.getKey(), replaced(e.getValue(), fuller, least), Optional.of(least)))
-                        .filter(c -> zones(v.members(), c.replicas())
-                                >= zones(v.members(), v.placement().get(c.partition()))))
+                        .filter(entry -> entry.getValue().contains(fuller)
+                                && !entry.getValue().contains(least))
+                        .map(entry -> new Change(
+                                entry.getKey(), replaced(entry.getValue(), fuller, least), Optional.of(least)))
+                        .filter(change -> zones(view.members(), change.replicas())
+                                >= zones(view.members(), view.placement().get(change.partition()))))
                 .findFirst();
     }
 
@@ -74,18 +75,18 @@
     }
 
     /** The first of a part's list owns it: those are spread in the same way, by order alone. */
-    private Optional<Change> first(ServiceView v) {
-        Map<String, Integer> firsts = firsts(v.placement());
-        return v.placement().entrySet().stream()
+    private Optional<Change> first(ServiceView view) {
+        Map<String, Integer> firsts = firsts(view.placement());
+        return view.placement().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
-                .flatMap(e -> {
-                    List<String> copies = e.getValue();
+                .flatMap(entry -> {
+                    List<String> copies = entry.getValue();
                     return copies.stream()
                             .filter(c -> firsts.getOrDefault(copies.get(0), 0) - firsts.getOrDefault(c, 0) >= 2)
                             .map(c -> {
                                 List<String> out = new ArrayList<>(copies);
                                 Collections.swap(out, 0, out.indexOf(c));
-                                return new Change(e.getKey(), List.copyOf(out), Optional.empty());
+                                return new Change(entry.getKey(), List.copyOf(out), Optional.empty());
                             });
                 })
                 .findFirst();
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -34,23 +34,23 @@
     private Duration allPlacedSince = Duration.ZERO;
 
     /** The placement that should be; the present one where nothing is to be done. */
-    Map<String, List<String>> next(ServiceView v, Duration now) {
-        v.members().keySet().forEach(n -> lastSeen.put(n, now));
-        Map<String, List<String>> present = v.placement();
+    Map<String, List<String>> next(ServiceView view, Duration now) {
+        view.members().keySet().forEach(n -> lastSeen.put(n, now));
+        Map<String, List<String>> present = view.placement();
         if (present.isEmpty()) {
-            return first(v.members(), now);
+            return first(view.members(), now);
         }
-        moving.entrySet().removeIf(e -> ended(v, e.getKey(), e.getValue(), now));
-        balancer.observe(v.members().keySet(), now);
-        noteSucceeded(v);
+        moving.entrySet().removeIf(entry -> ended(view, entry.getKey(), entry.getValue(), now));
+        balancer.observe(view.members().keySet(), now);
+        noteSucceeded(view);
         Map<String, List<String>> out = new TreeMap<>(present);
         for (String part : ServiceNames.messageParts()) {
             if (!moving.containsKey(part)) {
-                repaired(v, part, out, now).ifPresent(change -> begin(change, out, now));
+                repaired(view, part, out, now).ifPresent(change -> begin(change, out, now));
             }
         }
-        if (moving.isEmpty() && v.members().values().stream().noneMatch(MemberLease::leaving)) {
-            balancer.next(v, now).ifPresent(change -> begin(change, out, now));
+        if (moving.isEmpty() && view.members().values().stream().noneMatch(MemberLease::leaving)) {
+            balancer.next(view, now).ifPresent(change -> begin(change, out, now));
         }
         return out;
     }
@@ -61,33 +61,35 @@
     }
 
     /** The newcomer counts in the group; or the move was not written; or the newcomer is gone, or never arrived. */
-    private static boolean ended(ServiceView v, String part, Move move, Duration now) {
-        return !v.placement().getOrDefault(part, List.of()).contains(move.to())
-                || !v.members().containsKey(move.to())
+    private static boolean ended(ServiceView view, String part, Move move, Duration now) {
+        return !view.placement().getOrDefault(part, List.of()).contains(move.to())
+                || !view.members().containsKey(move.to())
                 || now.minus(move.since()).compareTo(MOVE_LIMIT) > 0
-                || group(v, part).map(g -> g.members().contains(move.to())).orElse(false);
+                || group(view, part)
+                        .map(ledGroup -> ledGroup.members().contains(move.to()))
+                        .orElse(false);
     }
 
     /** The group of a partition by the report of the highest term. */
-    private static Optional<LedGroup> group(ServiceView v, String part) {
-        return v.members().values().stream()
+    private static Optional<LedGroup> group(ServiceView view, String part) {
+        return view.members().values().stream()
                 .flatMap(lease -> Optional.ofNullable(lease.groups().get(part)).stream())
                 .max(Comparator.comparingLong(LedGroup::term));
     }
 
     /** A store that leaves or is gone while a newcomer stands ready has been replaced by it: nothing is waited for. */
-    private void noteSucceeded(ServiceView v) {
+    private void noteSucceeded(ServiceView view) {
         Set<String> placed = new HashSet<>();
-        v.placement().values().forEach(placed::addAll);
-        succeeded.removeIf(store -> !placed.contains(store) || serves(v, store));
-        boolean newcomer = v.members().values().stream().anyMatch(lease -> lease.newcomer() && !lease.leaving());
+        view.placement().values().forEach(placed::addAll);
+        succeeded.removeIf(store -> !placed.contains(store) || serves(view, store));
+        boolean newcomer = view.members().values().stream().anyMatch(lease -> lease.newcomer() && !lease.leaving());
         if (newcomer) {
-            placed.stream().filter(store -> !serves(v, store)).forEach(succeeded::add);
+            placed.stream().filter(store -> !serves(view, store)).forEach(succeeded::add);
         }
     }
 
-    private static boolean serves(ServiceView v, String store) {
-        return Optional.ofNullable(v.members().get(store))
+    private static boolean serves(ServiceView view, String store) {
+        return Optional.ofNullable(view.members().get(store))
                 .filter(lease -> !lease.leaving())
                 .isPresent();
     }
@@ -98,14 +100,14 @@
     }
 
     private Optional<ReplicaBalancer.Change> repaired(
-            ServiceView v, String part, Map<String, List<String>> out, Duration now) {
+            ServiceView view, String part, Map<String, List<String>> out, Duration now) {
         List<String> copies = new ArrayList<>(out.get(part));
         for (int i = 0; i < copies.size(); i++) {
             if (gone(copies.get(i), now)) {
                 List<String> rest = new ArrayList<>(copies);
                 rest.remove(i);
-                List<String> spare = candidates(v.members(), rest, out).stream()
-                        .filter(store -> serves(v, store) && !copies.contains(store))
+                List<String> spare = candidates(view.members(), rest, out).stream()
+                        .filter(store -> serves(view, store) && !copies.contains(store))
                         .toList();
                 if (!spare.isEmpty()) {
                     copies.set(i, spare.get(0));
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -26,7 +26,7 @@
 /** The owner of part c0 reads the registry for all; whole lists are written, and only where they differ. design 6.7 */
 public final class ProcessorRegistry implements Component {
     private static final Logger LOG = LogManager.getLogger("watch");
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ControlNode node;
     private final ProcessorSource source;
     private final Duration period;
@@ -34,8 +34,8 @@
     private TimerHandle ticking = () -> {};
     private boolean failing;
 
-    public ProcessorRegistry(NodeEnvironment env, ControlNode node, ProcessorSource registry, Duration period) {
-        this.env = env;
+    public ProcessorRegistry(NodeEnvironment environment, ControlNode node, ProcessorSource registry, Duration period) {
+        this.environment = environment;
         this.node = node;
         this.source = registry;
         this.period = period;
@@ -48,7 +48,7 @@
 
     @Override
     public void start() {
-        ticking = env.timers().every(period, this::onTick);
+        ticking = environment.timers().every(period, this::onTick);
     }
 
     @Override
@@ -57,8 +57,8 @@
     }
 
     private boolean isLeader() {
-        Replica r = node.replica("c0");
-        return r.isActiveLeader();
+        Replica replica = node.replica("c0");
+        return replica.isActiveLeader();
     }
 
     /** Services that have a list; none as long as no configuration was taken. */
@@ -69,13 +69,13 @@
         Set<String> out = new TreeSet<>();
         if (json.length > 0) {
             try {
-                Configurations.taken(json).services().forEach((n, s) -> {
-                    if (s.kind() == Configuration.Kind.PROCESSORS) {
+                Configurations.taken(json).services().forEach((n, service) -> {
+                    if (service.kind() == Configuration.Kind.PROCESSORS) {
                         out.add(n);
                     }
                 });
-            } catch (ServiceException e) {
-                LOG.error("watch: the layout is unreadable here: {}", e.details());
+            } catch (ServiceException failure) {
+                LOG.error("watch: the layout is unreadable here: {}", failure.details());
             }
         }
         return out;
@@ -95,7 +95,7 @@
                     failing = false;
                     return Flux.fromIterable(services).flatMap(s -> take(s, all.getOrDefault(s, Map.of())));
                 })
-                .doFinally(x -> reading.set(false))
+                .doFinally(signal -> reading.set(false))
                 .subscribe(ok -> {}, this::onFailure);
     }
 
@@ -115,14 +115,17 @@
                         ServiceNames.controlPart(key),
                         new OperatorHttpHandler.GetProcessorsRequest(key),
                         OperatorHttpHandler.ProcessorsResponse.class)
-                .flatMap(p -> {
-                    if (p.processors().equals(list) || !isLeader()) {
+                .flatMap(response -> {
+                    if (response.processors().equals(list) || !isLeader()) {
                         return Mono.just(true);
                     }
                     return node.call(
                                     ServiceNames.controlPart(key),
                                     new ControlMessages.PutProcessors(
-                                            key, new HashMap<>(list), p.version() + 1, ControlMessages.newRequestId()),
+                                            key,
+                                            new HashMap<>(list),
+                                            response.version() + 1,
+                                            ControlMessages.newRequestId()),
                                     ControlMessages.UpdateResult.class)
                             .map(ControlMessages.UpdateResult::accepted);
                 });
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -60,57 +60,64 @@
 
     @Override
     public Object apply(long index, Object c) {
-        if (c instanceof ControlMessages.PutMember p) {
+        if (c instanceof ControlMessages.PutMember putMember) {
             Map<String, MemberLease> members =
-                    new HashMap<>(service(p.service()).members());
-            members.put(p.node(), p.memberLease());
-            return putMembers(index, p.service(), members);
-        } else if (c instanceof ControlMessages.DropMember d) {
+                    new HashMap<>(service(putMember.service()).members());
+            members.put(putMember.node(), putMember.memberLease());
+            return putMembers(index, putMember.service(), members);
+        } else if (c instanceof ControlMessages.DropMember dropMember) {
             Map<String, MemberLease> members =
-                    new HashMap<>(service(d.service()).members());
-            if (members.containsKey(d.node())
-                    && members.get(d.node()).incarnation().equals(d.incarnation())) {
-                members.remove(d.node());
-                return putMembers(index, d.service(), members);
+                    new HashMap<>(service(dropMember.service()).members());
+            if (members.containsKey(dropMember.node())
+                    && members.get(dropMember.node()).incarnation().equals(dropMember.incarnation())) {
+                members.remove(dropMember.node());
+                return putMembers(index, dropMember.service(), members);
             }
             return new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutProcessor p) {
-            Map<String, Processor> m = new HashMap<>(service(p.service()).processors());
-            m.put(p.id(), p.processor());
-            return putProcessors(index, p.service(), m, p.expectedVersion(), p.requestId());
-        } else if (c instanceof ControlMessages.DropProcessor d) {
-            Map<String, Processor> m = new HashMap<>(service(d.service()).processors());
-            m.remove(d.id());
-            return putProcessors(index, d.service(), m, d.expectedVersion(), d.requestId());
-        } else if (c instanceof ControlMessages.PutProcessors p) {
-            return putProcessors(index, p.service(), new HashMap<>(p.processors()), p.expectedVersion(), p.requestId());
-        } else if (c instanceof ControlMessages.AcquireSingleton t) {
-            return acquireSingleton(index, t);
-        } else if (c instanceof ControlMessages.ReleaseSingleton d) {
-            SingletonLease now = service(d.service()).singleton();
-            if (now.owner().equals(d.node()) && now.term() == d.term()) {
-                putSingleton(index, d.service(), new SingletonLease("", now.term(), d.level(), false));
+        } else if (c instanceof ControlMessages.PutProcessor putProcessor) {
+            Map<String, Processor> m =
+                    new HashMap<>(service(putProcessor.service()).processors());
+            m.put(putProcessor.id(), putProcessor.processor());
+            return putProcessors(
+                    index, putProcessor.service(), m, putProcessor.expectedVersion(), putProcessor.requestId());
+        } else if (c instanceof ControlMessages.DropProcessor drop) {
+            Map<String, Processor> m = new HashMap<>(service(drop.service()).processors());
+            m.remove(drop.id());
+            return putProcessors(index, drop.service(), m, drop.expectedVersion(), drop.requestId());
+        } else if (c instanceof ControlMessages.PutProcessors putProcessors) {
+            return putProcessors(
+                    index,
+                    putProcessors.service(),
+                    new HashMap<>(putProcessors.processors()),
+                    putProcessors.expectedVersion(),
+                    putProcessors.requestId());
+        } else if (c instanceof ControlMessages.AcquireSingleton acquire) {
+            return acquireSingleton(index, acquire);
+        } else if (c instanceof ControlMessages.ReleaseSingleton release) {
+            SingletonLease now = service(release.service()).singleton();
+            if (now.owner().equals(release.node()) && now.term() == release.term()) {
+                putSingleton(index, release.service(), new SingletonLease("", now.term(), release.level(), false));
                 return new ControlMessages.UpdateResult(true);
             }
             return new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutPlacement p) {
-            return putPlacement(index, p);
-        } else if (c instanceof ControlMessages.PutCore p) {
-            ServiceView v = service(ServiceNames.CORE);
-            Set<String> now = Set.copyOf(v.placement().getOrDefault(ServiceNames.CORE, List.of()));
+        } else if (c instanceof ControlMessages.PutPlacement putPlacement) {
+            return putPlacement(index, putPlacement);
+        } else if (c instanceof ControlMessages.PutCore putCore) {
+            ServiceView view = service(ServiceNames.CORE);
+            Set<String> now = Set.copyOf(view.placement().getOrDefault(ServiceNames.CORE, List.of()));
             if (!now.isEmpty()
-                    && !p.expected().isEmpty()
-                    && !now.equals(Set.copyOf(p.expected()))
-                    && !now.equals(Set.copyOf(p.members()))) {
+                    && !putCore.expected().isEmpty()
+                    && !now.equals(Set.copyOf(putCore.expected()))
+                    && !now.equals(Set.copyOf(putCore.members()))) {
                 return new ControlMessages.UpdateResult(false);
             }
-            return putCoreMembers(index, p.members());
-        } else if (c instanceof ControlMessages.ChangeCore p) {
-            return p.epoch() == coreMembers().epoch()
-                    ? putCoreMembers(index, p.members())
+            return putCoreMembers(index, putCore.members());
+        } else if (c instanceof ControlMessages.ChangeCore change) {
+            return change.epoch() == coreMembers().epoch()
+                    ? putCoreMembers(index, change.members())
                     : new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutConfiguration p) {
-            return putConfiguration(index, p);
+        } else if (c instanceof ControlMessages.PutConfiguration put) {
+            return putConfiguration(index, put);
         }
         return new ServiceException(
                 ErrorKind.BAD_REQUEST, "Unknown command " + c.getClass().getSimpleName() + ".");
@@ -203,13 +210,13 @@
     @Override
     public void restore(byte[] view) {
         try {
-            State s = codec.read(view, State.class);
+            State state = codec.read(view, State.class);
             services.clear();
-            services.putAll(s.services());
-            configurations.restore(s.revisions(), s.acceptedUpdates(), s.rejectedUpdates());
-            appliedRequests.restore(s.applied());
-        } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable view", e);
+            services.putAll(state.services());
+            configurations.restore(state.revisions(), state.acceptedUpdates(), state.rejectedUpdates());
+            appliedRequests.restore(state.applied());
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("unreadable view", failure);
         }
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -38,8 +38,8 @@
         public Optional<String> laneAt(String host, String path) {
             TreeMap<String, String> byPrefix = doors.getOrDefault(host, new TreeMap<>());
             return byPrefix.entrySet().stream()
-                    .filter(e -> path.startsWith(e.getKey()))
-                    .max(Comparator.comparingInt(e -> e.getKey().length()))
+                    .filter(entry -> path.startsWith(entry.getKey()))
+                    .max(Comparator.comparingInt(entry -> entry.getKey().length()))
                     .map(Map.Entry::getValue);
         }
     }
@@ -49,50 +49,55 @@
 
     public ConfigurationView(ViewSubscriptions subscriptions) {
         this.subscriptions = subscriptions;
-        subscriptions.onView((service, v) -> {
+        subscriptions.onView((service, view) -> {
             if (service.equals(ServiceNames.CONFIGURATION)) {
-                onView(v);
+                onView(view);
             }
         });
     }
 
-    private synchronized Known onView(ServiceView v) {
-        if (v.configurationVersion() > known.version()) {
-            known = read(v.configurationVersion(), v.configuration());
-            LOG.info("beacon: layout {} applies here.", v.configurationVersion());
+    private synchronized Known onView(ServiceView view) {
+        if (view.configurationVersion() > known.version()) {
+            known = read(view.configurationVersion(), view.configuration());
+            LOG.info("beacon: layout {} applies here.", view.configurationVersion());
         }
         return known;
     }
 
     private static Known read(long version, byte[] json) {
-        Configuration l = Configuration.empty();
+        Configuration configuration = Configuration.empty();
         try {
-            l = json.length == 0 ? l : Configurations.taken(json);
-        } catch (ServiceException e) {
-            LOG.error("beacon: layout {} is unreadable here: {}", version, e.details());
+            configuration = json.length == 0 ? configuration : Configurations.taken(json);
+        } catch (ServiceException failure) {
+            LOG.error("beacon: layout {} is unreadable here: {}", version, failure.details());
         }
         Map<String, Configuration.Key> keys = new HashMap<>();
-        l.keys().values().forEach(k -> keys.put(k.sha256(), k));
+        configuration.keys().values().forEach(key -> keys.put(key.sha256(), key));
         Map<String, RateLimit> allowances = new TreeMap<>();
-        l.tenants()
-                .forEach((n, t) ->
-                        allowances.put(ServiceNames.tenantBucket(n), new RateLimit(t.ratePerS(), t.burstSize())));
-        l.services()
-                .forEach((n, x) -> deliveryLimit(n, x)
+        configuration
+                .tenants()
+                .forEach((n, tenant) -> allowances.put(
+                        ServiceNames.tenantBucket(n), new RateLimit(tenant.ratePerS(), tenant.burstSize())));
+        configuration
+                .services()
+                .forEach((n, service) -> deliveryLimit(n, service)
                         .ifPresent(b -> allowances.put(
-                                b, new RateLimit(x.ratePerS(), Math.max(1, x.ratePerS() * DELIVERY_BURST_S)))));
+                                b,
+                                new RateLimit(
+                                        service.ratePerS(), Math.max(1, service.ratePerS() * DELIVERY_BURST_S)))));
         Map<String, TreeMap<String, String>> doors = new HashMap<>();
-        l.lanes()
+        configuration
+                .lanes()
                 .forEach((n, lane) -> lane.doors()
-                        .forEach(d -> doors.computeIfAbsent(d.host(), h -> new TreeMap<>())
-                                .put(d.prefix(), n)));
-        return new Known(version, l, keys, allowances, doors);
+                        .forEach(door -> doors.computeIfAbsent(door.host(), h -> new TreeMap<>())
+                                .put(door.prefix(), n)));
+        return new Known(version, configuration, keys, allowances, doors);
     }
 
     public Optional<Known> fresh() {
         return subscriptions
                 .fresh(ServiceNames.CONFIGURATION)
-                .map(v -> v.configurationVersion() == known.version() ? known : onView(v));
+                .map(view -> view.configurationVersion() == known.version() ? known : onView(view));
     }
 
     public Known require() throws ServiceException {
@@ -101,24 +106,25 @@
     }
 
     /** The bucket that paces a service; empty where it is not paced. */
-    private static Optional<String> deliveryLimit(String name, Configuration.Service s) {
-        return s.ratePerS() <= 0
+    private static Optional<String> deliveryLimit(String name, Configuration.Service service) {
+        return service.ratePerS() <= 0
                 ? Optional.empty()
                 : Optional.of(
-                        s.kind() == Configuration.Kind.ENDPOINT
-                                ? ServiceNames.endpointBucket(s.address())
+                        service.kind() == Configuration.Kind.ENDPOINT
+                                ? ServiceNames.endpointBucket(service.address())
                                 : "fetch/" + name);
     }
 
     /** The same by the configuration that is proven fresh; all empty where none is. */
     public Optional<Optional<String>> deliveryBucket(String service) {
-        return fresh().map(k ->
-                Optional.ofNullable(k.configuration().services().get(service)).flatMap(s -> deliveryLimit(service, s)));
+        return fresh().map(known -> Optional.ofNullable(
+                        known.configuration().services().get(service))
+                .flatMap(s -> deliveryLimit(service, s)));
     }
 
     /** The allowance behind a bucket's name; empty where the configuration has none or is not proven fresh. */
     public Optional<RateLimit> admissionLimit(String bucket) {
-        return fresh().flatMap(k -> Optional.ofNullable(k.allowances().get(bucket)));
+        return fresh().flatMap(known -> Optional.ofNullable(known.allowances().get(bucket)));
     }
 
     /** Every shared bucket that the latest configuration calls for. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -34,7 +34,7 @@
 
 /** A pilot: intake, store or both, as its boot file says. design 1 */
 public final class DataPlaneNode implements Component {
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final Settings settings;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
@@ -51,34 +51,39 @@
     private TimerHandle refreshing = () -> {};
     private volatile boolean draining;
 
-    public DataPlaneNode(NodeEnvironment env, Settings boot, CoreClient core, DeliveryClient post) {
-        this(env, boot, core, post, new NativeDeliveryProtocol());
+    public DataPlaneNode(NodeEnvironment environment, Settings boot, CoreClient core, DeliveryClient post) {
+        this(environment, boot, core, post, new NativeDeliveryProtocol());
     }
 
     public DataPlaneNode(
-            NodeEnvironment env, Settings boot, CoreClient core, DeliveryClient post, DeliveryProtocol protocol) {
-        this.env = env;
+            NodeEnvironment environment,
+            Settings boot,
+            CoreClient core,
+            DeliveryClient post,
+            DeliveryProtocol protocol) {
+        this.environment = environment;
         this.settings = boot;
         this.core = core;
-        this.subscriptions = new ViewSubscriptions(env, core, boot.zone());
+        this.subscriptions = new ViewSubscriptions(environment, core, boot.zone());
         this.configurations = new ConfigurationView(subscriptions);
-        this.localBuckets = new LocalBuckets(env, subscriptions);
-        SubmitForwarder forwarder = new SubmitForwarder(env, subscriptions, boot.zone());
+        this.localBuckets = new LocalBuckets(environment, subscriptions);
+        SubmitForwarder forwarder = new SubmitForwarder(environment, subscriptions, boot.zone());
         this.granters = boot.roles().contains("intake")
                 ? Optional.of(new TokenGranters(
-                        env, core, subscriptions, configurations::admissionLimit, configurations::buckets))
+                        environment, core, subscriptions, configurations::admissionLimit, configurations::buckets))
                 : Optional.empty();
         this.store = boot.roles().contains(StoreRole.NAME)
                 ? Optional.of(new StoreRole(
-                        env, boot, subscriptions, configurations, localBuckets, forwarder, post, protocol))
+                        environment, boot, subscriptions, configurations, localBuckets, forwarder, post, protocol))
                 : Optional.empty();
-        this.members = new PartitionReplicas(env, subscriptions, store.map(StoreRole::partitions));
-        this.lease = new LeaseRenewal(env, boot, core, subscriptions, members);
-        this.intake = new Intake(env, configurations, localBuckets, forwarder);
-        this.fetches = new PullService(env, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
+        this.members = new PartitionReplicas(environment, subscriptions, store.map(StoreRole::partitions));
+        this.lease = new LeaseRenewal(environment, boot, core, subscriptions, members);
+        this.intake = new Intake(environment, configurations, localBuckets, forwarder);
+        this.fetches =
+                new PullService(environment, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
         this.queries = new MessageQueries(configurations, forwarder);
         this.ingress = new IngressNode(
-                env, configurations, intake, queries, forwarder, this::status, this::ready, this::drain);
+                environment, configurations, intake, queries, forwarder, this::status, this::ready, this::drain);
     }
 
     @Override
@@ -87,12 +92,12 @@
     }
 
     public void route(RpcRouter router) {
-        router.on(ControlMessages.ServiceViewRequest.class, (f, a) -> subscriptions.onViewRequest(a))
-                .on(ControlMessages.CoreMembersRequest.class, (f, a) -> Mono.just(core.membersResponse()));
-        granters.ifPresent(h -> router.on(TokenMessages.TokenRequest.class, h::onTokenRequest));
-        store.ifPresent(s -> s.route(router));
-        router.on(ControlMessages.PlacementChanged.class, (f, a) -> {
-            subscriptions.refresh(ServiceNames.STORES, a.version());
+        router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
+                .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()));
+        granters.ifPresent(granters -> router.on(TokenMessages.TokenRequest.class, granters::onTokenRequest));
+        store.ifPresent(storeRole -> storeRole.route(router));
+        router.on(ControlMessages.PlacementChanged.class, (f, change) -> {
+            subscriptions.refresh(ServiceNames.STORES, change.version());
             return Mono.just(new ControlMessages.UpdateResult(true));
         });
     }
@@ -106,7 +111,7 @@
             store.get().start();
         }
         lease.start();
-        refreshing = env.timers().every(Duration.ofSeconds(2), core::refreshMembers);
+        refreshing = environment.timers().every(Duration.ofSeconds(2), core::refreshMembers);
     }
 
     /**
@@ -201,13 +206,13 @@
         return draining;
     }
 
-    public Mono<Response> handle(Request q) {
-        return ingress.handle(q);
+    public Mono<Response> handle(Request request) {
+        return ingress.handle(request);
     }
 
     public Map<String, Object> status() {
         Map<String, Object> out = new LinkedHashMap<>();
-        out.put("address", env.self());
+        out.put("address", environment.self());
         out.put("hall", settings.zone());
         out.put("roles", settings.roles());
         out.put("draining", draining);
@@ -215,8 +220,15 @@
                 "layout",
                 configurations.fresh().map(ConfigurationView.Known::version).orElse(-1L));
         out.put("passes", localBuckets.counts());
-        granters.ifPresent(h -> out.put(
-                "holds", Map.of("buckets", h.ownedCount(), "asks", h.requestCount(), "granted", h.grantedCount())));
+        granters.ifPresent(granters -> out.put(
+                "holds",
+                Map.of(
+                        "buckets",
+                        granters.ownedCount(),
+                        "asks",
+                        granters.requestCount(),
+                        "granted",
+                        granters.grantedCount())));
         members.status(out);
         return out;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -56,29 +56,29 @@
         DRAIN.get().run();
     }
 
-    public static void check(Settings b) throws ServiceException {
-        if (b.roles().isEmpty()) {
+    public static void check(Settings settings) throws ServiceException {
+        if (settings.roles().isEmpty()) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The boot file is invalid at roles: name intake, store or both.");
         }
-        if (b.join()) {
+        if (settings.join()) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The boot file is invalid at join: only lighthouses have it.");
         }
     }
 
-    static Supervisor grow(Settings b, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
+    static Supervisor grow(Settings settings, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
         return grow(
-                b,
+                settings,
                 schedules,
                 onGivenUp,
                 new NativeDeliveryProtocol(),
-                node -> List.of(new HttpGateway(b.http(), IngressNode.MAX_BODY, node::handle)));
+                node -> List.of(new HttpGateway(settings.http(), IngressNode.MAX_BODY, node::handle)));
     }
 
     /** The tree with other doors, and another way of speaking to back ends. design 1 */
     public static Supervisor grow(
-            Settings b,
+            Settings settings,
             SystemTimers schedules,
             Runnable onGivenUp,
             DeliveryProtocol protocol,
@@ -86,52 +86,57 @@
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(b.address(), b.listenAt(), codec, router, schedules);
-        WriteAheadLog book = wal(b, schedules);
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, schedules);
+        WriteAheadLog book = wal(settings, schedules);
         book.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
         Optional<CoreMembersFile> known =
-                b.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(b.data()));
-        NodeEnvironment env = new NodeEnvironment(
+                settings.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(settings.data()));
+        NodeEnvironment environment = new NodeEnvironment(
                 new SystemClock(),
                 schedules,
                 rpc,
                 codec,
                 book,
                 random::nextLong,
-                b.roles().contains("store") ? ReplicationTiming.partitions() : ReplicationTiming.defaults());
+                settings.roles().contains("store") ? ReplicationTiming.partitions() : ReplicationTiming.defaults());
         CoreClient core = new CoreClient(
                 rpc,
                 random::nextLong,
-                b.seeds(),
+                settings.seeds(),
                 known.map(CoreMembersFile::read).orElse(CoreMembers.unknown()),
-                l -> known.ifPresent(k -> k.write(l)));
-        DataPlaneNode node = new DataPlaneNode(env, b, core, new HttpDeliveryClient(), protocol);
+                members -> known.ifPresent(coreMembersFile -> coreMembersFile.write(members)));
+        DataPlaneNode node = new DataPlaneNode(environment, settings, core, new HttpDeliveryClient(), protocol);
         node.route(router);
         Supervisor tree =
                 new Supervisor("pilot", schedules, onGivenUp).with(rpc).with(node);
         List<Component> gates = doors.apply(node);
         gates.forEach(tree::with);
-        DRAIN.set(() -> drain(node, gates, Duration.ofMillis(b.lingerMs())));
+        DRAIN.set(() -> drain(node, gates, Duration.ofMillis(settings.lingerMs())));
         return tree;
     }
 
-    private static WriteAheadLog wal(Settings b, SystemTimers schedules) throws ServiceException {
-        if (!b.roles().contains("store")) {
+    private static WriteAheadLog wal(Settings settings, SystemTimers schedules) throws ServiceException {
+        if (!settings.roles().contains("store")) {
             return new DisabledWriteAheadLog();
         }
         try {
             return RingWriteAheadLog.open(
-                    new FolderDisk(Path.of(b.data(), "ring")), schedules, b.ringFiles(), b.ringFileMb() << 20);
+                    new FolderDisk(Path.of(settings.data(), "ring")),
+                    schedules,
+                    settings.ringFiles(),
+                    settings.ringFileMb() << 20);
         } catch (IOException e) {
             throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + b.data() + ": " + e.getMessage());
+                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
     }
 
     /** Parts and duties move away before the stop, and what is under way ends; each wait is bounded. design 10.2 */
     private static void drain(DataPlaneNode node, List<Component> gates, Duration linger) {
-        gates.stream().filter(HttpGateway.class::isInstance).forEach(g -> ((HttpGateway) g).closeSoon());
+        gates.stream()
+                .filter(HttpGateway.class::isInstance)
+                .forEach(component -> ((HttpGateway) component).closeSoon());
         await(MOVES, node::drain);
         await(RUNS, node::idle);
         pause(linger.isZero() ? Duration.ofMillis(100) : linger);
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -28,7 +28,7 @@
         LEFT
     }
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final Settings settings;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
@@ -44,29 +44,29 @@
     private TimerHandle checking = () -> {};
 
     LeaseRenewal(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             Settings settings,
             CoreClient core,
             ViewSubscriptions subscriptions,
             PartitionReplicas replicas) {
-        this.env = env;
+        this.environment = environment;
         this.settings = settings;
         this.core = core;
         this.subscriptions = subscriptions;
         this.replicas = replicas;
-        this.incarnation = Long.toHexString(env.random().getAsLong());
+        this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
     /** A store began with an empty disk if it holds no partition yet. */
     void start() {
-        started = env.clock().monotonicTime();
+        started = environment.clock().monotonicTime();
         beganEmpty = isStore() && replicas.groups().isEmpty();
         if (isStore()) {
             subscriptions.onView(this::sawView);
-            checking = env.timers().every(CHECK_INTERVAL, this::renewIfChanged);
+            checking = environment.timers().every(CHECK_INTERVAL, this::renewIfChanged);
         }
         renew();
-        renewing = env.timers().every(ReplicationTiming.defaults().heartbeat(), this::renew);
+        renewing = environment.timers().every(ReplicationTiming.defaults().heartbeat(), this::renew);
     }
 
     private boolean isStore() {
@@ -81,12 +81,12 @@
         sawPlacement = true;
         newcomer = beganEmpty
                 && !view.placement().isEmpty()
-                && view.placement().values().stream().noneMatch(copies -> copies.contains(env.self()));
+                && view.placement().values().stream().noneMatch(copies -> copies.contains(environment.self()));
         renewIfChanged();
     }
 
     private MemberLease lease() {
-        boolean recent = env.clock().monotonicTime().minus(started).compareTo(NEWCOMER) < 0;
+        boolean recent = environment.clock().monotonicTime().minus(started).compareTo(NEWCOMER) < 0;
         return new MemberLease(
                 settings.zone(),
                 settings.http(),
@@ -109,7 +109,7 @@
             String service = "role/" + role;
             core.ask(
                             ServiceNames.controlPart(service),
-                            new ControlMessages.RenewLeaseRequest(service, env.self(), lease),
+                            new ControlMessages.RenewLeaseRequest(service, environment.self(), lease),
                             ControlMessages.UpdateResult.class)
                     .subscribe(done -> announced.set(lease), e -> {});
         });
@@ -139,7 +139,7 @@
         String service = "role/" + role;
         core.ask(
                         ServiceNames.controlPart(service),
-                        new ControlMessages.LeaveRequest(service, env.self()),
+                        new ControlMessages.LeaveRequest(service, environment.self()),
                         ControlMessages.UpdateResult.class)
                 .subscribe(done -> {}, e -> {});
     }
@@ -149,7 +149,7 @@
         Map<String, MemberLease> stores =
                 subscriptions.latest(ServiceNames.STORES).members();
         List<String> others = stores.keySet().stream()
-                .filter(node -> !node.equals(env.self()))
+                .filter(node -> !node.equals(environment.self()))
                 .toList();
         return isStore() && others.stream().anyMatch(node -> stores.get(node).newcomer()) && !replicas.inNoGroup();
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -15,12 +15,13 @@
 
 /** In which message parts this store counts, and which it owns: design 6.5. Empty on a node that is no store. */
 final class PartitionReplicas {
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final Optional<MessagePartitions> partitions;
 
-    PartitionReplicas(NodeEnvironment env, ViewSubscriptions subscriptions, Optional<MessagePartitions> partitions) {
-        this.env = env;
+    PartitionReplicas(
+            NodeEnvironment environment, ViewSubscriptions subscriptions, Optional<MessagePartitions> partitions) {
+        this.environment = environment;
         this.subscriptions = subscriptions;
         this.partitions = partitions;
     }
@@ -28,8 +29,10 @@
     /** The group of each message part here. */
     Map<String, Set<String>> groups() {
         Map<String, Set<String>> out = new TreeMap<>();
-        partitions.ifPresent(b ->
-                b.all().forEach((id, x) -> out.put(id, x.replica().members().keySet())));
+        partitions.ifPresent(messagePartitions -> messagePartitions
+                .all()
+                .forEach((id, partition) ->
+                        out.put(id, partition.replica().members().keySet())));
         return out;
     }
 
@@ -37,7 +40,7 @@
         return partitions.isEmpty()
                 ? List.of()
                 : subscriptions.latest(ServiceNames.STORES).placement().entrySet().stream()
-                        .filter(e -> e.getValue().contains(env.self()))
+                        .filter(entry -> entry.getValue().contains(environment.self()))
                         .map(Map.Entry::getKey)
                         .sorted()
                         .toList();
@@ -47,7 +50,7 @@
     List<String> notVoting() {
         Map<String, Set<String>> groups = groups();
         return assigned().stream()
-                .filter(p -> !groups.getOrDefault(p, Set.of()).contains(env.self()))
+                .filter(p -> !groups.getOrDefault(p, Set.of()).contains(environment.self()))
                 .toList();
     }
 
@@ -65,7 +68,7 @@
 
     /** This store counts in no group, as far as it knows. */
     boolean inNoGroup() {
-        return groups().values().stream().noneMatch(group -> group.contains(env.self()));
+        return groups().values().stream().noneMatch(group -> group.contains(environment.self()));
     }
 
     /** Each replica here counts in its group under its present identity. */
@@ -78,41 +81,46 @@
 
     long ledCount() {
         return partitions
-                .map(b -> b.all().values().stream()
-                        .filter(x -> x.replica().isActiveLeader())
+                .map(messagePartitions -> messagePartitions.all().values().stream()
+                        .filter(partition -> partition.replica().isActiveLeader())
                         .count())
                 .orElse(0L);
     }
 
     long term(String part) {
         return partitions
-                .map(b -> b.all().get(part))
-                .map(x -> x.replica().term())
+                .map(messagePartitions -> messagePartitions.all().get(part))
+                .map(partition -> partition.replica().term())
                 .orElse(0L);
     }
 
     void status(Map<String, Object> out) {
-        partitions.ifPresent(b -> {
+        partitions.ifPresent(messagePartitions -> {
             Map<String, Object> parts = new LinkedHashMap<>();
-            b.all()
-                    .forEach((id, x) -> parts.put(
+            messagePartitions
+                    .all()
+                    .forEach((id, partition) -> parts.put(
                             id,
                             Map.of(
                                     "phase",
-                                    x.replica().role(),
+                                    partition.replica().role(),
                                     "term",
-                                    x.replica().term(),
+                                    partition.replica().term(),
                                     "messages",
-                                    x.replica().look(i -> x.stateMachine().count()),
+                                    partition
+                                            .replica()
+                                            .look(i -> partition.stateMachine().count()),
                                     "liveBytes",
-                                    x.replica().look(i -> x.stateMachine().liveBytes()),
+                                    partition
+                                            .replica()
+                                            .look(i -> partition.stateMachine().liveBytes()),
                                     "group",
-                                    x.replica().members().keySet())));
+                                    partition.replica().members().keySet())));
             out.put("parts", parts);
             out.put("owned", ledCount());
             out.put("seated", !assigned().isEmpty() && notVoting().isEmpty());
-            out.put("syncs", env.wal().syncs());
-            out.put("ringFilesWritten", env.wal().filesWritten());
+            out.put("syncs", environment.wal().syncs());
+            out.put("ringFilesWritten", environment.wal().filesWritten());
         });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
@@ -28,7 +28,7 @@
     private final Dispatchers dispatchers;
 
     StoreRole(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             Settings settings,
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
@@ -37,22 +37,22 @@
             DeliveryClient client,
             DeliveryProtocol protocol) {
         this.partitions = new MessagePartitions(
-                env,
+                environment,
                 subscriptions,
                 NODE_UNITS,
                 PARTITION_UNITS,
                 (long) settings.partMb() << MEBIBYTE_SHIFT,
                 Duration.ofSeconds(settings.keepEndedS()));
         this.dispatchers = new Dispatchers(new DispatchContext(
-                env,
+                environment,
                 subscriptions,
                 configurations,
                 localBuckets,
                 partitions,
-                new DeliveryTargets(env),
+                new DeliveryTargets(environment),
                 client,
                 protocol,
-                new OutcomeRecorder(env, forwarder),
+                new OutcomeRecorder(environment, forwarder),
                 Duration.ofMillis(settings.leaseMs()),
                 settings.zone()));
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -21,8 +21,8 @@
     private final Message message;
     private final DeliveryTargets.Target target;
 
-    DeliveryAttempt(Dispatcher l, Message started, DeliveryTargets.Target target) {
-        this.dispatcher = l;
+    DeliveryAttempt(Dispatcher dispatcher, Message started, DeliveryTargets.Target target) {
+        this.dispatcher = dispatcher;
         this.message = started;
         this.target = target;
     }
@@ -58,18 +58,18 @@
                                                                 .service())
                                                 .contains(target)
                                         && permit.spend())))
-                .map(r -> dispatcher.context().protocol().read(message, r))
+                .map(deliveryResponse -> dispatcher.context().protocol().read(message, deliveryResponse))
                 .onErrorResume(
                         e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, String.valueOf(e.getMessage()))))
-                .flatMap(v -> {
-                    boolean answered =
-                            v.kind() != Verdict.Kind.OUTCOME_UNKNOWN && v.kind() != Verdict.Kind.UNKNOWN_MESSAGE;
+                .flatMap(verdict -> {
+                    boolean answered = verdict.kind() != Verdict.Kind.OUTCOME_UNKNOWN
+                            && verdict.kind() != Verdict.Kind.UNKNOWN_MESSAGE;
                     dispatcher
                             .context()
                             .targets()
                             .ended(
                                     target,
-                                    answered && v.kind() != Verdict.Kind.RETRY,
+                                    answered && verdict.kind() != Verdict.Kind.RETRY,
                                     dispatcher
                                             .context()
                                             .environment()
@@ -80,40 +80,41 @@
                         permit.release();
                         return recordEnd(
                                 MessageCommands.AttemptOutcome.NOT_SENT,
-                                "not sent: " + v.reason(),
+                                "not sent: " + verdict.reason(),
                                 wallTime().plus(dispatcher.policy().retrySoon()));
                     }
-                    return commitOutcome(v);
+                    return commitOutcome(verdict);
                 });
     }
 
-    private Mono<Boolean> commitOutcome(Verdict v) {
-        return switch (v.kind()) {
-            case DONE -> recordEnd(MessageCommands.AttemptOutcome.SUCCEEDED, v.reason(), wallTime());
-            case REJECTED -> recordEnd(MessageCommands.AttemptOutcome.FAILED, v.reason(), wallTime());
+    private Mono<Boolean> commitOutcome(Verdict verdict) {
+        return switch (verdict.kind()) {
+            case DONE -> recordEnd(MessageCommands.AttemptOutcome.SUCCEEDED, verdict.reason(), wallTime());
+            case REJECTED -> recordEnd(MessageCommands.AttemptOutcome.FAILED, verdict.reason(), wallTime());
             case RETRY ->
                 dispatcher.policy().attemptsLeft(message)
                         ? recordEnd(
                                 MessageCommands.AttemptOutcome.RETRY,
-                                v.reason(),
+                                verdict.reason(),
                                 wallTime().plus(dispatcher.policy().backoff(message.attemptsMade())))
                         : recordEnd(
                                 MessageCommands.AttemptOutcome.FAILED,
-                                "attempts used up; last: " + v.reason(),
+                                "attempts used up; last: " + verdict.reason(),
                                 wallTime());
             case UNKNOWN_MESSAGE ->
                 recordEnd(
                         MessageCommands.AttemptOutcome.NOT_SENT,
-                        v.reason(),
+                        verdict.reason(),
                         wallTime().plus(dispatcher.policy().backoff(1)));
-            case OUTCOME_UNKNOWN, RUNNING -> dispatcher.policy().resends(message) ? resend(v.reason()) : inquireLater();
+            case OUTCOME_UNKNOWN, RUNNING ->
+                dispatcher.policy().resends(message) ? resend(verdict.reason()) : inquireLater();
         };
     }
 
     Mono<Boolean> recordEnd(MessageCommands.AttemptOutcome ending, String word, Instant due) {
-        MessageCommands.End e =
+        MessageCommands.End end =
                 new MessageCommands.End(message.handle(), message.attempt(), ending, word, due, wallTime());
-        return dispatcher.context().recorder().record(dispatcher.partitionId(), e, message.processor());
+        return dispatcher.context().recorder().record(dispatcher.partitionId(), end, message.processor());
     }
 
     /**
@@ -181,14 +182,14 @@
                         new byte[0],
                         INQUIRY_TIMEOUT,
                         () -> dispatcher.isLeader() && permit.get().spend()))
-                .map(r -> Verdict.ofInquiry(r, message.handle()))
+                .map(deliveryResponse -> Verdict.ofInquiry(deliveryResponse, message.handle()))
                 .onErrorResume(e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, "no answer")))
-                .flatMap(v -> {
-                    if (v.kind() == Verdict.Kind.UNKNOWN_MESSAGE) {
+                .flatMap(verdict -> {
+                    if (verdict.kind() == Verdict.Kind.UNKNOWN_MESSAGE) {
                         // a push still under way may arrive until the deadline: design 9.3
-                        return late ? retry(v.reason()) : inquireLater();
+                        return late ? retry(verdict.reason()) : inquireLater();
                     }
-                    return commitOutcome(v);
+                    return commitOutcome(verdict);
                 });
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -50,57 +50,58 @@
         Instant now = wallTime();
         return partition.replica().look(i -> {
             List<Message> out = new ArrayList<>();
-            ReadyQueue s = partition.stateMachine().ready();
-            s.lanes()
-                    .forEach(lane -> out.addAll(s.due(
+            ReadyQueue ready = partition.stateMachine().ready();
+            ready.lanes()
+                    .forEach(lane -> out.addAll(ready.due(
                             lane,
                             now,
                             most,
                             turn,
-                            m -> dispatcher.policy().terms(m).service().equals(service))));
+                            message ->
+                                    dispatcher.policy().terms(message).service().equals(service))));
             return out;
         });
     }
 
     /** The attempt is committed, then all is looked at again; empty where it was not handed out. */
-    Mono<Message> begin(Message m, String processor) {
-        String service = dispatcher.policy().terms(m).service();
-        if (wallTime().isAfter(dispatcher.policy().expiry(m))
+    Mono<Message> begin(Message message, String processor) {
+        String service = dispatcher.policy().terms(message).service();
+        if (wallTime().isAfter(dispatcher.policy().expiry(message))
                 || context.configurations().fresh().isEmpty()
-                || m.attemptsMade() > 0 && !dispatcher.retryAllowed(m.lane() + "/" + m.tenant())) {
+                || message.attemptsMade() > 0 && !dispatcher.retryAllowed(message.lane() + "/" + message.tenant())) {
             return Mono.empty();
         }
-        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, m, service);
+        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, message, service);
         if (permit.isEmpty()) {
             return Mono.empty();
         }
-        MessageCommands.Start s = new MessageCommands.Start(
-                m.handle(),
-                m.attempt() + 1,
+        MessageCommands.Start start = new MessageCommands.Start(
+                message.handle(),
+                message.attempt() + 1,
                 processor,
                 wallTime().plus(context.leaseTime()),
                 wallTime(),
                 Message.LEASED + processor);
         return partition
                 .replica()
-                .propose(s, MessageCommands.TransitionResult.class)
+                .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> permit.get().release())
-                .flatMap(c -> {
-                    if (c.applied()
+                .flatMap(result -> {
+                    if (result.applied()
                             && dispatcher.isLeader()
                             && context.configurations().fresh().isPresent()
                             && permit.get().spend()) {
-                        renew(m.handle(), c.message().attempt());
-                        return Mono.just(c.message());
+                        renew(message.handle(), result.message().attempt());
+                        return Mono.just(result.message());
                     }
                     permit.get().release();
-                    return c.applied()
+                    return result.applied()
                             ? context.recorder()
                                     .record(
                                             partition.id(),
                                             new MessageCommands.End(
-                                                    m.handle(),
-                                                    m.attempt() + 1,
+                                                    message.handle(),
+                                                    message.attempt() + 1,
                                                     MessageCommands.AttemptOutcome.NOT_SENT,
                                                     "not handed out",
                                                     wallTime(),
@@ -121,40 +122,42 @@
     }
 
     /** A running message that is leased: it lapses once the time since the last word is over. */
-    void onTick(Message m) {
-        if (expire(m)) {
-            MessageCommands.End e = new MessageCommands.End(
-                    m.handle(),
-                    m.attempt(),
+    void onTick(Message message) {
+        if (expire(message)) {
+            MessageCommands.End end = new MessageCommands.End(
+                    message.handle(),
+                    message.attempt(),
                     MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN,
                     "the lease lapsed",
                     wallTime(),
                     wallTime());
             partition
                     .replica()
-                    .propose(e, MessageCommands.TransitionResult.class)
-                    .subscribe(c -> forget(m.handle()), x -> forget(m.handle()));
+                    .propose(end, MessageCommands.TransitionResult.class)
+                    .subscribe(result -> forget(message.handle()), x -> forget(message.handle()));
         }
     }
 
     /** From the moment this is true no word is taken any more, so nothing is handed out too soon after one. */
-    private synchronized boolean expire(Message m) {
-        HeldLease h = leases.get(m.handle());
-        if (h == null || h.attempt() != m.attempt()) {
-            leases.put(m.handle(), new HeldLease(m.attempt(), now(), false));
+    private synchronized boolean expire(Message message) {
+        HeldLease lease = leases.get(message.handle());
+        if (lease == null || lease.attempt() != message.attempt()) {
+            leases.put(message.handle(), new HeldLease(message.attempt(), now(), false));
             return false;
         }
-        if (h.expiring()
-                || now().minus(h.lastRenewal()).compareTo(context.leaseTime().plus(MARGIN)) <= 0) {
+        if (lease.expiring()
+                || now().minus(lease.lastRenewal())
+                                .compareTo(context.leaseTime().plus(MARGIN))
+                        <= 0) {
             return false;
         }
-        leases.put(m.handle(), new HeldLease(h.attempt(), h.lastRenewal(), true));
+        leases.put(message.handle(), new HeldLease(lease.attempt(), lease.lastRenewal(), true));
         return true;
     }
 
     private synchronized boolean renew(String handle, int attempt) {
-        HeldLease h = leases.get(handle);
-        if (h != null && (h.attempt() > attempt || h.attempt() == attempt && h.expiring())) {
+        HeldLease lease = leases.get(handle);
+        if (lease != null && (lease.attempt() > attempt || lease.attempt() == attempt && lease.expiring())) {
             return false;
         }
         leases.put(handle, new HeldLease(attempt, now(), false));
@@ -162,16 +165,17 @@
     }
 
     /** True if the processor still has it and may go on for a whole lease. */
-    Mono<Boolean> extend(MessageCommands.ExtendLeaseRequest a) {
+    Mono<Boolean> extend(MessageCommands.ExtendLeaseRequest request) {
         return partition
                 .replica()
                 .read(i -> partition
                                 .stateMachine()
-                                .get(a.handle())
-                                .filter(x ->
-                                        x.leased() && x.state() == MessageState.RUNNING && x.attempt() == a.attempt())
+                                .get(request.handle())
+                                .filter(message -> message.leased()
+                                        && message.state() == MessageState.RUNNING
+                                        && message.attempt() == request.attempt())
                                 .isPresent()
-                        && renew(a.handle(), a.attempt()))
+                        && renew(request.handle(), request.attempt()))
                 .flatMap(ok -> ok ? Mono.just(true) : Mono.error(gone()));
     }
 
@@ -180,44 +184,44 @@
     }
 
     /** The same end said again has the same answer; the end of an earlier lease is refused. */
-    Mono<MessageCommands.TransitionResult> end(MessageCommands.End e) {
+    Mono<MessageCommands.TransitionResult> end(MessageCommands.End end) {
         return partition
                 .replica()
-                .read(i -> partition.stateMachine().get(e.handle()))
+                .read(i -> partition.stateMachine().get(end.handle()))
                 .flatMap(found -> {
-                    Optional<Message> m = found.filter(Message::leased);
-                    if (m.isPresent() && m.get().hasRecordedEnd(e.attempt())) {
-                        return Mono.just(new MessageCommands.TransitionResult(true, m.get()));
+                    Optional<Message> message = found.filter(Message::leased);
+                    if (message.isPresent() && message.get().hasRecordedEnd(end.attempt())) {
+                        return Mono.just(new MessageCommands.TransitionResult(true, message.get()));
                     }
-                    if (m.isEmpty()
-                            || m.get().attempt() != e.attempt()
-                            || m.get().state().ended()) {
+                    if (message.isEmpty()
+                            || message.get().attempt() != end.attempt()
+                            || message.get().state().ended()) {
                         return Mono.error(gone());
                     }
                     return partition
                             .replica()
-                            .propose(settled(e, m.get()), MessageCommands.TransitionResult.class)
-                            .flatMap(c -> {
-                                forget(e.handle());
-                                return c.applied() || c.message().hasRecordedEnd(e.attempt())
-                                        ? Mono.just(new MessageCommands.TransitionResult(true, c.message()))
+                            .propose(settled(end, message.get()), MessageCommands.TransitionResult.class)
+                            .flatMap(result -> {
+                                forget(end.handle());
+                                return result.applied() || result.message().hasRecordedEnd(end.attempt())
+                                        ? Mono.just(new MessageCommands.TransitionResult(true, result.message()))
                                         : Mono.error(gone());
                             });
                 });
     }
 
     /** Clock and attempts are the owner's to count. */
-    private MessageCommands.End settled(MessageCommands.End e, Message m) {
-        boolean over = e.outcome() == MessageCommands.AttemptOutcome.RETRY
-                && !dispatcher.policy().attemptsLeft(m);
-        Instant due = e.outcome() == MessageCommands.AttemptOutcome.RETRY
-                ? wallTime().plus(dispatcher.policy().backoff(m.attemptsMade()))
+    private MessageCommands.End settled(MessageCommands.End end, Message message) {
+        boolean over = end.outcome() == MessageCommands.AttemptOutcome.RETRY
+                && !dispatcher.policy().attemptsLeft(message);
+        Instant due = end.outcome() == MessageCommands.AttemptOutcome.RETRY
+                ? wallTime().plus(dispatcher.policy().backoff(message.attemptsMade()))
                 : wallTime().plus(dispatcher.policy().retrySoon());
         return new MessageCommands.End(
-                e.handle(),
-                e.attempt(),
-                over ? MessageCommands.AttemptOutcome.FAILED : e.outcome(),
-                over ? "attempts used up; last: " + e.proof() : e.proof(),
+                end.handle(),
+                end.attempt(),
+                over ? MessageCommands.AttemptOutcome.FAILED : end.outcome(),
+                over ? "attempts used up; last: " + end.proof() : end.proof(),
                 due,
                 wallTime());
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -20,13 +20,13 @@
     }
 
     static Optional<DeliveryPermit> draw(
-            DispatchContext context, MessagePartition partition, Message m, String service) {
-        Optional<DeliveryPermit> t = draw(context, service);
-        if (t.isEmpty()) {
-            return t;
+            DispatchContext context, MessagePartition partition, Message message, String service) {
+        Optional<DeliveryPermit> optional = draw(context, service);
+        if (optional.isEmpty()) {
+            return optional;
         }
-        DeliveryPermit permit = t.get();
-        if (!context.partitions().spend(partition, (m.body().length + READ_UNIT - 1) / READ_UNIT)) {
+        DeliveryPermit permit = optional.get();
+        if (!context.partitions().spend(partition, (message.body().length + READ_UNIT - 1) / READ_UNIT)) {
             permit.release();
             return Optional.empty();
         }
@@ -51,12 +51,12 @@
     boolean spend() {
         boolean alive = isValid();
         if (alive) {
-            token.ifPresent(p -> localBuckets.markSpent(bucket, p));
+            token.ifPresent(token -> localBuckets.markSpent(bucket, token));
         }
         return alive;
     }
 
     void release() {
-        token.ifPresent(p -> localBuckets.returnToken(bucket, p));
+        token.ifPresent(token -> localBuckets.returnToken(bucket, token));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -7,9 +7,10 @@
 /** Seam: how a delivery is written for a back end, and what its answer means. design 9.3 */
 public interface DeliveryProtocol {
     /** The request for one attempt; limit is how long the attempt may take. */
-    DeliveryClient.DeliveryRequest push(Message m, DeliveryTargets.Target to, Duration limit, BooleanSupplier still);
+    DeliveryClient.DeliveryRequest push(
+            Message message, DeliveryTargets.Target to, Duration limit, BooleanSupplier still);
 
-    Verdict read(Message m, DeliveryClient.DeliveryResponse r);
+    Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse);
 
     /** Whether a back end can be asked what became of an attempt. */
     boolean inquires();
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -30,59 +30,60 @@
         Duration notBefore = Duration.ZERO;
     }
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
     private final Map<String, Liveness> all = new HashMap<>();
 
-    public DeliveryTargets(NodeEnvironment env) {
-        this.env = env;
+    public DeliveryTargets(NodeEnvironment environment) {
+        this.environment = environment;
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     /** The least busy of those that may be tried now; its place in flight is taken. */
     public Optional<Target> draw(List<Target> from, ToIntFunction<Target> most) {
         return shard.get(() -> {
-            Optional<Target> t = from.stream()
-                    .filter(x -> open(of(x), most.applyAsInt(x)))
+            Optional<Target> optional = from.stream()
+                    .filter(target -> open(of(target), most.applyAsInt(target)))
                     .min(Comparator.comparingDouble(
-                            x -> (of(x).inFlight + 1) * (1 + of(x).slowMs) * (x.near() ? 1 : FAR)));
-            t.ifPresent(x -> of(x).inFlight++);
-            return t;
+                            target -> (of(target).inFlight + 1) * (1 + of(target).slowMs) * (target.near() ? 1 : FAR)));
+            optional.ifPresent(target -> of(target).inFlight++);
+            return optional;
         });
     }
 
-    private Liveness of(Target t) {
-        return all.computeIfAbsent(t.key(), k -> new Liveness());
+    private Liveness of(Target target) {
+        return all.computeIfAbsent(target.key(), k -> new Liveness());
     }
 
-    private boolean open(Liveness l, int most) {
-        boolean failing = l.failures >= FAILING;
-        return l.inFlight < (failing ? 1 : most == 0 ? MAX_IN_FLIGHT : most) && now().compareTo(l.notBefore) >= 0;
+    private boolean open(Liveness liveness, int most) {
+        boolean failing = liveness.failures >= FAILING;
+        return liveness.inFlight < (failing ? 1 : most == 0 ? MAX_IN_FLIGHT : most)
+                && now().compareTo(liveness.notBefore) >= 0;
     }
 
-    public void ended(Target t, boolean answered, Duration took) {
+    public void ended(Target target, boolean answered, Duration took) {
         shard.run(() -> {
-            Liveness l = of(t);
-            l.inFlight = Math.max(0, l.inFlight - 1);
+            Liveness liveness = of(target);
+            liveness.inFlight = Math.max(0, liveness.inFlight - 1);
             if (answered) {
-                l.failures = 0;
-                l.notBefore = Duration.ZERO;
-                l.slowMs = l.slowMs * 0.8 + took.toMillis() * 0.2;
+                liveness.failures = 0;
+                liveness.notBefore = Duration.ZERO;
+                liveness.slowMs = liveness.slowMs * 0.8 + took.toMillis() * 0.2;
             } else {
-                l.failures++;
-                if (l.failures >= FAILING) {
-                    Duration pause = FIRST_PAUSE.multipliedBy(1L << Math.min(6, l.failures - FAILING));
-                    l.notBefore = now().plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
+                liveness.failures++;
+                if (liveness.failures >= FAILING) {
+                    Duration pause = FIRST_PAUSE.multipliedBy(1L << Math.min(6, liveness.failures - FAILING));
+                    liveness.notBefore = now().plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
                 }
             }
         });
     }
 
     /** Drawn, but nothing was sent. */
-    public void unused(Target t) {
-        shard.run(() -> of(t).inFlight = Math.max(0, of(t).inFlight - 1));
+    public void unused(Target target) {
+        shard.run(() -> of(target).inFlight = Math.max(0, of(target).inFlight - 1));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -69,31 +69,31 @@
     }
 
     /** Only views of proven age may say that a processor is gone. */
-    ProcessorStatus processorStatus(Message m) {
-        Optional<Configuration> l = context.configurations().fresh().map(k -> k.configuration());
-        if (l.isEmpty()) {
+    ProcessorStatus processorStatus(Message message) {
+        Optional<Configuration> configuration = context.configurations().fresh().map(known -> known.configuration());
+        if (configuration.isEmpty()) {
             return ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN);
         }
-        String service = policy.terms(m).service();
-        Optional<Configuration.Service> s =
-                Optional.ofNullable(l.get().services().get(service));
-        if (s.isPresent() && s.get().kind() == Configuration.Kind.ENDPOINT) {
-            return ProcessorStatus.listed(m, s.get().address());
+        String service = policy.terms(message).service();
+        Optional<Configuration.Service> optional =
+                Optional.ofNullable(configuration.get().services().get(service));
+        if (optional.isPresent() && optional.get().kind() == Configuration.Kind.ENDPOINT) {
+            return ProcessorStatus.listed(message, optional.get().address());
         }
-        if (s.isEmpty() && m.processor().equals(ProcessorSelector.ENDPOINT)) {
-            return ProcessorStatus.gone(m);
+        if (optional.isEmpty() && message.processor().equals(ProcessorSelector.ENDPOINT)) {
+            return ProcessorStatus.gone(message);
         }
         return context.subscriptions()
                 .fresh(ServiceNames.processors(service))
-                .map(v -> Optional.ofNullable(v.processors().get(m.processor()))
-                        .map(p -> ProcessorStatus.listed(m, p.address()))
-                        .orElse(ProcessorStatus.gone(m)))
+                .map(view -> Optional.ofNullable(view.processors().get(message.processor()))
+                        .map(processor -> ProcessorStatus.listed(message, processor.address()))
+                        .orElse(ProcessorStatus.gone(message)))
                 .orElse(ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN));
     }
 
     /** Asking an outside endpoint counts as one of its requests, so it spends a leaving pass. */
-    Optional<DeliveryPermit> mayInquire(Message m) {
-        return DeliveryPermit.draw(context, policy.terms(m).service());
+    Optional<DeliveryPermit> mayInquire(Message message) {
+        return DeliveryPermit.draw(context, policy.terms(message).service());
     }
 
     /** Called by the store's one schedule. */
@@ -111,8 +111,8 @@
         turn++;
         for (int i = 0; i < lanes.size(); i++) {
             String lane = lanes.get((i + turn) % lanes.size());
-            for (Message m : byLane.get(lane)) {
-                if (!dispatchNext(m)) {
+            for (Message message : byLane.get(lane)) {
+                if (!dispatchNext(message)) {
                     break;
                 }
             }
@@ -121,13 +121,14 @@
 
     /** Running here by the log, but not by us: the owner changed, so the outcome is unclear. */
     private void adoptRunning() {
-        for (Message m : partition.replica().look(i -> partition.stateMachine().running())) {
-            if (m.leased()) {
-                leases.onTick(m);
-            } else if (busy.add(m.handle())) {
-                new DeliveryAttempt(this, m, new DeliveryTargets.Target("", m.processor(), "", true))
+        for (Message message :
+                partition.replica().look(i -> partition.stateMachine().running())) {
+            if (message.leased()) {
+                leases.onTick(message);
+            } else if (busy.add(message.handle())) {
+                new DeliveryAttempt(this, message, new DeliveryTargets.Target("", message.processor(), "", true))
                         .resumeAfterAdoption()
-                        .doFinally(s -> busy.remove(m.handle()))
+                        .doFinally(signal -> busy.remove(message.handle()))
                         .subscribe(x -> {}, e -> {});
             }
         }
@@ -137,9 +138,10 @@
         Instant now = wallTime();
         return partition.replica().look(i -> {
             Map<String, List<Message>> out = new TreeMap<>();
-            ReadyQueue s = partition.stateMachine().ready();
-            s.lanes().forEach(lane -> {
-                List<Message> list = s.due(lane, now, LOOK_AHEAD, turn, m -> !busy.contains(m.handle()));
+            ReadyQueue ready = partition.stateMachine().ready();
+            ready.lanes().forEach(lane -> {
+                List<Message> list =
+                        ready.due(lane, now, LOOK_AHEAD, turn, message -> !busy.contains(message.handle()));
                 if (!list.isEmpty()) {
                     out.put(lane, list);
                 }
@@ -149,81 +151,81 @@
     }
 
     /** False when the lane can send nothing more now. */
-    private boolean dispatchNext(Message m) {
-        if (wallTime().isAfter(policy.expiry(m))) {
-            expire(m);
+    private boolean dispatchNext(Message message) {
+        if (wallTime().isAfter(policy.expiry(message))) {
+            expire(message);
             return true;
         }
-        Optional<DeliveryTargets.Target> t = context.targets()
+        Optional<DeliveryTargets.Target> target = context.targets()
                 .draw(
-                        ProcessorSelector.targets(this, policy.terms(m).service()),
-                        ProcessorSelector.most(this, policy.terms(m).service()));
-        if (t.isEmpty()) {
+                        ProcessorSelector.targets(this, policy.terms(message).service()),
+                        ProcessorSelector.most(this, policy.terms(message).service()));
+        if (target.isEmpty()) {
             return false;
         }
-        if (m.attemptsMade() > 0 && !retryAllowed(m.lane() + "/" + m.tenant())) {
-            context.targets().unused(t.get());
+        if (message.attemptsMade() > 0 && !retryAllowed(message.lane() + "/" + message.tenant())) {
+            context.targets().unused(target.get());
             return true;
         }
-        Optional<DeliveryPermit> permit =
-                DeliveryPermit.draw(context, partition, m, policy.terms(m).service());
+        Optional<DeliveryPermit> permit = DeliveryPermit.draw(
+                context, partition, message, policy.terms(message).service());
         if (permit.isEmpty()) {
-            context.targets().unused(t.get());
+            context.targets().unused(target.get());
             return false;
         }
-        busy.add(m.handle());
-        dispatch(m, permit.get(), t.get())
-                .doFinally(s -> busy.remove(m.handle()))
+        busy.add(message.handle());
+        dispatch(message, permit.get(), target.get())
+                .doFinally(signal -> busy.remove(message.handle()))
                 .subscribe(x -> {}, e -> {});
         return true;
     }
 
     synchronized boolean retryAllowed(String lane) {
-        Bucket b = retries.computeIfAbsent(
+        Bucket bucket = retries.computeIfAbsent(
                 lane, k -> Bucket.full(RETRIES, context.environment().clock().monotonicTime()));
-        b.fill(context.environment().clock().monotonicTime(), 0);
-        return b.take(1);
+        bucket.fill(context.environment().clock().monotonicTime(), 0);
+        return bucket.take(1);
     }
 
-    private void expire(Message m) {
-        if (busy.add(m.handle())) {
+    private void expire(Message message) {
+        if (busy.add(message.handle())) {
             context.recorder()
                     .record(
                             partitionId(),
                             new MessageCommands.End(
-                                    m.handle(),
+                                    message.handle(),
                                     0,
                                     MessageCommands.AttemptOutcome.FAILED,
                                     "time limit reached",
                                     wallTime(),
                                     wallTime()),
                             "")
-                    .doFinally(s -> busy.remove(m.handle()))
+                    .doFinally(signal -> busy.remove(message.handle()))
                     .subscribe(x -> {}, e -> {});
         }
     }
 
     /** The attempt is committed before anything is sent; then all is checked again. */
-    private Mono<Boolean> dispatch(Message m, DeliveryPermit permit, DeliveryTargets.Target t) {
+    private Mono<Boolean> dispatch(Message message, DeliveryPermit permit, DeliveryTargets.Target target) {
         MessageCommands.Start start = new MessageCommands.Start(
-                m.handle(),
-                m.attempt() + 1,
-                t.id(),
-                wallTime().plusMillis(policy.terms(m).attemptMs()),
+                message.handle(),
+                message.attempt() + 1,
+                target.id(),
+                wallTime().plusMillis(policy.terms(message).attemptMs()),
                 wallTime(),
-                t.address());
+                target.address());
         return partition
                 .replica()
                 .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> {
                     permit.release();
-                    context.targets().unused(t);
+                    context.targets().unused(target);
                 })
-                .flatMap(c -> {
-                    DeliveryAttempt run = new DeliveryAttempt(this, c.message(), t);
-                    if (!c.applied()) {
+                .flatMap(result -> {
+                    DeliveryAttempt run = new DeliveryAttempt(this, result.message(), target);
+                    if (!result.applied()) {
                         permit.release();
-                        context.targets().unused(t);
+                        context.targets().unused(target);
                         return Mono.just(false);
                     }
                     return run.push(permit);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -35,9 +35,9 @@
         this.waitingPulls = new WaitingPulls(context, dispatchersByPartition);
     }
 
-    public void opened(MessagePartition b) {
-        Dispatcher l = new Dispatcher(context, b);
-        dispatchersByPartition.put(b.id(), l);
+    public void opened(MessagePartition partition) {
+        Dispatcher dispatcher = new Dispatcher(context, partition);
+        dispatchersByPartition.put(partition.id(), dispatcher);
     }
 
     public void start() {
@@ -59,156 +59,171 @@
         waitingPulls.route(router);
         router.on(
                         MessageCommands.FetchRequest.class,
-                        (f, a) -> context.partitions()
-                                .partition(a.partition())
-                                .flatMap(b -> context.partitions()
-                                        .requireBefore(a.deadline())
-                                        .then(Mono.defer(() -> fetch(b, a)))))
+                        (f, request) -> context.partitions()
+                                .partition(request.partition())
+                                .flatMap(partition -> context.partitions()
+                                        .requireBefore(request.deadline())
+                                        .then(Mono.defer(() -> fetch(partition, request)))))
                 .on(
                         MessageCommands.OutcomeReport.class,
-                        (f, a) -> context.partitions().partition(a.partition()).flatMap(b -> outcome(b, a)));
+                        (f, report) -> context.partitions()
+                                .partition(report.partition())
+                                .flatMap(partition -> outcome(partition, report)));
     }
 
     /** A processor speaks only for its own service and its own attempts; an empty service is one of us. */
-    private Mono<MessageCommands.TransitionResult> outcome(MessagePartition b, MessageCommands.OutcomeReport a) {
-        return b.replica().read(i -> b.stateMachine().get(a.end().handle())).flatMap(m -> {
-            if (m.isPresent()
-                    && !a.service().isEmpty()
-                    && (!terms(m.get()).service().equals(a.service())
-                            || a.end().attempt() == m.get().attempt()
-                                    && !a.processor().equals(m.get().processor()))) {
-                return Mono.error(new ServiceException(
-                        ErrorKind.FORBIDDEN, "This attempt was not given to " + a.processor() + "."));
-            }
-            if (a.end().outcome() == MessageCommands.AttemptOutcome.RETRY
-                    && m.isPresent()
-                    && !a.service().isEmpty()
-                    && m.get().attemptsMade() >= terms(m.get()).attempts()) {
-                MessageCommands.End e = a.end();
-                return b.replica()
-                        .propose(
-                                new MessageCommands.End(
-                                        e.handle(),
-                                        e.attempt(),
-                                        MessageCommands.AttemptOutcome.FAILED,
-                                        "attempts used up",
-                                        e.due(),
-                                        e.at()),
-                                MessageCommands.TransitionResult.class);
-            }
-            return b.replica().propose(a.end(), MessageCommands.TransitionResult.class);
-        });
+    private Mono<MessageCommands.TransitionResult> outcome(
+            MessagePartition partition, MessageCommands.OutcomeReport report) {
+        return partition
+                .replica()
+                .read(i -> partition.stateMachine().get(report.end().handle()))
+                .flatMap(message -> {
+                    if (message.isPresent()
+                            && !report.service().isEmpty()
+                            && (!terms(message.get()).service().equals(report.service())
+                                    || report.end().attempt() == message.get().attempt()
+                                            && !report.processor()
+                                                    .equals(message.get().processor()))) {
+                        return Mono.error(new ServiceException(
+                                ErrorKind.FORBIDDEN, "This attempt was not given to " + report.processor() + "."));
+                    }
+                    if (report.end().outcome() == MessageCommands.AttemptOutcome.RETRY
+                            && message.isPresent()
+                            && !report.service().isEmpty()
+                            && message.get().attemptsMade()
+                                    >= terms(message.get()).attempts()) {
+                        MessageCommands.End end = report.end();
+                        return partition
+                                .replica()
+                                .propose(
+                                        new MessageCommands.End(
+                                                end.handle(),
+                                                end.attempt(),
+                                                MessageCommands.AttemptOutcome.FAILED,
+                                                "attempts used up",
+                                                end.due(),
+                                                end.at()),
+                                        MessageCommands.TransitionResult.class);
+                    }
+                    return partition.replica().propose(report.end(), MessageCommands.TransitionResult.class);
+                });
     }
 
-    private Mono<MessageCommands.FetchResponse> fetch(MessagePartition b, MessageCommands.FetchRequest a) {
-        return b.replica().read(i -> i).flatMap(i -> {
-            if (!mayReceive(a)) {
+    private Mono<MessageCommands.FetchResponse> fetch(
+            MessagePartition partition, MessageCommands.FetchRequest request) {
+        return partition.replica().read(i -> i).flatMap(i -> {
+            if (!mayReceive(request)) {
                 return Mono.error(new ServiceException(
                         ErrorKind.FORBIDDEN,
-                        "The processor " + a.processor()
+                        "The processor " + request.processor()
                                 + " is not listed, is leaving, or the list is not proven fresh."));
             }
-            if (a.repeated()) {
-                return Mono.just(new MessageCommands.FetchResponse(deliveredBefore(b, a)));
+            if (request.repeated()) {
+                return Mono.just(new MessageCommands.FetchResponse(deliveredBefore(partition, request)));
             }
-            return Flux.fromIterable(candidates(b, a.service()))
-                    .take(a.limit())
-                    .concatMap(m -> start(b, m, a))
+            return Flux.fromIterable(candidates(partition, request.service()))
+                    .take(request.limit())
+                    .concatMap(message -> start(partition, message, request))
                     .collectList()
                     .map(MessageCommands.FetchResponse::new);
         });
     }
 
     /** What this very fetch was given, for a processor that did not get the answer: the same attempts. */
-    private List<Message> deliveredBefore(MessagePartition b, MessageCommands.FetchRequest a) {
+    private List<Message> deliveredBefore(MessagePartition partition, MessageCommands.FetchRequest request) {
         var now = context.environment().clock().wallTime();
-        return b.replica()
-                .look(i -> b.stateMachine().running().stream()
-                        .filter(m -> m.processor().equals(a.processor())
-                                && m.destination().equals(ProcessorStatus.PULLED + a.fetchId())
-                                && m.deadline().isAfter(now))
+        return partition
+                .replica()
+                .look(i -> partition.stateMachine().running().stream()
+                        .filter(message -> message.processor().equals(request.processor())
+                                && message.destination().equals(ProcessorStatus.PULLED + request.fetchId())
+                                && message.deadline().isAfter(now))
                         .toList());
     }
 
-    private boolean mayReceive(MessageCommands.FetchRequest a) {
+    private boolean mayReceive(MessageCommands.FetchRequest request) {
         Optional<Processor> p = context.subscriptions()
-                .fresh(ServiceNames.processors(a.service()))
-                .map(v -> v.processors().get(a.processor()));
+                .fresh(ServiceNames.processors(request.service()))
+                .map(view -> view.processors().get(request.processor()));
         return p.isPresent() && !p.get().leaving() && p.get().address().isEmpty();
     }
 
-    private List<Message> candidates(MessagePartition b, String service) {
+    private List<Message> candidates(MessagePartition partition, String service) {
         int turn = turns.incrementAndGet();
         var now = context.environment().clock().wallTime();
         List<Message> out = new ArrayList<>();
-        b.replica().look(i -> {
-            b.stateMachine()
+        partition.replica().look(i -> {
+            partition
+                    .stateMachine()
                     .ready()
                     .lanes()
-                    .forEach(lane -> out.addAll(b.stateMachine()
+                    .forEach(lane -> out.addAll(partition
+                            .stateMachine()
                             .ready()
                             .due(
                                     lane,
                                     now,
                                     MAX_SCANNED,
                                     turn,
-                                    m -> terms(m).service().equals(service))));
+                                    message -> terms(message).service().equals(service))));
             return out;
         });
         return out;
     }
 
-    private RouteTerms terms(Message m) {
+    private RouteTerms terms(Message message) {
         return context.configurations()
                 .fresh()
-                .flatMap(k -> Optional.ofNullable(k.configuration().lanes().get(m.lane())))
+                .flatMap(known ->
+                        Optional.ofNullable(known.configuration().lanes().get(message.lane())))
                 .map(RouteTerms::of)
-                .orElse(m.terms());
+                .orElse(message.terms());
     }
 
     /** The attempt is committed before the answer; all is checked again at processor-out. */
-    private Mono<Message> start(MessagePartition b, Message m, MessageCommands.FetchRequest a) {
+    private Mono<Message> start(MessagePartition partition, Message message, MessageCommands.FetchRequest request) {
         var now = context.environment().clock().wallTime();
-        if (now.isAfter(m.from().plusMillis(terms(m).timeLimitMs()))
+        if (now.isAfter(message.from().plusMillis(terms(message).timeLimitMs()))
                 || context.configurations().fresh().isEmpty()) {
             return Mono.empty();
         }
-        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, b, m, a.service());
+        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, message, request.service());
         if (permit.isEmpty()) {
             return Mono.empty();
         }
-        MessageCommands.Start s = new MessageCommands.Start(
-                m.handle(),
-                m.attempt() + 1,
-                a.processor(),
-                now.plusMillis(terms(m).attemptMs()),
+        MessageCommands.Start start = new MessageCommands.Start(
+                message.handle(),
+                message.attempt() + 1,
+                request.processor(),
+                now.plusMillis(terms(message).attemptMs()),
                 now,
-                ProcessorStatus.PULLED + a.fetchId());
-        return b.replica()
-                .propose(s, MessageCommands.TransitionResult.class)
+                ProcessorStatus.PULLED + request.fetchId());
+        return partition
+                .replica()
+                .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> permit.get().release())
                 .onErrorResume(e -> Mono.empty())
-                .flatMap(c -> {
-                    if (!c.applied()) {
+                .flatMap(result -> {
+                    if (!result.applied()) {
                         permit.get().release();
                         return Mono.empty();
                     }
-                    if (!mayReceive(a)
-                            || !b.replica().isActiveLeader()
+                    if (!mayReceive(request)
+                            || !partition.replica().isActiveLeader()
                             || !permit.get().spend()) {
                         permit.get().release();
-                        MessageCommands.End e = new MessageCommands.End(
-                                m.handle(),
-                                m.attempt() + 1,
+                        MessageCommands.End end = new MessageCommands.End(
+                                message.handle(),
+                                message.attempt() + 1,
                                 MessageCommands.AttemptOutcome.NOT_SENT,
                                 "not sent",
                                 now,
                                 now);
                         return context.recorder()
-                                .record(b.id(), e, a.processor())
+                                .record(partition.id(), end, request.processor())
                                 .then(Mono.<Message>empty());
                     }
-                    return Mono.just(c.message());
+                    return Mono.just(result.message());
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -37,11 +37,13 @@
                     .pendingAcquireMaxCount(256)
                     .pendingAcquireTimeout(Duration.ofSeconds(2))
                     .lifo()
-                    .evictionPredicate((c, meta) -> !c.channel().isActive()
-                            || meta.idleTime()
-                                    > backoffUntil
-                                            .getOrDefault(c.channel().remoteAddress(), CONNECTION_BACKOFF)
-                                            .toMillis())
+                    .evictionPredicate(
+                            (connection, meta) -> !connection.channel().isActive()
+                                    || meta.idleTime()
+                                            > backoffUntil
+                                                    .getOrDefault(
+                                                            connection.channel().remoteAddress(), CONNECTION_BACKOFF)
+                                                    .toMillis())
                     .build())
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
             .disableRetry(true);
@@ -51,25 +53,25 @@
      * event loop, when its stream is back in the pool: a caller that sends again at once finds it there.
      */
     @Override
-    public Mono<DeliveryResponse> send(DeliveryRequest c) {
-        return client.headers(h -> c.headers().forEach(h::set))
-                .responseTimeout(c.timeout())
-                .request(HttpMethod.valueOf(c.method()))
-                .uri(c.url())
-                .send((q, out) -> c.stillPermitted().getAsBoolean()
-                        ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(c.body())))
+    public Mono<DeliveryResponse> send(DeliveryRequest deliveryRequest) {
+        return client.headers(headers -> deliveryRequest.headers().forEach(headers::set))
+                .responseTimeout(deliveryRequest.timeout())
+                .request(HttpMethod.valueOf(deliveryRequest.method()))
+                .uri(deliveryRequest.url())
+                .send((q, out) -> deliveryRequest.stillPermitted().getAsBoolean()
+                        ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(deliveryRequest.body())))
                         : Mono.error(new ServiceException(ErrorKind.UNREACHABLE, "It may not be sent any more.")))
-                .responseConnection((r, stream) -> stream.inbound()
+                .responseConnection((response, stream) -> stream.inbound()
                         .receive()
                         .aggregate()
                         .asByteArray()
                         .defaultIfEmpty(new byte[0])
                         .filter(b -> b.length <= MAX_RESPONSE_BYTES)
                         .defaultIfEmpty(new byte[0])
-                        .map(b -> reply(c, r, stream, b))
+                        .map(b -> reply(deliveryRequest, response, stream, b))
                         .publishOn(Schedulers.fromExecutor(stream.channel().eventLoop())))
                 .next()
-                .timeout(c.timeout().plusMillis(200))
+                .timeout(deliveryRequest.timeout().plusMillis(200))
                 .onErrorMap(HttpDeliveryClient::failure);
     }
 
@@ -77,23 +79,26 @@
      * An answer that does not name our request, and it alone, shows that the stream is out of step: nothing more is
      * sent on it. An interim answer is one of these.
      */
-    private DeliveryResponse reply(DeliveryRequest c, HttpClientResponse r, Connection stream, byte[] body) {
+    private DeliveryResponse reply(
+            DeliveryRequest deliveryRequest, HttpClientResponse response, Connection stream, byte[] body) {
         Map<String, String> headers = new HashMap<>();
-        r.responseHeaders().forEach(e -> headers.put(e.getKey().toLowerCase(Locale.ROOT), e.getValue()));
-        boolean ours = c.expectedEcho().entrySet().stream()
-                .allMatch(e -> r.responseHeaders().getAll(e.getKey()).equals(List.of(e.getValue())));
+        response.responseHeaders()
+                .forEach(entry -> headers.put(entry.getKey().toLowerCase(Locale.ROOT), entry.getValue()));
+        boolean ours = deliveryRequest.expectedEcho().entrySet().stream()
+                .allMatch(entry ->
+                        response.responseHeaders().getAll(entry.getKey()).equals(List.of(entry.getValue())));
         if (!ours) {
             stream.channel().close();
             throw reactor.core.Exceptions.propagate(
                     new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The answer is to another request."));
         }
-        Matcher m = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
-        if (m.find()) {
+        Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
+        if (matcher.find()) {
             // a margin, so that a stream is not used while the other side closes it
-            long ms = Long.parseLong(m.group(1)) * 1000;
+            long ms = Long.parseLong(matcher.group(1)) * 1000;
             backoffUntil.put(stream.channel().remoteAddress(), Duration.ofMillis(Math.max(ms / 2, ms - 1000)));
         }
-        return new DeliveryResponse(r.status().code(), headers, body);
+        return new DeliveryResponse(response.status().code(), headers, body);
     }
 
     private static Throwable failure(Throwable thrown) {
