--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -13,13 +13,13 @@
 public final class NativeDeliveryProtocol implements DeliveryProtocol {
     @Override
     public DeliveryClient.DeliveryRequest push(
-            Message m, DeliveryTargets.Target to, Duration limit, BooleanSupplier still) {
-        return new DeliveryClient.DeliveryRequest("POST", to.address() + "/messages", body(m), limit, still);
+            Message message, DeliveryTargets.Target to, Duration limit, BooleanSupplier still) {
+        return new DeliveryClient.DeliveryRequest("POST", to.address() + "/messages", body(message), limit, still);
     }
 
     @Override
-    public Verdict read(Message m, DeliveryClient.DeliveryResponse r) {
-        return Verdict.ofPush(r, m.handle(), m.attempt());
+    public Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse) {
+        return Verdict.ofPush(deliveryResponse, message.handle(), message.attempt());
     }
 
     @Override
@@ -27,15 +27,15 @@
         return true;
     }
 
-    private static byte[] body(Message m) {
+    private static byte[] body(Message message) {
         Map<String, Object> b = new LinkedHashMap<>();
-        b.put("messageId", m.handle());
-        b.put("attempt", m.attempt());
-        b.put("callerId", m.id());
-        b.put("tenant", m.tenant());
-        b.put("lane", m.lane());
-        b.put("orderingKey", m.orderKey());
-        b.put("body", new RawValue(new String(m.body(), StandardCharsets.UTF_8)));
+        b.put("messageId", message.handle());
+        b.put("attempt", message.attempt());
+        b.put("callerId", message.id());
+        b.put("tenant", message.tenant());
+        b.put("lane", message.lane());
+        b.put("orderingKey", message.orderKey());
+        b.put("body", new RawValue(new String(message.body(), StandardCharsets.UTF_8)));
         return Configurations.write(b);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -15,16 +15,16 @@
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
     private static final Duration GIVE_UP_AFTER = Duration.ofMinutes(10);
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final SubmitForwarder forwarder;
 
-    public OutcomeRecorder(NodeEnvironment env, SubmitForwarder forwarder) {
-        this.env = env;
+    public OutcomeRecorder(NodeEnvironment environment, SubmitForwarder forwarder) {
+        this.environment = environment;
         this.forwarder = forwarder;
     }
 
     public Mono<Boolean> record(String part, MessageCommands.End end, String processor) {
-        return record(part, end, processor, env.clock().monotonicTime().plus(GIVE_UP_AFTER));
+        return record(part, end, processor, environment.clock().monotonicTime().plus(GIVE_UP_AFTER));
     }
 
     private Mono<Boolean> record(String part, MessageCommands.End end, String processor, Duration until) {
@@ -33,15 +33,15 @@
                 .call(part, ask, MessageCommands.TransitionResult.class, ATTEMPT_TIMEOUT)
                 .map(MessageCommands.TransitionResult::applied)
                 .onErrorResume(e -> {
-                    ServiceException f = ServiceException.of(e);
-                    if (f.kind() == ErrorKind.NOT_FOUND) {
+                    ServiceException failure = ServiceException.of(e);
+                    if (failure.kind() == ErrorKind.NOT_FOUND) {
                         return Mono.just(false);
                     }
-                    if (env.clock().monotonicTime().compareTo(until) >= 0) {
-                        LOG.error("launch: gave up recording the end of {}: {}", end.handle(), f.getMessage());
+                    if (environment.clock().monotonicTime().compareTo(until) >= 0) {
+                        LOG.error("launch: gave up recording the end of {}: {}", end.handle(), failure.getMessage());
                         return Mono.just(false);
                     }
-                    return org.woadvale.common.runtime.Delays.pause(env.timers(), RETRY_PAUSE)
+                    return org.woadvale.common.runtime.Delays.pause(environment.timers(), RETRY_PAUSE)
                             .then(Mono.defer(() -> record(part, end, processor, until)));
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
@@ -19,58 +19,65 @@
      * How much one back end may have in flight from this store: its connections shared out among the stores, and not
      * much more than its slots. 0 where nothing is said.
      */
-    static ToIntFunction<DeliveryTargets.Target> most(Dispatcher l, String service) {
+    static ToIntFunction<DeliveryTargets.Target> most(Dispatcher dispatcher, String service) {
         int stores = (int) Math.max(
                 1,
-                l.context().subscriptions().latest(ServiceNames.STORES).placement().values().stream()
+                dispatcher.context().subscriptions().latest(ServiceNames.STORES).placement().values().stream()
                         .flatMap(List::stream)
                         .distinct()
                         .count());
-        int streams = l.context()
+        int streams = dispatcher
+                .context()
                 .configurations()
                 .fresh()
-                .map(k -> k.configuration().services().get(service))
+                .map(known -> known.configuration().services().get(service))
                 .map(Configuration.Service::streams)
                 .orElse(0);
-        Map<String, Processor> listed = l.context()
+        Map<String, Processor> listed = dispatcher
+                .context()
                 .subscriptions()
                 .latest(ServiceNames.processors(service))
                 .processors();
-        return t -> {
-            int bySlots = Optional.ofNullable(listed.get(t.id()))
-                    .map(p -> (p.slots() * 2 + stores - 1) / stores)
+        return target -> {
+            int bySlots = Optional.ofNullable(listed.get(target.id()))
+                    .map(processor -> (processor.slots() * 2 + stores - 1) / stores)
                     .orElse(0);
             int byStreams = streams == 0 ? 0 : Math.max(1, streams / stores);
             return bySlots == 0 ? byStreams : byStreams == 0 ? bySlots : Math.min(bySlots, byStreams);
         };
     }
 
-    static List<DeliveryTargets.Target> targets(Dispatcher l, String service) {
-        Optional<Configuration.Service> s = l.context()
+    static List<DeliveryTargets.Target> targets(Dispatcher dispatcher, String service) {
+        Optional<Configuration.Service> optional = dispatcher
+                .context()
                 .configurations()
                 .fresh()
-                .map(k -> k.configuration().services().get(service));
-        if (s.isEmpty()) {
+                .map(known -> known.configuration().services().get(service));
+        if (optional.isEmpty()) {
             return List.of();
         }
-        if (s.get().kind() == Configuration.Kind.ENDPOINT) {
-            return List.of(new DeliveryTargets.Target(service, ENDPOINT, s.get().address(), true));
+        if (optional.get().kind() == Configuration.Kind.ENDPOINT) {
+            return List.of(
+                    new DeliveryTargets.Target(service, ENDPOINT, optional.get().address(), true));
         }
         List<DeliveryTargets.Target> out = new ArrayList<>();
-        if (s.get().kind() == Configuration.Kind.FETCHERS) {
+        if (optional.get().kind() == Configuration.Kind.FETCHERS) {
             return out;
         }
-        l.context()
+        dispatcher
+                .context()
                 .subscriptions()
                 .fresh(ServiceNames.processors(service))
-                .ifPresent(v -> v.processors().forEach((id, p) -> {
-                    if (!p.leaving() && !p.address().isEmpty()) {
+                .ifPresent(view -> view.processors().forEach((id, processor) -> {
+                    if (!processor.leaving() && !processor.address().isEmpty()) {
                         out.add(new DeliveryTargets.Target(
                                 service + "/" + id,
                                 id,
-                                p.address(),
-                                p.zone().isEmpty()
-                                        || p.zone().equals(l.context().zone())));
+                                processor.address(),
+                                processor.zone().isEmpty()
+                                        || processor
+                                                .zone()
+                                                .equals(dispatcher.context().zone())));
                     }
                 }));
         return out;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
@@ -19,19 +19,20 @@
     }
 
     /** The one that has the attempt; whoever is listed under its id at another address now is not. */
-    static ProcessorStatus listed(Message m, String address) {
-        if (m.destination().startsWith(PULLED)) {
+    static ProcessorStatus listed(Message message, String address) {
+        if (message.destination().startsWith(PULLED)) {
             return of(Kind.PULLS);
         }
-        if (m.destination().isEmpty()) {
+        if (message.destination().isEmpty()) {
             // stored by a build that did not remember it
             return address.isEmpty() ? of(Kind.PULLS) : new ProcessorStatus(Kind.REACHABLE, address);
         }
-        return new ProcessorStatus(m.destination().equals(address) ? Kind.REACHABLE : Kind.GONE, m.destination());
+        return new ProcessorStatus(
+                message.destination().equals(address) ? Kind.REACHABLE : Kind.GONE, message.destination());
     }
 
-    static ProcessorStatus gone(Message m) {
-        return new ProcessorStatus(Kind.GONE, m.destination().startsWith(PULLED) ? "" : m.destination());
+    static ProcessorStatus gone(Message message) {
+        return new ProcessorStatus(Kind.GONE, message.destination().startsWith(PULLED) ? "" : message.destination());
     }
 
     boolean canBeAsked() {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
@@ -17,11 +17,11 @@
     /** Their clock showed so much at the latest when ours showed that. */
     private record Known(String incarnation, Duration storeTime, Duration localTime) {}
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final Map<String, Known> readings = new ConcurrentHashMap<>();
 
-    StoreClocks(NodeEnvironment env) {
-        this.env = env;
+    StoreClocks(NodeEnvironment environment) {
+        this.environment = environment;
     }
 
     void forget(String store) {
@@ -31,16 +31,24 @@
     /** A time of our clock, said in the store's: never later than it, whatever the clocks' drift and the way's delay. */
     Mono<MessageCommands.RemoteDeadline> deadline(String store, Duration until, Duration limit) {
         return Mono.justOrEmpty(Optional.ofNullable(readings.get(store)))
-                .filter(k -> env.clock().monotonicTime().minus(k.localTime()).compareTo(MAX_AGE) < 0)
-                .switchIfEmpty(Mono.defer(() -> env.rpc()
+                .filter(known -> environment
+                                .clock()
+                                .monotonicTime()
+                                .minus(known.localTime())
+                                .compareTo(MAX_AGE)
+                        < 0)
+                .switchIfEmpty(Mono.defer(() -> environment
+                        .rpc()
                         .call(store, new MessageCommands.ClockRequest(true), MessageCommands.ClockResponse.class, limit)
-                        .map(c ->
-                                new Known(c.incarnation(), c.time(), env.clock().monotonicTime()))
-                        .doOnNext(k -> readings.put(store, k))))
-                .map(k -> {
-                    Duration ahead = until.minus(k.localTime());
+                        .map(response -> new Known(
+                                response.incarnation(),
+                                response.time(),
+                                environment.clock().monotonicTime()))
+                        .doOnNext(known -> readings.put(store, known))))
+                .map(known -> {
+                    Duration ahead = until.minus(known.localTime());
                     return new MessageCommands.RemoteDeadline(
-                            k.incarnation(), k.storeTime().plus(ahead).minus(ahead.dividedBy(DRIFT)));
+                            known.incarnation(), known.storeTime().plus(ahead).minus(ahead.dividedBy(DRIFT)));
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -16,18 +16,18 @@
     /** An ask that is open for longer shows that the store may be gone. */
     private static final Duration SILENT_AFTER = Duration.ofMillis(80);
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final AtomicLong ids = new AtomicLong();
     private final Map<String, Duration> failures = new ConcurrentHashMap<>();
     private final Map<String, Duration> slowSince = new ConcurrentHashMap<>();
     private final Map<String, Map<Long, Duration>> inFlight = new ConcurrentHashMap<>();
 
-    StoreHealth(NodeEnvironment env) {
-        this.env = env;
+    StoreHealth(NodeEnvironment environment) {
+        this.environment = environment;
     }
 
     private Duration now() {
-        return env.clock().monotonicTime();
+        return environment.clock().monotonicTime();
     }
 
     /** Counts the ask as open until it ends. */
@@ -36,15 +36,15 @@
             long id = ids.incrementAndGet();
             Map<Long, Duration> here = inFlight.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
             here.put(id, now());
-            return ask.doFinally(s -> here.remove(id));
+            return ask.doFinally(signal -> here.remove(id));
         });
     }
 
-    void onFailure(String part, String store, ServiceException f) {
-        if (f.kind() == ErrorKind.UNREACHABLE || f.kind() == ErrorKind.UNKNOWN_OUTCOME) {
+    void onFailure(String part, String store, ServiceException failure) {
+        if (failure.kind() == ErrorKind.UNREACHABLE || failure.kind() == ErrorKind.UNKNOWN_OUTCOME) {
             slowSince.put(store, now().plus(UNHEALTHY_AFTER));
         }
-        if (f.kind() != ErrorKind.NOT_OWNER || f.details().isEmpty()) {
+        if (failure.kind() != ErrorKind.NOT_OWNER || failure.details().isEmpty()) {
             failures.put(part, now().plus(FAILURE_MEMORY));
         }
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -24,19 +24,19 @@
 public final class SubmitForwarder {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(400);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final Map<String, String> leaderHints = new ConcurrentHashMap<>();
     private final String zone;
     private final StoreHealth health;
     private final StoreClocks clocks;
 
-    public SubmitForwarder(NodeEnvironment env, ViewSubscriptions subscriptions, String zone) {
+    public SubmitForwarder(NodeEnvironment environment, ViewSubscriptions subscriptions, String zone) {
         this.zone = zone;
-        this.env = env;
+        this.environment = environment;
         this.subscriptions = subscriptions;
-        this.clocks = new StoreClocks(env);
-        this.health = new StoreHealth(env);
+        this.clocks = new StoreClocks(environment);
+        this.health = new StoreHealth(environment);
     }
 
     /**
@@ -81,7 +81,7 @@
      * Goes on until the limit. The answer is definite only if no try before it was left unknown.
      */
     public <T> Mono<T> call(String part, RepeatableRequest body, Class<T> type, Duration limit) {
-        Duration until = env.clock().monotonicTime().plus(limit);
+        Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding =
                 new Forwarding<>(part, to -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
         return attempt(forwarding, 0, false, "");
@@ -116,7 +116,7 @@
             Class<T> type,
             Duration limit,
             ResendPolicy policy) {
-        Duration until = env.clock().monotonicTime().plus(limit);
+        Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding = new Forwarding<>(
                 part,
                 to -> clocks.deadline(to, until, ATTEMPT_TIMEOUT)
@@ -134,18 +134,19 @@
             Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
             Class<T> type,
             Duration limit) {
-        Duration until = env.clock().monotonicTime().plus(limit);
+        Duration until = environment.clock().monotonicTime().plus(limit);
         return clocks.deadline(store, until, ATTEMPT_TIMEOUT)
                 .map(body)
                 .onErrorMap(SubmitForwarder::notSent)
-                .flatMap(b -> env.rpc().call(store, b, type, limit.plus(ATTEMPT_TIMEOUT)))
+                .flatMap(atMostOnceRequest ->
+                        environment.rpc().call(store, atMostOnceRequest, type, limit.plus(ATTEMPT_TIMEOUT)))
                 .doOnError(e -> clocks.forget(store));
     }
 
     /** The question for the clock was left without an answer; of the ask itself nothing was sent. */
     private static ServiceException notSent(Throwable e) {
-        ServiceException f = ServiceException.of(e);
-        return f.kind().definite() ? f : new ServiceException(ErrorKind.UNREACHABLE, f.getMessage());
+        ServiceException failure = ServiceException.of(e);
+        return failure.kind().definite() ? failure : new ServiceException(ErrorKind.UNREACHABLE, failure.getMessage());
     }
 
     /** What stays the same in all attempts: the body is made for the store that is asked. */
@@ -162,28 +163,29 @@
         return forwarding
                 .body()
                 .apply(to)
-                .flatMap(b -> health.tracked(to, env.rpc().call(to, b, forwarding.type(), ATTEMPT_TIMEOUT)))
+                .flatMap(rpcRequest ->
+                        health.tracked(to, environment.rpc().call(to, rpcRequest, forwarding.type(), ATTEMPT_TIMEOUT)))
                 .doOnNext(t -> {
                     leaderHints.put(part, to);
                     health.onSuccess(part, to);
                 })
                 .onErrorResume(e -> {
-                    ServiceException f = ServiceException.of(e);
+                    ServiceException failure = ServiceException.of(e);
                     leaderHints.remove(part, to);
                     clocks.forget(to);
-                    health.onFailure(part, to, f);
-                    boolean nowUnknown = unknown || !f.kind().definite();
-                    if (!forwarding.policy().allows(f.kind())
-                            || env.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
-                        return Mono.error(onSettled(f, nowUnknown));
+                    health.onFailure(part, to, failure);
+                    boolean nowUnknown = unknown || !failure.kind().definite();
+                    if (!forwarding.policy().allows(failure.kind())
+                            || environment.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
+                        return Mono.error(onSettled(failure, nowUnknown));
                     }
-                    String next =
-                            f.kind() == ErrorKind.NOT_OWNER && !f.details().isEmpty()
-                                    ? f.details().get(0)
-                                    : "";
+                    String next = failure.kind() == ErrorKind.NOT_OWNER
+                                    && !failure.details().isEmpty()
+                            ? failure.details().get(0)
+                            : "";
                     Mono<T> more = Mono.defer(() -> attempt(forwarding, turn + 1, nowUnknown, next));
                     return next.isEmpty()
-                            ? Delays.pause(env.timers(), RETRY_PAUSE).then(more)
+                            ? Delays.pause(environment.timers(), RETRY_PAUSE).then(more)
                             : more;
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -17,37 +17,38 @@
     }
 
     /** Only 429 and 503 say that nothing was done; other 5xx and 408 may come after the work. */
-    public static Verdict ofPush(DeliveryClient.DeliveryResponse r, String handle, int attempt) {
-        if (r.status() == 200) {
-            return proof(r, handle, attempt);
+    public static Verdict ofPush(DeliveryClient.DeliveryResponse deliveryResponse, String handle, int attempt) {
+        if (deliveryResponse.status() == 200) {
+            return proof(deliveryResponse, handle, attempt);
         }
-        if (r.status() == 429 || r.status() == 503) {
-            return new Verdict(Kind.RETRY, "answer " + r.status());
+        if (deliveryResponse.status() == 429 || deliveryResponse.status() == 503) {
+            return new Verdict(Kind.RETRY, "answer " + deliveryResponse.status());
         }
-        return r.status() >= 400 && r.status() < 500 && r.status() != 408
-                ? new Verdict(Kind.REJECTED, "answer " + r.status())
-                : new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + r.status());
+        return deliveryResponse.status() >= 400 && deliveryResponse.status() < 500 && deliveryResponse.status() != 408
+                ? new Verdict(Kind.REJECTED, "answer " + deliveryResponse.status())
+                : new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + deliveryResponse.status());
     }
 
-    private static Verdict proof(DeliveryClient.DeliveryResponse r, String handle, int attempt) {
-        JsonNode n = json(r.body());
-        String receipt = n.path("receipt").asText("");
-        boolean echo = n.path("messageId").asText("").equals(handle)
-                && n.path("attempt").asInt(-1) == attempt;
+    private static Verdict proof(DeliveryClient.DeliveryResponse deliveryResponse, String handle, int attempt) {
+        JsonNode node = json(deliveryResponse.body());
+        String receipt = node.path("receipt").asText("");
+        boolean echo = node.path("messageId").asText("").equals(handle)
+                && node.path("attempt").asInt(-1) == attempt;
         return echo && !receipt.isEmpty() && receipt.length() <= 256
                 ? new Verdict(Kind.DONE, receipt)
                 : new Verdict(Kind.OUTCOME_UNKNOWN, "an answer without proof");
     }
 
     /** The answer to the question what became of a message. */
-    public static Verdict ofInquiry(DeliveryClient.DeliveryResponse r, String handle) {
-        JsonNode n = json(r.body());
-        String state = n.path("state").asText("");
-        String receipt = n.path("receipt").asText("");
-        if (r.status() == 404 || state.equals("unknown")) {
+    public static Verdict ofInquiry(DeliveryClient.DeliveryResponse deliveryResponse, String handle) {
+        JsonNode node = json(deliveryResponse.body());
+        String state = node.path("state").asText("");
+        String receipt = node.path("receipt").asText("");
+        if (deliveryResponse.status() == 404 || state.equals("unknown")) {
             return new Verdict(Kind.UNKNOWN_MESSAGE, "not known to the processor");
         }
-        if (r.status() == 200 && n.path("messageId").asText("").equals(handle)) {
+        if (deliveryResponse.status() == 200
+                && node.path("messageId").asText("").equals(handle)) {
             if (state.equals("done") && !receipt.isEmpty()) {
                 return new Verdict(Kind.DONE, receipt);
             }
@@ -58,13 +59,13 @@
                 return new Verdict(Kind.RUNNING, "still running");
             }
         }
-        return new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + r.status());
+        return new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + deliveryResponse.status());
     }
 
     private static JsonNode json(byte[] body) {
         try {
             return Configurations.read(body, JsonNode.class, ErrorKind.BAD_REQUEST);
-        } catch (ServiceException e) {
+        } catch (ServiceException failure) {
             return com.fasterxml.jackson.databind.node.MissingNode.getInstance();
         }
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -40,16 +40,18 @@
     void route(RpcRouter router) {
         router.on(
                         MessageCommands.LongPullRequest.class,
-                        (f, a) ->
-                                context.partitions().requireBefore(a.deadline()).then(Mono.defer(() -> await(a))))
+                        (f, request) -> context.partitions()
+                                .requireBefore(request.deadline())
+                                .then(Mono.defer(() -> await(request))))
                 .on(
                         MessageCommands.ExtendLeaseRequest.class,
-                        (f, a) -> leases(a.partition())
-                                .flatMap(l -> l.extend(a))
+                        (f, request) -> leases(request.partition())
+                                .flatMap(deliveryLeases -> deliveryLeases.extend(request))
                                 .map(ok -> new org.woadvale.common.membership.ControlMessages.UpdateResult(true)))
                 .on(
                         MessageCommands.EndLeaseRequest.class,
-                        (f, a) -> leases(a.partition()).flatMap(l -> l.end(a.end())));
+                        (f, request) -> leases(request.partition())
+                                .flatMap(deliveryLeases -> deliveryLeases.end(request.end())));
     }
 
     private Mono<DeliveryLeases> leases(String part) {
@@ -63,17 +65,17 @@
         return context.environment().clock().monotonicTime();
     }
 
-    private Mono<Object> await(MessageCommands.LongPullRequest a) {
-        WaitingPull m = new WaitingPull(a, now().plusMillis(a.waitMs()), Sinks.one());
+    private Mono<Object> await(MessageCommands.LongPullRequest request) {
+        WaitingPull waitingPull = new WaitingPull(request, now().plusMillis(request.waitMs()), Sinks.one());
         synchronized (this) {
-            Deque<WaitingPull> line = waiting.computeIfAbsent(a.service(), s -> new ArrayDeque<>());
+            Deque<WaitingPull> line = waiting.computeIfAbsent(request.service(), s -> new ArrayDeque<>());
             if (line.size() >= MAX_WAITING) {
                 return Mono.error(new ServiceException(ErrorKind.QUEUE_FULL, "Too many fetches wait here."));
             }
-            line.add(m);
+            line.add(waitingPull);
         }
-        serve(a.service());
-        return m.response().asMono();
+        serve(request.service());
+        return waitingPull.response().asMono();
     }
 
     /** Called by the store's one schedule: serves what is due now, and lets go of those whose time is over. */
@@ -81,11 +83,13 @@
         List<WaitingPull> over = new ArrayList<>();
         Set<String> services;
         synchronized (this) {
-            waiting.values().forEach(line -> line.removeIf(m -> now().compareTo(m.until()) >= 0 && over.add(m)));
+            waiting.values()
+                    .forEach(line ->
+                            line.removeIf(waiting -> now().compareTo(waiting.until()) >= 0 && over.add(waiting)));
             waiting.values().removeIf(Deque::isEmpty);
             services = new TreeSet<>(waiting.keySet());
         }
-        over.forEach(m -> m.response().tryEmitValue(new MessageCommands.LongPullResponse(List.of())));
+        over.forEach(waiting -> waiting.response().tryEmitValue(new MessageCommands.LongPullResponse(List.of())));
         services.forEach(this::serve);
     }
 
@@ -93,14 +97,15 @@
     private synchronized Optional<WaitingPull> take(String service) {
         Deque<WaitingPull> line = waiting.getOrDefault(service, new ArrayDeque<>());
         Optional<WaitingPull> near = line.stream()
-                .filter(m -> m.request().zone().equals(context.zone()))
+                .filter(waiting -> waiting.request().zone().equals(context.zone()))
                 .findFirst();
         near.ifPresent(line::remove);
         return near.or(() -> Optional.ofNullable(line.poll()));
     }
 
-    private synchronized void requeue(WaitingPull m) {
-        waiting.computeIfAbsent(m.request().service(), s -> new ArrayDeque<>()).addFirst(m);
+    private synchronized void requeue(WaitingPull waitingPull) {
+        waiting.computeIfAbsent(waitingPull.request().service(), s -> new ArrayDeque<>())
+                .addFirst(waitingPull);
     }
 
     private synchronized int count(String service) {
@@ -110,18 +115,18 @@
     private void serve(String service) {
         List<Dispatcher> all = new ArrayList<>(dispatchersByPartition.values());
         Collections.rotate(all, turn++);
-        for (Dispatcher l : all) {
+        for (Dispatcher dispatcher : all) {
             int most = count(service);
             if (most == 0) {
                 return;
             }
-            if (l.isLeader()) {
-                l.leases().due(service, most, turn).forEach(m -> deliver(service, l, m));
+            if (dispatcher.isLeader()) {
+                dispatcher.leases().due(service, most, turn).forEach(message -> deliver(service, dispatcher, message));
             }
         }
     }
 
-    private void deliver(String service, Dispatcher l, Message m) {
+    private void deliver(String service, Dispatcher dispatcher, Message m) {
         if (!starting.add(m.handle())) {
             return;
         }
@@ -130,13 +135,14 @@
             starting.remove(m.handle());
             return;
         }
-        l.leases()
+        dispatcher
+                .leases()
                 .begin(m, to.get().request().processor())
                 .map(Optional::of)
                 .defaultIfEmpty(Optional.empty())
                 .onErrorReturn(Optional.empty())
-                .doFinally(s -> starting.remove(m.handle()))
-                .subscribe(x -> x.ifPresentOrElse(
+                .doFinally(signal -> starting.remove(m.handle()))
+                .subscribe(message -> message.ifPresentOrElse(
                         got -> to.get().response().tryEmitValue(new MessageCommands.LongPullResponse(List.of(got))),
                         () -> requeue(to.get())));
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -29,7 +29,7 @@
     /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
     private static final Duration LIMIT = Duration.ofSeconds(2);
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final RouteMatcher doors;
     private final SubmitForwarder forwarder;
     private final SubmitApi submitApi;
@@ -40,7 +40,7 @@
     private final Supplier<Boolean> drain;
 
     public IngressNode(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             ConfigurationView configurations,
             Intake intake,
             MessageQueries queries,
@@ -48,31 +48,31 @@
             Supplier<Map<String, Object>> status,
             Supplier<Boolean> ready,
             Supplier<Boolean> drain) {
-        this.env = env;
+        this.environment = environment;
         this.doors = new RouteMatcher(configurations);
         this.forwarder = forwarder;
         this.submitApi = new SubmitApi(doors, intake);
-        this.processorApi = new ProcessorApi(env, doors, forwarder);
+        this.processorApi = new ProcessorApi(environment, doors, forwarder);
         this.queries = queries;
         this.status = status;
         this.ready = ready;
         this.drain = drain;
     }
 
-    public Mono<Response> handle(Request q) {
+    public Mono<Response> handle(Request request) {
         return Mono.defer(() -> {
                     try {
-                        return route(q);
-                    } catch (ServiceException e) {
-                        return Mono.error(e);
+                        return route(request);
+                    } catch (ServiceException failure) {
+                        return Mono.error(failure);
                     }
                 })
                 .onErrorResume(e -> Mono.just(Response.of(ServiceException.of(e))));
     }
 
-    private Mono<Response> route(Request q) throws ServiceException {
-        List<String> s = q.segments();
-        String op = q.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size()))) + " " + s.size();
+    private Mono<Response> route(Request request) throws ServiceException {
+        List<String> s = request.segments();
+        String op = request.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size()))) + " " + s.size();
         switch (op) {
             case "GET v1/liveness 2":
                 return Mono.just(Response.json(200, Map.of("alive", true)));
@@ -84,60 +84,62 @@
                 return Mono.just(Response.json(200, Map.of("drained", drain.get())));
             case "POST v1/lanes 4":
                 if (s.get(3).equals("messages")) {
-                    return submitApi.submit(q, s.get(2));
+                    return submitApi.submit(request, s.get(2));
                 }
                 break;
             case "GET v1/messages 3":
-                return getMessage(q, s.get(2));
+                return getMessage(request, s.get(2));
             case "GET v1/messages 2":
-                return listMessages(q);
+                return listMessages(request);
             case "POST v1/services 4":
                 if (s.get(3).equals("fetch")) {
-                    return processorApi.pull(q, s.get(2));
+                    return processorApi.pull(request, s.get(2));
                 }
                 break;
             case "POST v1/messages 4":
                 if (s.get(3).equals("outcome")) {
-                    return processorApi.outcome(q, s.get(2));
+                    return processorApi.outcome(request, s.get(2));
                 }
                 break;
             default:
         }
-        throw new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + q.method() + " " + q.path() + ".");
+        throw new ServiceException(
+                ErrorKind.NOT_FOUND, "No such place: " + request.method() + " " + request.path() + ".");
     }
 
-    private Mono<Response> getMessage(Request q, String handle) {
-        return queries.message(q.secret().orElse(""), handle).map(m -> Response.json(200, messageJson(m)));
+    private Mono<Response> getMessage(Request request, String handle) {
+        return queries.message(request.secret().orElse(""), handle)
+                .map(message -> Response.json(200, messageJson(message)));
     }
 
-    private Map<String, Object> messageJson(Message m) {
+    private Map<String, Object> messageJson(Message message) {
         Map<String, Object> b = new LinkedHashMap<>();
-        boolean due = !m.due().isAfter(env.clock().wallTime());
-        b.put("handle", m.handle());
-        b.put("id", m.id());
-        b.put("lane", m.lane());
+        boolean due = !message.due().isAfter(environment.clock().wallTime());
+        b.put("handle", message.handle());
+        b.put("id", message.id());
+        b.put("lane", message.lane());
         b.put(
                 "state",
-                m.state() == MessageState.WAITING && due
+                message.state() == MessageState.WAITING && due
                         ? "ready"
-                        : m.state().name().toLowerCase(Locale.ROOT));
-        b.put("attempts", m.attempt());
-        b.put("processor", m.processor());
-        b.put(m.state() == MessageState.DONE ? "proof" : "note", m.proof());
-        b.put("accepted", m.accepted().toString());
-        if (m.state().ended()) {
-            b.put("ended", m.ended().toString());
+                        : message.state().name().toLowerCase(Locale.ROOT));
+        b.put("attempts", message.attempt());
+        b.put("processor", message.processor());
+        b.put(message.state() == MessageState.DONE ? "proof" : "note", message.proof());
+        b.put("accepted", message.accepted().toString());
+        if (message.state().ended()) {
+            b.put("ended", message.ended().toString());
         }
         return b;
     }
 
     /** Messages of the key's tenant in one state, newest first: failed ones unless told otherwise. */
-    private Mono<Response> listMessages(Request q) throws ServiceException {
-        Configuration.Key key = doors.key(q, Configuration.Role.CALLER);
-        String state = query(q, "state").orElse("failed").toUpperCase(Locale.ROOT);
-        String reason = query(q, "reason").orElse("");
+    private Mono<Response> listMessages(Request request) throws ServiceException {
+        Configuration.Key key = doors.key(request, Configuration.Role.CALLER);
+        String state = query(request, "state").orElse("failed").toUpperCase(Locale.ROOT);
+        String reason = query(request, "reason").orElse("");
         if (java.util.Arrays.stream(MessageState.values())
-                .noneMatch(x -> x.name().equals(state))) {
+                .noneMatch(messageState -> messageState.name().equals(state))) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "state must be waiting, running, done or failed.");
         }
         return Flux.fromIterable(ServiceNames.messageParts())
@@ -149,18 +151,18 @@
                 .collectList()
                 .map(lists -> {
                     List<Map<String, Object>> rows = new ArrayList<>();
-                    lists.forEach(l -> l.messages().stream()
-                            .filter(m -> m.proof().startsWith(reason))
-                            .forEach(m -> rows.add(messageJson(m))));
+                    lists.forEach(listResponse -> listResponse.messages().stream()
+                            .filter(message -> message.proof().startsWith(reason))
+                            .forEach(message -> rows.add(messageJson(message))));
                     return Response.json(200, Map.of("messages", rows));
                 });
     }
 
-    private static Optional<String> query(Request q, String name) {
+    private static Optional<String> query(Request request, String name) {
         return java.util.regex.Pattern.compile("[?&]" + name + "=([a-z]+)")
-                .matcher(q.path())
+                .matcher(request.path())
                 .results()
-                .map(r -> r.group(1))
+                .map(match -> match.group(1))
                 .findFirst();
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -34,7 +34,7 @@
     private static final int FORWARDED_AT_ONCE = 256;
     private static final int ADMITTED_AT_ONCE = 4 * FORWARDED_AT_ONCE;
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final SubmissionValidator validator;
     private final LocalBuckets localBuckets;
     private final SubmitForwarder forwarder;
@@ -42,11 +42,11 @@
     private final Stage<AdmittedSubmission, MessageCommands.Accepted> forwarding;
 
     public Intake(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             ConfigurationView configurations,
             LocalBuckets localBuckets,
             SubmitForwarder forwarder) {
-        this.env = env;
+        this.environment = environment;
         this.validator = new SubmissionValidator(new RouteMatcher(configurations));
         this.localBuckets = localBuckets;
         this.forwarder = forwarder;
@@ -64,8 +64,8 @@
                             putBack(admitted);
                         }
                     }));
-        } catch (ServiceException e) {
-            return Mono.error(e);
+        } catch (ServiceException failure) {
+            return Mono.error(failure);
         }
     }
 
@@ -75,7 +75,7 @@
 
     private Mono<AdmittedSubmission> admit(CheckedSubmission checked, String partition) {
         if (checked.tenant().isEmpty()) {
-            Duration until = env.clock().monotonicTime().plus(TokenMessages.TOKEN_LIFETIME);
+            Duration until = environment.clock().monotonicTime().plus(TokenMessages.TOKEN_LIFETIME);
             LocalBucket.AdmissionToken unlimited = new LocalBucket.AdmissionToken(TokenMessages.NO_GRANT, until);
             return Mono.just(new AdmittedSubmission(checked, unlimited, partition));
         }
@@ -105,8 +105,10 @@
 
     /** Key, lane and token are looked at once more, right before each try: design 9.7. */
     private Mono<MessageCommands.Accepted> forward(AdmittedSubmission admitted) {
-        Duration until =
-                env.clock().monotonicTime().plus(limit(admitted.checked().submission()));
+        Duration until = environment
+                .clock()
+                .monotonicTime()
+                .plus(limit(admitted.checked().submission()));
         return attempt(admitted, until, false);
     }
 
@@ -125,12 +127,12 @@
         MessageCommands.Accept command;
         try {
             command = command(admitted);
-        } catch (ServiceException e) {
+        } catch (ServiceException failure) {
             putBack(admitted);
-            return Mono.error(definite(e, outcomeUnknown));
+            return Mono.error(definite(failure, outcomeUnknown));
         }
         String partition = admitted.partition();
-        Duration tokenLife = admitted.token().until().minus(env.clock().monotonicTime());
+        Duration tokenLife = admitted.token().until().minus(environment.clock().monotonicTime());
         return forwarder
                 .callWithDeadline(
                         partition,
@@ -146,7 +148,7 @@
         if (!localBuckets.isValid(admitted.token())) {
             throw new ServiceException(ErrorKind.THROTTLED, "The pass died while waiting.");
         }
-        return admitted.checked().command(lane, env.clock().wallTime());
+        return admitted.checked().command(lane, environment.clock().wallTime());
     }
 
     private Mono<MessageCommands.Accepted> failed(
@@ -163,11 +165,11 @@
             return admit(checked, other.get()).flatMap(next -> attempt(next, until, false));
         }
         boolean mayRepeat = unknownByNow || failure.kind() == ErrorKind.UNAVAILABLE && !checked.anyPartition();
-        boolean inTime = env.clock().monotonicTime().compareTo(until) < 0;
+        boolean inTime = environment.clock().monotonicTime().compareTo(until) < 0;
         if (!mayRepeat || localBuckets.isValid(admitted.token()) || !inTime) {
             return Mono.error(definite(failure, unknownByNow));
         }
-        return Delays.pause(env.timers(), RETRY_PAUSE)
+        return Delays.pause(environment.timers(), RETRY_PAUSE)
                 .then(admit(checked, admitted.partition()))
                 .flatMap(next -> attempt(next, until, unknownByNow))
                 .onErrorMap(error -> definite(error, unknownByNow));
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -44,8 +44,8 @@
                 String part = partOf(handle);
                 return forwarder.call(
                         part, new MessageCommands.StatusRequest(part, handle, key.tenant()), Message.class, LIMIT);
-            } catch (ServiceException e) {
-                return Mono.error(e);
+            } catch (ServiceException failure) {
+                return Mono.error(failure);
             }
         });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -34,12 +34,12 @@
     /** A processor's pull of one service's messages, and until when (monotonic time) it may wait for one. */
     private record PendingPull(Request request, String service, PullRequest terms, Duration until) {}
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final RouteMatcher matcher;
     private final SubmitForwarder forwarder;
 
-    ProcessorApi(NodeEnvironment env, RouteMatcher matcher, SubmitForwarder forwarder) {
-        this.env = env;
+    ProcessorApi(NodeEnvironment environment, RouteMatcher matcher, SubmitForwarder forwarder) {
+        this.environment = environment;
         this.matcher = matcher;
         this.forwarder = forwarder;
     }
@@ -48,10 +48,13 @@
     Mono<Response> pull(Request request, String service) throws ServiceException {
         checkKey(request, service);
         PullRequest terms = matcher.body(request, PullRequest.class);
-        int first = (int) Math.floorMod(env.random().getAsLong(), (long) ServiceNames.MESSAGE_PARTS);
+        int first = (int) Math.floorMod(environment.random().getAsLong(), (long) ServiceNames.MESSAGE_PARTS);
         Mono<Response> fresh = Mono.defer(() -> pullRound(
                 new PendingPull(
-                        request, service, terms, env.clock().monotonicTime().plus(Duration.ofMillis(terms.waitMs()))),
+                        request,
+                        service,
+                        terms,
+                        environment.clock().monotonicTime().plus(Duration.ofMillis(terms.waitMs()))),
                 first));
         if (!terms.again() || terms.fetch().isEmpty()) {
             return fresh;
@@ -68,8 +71,8 @@
         return Mono.defer(() -> {
             try {
                 checkKey(pull.request(), pull.service());
-            } catch (ServiceException e) {
-                return Mono.error(e);
+            } catch (ServiceException failure) {
+                return Mono.error(failure);
             }
             return Flux.range(0, ServiceNames.MESSAGE_PARTS)
                     .map(i -> "m" + (first + i) % ServiceNames.MESSAGE_PARTS)
@@ -82,10 +85,10 @@
     }
 
     private Mono<Response> nothingFound(PendingPull pull, int first) {
-        if (env.clock().monotonicTime().compareTo(pull.until()) >= 0) {
+        if (environment.clock().monotonicTime().compareTo(pull.until()) >= 0) {
             return Mono.just(answer(List.of()));
         }
-        return Delays.pause(env.timers(), PULL_INTERVAL).then(pullRound(pull, first + 1));
+        return Delays.pause(environment.timers(), PULL_INTERVAL).then(pullRound(pull, first + 1));
     }
 
     private Mono<MessageCommands.FetchResponse> pullFrom(
@@ -141,7 +144,7 @@
             throw new ServiceException(ErrorKind.BAD_REQUEST, "Done needs a receipt.");
         }
         String partition = MessageQueries.partOf(handle);
-        Instant now = env.clock().wallTime();
+        Instant now = environment.clock().wallTime();
         MessageCommands.End end = new MessageCommands.End(
                 handle, outcome.attempt(), ending(outcome), outcome.receipt(), now.plus(RETRY_DELAY), now);
         return forwarder
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -34,8 +34,8 @@
 
     /** What a processor says of its lease: the handle, and the attempt that it has. */
     public record LeaseId(String handle, int attempt) {
-        public static LeaseId of(Message m) {
-            return new LeaseId(m.handle(), m.attempt());
+        public static LeaseId of(Message message) {
+            return new LeaseId(message.handle(), message.attempt());
         }
 
         public String word() {
@@ -47,9 +47,10 @@
             if (!word.matches("m[0-9]{1,4}-[0-9]{1,18}\\.[0-9]{1,9}")) {
                 return Optional.empty();
             }
-            LeaseId l = new LeaseId(
+            LeaseId leaseId = new LeaseId(
                     word.substring(0, word.indexOf('.')), Integer.parseInt(word.substring(word.indexOf('.') + 1)));
-            return Optional.of(l).filter(x -> ServiceNames.messageParts().contains(x.part()));
+            return Optional.of(leaseId)
+                    .filter(lease -> ServiceNames.messageParts().contains(lease.part()));
         }
 
         String part() {
@@ -57,7 +58,7 @@
         }
     }
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
     private final SubmitForwarder forwarder;
@@ -65,14 +66,14 @@
     private final BooleanSupplier draining;
 
     public PullService(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
             SubmitForwarder forwarder,
             String zone,
             BooleanSupplier draining) {
         this.zone = zone;
-        this.env = env;
+        this.environment = environment;
         this.subscriptions = subscriptions;
         this.configurations = configurations;
         this.forwarder = forwarder;
@@ -84,16 +85,16 @@
         return Mono.create(sink -> {
             AtomicBoolean gone = new AtomicBoolean();
             sink.onCancel(() -> gone.set(true));
-            Duration until = env.clock().monotonicTime().plus(wait);
-            int first = (int) Math.floorMod(env.random().getAsLong(), 1 << 16);
+            Duration until = environment.clock().monotonicTime().plus(wait);
+            int first = (int) Math.floorMod(environment.random().getAsLong(), 1 << 16);
             pullRound(service, processor, until, first, first, gone)
                     .subscribe(
-                            m -> {
+                            message -> {
                                 if (gone.get()) {
-                                    end(LeaseId.of(m), MessageCommands.AttemptOutcome.NOT_SENT, "nobody took it")
+                                    end(LeaseId.of(message), MessageCommands.AttemptOutcome.NOT_SENT, "nobody took it")
                                             .subscribe(x -> {}, e -> {});
                                 } else {
-                                    sink.success(m);
+                                    sink.success(message);
                                 }
                             },
                             sink::error,
@@ -103,7 +104,7 @@
 
     private Mono<Message> pullRound(
             String service, String processor, Duration until, int first, int n, AtomicBoolean gone) {
-        Duration left = until.minus(env.clock().monotonicTime());
+        Duration left = until.minus(environment.clock().monotonicTime());
         // a draining intake lets nobody wait for longer than one turn
         if (left.toMillis() < 1 || gone.get() || n != first && draining.getAsBoolean()) {
             return Mono.empty();
@@ -116,21 +117,22 @@
                 .isPresent();
         Mono<Message> next = Mono.defer(() -> pullRound(service, processor, until, first, n + 1, gone));
         if (!known || stores.isEmpty()) {
-            return Delays.pause(env.timers(), least(left, AGAIN)).then(next);
+            return Delays.pause(environment.timers(), least(left, AGAIN)).then(next);
         }
         String store = stores.get((n - first) % stores.size());
         Duration here = least(left, near(store) ? NEAR : TURN);
         return forwarder
                 .at(
                         store,
-                        u -> new MessageCommands.LongPullRequest(service, processor, u, here.toMillis(), zone),
+                        deadline -> new MessageCommands.LongPullRequest(
+                                service, processor, deadline, here.toMillis(), zone),
                         MessageCommands.LongPullResponse.class,
                         here)
-                .flatMap(p -> p.messages().isEmpty()
+                .flatMap(response -> response.messages().isEmpty()
                         ? Mono.<Message>empty()
-                        : Mono.just(p.messages().get(0)))
-                .onErrorResume(
-                        e -> Delays.pause(env.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
+                        : Mono.just(response.messages().get(0)))
+                .onErrorResume(e ->
+                        Delays.pause(environment.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
                 .switchIfEmpty(next);
     }
 
@@ -141,7 +143,7 @@
     private boolean near(String store) {
         return Optional.ofNullable(
                         subscriptions.latest(ServiceNames.STORES).members().get(store))
-                .filter(s -> s.zone().equals(zone))
+                .filter(lease -> lease.zone().equals(zone))
                 .isPresent();
     }
 
@@ -156,11 +158,11 @@
     }
 
     /** Fails with CONFLICT where the lease is gone. */
-    public Mono<Boolean> extend(LeaseId l) {
+    public Mono<Boolean> extend(LeaseId lease) {
         return forwarder
                 .call(
-                        l.part(),
-                        new MessageCommands.ExtendLeaseRequest(l.part(), l.handle(), l.attempt()),
+                        lease.part(),
+                        new MessageCommands.ExtendLeaseRequest(lease.part(), lease.handle(), lease.attempt()),
                         ControlMessages.UpdateResult.class,
                         LIMIT)
                 .map(ControlMessages.UpdateResult::accepted)
@@ -168,13 +170,13 @@
     }
 
     /** Taken once and for all; the same end said again is taken again. Fails with CONFLICT where the lease is gone. */
-    public Mono<Boolean> end(LeaseId l, MessageCommands.AttemptOutcome ending, String word) {
-        Instant now = env.clock().wallTime();
-        MessageCommands.End e = new MessageCommands.End(l.handle(), l.attempt(), ending, word, now, now);
+    public Mono<Boolean> end(LeaseId lease, MessageCommands.AttemptOutcome ending, String word) {
+        Instant now = environment.clock().wallTime();
+        MessageCommands.End end = new MessageCommands.End(lease.handle(), lease.attempt(), ending, word, now, now);
         return forwarder
                 .call(
-                        l.part(),
-                        new MessageCommands.EndLeaseRequest(l.part(), e),
+                        lease.part(),
+                        new MessageCommands.EndLeaseRequest(lease.part(), end),
                         MessageCommands.TransitionResult.class,
                         LIMIT)
                 .map(MessageCommands.TransitionResult::applied)
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -18,9 +18,9 @@
         this.configurations = configurations;
     }
 
-    Configuration.Key key(Request q, Configuration.Role role) throws ServiceException {
-        ConfigurationView.Known k = configurations.require();
-        Optional<Configuration.Key> key = q.secret().flatMap(k::key);
+    Configuration.Key key(Request request, Configuration.Role role) throws ServiceException {
+        ConfigurationView.Known known = configurations.require();
+        Optional<Configuration.Key> key = request.secret().flatMap(known::key);
         if (key.isEmpty()) {
             throw new ServiceException(ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn.");
         }
@@ -34,8 +34,8 @@
 
     /** Empty where the lane asks for no key. */
     Optional<Configuration.Key> callerKey(String secret, String lane) throws ServiceException {
-        ConfigurationView.Known k = configurations.require();
-        Optional<Configuration.Key> key = k.key(secret).filter(x -> x.role() == Configuration.Role.CALLER);
+        ConfigurationView.Known known = configurations.require();
+        Optional<Configuration.Key> key = known.key(secret).filter(x -> x.role() == Configuration.Role.CALLER);
         if (key.isEmpty() && !lane(lane).keyless()) {
             throw new ServiceException(ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn.");
         }
@@ -48,8 +48,8 @@
                 .orElseThrow(() -> new ServiceException(ErrorKind.UNKNOWN_LANE, "There is no lane " + name + "."));
     }
 
-    <T> T body(Request q, Class<T> type) throws ServiceException {
-        T t = Configurations.read(q.body(), type, ErrorKind.BAD_REQUEST);
+    <T> T body(Request request, Class<T> type) throws ServiceException {
+        T t = Configurations.read(request.body(), type, ErrorKind.BAD_REQUEST);
         List<String> faults = new ArrayList<>(Configurations.faults(t));
         if (!faults.isEmpty()) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "The request has " + faults.size() + " faults.", faults);
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -41,20 +41,20 @@
 
     private static final int MAX_RECORDED_ENDS = 62;
 
-    static Message accepted(String handle, long seq, MessageCommands.Accept a) {
+    static Message accepted(String handle, long seq, MessageCommands.Accept accept) {
         return new Message(
                 handle,
-                a.tenant(),
-                a.lane(),
-                a.id(),
-                a.orderKey(),
-                a.body(),
-                a.hash(),
-                a.terms(),
+                accept.tenant(),
+                accept.lane(),
+                accept.id(),
+                accept.orderKey(),
+                accept.body(),
+                accept.hash(),
+                accept.terms(),
                 seq,
-                a.at(),
-                a.due(),
-                a.due(),
+                accept.at(),
+                accept.due(),
+                accept.due(),
                 MessageState.WAITING,
                 0,
                 0,
@@ -63,7 +63,7 @@
                 "",
                 Instant.MAX,
                 "",
-                a.envelope(),
+                accept.envelope(),
                 0);
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -33,13 +33,13 @@
     /** One part here: its replica, its machine and its own bucket in size units. */
     public record MessagePartition(String id, Replica replica, MessageStateMachine stateMachine, Bucket units) {}
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final Map<String, MessagePartition> partitions = new ConcurrentHashMap<>();
     private final Bucket nodeUnits;
     private final RateLimit partitionLimit;
     private final long maxPartitionBytes;
-    private Consumer<MessagePartition> onOpen = b -> {};
+    private Consumer<MessagePartition> onOpen = partition -> {};
     private TimerHandle ticking = () -> {};
     private boolean draining;
     private final String incarnation;
@@ -47,7 +47,7 @@
 
     /** A part takes no more beyond its size; and its view, with room for the log's tail, must fit into a ring file. */
     public MessagePartitions(
-            NodeEnvironment env,
+            NodeEnvironment environment,
             ViewSubscriptions subscriptions,
             RateLimit node,
             RateLimit part,
@@ -55,37 +55,42 @@
             Duration retention) {
         this.retention = retention;
         this.maxPartitionBytes = partBytes;
-        this.env = env;
+        this.environment = environment;
         this.subscriptions = subscriptions;
-        this.nodeUnits = Bucket.full(node, env.clock().monotonicTime());
+        this.nodeUnits = Bucket.full(node, environment.clock().monotonicTime());
         this.partitionLimit = part;
-        this.incarnation = Long.toHexString(env.random().getAsLong());
+        this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
-    public void onOpen(Consumer<MessagePartition> c) {
-        onOpen = c;
+    public void onOpen(Consumer<MessagePartition> consumer) {
+        onOpen = consumer;
     }
 
     public void route(RpcRouter router) {
         ReplicationMessages.route(router, part -> partition(part).map(MessagePartition::replica))
                 .on(
                         MessageCommands.AcceptRequest.class,
-                        (f, a) -> partition(a.partition())
-                                .flatMap(b ->
-                                        requireBefore(a.deadline()).then(Mono.defer(() -> accept(b, a.accept())))))
+                        (f, request) -> partition(request.partition())
+                                .flatMap(partition -> requireBefore(request.deadline())
+                                        .then(Mono.defer(() -> accept(partition, request.accept())))))
                 .on(
                         MessageCommands.ClockRequest.class,
-                        (f, a) -> Mono.just(new MessageCommands.ClockResponse(
-                                incarnation, env.clock().monotonicTime())))
+                        (f, request) -> Mono.just(new MessageCommands.ClockResponse(
+                                incarnation, environment.clock().monotonicTime())))
                 .on(
                         MessageCommands.StatusRequest.class,
-                        (f, a) -> partition(a.partition()).flatMap(b -> status(b, a)))
+                        (f, request) -> partition(request.partition()).flatMap(partition -> status(partition, request)))
                 .on(
                         MessageCommands.ListRequest.class,
-                        (f, a) -> partition(a.partition())
-                                .flatMap(b -> b.replica()
-                                        .read(i -> new MessageCommands.ListResponse(b.stateMachine()
-                                                .list(a.tenant(), MessageState.valueOf(a.state()), a.limit())))));
+                        (f, request) -> partition(request.partition())
+                                .flatMap(partition -> partition
+                                        .replica()
+                                        .read(i -> new MessageCommands.ListResponse(partition
+                                                .stateMachine()
+                                                .list(
+                                                        request.tenant(),
+                                                        MessageState.valueOf(request.state()),
+                                                        request.limit())))));
     }
 
     public Mono<MessagePartition> partition(String part) {
@@ -95,73 +100,77 @@
     }
 
     /** What was held up on its way past its time is refused: its pass, key and lane have not been looked at since. */
-    public Mono<Object> requireBefore(MessageCommands.RemoteDeadline u) {
-        return Mono.defer(() -> u.incarnation().equals(incarnation)
-                        && env.clock().monotonicTime().compareTo(u.at()) < 0
+    public Mono<Object> requireBefore(MessageCommands.RemoteDeadline deadline) {
+        return Mono.defer(() -> deadline.incarnation().equals(incarnation)
+                        && environment.clock().monotonicTime().compareTo(deadline.at()) < 0
                 ? Mono.empty()
                 : Mono.error(new ServiceException(ErrorKind.EXPIRED, "This came too late to be taken.")));
     }
 
     /** Node and part buckets in size units first, then the commit. All refusals here are definite. */
-    private Mono<MessageCommands.Accepted> accept(MessagePartition b, MessageCommands.Accept a) {
-        int units = Math.max(1, (a.body().length + 1023) / 1024);
-        boolean room = b.replica().look(i -> b.stateMachine().storedBytes())
-                        < Math.min(maxPartitionBytes, env.wal().largestRecordBytes() / 2)
-                && !env.wal().nearlyFull();
-        if (!b.replica().isActiveLeader()) {
+    private Mono<MessageCommands.Accepted> accept(MessagePartition partition, MessageCommands.Accept accept) {
+        int units = Math.max(1, (accept.body().length + 1023) / 1024);
+        boolean room = partition.replica().look(i -> partition.stateMachine().storedBytes())
+                        < Math.min(maxPartitionBytes, environment.wal().largestRecordBytes() / 2)
+                && !environment.wal().nearlyFull();
+        if (!partition.replica().isActiveLeader()) {
             // it may own the part a moment later: then all of this is looked at again
-            return b.replica().read(i -> i).flatMap(i -> accept(b, a));
+            return partition.replica().read(i -> i).flatMap(i -> accept(partition, accept));
         }
         if (!room) {
-            return Mono.error(new ServiceException(ErrorKind.QUEUE_FULL, "The part " + b.id() + " has no room."));
+            return Mono.error(
+                    new ServiceException(ErrorKind.QUEUE_FULL, "The part " + partition.id() + " has no room."));
         }
-        if (!spend(b, units)) {
+        if (!spend(partition, units)) {
             return Mono.error(new ServiceException(ErrorKind.THROTTLED, "The store is at its limit.", List.of("1")));
         }
-        return b.replica().propose(withLeaderTime(a), MessageCommands.Accepted.class);
+        return partition.replica().propose(withLeaderTime(accept), MessageCommands.Accepted.class);
     }
 
     /** Clock are the owner's: the intake's calendar clock may be off. design 9.1 */
-    private MessageCommands.Accept withLeaderTime(MessageCommands.Accept a) {
-        Instant now = env.clock().wallTime();
+    private MessageCommands.Accept withLeaderTime(MessageCommands.Accept accept) {
+        Instant now = environment.clock().wallTime();
         return new MessageCommands.Accept(
-                a.tenant(),
-                a.lane(),
-                a.id(),
-                a.orderKey(),
-                a.body(),
-                a.hash(),
-                a.terms(),
-                now.plus(Duration.between(a.at(), a.due())),
+                accept.tenant(),
+                accept.lane(),
+                accept.id(),
+                accept.orderKey(),
+                accept.body(),
+                accept.hash(),
+                accept.terms(),
+                now.plus(Duration.between(accept.at(), accept.due())),
                 now,
-                a.envelope());
+                accept.envelope());
     }
 
     /** Draws size units of the node and of the part, or of neither. */
-    public boolean spend(MessagePartition b, int units) {
+    public boolean spend(MessagePartition partition, int units) {
         synchronized (nodeUnits) {
-            Duration now = env.clock().monotonicTime();
+            Duration now = environment.clock().monotonicTime();
             nodeUnits.fill(now, 0);
-            b.units().fill(now, 0);
-            if (nodeUnits.level() < units || !b.units().take(units)) {
+            partition.units().fill(now, 0);
+            if (nodeUnits.level() < units || !partition.units().take(units)) {
                 return false;
             }
             return nodeUnits.take(units);
         }
     }
 
-    private Mono<Message> status(MessagePartition b, MessageCommands.StatusRequest a) {
-        return b.replica()
-                .read(i ->
-                        b.stateMachine().get(a.handle()).filter(m -> m.tenant().equals(a.tenant())))
-                .flatMap(o -> o.map(Mono::just)
+    private Mono<Message> status(MessagePartition partition, MessageCommands.StatusRequest request) {
+        return partition
+                .replica()
+                .read(i -> partition
+                        .stateMachine()
+                        .get(request.handle())
+                        .filter(message -> message.tenant().equals(request.tenant())))
+                .flatMap(message -> message.map(Mono::just)
                         .orElseGet(() -> Mono.error(new ServiceException(
                                 ErrorKind.NOT_FOUND,
                                 "No such message is known; it may have been forgotten after its end."))));
     }
 
     public void start() throws ServiceException {
-        for (String part : env.wal().recovered().keySet()) {
+        for (String part : environment.wal().recovered().keySet()) {
             if (part.startsWith("m")) {
                 open(part, List.of());
             }
@@ -171,17 +180,20 @@
                 onTick();
             }
         });
-        ticking = env.timers().every(Duration.ofMillis(200), this::onTick);
+        ticking = environment.timers().every(Duration.ofMillis(200), this::onTick);
     }
 
     private void open(String part, List<String> wanted) throws ServiceException {
-        MessageStateMachine m = new MessageStateMachine(part, env.codec());
-        Replica r = new Replica(part, wanted, m, env);
-        r.start(env.wal().recovered().getOrDefault(part, List.of()));
-        MessagePartition b = new MessagePartition(
-                part, r, m, Bucket.full(partitionLimit, env.clock().monotonicTime()));
-        partitions.put(part, b);
-        onOpen.accept(b);
+        MessageStateMachine stateMachine = new MessageStateMachine(part, environment.codec());
+        Replica replica = new Replica(part, wanted, stateMachine, environment);
+        replica.start(environment.wal().recovered().getOrDefault(part, List.of()));
+        MessagePartition partition = new MessagePartition(
+                part,
+                replica,
+                stateMachine,
+                Bucket.full(partitionLimit, environment.clock().monotonicTime()));
+        partitions.put(part, partition);
+        onOpen.accept(partition);
     }
 
     private synchronized void onTick() {
@@ -191,55 +203,60 @@
             Optional<MessagePartition> b = Optional.ofNullable(partitions.get(part));
             if (b.isPresent()) {
                 b.get().replica().setDesiredMembers(copies);
-            } else if (copies.contains(env.self())) {
+            } else if (copies.contains(environment.self())) {
                 try {
                     open(part, copies);
-                } catch (ServiceException e) {
-                    LOG.error("berth: the part {} did not open: {}", part, e.getMessage());
+                } catch (ServiceException failure) {
+                    LOG.error("berth: the part {} did not open: {}", part, failure.getMessage());
                 }
             }
         });
-        partitions.values().forEach(b -> {
-            expireEnded(b);
-            balanceLeader(b, placement.getOrDefault(b.id(), List.of()));
+        partitions.values().forEach(partition -> {
+            expireEnded(partition);
+            balanceLeader(partition, placement.getOrDefault(partition.id(), List.of()));
         });
     }
 
-    private void expireEnded(MessagePartition b) {
-        var limit = env.clock().wallTime().minus(retention);
-        var unclear = env.clock().wallTime().minus(OUTCOME_UNKNOWN_RETENTION);
-        if (b.replica().isActiveLeader()
-                && b.replica()
-                        .look(i -> b.stateMachine()
+    private void expireEnded(MessagePartition partition) {
+        var limit = environment.clock().wallTime().minus(retention);
+        var unclear = environment.clock().wallTime().minus(OUTCOME_UNKNOWN_RETENTION);
+        if (partition.replica().isActiveLeader()
+                && partition
+                        .replica()
+                        .look(i -> partition
+                                .stateMachine()
                                 .anyEndedBefore(
                                         limit.minusSeconds(MAX_EXPIRY_LAG_S),
                                         unclear.minusSeconds(MAX_EXPIRY_LAG_S)))) {
-            b.replica()
+            partition
+                    .replica()
                     .propose(new MessageCommands.ExpireEnded(limit, unclear), MessageCommands.ExpiredCount.class)
-                    .subscribe(f -> {}, e -> {});
+                    .subscribe(expiredCount -> {}, e -> {});
         }
     }
 
     /** The first of the placement owns once it is up to date; a draining node gives all away. */
-    private void balanceLeader(MessagePartition b, List<String> copies) {
-        if (b.replica().role() != Role.LEADER) {
+    private void balanceLeader(MessagePartition partition, List<String> copies) {
+        if (partition.replica().role() != Role.LEADER) {
             return;
         }
-        b.replica()
+        partition
+                .replica()
                 .successor()
                 .filter(h -> draining || (!copies.isEmpty() && h.equals(copies.get(0))))
                 .ifPresent(h -> {
-                    if (b.replica().transferLeadership(h)) {
-                        LOG.info("berth: hands {} over to {}.", b.id(), h);
+                    if (partition.replica().transferLeadership(h)) {
+                        LOG.info("berth: hands {} over to {}.", partition.id(), h);
                     }
                 });
     }
 
     public boolean drain() {
         draining = true;
-        partitions.values().forEach(b -> b.replica().declineLeadership());
-        partitions.values().forEach(b -> balanceLeader(b, List.of()));
-        return partitions.values().stream().noneMatch(b -> b.replica().role() == Role.LEADER);
+        partitions.values().forEach(partition -> partition.replica().declineLeadership());
+        partitions.values().forEach(partition -> balanceLeader(partition, List.of()));
+        return partitions.values().stream()
+                .noneMatch(partition -> partition.replica().role() == Role.LEADER);
     }
 
     public Map<String, MessagePartition> all() {
@@ -248,6 +265,6 @@
 
     public void stop() {
         ticking.cancel();
-        partitions.values().forEach(b -> b.replica().stop());
+        partitions.values().forEach(partition -> partition.replica().stop());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -48,7 +48,7 @@
 
     public List<Message> list(String tenant, MessageState state, int most) {
         return index.all().stream()
-                .filter(m -> m.tenant().equals(tenant) && m.state() == state)
+                .filter(message -> message.tenant().equals(tenant) && message.state() == state)
                 .sorted(Comparator.comparing(Message::seq).reversed())
                 .limit(most)
                 .toList();
@@ -61,109 +61,113 @@
 
     @Override
     public Object apply(long logIndex, Object c) {
-        if (c instanceof MessageCommands.Accept a) {
-            return accept(a);
-        } else if (c instanceof MessageCommands.Start s) {
-            return start(s);
-        } else if (c instanceof MessageCommands.End e) {
-            return end(e);
-        } else if (c instanceof MessageCommands.ExpireEnded f) {
-            return forget(f);
+        if (c instanceof MessageCommands.Accept accept) {
+            return accept(accept);
+        } else if (c instanceof MessageCommands.Start start) {
+            return start(start);
+        } else if (c instanceof MessageCommands.End end) {
+            return end(end);
+        } else if (c instanceof MessageCommands.ExpireEnded expireEnded) {
+            return forget(expireEnded);
         }
         return new ServiceException(
                 ErrorKind.BAD_REQUEST, "Unknown command " + c.getClass().getSimpleName() + ".");
     }
 
-    private Object accept(MessageCommands.Accept a) {
+    private Object accept(MessageCommands.Accept accept) {
         long n = lastSequence + 1;
         String handle = partition + "-" + n;
-        Message m = Message.accepted(handle, n, a);
+        Message m = Message.accepted(handle, n, accept);
         Optional<Message> known = index.findById(m.idempotencyGroup());
         if (known.isPresent()) {
-            Message k = known.get();
-            if (!k.hash().equals(a.hash())) {
+            Message message = known.get();
+            if (!message.hash().equals(accept.hash())) {
                 return new ServiceException(
-                        ErrorKind.CONFLICT, "The message id was used for other content.", List.of(k.handle()));
+                        ErrorKind.CONFLICT, "The message id was used for other content.", List.of(message.handle()));
             }
-            return new MessageCommands.Accepted(k.handle(), k.state().name(), true);
+            return new MessageCommands.Accepted(
+                    message.handle(), message.state().name(), true);
         }
         lastSequence = n;
         index.add(m);
         return new MessageCommands.Accepted(handle, m.state().name(), false);
     }
 
-    private Object start(MessageCommands.Start s) {
-        Optional<Message> found = index.find(s.handle());
-        return found.isPresent() ? start(found.get(), s) : noSuchMessage();
+    private Object start(MessageCommands.Start start) {
+        Optional<Message> found = index.find(start.handle());
+        return found.isPresent() ? start(found.get(), start) : noSuchMessage();
     }
 
     private static ServiceException noSuchMessage() {
         return new ServiceException(ErrorKind.NOT_FOUND, "No such message.");
     }
 
-    private MessageCommands.TransitionResult start(Message m, MessageCommands.Start s) {
-        if (m.state() != MessageState.WAITING || s.attempt() != m.attempt() + 1 || !index.isFirstOfOrderingKey(m)) {
-            return new MessageCommands.TransitionResult(false, m);
+    private MessageCommands.TransitionResult start(Message message, MessageCommands.Start start) {
+        if (message.state() != MessageState.WAITING
+                || start.attempt() != message.attempt() + 1
+                || !index.isFirstOfOrderingKey(message)) {
+            return new MessageCommands.TransitionResult(false, message);
         }
-        Message next = m.transition(
+        Message next = message.transition(
                 MessageState.RUNNING,
-                s.attempt(),
-                m.attemptsMade() + 1,
-                s.processor(),
-                s.deadline(),
-                m.due(),
+                start.attempt(),
+                message.attemptsMade() + 1,
+                start.processor(),
+                start.deadline(),
+                message.due(),
                 "",
-                s.at(),
-                s.destination());
-        index.put(Optional.of(m), next);
+                start.at(),
+                start.destination());
+        index.put(Optional.of(message), next);
         return new MessageCommands.TransitionResult(true, next);
     }
 
-    private Object end(MessageCommands.End e) {
-        Optional<Message> found = index.find(e.handle());
-        return found.isPresent() ? end(found.get(), e) : noSuchMessage();
+    private Object end(MessageCommands.End end) {
+        Optional<Message> found = index.find(end.handle());
+        return found.isPresent() ? end(found.get(), end) : noSuchMessage();
     }
 
-    private MessageCommands.TransitionResult end(Message m, MessageCommands.End e) {
-        boolean present = m.state() == MessageState.RUNNING && m.attempt() == e.attempt();
+    private MessageCommands.TransitionResult end(Message message, MessageCommands.End end) {
+        boolean present = message.state() == MessageState.RUNNING && message.attempt() == end.attempt();
         // of two leases only the later may end a message: design 9.10
-        boolean lateSuccess = e.outcome() == MessageCommands.AttemptOutcome.SUCCEEDED
-                && !m.state().ended()
-                && e.attempt() <= m.attempt()
-                && (e.attempt() == m.attempt() || !m.leased());
-        boolean overdue = e.attempt() == 0
-                && m.state() == MessageState.WAITING
-                && e.outcome() == MessageCommands.AttemptOutcome.FAILED;
+        boolean lateSuccess = end.outcome() == MessageCommands.AttemptOutcome.SUCCEEDED
+                && !message.state().ended()
+                && end.attempt() <= message.attempt()
+                && (end.attempt() == message.attempt() || !message.leased());
+        boolean overdue = end.attempt() == 0
+                && message.state() == MessageState.WAITING
+                && end.outcome() == MessageCommands.AttemptOutcome.FAILED;
         if (!present && !lateSuccess && !overdue) {
-            return new MessageCommands.TransitionResult(false, m);
+            return new MessageCommands.TransitionResult(false, message);
         }
-        boolean counts = e.outcome() != MessageCommands.AttemptOutcome.NOT_SENT
-                && e.outcome() != MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN;
-        int tries = counts ? m.attemptsMade() : m.attemptsMade() - 1;
-        MessageState to = switch (e.outcome()) {
+        boolean counts = end.outcome() != MessageCommands.AttemptOutcome.NOT_SENT
+                && end.outcome() != MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN;
+        int tries = counts ? message.attemptsMade() : message.attemptsMade() - 1;
+        MessageState to = switch (end.outcome()) {
             case SUCCEEDED -> MessageState.DONE;
             case FAILED -> MessageState.FAILED;
             default -> MessageState.WAITING;
         };
-        Message next = m.transition(
+        Message next = message.transition(
                 to,
-                m.attempt(),
+                message.attempt(),
                 tries,
-                m.processor(),
+                message.processor(),
                 Instant.MAX,
-                to == MessageState.WAITING ? e.due() : m.due(),
-                e.proof(),
-                e.at(),
-                m.destination());
-        Message noted = e.outcome() == MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN
+                to == MessageState.WAITING ? end.due() : message.due(),
+                end.proof(),
+                end.at(),
+                message.destination());
+        Message noted = end.outcome() == MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN
                 ? next
-                : next.withRecordedEnd(e.attempt());
-        index.put(Optional.of(m), noted);
+                : next.withRecordedEnd(end.attempt());
+        index.put(Optional.of(message), noted);
         return new MessageCommands.TransitionResult(true, noted);
     }
 
-    private Object forget(MessageCommands.ExpireEnded f) {
-        return new MessageCommands.ExpiredCount(index.expireEnded(f.endedBefore(), f.unclearBefore()));
+    private Object forget(MessageCommands.ExpireEnded expireEnded) {
+        return new MessageCommands.ExpiredCount(
+                index.expireEnded(expireEnded.endedBefore(), expireEnded.unclearBefore()));
     }
 
     @Override
@@ -177,8 +181,8 @@
             MessageCommands.State state = codec.read(view, MessageCommands.State.class);
             lastSequence = state.lastSequence();
             index.restore(state.messages().values());
-        } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable view", e);
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("unreadable view", failure);
         }
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
@@ -16,21 +16,21 @@
             Comparator.comparing(Message::due).thenComparing(Message::seq);
     private final Map<String, Map<String, TreeSet<Message>>> lanes = new TreeMap<>();
 
-    void add(Message m) {
-        lanes.computeIfAbsent(m.lane(), l -> new TreeMap<>())
-                .computeIfAbsent(m.tenant(), t -> new TreeSet<>(BY_DUE))
-                .add(m);
+    void add(Message message) {
+        lanes.computeIfAbsent(message.lane(), l -> new TreeMap<>())
+                .computeIfAbsent(message.tenant(), t -> new TreeSet<>(BY_DUE))
+                .add(message);
     }
 
-    void remove(Message m) {
-        Map<String, TreeSet<Message>> tenants = lanes.getOrDefault(m.lane(), Map.of());
-        TreeSet<Message> line = tenants.getOrDefault(m.tenant(), new TreeSet<>(BY_DUE));
-        line.remove(m);
+    void remove(Message message) {
+        Map<String, TreeSet<Message>> tenants = lanes.getOrDefault(message.lane(), Map.of());
+        TreeSet<Message> line = tenants.getOrDefault(message.tenant(), new TreeSet<>(BY_DUE));
+        line.remove(message);
         if (line.isEmpty() && !tenants.isEmpty()) {
-            tenants.remove(m.tenant());
+            tenants.remove(message.tenant());
         }
         if (tenants.isEmpty()) {
-            lanes.remove(m.lane());
+            lanes.remove(message.lane());
         }
     }
 
@@ -49,7 +49,7 @@
         int each = Math.max(1, most / Math.max(1, tenants.size()));
         tenants.values()
                 .forEach(line -> lines.add(line.stream()
-                        .takeWhile(m -> !m.due().isAfter(now))
+                        .takeWhile(message -> !message.due().isAfter(now))
                         .filter(wanted)
                         .limit(each)
                         .toList()));
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
@@ -15,13 +15,13 @@
         this(service, timeLimitMs, attempts, attemptMs, rerun, false);
     }
 
-    public static RouteTerms of(Configuration.Lane l) {
+    public static RouteTerms of(Configuration.Lane lane) {
         return new RouteTerms(
-                l.service(),
-                l.timeLimitMs(),
-                l.attempts(),
-                l.attemptMs(),
-                l.ifUnclear() == Configuration.IfUnclear.RERUN,
-                l.ifUnclear() == Configuration.IfUnclear.RESEND);
+                lane.service(),
+                lane.timeLimitMs(),
+                lane.attempts(),
+                lane.attemptMs(),
+                lane.ifUnclear() == Configuration.IfUnclear.RERUN,
+                lane.ifUnclear() == Configuration.IfUnclear.RESEND);
     }
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -34,8 +34,8 @@
         @Override
         public int go(Consumer<String> out) throws ServiceException {
             for (String n : Runbooks.SHIPPED) {
-                Runbook b = Runbooks.load(n);
-                out.accept(n + ": " + b.purpose() + " Needs: " + new TreeMap<>(b.needs()));
+                Runbook runbook = Runbooks.load(n);
+                out.accept(n + ": " + runbook.purpose() + " Needs: " + new TreeMap<>(runbook.needs()));
             }
             return 0;
         }
@@ -78,12 +78,12 @@
 
         @Override
         public int go(Consumer<String> out) throws ServiceException {
-            RunbookRunner r = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dry);
-            boolean ok = r.run(Runbooks.load(book), values());
+            RunbookRunner runbookRunner = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dry);
+            boolean ok = runbookRunner.run(Runbooks.load(book), values());
             if (!record.isEmpty()) {
                 try {
                     List<String> lines = new ArrayList<>(List.of("# " + Instant.now() + " " + book));
-                    lines.addAll(r.record());
+                    lines.addAll(runbookRunner.record());
                     Files.write(
                             Path.of(record),
                             lines,
@@ -122,14 +122,14 @@
         HttpTransport.HttpResult send(String method, String url, Map<String, String> headers, byte[] body)
                 throws IOException {
             try {
-                HttpRequest.Builder b = HttpRequest.newBuilder(URI.create(url))
+                HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create(url))
                         .timeout(Duration.ofSeconds(8))
                         .method(method, HttpRequest.BodyPublishers.ofByteArray(body));
-                headers.forEach(b::header);
-                HttpResponse<byte[]> r = client.send(b.build(), HttpResponse.BodyHandlers.ofByteArray());
+                headers.forEach(builder::header);
+                HttpResponse<byte[]> response = client.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray());
                 Map<String, String> h = new HashMap<>();
-                r.headers().map().forEach((k, v) -> h.put(k.toLowerCase(java.util.Locale.ROOT), v.get(0)));
-                return new HttpTransport.HttpResult(r.statusCode(), h, r.body());
+                response.headers().map().forEach((k, v) -> h.put(k.toLowerCase(java.util.Locale.ROOT), v.get(0)));
+                return new HttpTransport.HttpResult(response.statusCode(), h, response.body());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted");
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -26,16 +26,16 @@
     static int main(String[] args, java.util.function.Consumer<String> out) {
         try {
             Object c = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
-            if (c instanceof OperatorCommands.Command x) {
-                return x.go(out);
+            if (c instanceof OperatorCommands.Command command) {
+                return command.go(out);
             }
             ((Runnable) c).run();
             return 0;
         } catch (ParseException e) {
             out.accept("tender: " + e.getMessage());
-        } catch (ServiceException e) {
-            out.accept("tender: " + e.getMessage());
-            e.details().forEach(d -> out.accept("  " + d));
+        } catch (ServiceException failure) {
+            out.accept("tender: " + failure.getMessage());
+            failure.details().forEach(d -> out.accept("  " + d));
         }
         return 2;
     }
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -41,8 +41,8 @@
     }
 
     /** True when every step succeeded. */
-    boolean run(Runbook b, Map<String, String> given) {
-        List<String> missing = b.needs().keySet().stream()
+    boolean run(Runbook runbook, Map<String, String> given) {
+        List<String> missing = runbook.needs().keySet().stream()
                 .filter(n -> !given.containsKey(n))
                 .sorted()
                 .toList();
@@ -50,34 +50,35 @@
             note("STOP: missing values " + missing + ".");
             return false;
         }
-        Variables v = new Variables(given);
-        for (int i = 0; i < b.steps().size(); ) {
-            Runbook.Step s = b.steps().get(i);
+        Variables variables = new Variables(given);
+        for (int i = 0; i < runbook.steps().size(); ) {
+            Runbook.Step step = runbook.steps().get(i);
             int end = i + 1;
-            while (!s.each().isEmpty()
-                    && end < b.steps().size()
-                    && b.steps().get(end).each().equals(s.each())) {
+            while (!step.each().isEmpty()
+                    && end < runbook.steps().size()
+                    && runbook.steps().get(end).each().equals(step.each())) {
                 end++;
             }
-            if (!runEach(b.steps().subList(i, end), s.each(), v)) {
+            if (!runEach(runbook.steps().subList(i, end), step.each(), variables)) {
                 return false;
             }
             i = end;
         }
-        note(dry ? "Dry run: nothing was changed." : "Done: " + b.name() + ".");
+        note(dry ? "Dry run: nothing was changed." : "Done: " + runbook.name() + ".");
         return true;
     }
 
     /** Steps with the same list run together for each of its items. */
-    private boolean runEach(List<Runbook.Step> steps, String each, Variables v) {
-        List<String> items = each.isEmpty() ? List.of("") : List.of(v.get(each).split(","));
+    private boolean runEach(List<Runbook.Step> steps, String each, Variables variables) {
+        List<String> items =
+                each.isEmpty() ? List.of("") : List.of(variables.get(each).split(","));
         for (String item : items) {
-            Variables here = each.isEmpty() ? v : v.with("it", item.trim());
-            for (Runbook.Step s : steps) {
+            Variables here = each.isEmpty() ? variables : variables.with("it", item.trim());
+            for (Runbook.Step step : steps) {
                 try {
-                    step(s, here);
-                } catch (ServiceException e) {
-                    note("STOP at \"" + here.fill(s.title()) + "\": " + e.getMessage());
+                    step(step, here);
+                } catch (ServiceException failure) {
+                    note("STOP at \"" + here.fill(step.title()) + "\": " + failure.getMessage());
                     return false;
                 }
             }
@@ -85,18 +86,18 @@
         return true;
     }
 
-    private void step(Runbook.Step s, Variables v) throws ServiceException {
-        String what = s.kind() + " " + v.fill(s.title());
-        if (dry && s.kind() != Runbook.Kind.REQUIRE) {
-            note("would " + what + (s.asks() ? ": " + s.method() + " " + v.fill(s.url()) : ""));
+    private void step(Runbook.Step step, Variables variables) throws ServiceException {
+        String what = step.kind() + " " + variables.fill(step.title());
+        if (dry && step.kind() != Runbook.Kind.REQUIRE) {
+            note("would " + what + (step.asks() ? ": " + step.method() + " " + variables.fill(step.url()) : ""));
             return;
         }
-        switch (s.kind()) {
-            case REQUIRE -> keep(s, runOnce(s, v), v);
-            case ASK, WAIT -> keep(s, waitUntil(s, v), v);
-            case REMOVE -> remove(s, v);
+        switch (step.kind()) {
+            case REQUIRE -> keep(step, runOnce(step, variables), variables);
+            case ASK, WAIT -> keep(step, waitUntil(step, variables), variables);
+            case REMOVE -> remove(step, variables);
             case PERSON -> {
-                if (!processors.done(v.fill(s.title()))) {
+                if (!processors.done(variables.fill(step.title()))) {
                     throw new ServiceException(ErrorKind.CONFLICT, "not confirmed");
                 }
             }
@@ -105,50 +106,59 @@
         note("ok " + what);
     }
 
-    private HttpTransport.HttpResult runOnce(Runbook.Step s, Variables v) throws ServiceException {
+    private HttpTransport.HttpResult runOnce(Runbook.Step step, Variables variables) throws ServiceException {
         Map<String, String> headers = new TreeMap<>();
-        s.headers().forEach((k, x) -> headers.put(k, v.fill(x)));
+        step.headers().forEach((k, x) -> headers.put(k, variables.fill(x)));
         if (!key.isEmpty()) {
             headers.put("Authorization", "Bearer " + key);
         }
-        HttpTransport.HttpResult g;
+        HttpTransport.HttpResult result;
         try {
-            g = wire.send(s.method(), v.fill(s.url()), headers, v.fill(s.body()).getBytes(StandardCharsets.UTF_8));
+            result = wire.send(
+                    step.method(),
+                    variables.fill(step.url()),
+                    headers,
+                    variables.fill(step.body()).getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new ServiceException(
-                    ErrorKind.UNREACHABLE, "no answer from " + v.fill(s.url()) + " (" + e.getMessage() + ")");
+                    ErrorKind.UNREACHABLE,
+                    "no answer from " + variables.fill(step.url()) + " (" + e.getMessage() + ")");
         }
-        String found = s.expect().pointer().isEmpty()
+        String found = step.expect().pointer().isEmpty()
                 ? ""
-                : json(g.body()).at(v.fill(s.expect().pointer())).asText("");
-        if (g.status() != s.expect().status()) {
-            boolean later = g.status() == 429 || g.status() >= 500;
+                : json(result.body())
+                        .at(variables.fill(step.expect().pointer()))
+                        .asText("");
+        if (result.status() != step.expect().status()) {
+            boolean later = result.status() == 429 || result.status() >= 500;
             throw new ServiceException(
                     later ? ErrorKind.UNAVAILABLE : ErrorKind.CONFLICT,
-                    "answer " + g.status() + ", expected " + s.expect().status() + ": "
-                            + new String(g.body(), StandardCharsets.UTF_8));
+                    "answer " + result.status() + ", expected " + step.expect().status() + ": "
+                            + new String(result.body(), StandardCharsets.UTF_8));
         }
-        if (!s.expect().pointer().isEmpty() && !found.equals(v.fill(s.expect().equals()))) {
+        if (!step.expect().pointer().isEmpty()
+                && !found.equals(variables.fill(step.expect().equals()))) {
             throw new ServiceException(
                     ErrorKind.CONFLICT,
-                    v.fill(s.expect().pointer()) + " is \"" + found + "\", expected \""
-                            + v.fill(s.expect().equals()) + "\"");
+                    variables.fill(step.expect().pointer()) + " is \"" + found + "\", expected \""
+                            + variables.fill(step.expect().equals()) + "\"");
         }
-        return g;
+        return result;
     }
 
     /** A wait asks until it holds; an action is asked again only where the answer was to come back later. */
-    private HttpTransport.HttpResult waitUntil(Runbook.Step s, Variables v) throws ServiceException {
-        Duration end = processors.now().plusMillis(s.withinMs());
+    private HttpTransport.HttpResult waitUntil(Runbook.Step step, Variables variables) throws ServiceException {
+        Duration end = processors.now().plusMillis(step.withinMs());
         while (true) {
             try {
-                return runOnce(s, v);
-            } catch (ServiceException e) {
-                if (s.kind() == Runbook.Kind.ASK && !e.kind().retryable()) {
-                    throw e;
+                return runOnce(step, variables);
+            } catch (ServiceException failure) {
+                if (step.kind() == Runbook.Kind.ASK && !failure.kind().retryable()) {
+                    throw failure;
                 }
                 if (processors.now().compareTo(end) >= 0) {
-                    throw new ServiceException(e.kind(), "not within " + s.withinMs() + " ms: " + e.getMessage());
+                    throw new ServiceException(
+                            failure.kind(), "not within " + step.withinMs() + " ms: " + failure.getMessage());
                 }
                 processors.sleep(AGAIN);
             }
@@ -156,27 +166,27 @@
     }
 
     /** A pointer keeps that field, "header:NAME" a header, "body" the whole answer. */
-    private static void keep(Runbook.Step s, HttpTransport.HttpResult g, Variables v) {
-        s.keep()
-                .forEach((name, where) -> v.put(
+    private static void keep(Runbook.Step step, HttpTransport.HttpResult result, Variables variables) {
+        step.keep()
+                .forEach((name, where) -> variables.put(
                         name,
                         where.equals("body")
-                                ? new String(g.body(), StandardCharsets.UTF_8)
+                                ? new String(result.body(), StandardCharsets.UTF_8)
                                 : where.startsWith("header:")
-                                        ? g.headers()
+                                        ? result.headers()
                                                 .getOrDefault(where.substring(7).toLowerCase(java.util.Locale.ROOT), "")
-                                        : json(g.body()).at(where).asText("")));
+                                        : json(result.body()).at(where).asText("")));
     }
 
-    private static void remove(Runbook.Step s, Variables v) throws ServiceException {
-        JsonNode doc = json(v.get(s.from()).getBytes(StandardCharsets.UTF_8));
-        JsonPointer p = JsonPointer.compile(v.fill(s.pointer()));
+    private static void remove(Runbook.Step step, Variables variables) throws ServiceException {
+        JsonNode doc = json(variables.get(step.from()).getBytes(StandardCharsets.UTF_8));
+        JsonPointer p = JsonPointer.compile(variables.fill(step.pointer()));
         JsonNode parent = doc.at(p.head());
         if (!(parent instanceof ObjectNode o) || !o.has(p.last().getMatchingProperty())) {
             throw new ServiceException(ErrorKind.NOT_FOUND, "there is nothing at " + p);
         }
         o.remove(p.last().getMatchingProperty());
-        v.put(s.from(), new String(Configurations.write(doc), StandardCharsets.UTF_8));
+        variables.put(step.from(), new String(Configurations.write(doc), StandardCharsets.UTF_8));
     }
 
     private static JsonNode json(byte[] body) {
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -27,16 +27,16 @@
     private Runbooks() {}
 
     static Runbook load(String nameOrFile) throws ServiceException {
-        Runbook b = Configurations.read(bytes(nameOrFile), Runbook.class, ErrorKind.BAD_REQUEST);
-        List<String> faults = new ArrayList<>(Configurations.faults(b));
+        Runbook runbook = Configurations.read(bytes(nameOrFile), Runbook.class, ErrorKind.BAD_REQUEST);
+        List<String> faults = new ArrayList<>(Configurations.faults(runbook));
         if (faults.isEmpty()) {
-            faults.addAll(crossFaults(b));
+            faults.addAll(crossFaults(runbook));
         }
         if (!faults.isEmpty()) {
             throw new ServiceException(
                     ErrorKind.BAD_REQUEST, "The runbook " + nameOrFile + " has " + faults.size() + " faults.", faults);
         }
-        return b;
+        return runbook;
     }
 
     private static byte[] bytes(String nameOrFile) throws ServiceException {
@@ -53,37 +53,37 @@
     }
 
     /** Every value used must be needed, kept before, or the turn's own. */
-    private static List<String> crossFaults(Runbook b) {
+    private static List<String> crossFaults(Runbook runbook) {
         List<String> out = new ArrayList<>();
-        Set<String> known = new HashSet<>(b.needs().keySet());
-        for (int i = 0; i < b.steps().size(); i++) {
-            Runbook.Step s = b.steps().get(i);
+        Set<String> known = new HashSet<>(runbook.needs().keySet());
+        for (int i = 0; i < runbook.steps().size(); i++) {
+            Runbook.Step step = runbook.steps().get(i);
             Set<String> here = new HashSet<>(known);
-            if (!s.each().isEmpty()) {
+            if (!step.each().isEmpty()) {
                 here.add("it");
             }
             String at = "steps[" + i + "]";
-            if (s.asks() && s.url().isEmpty()) {
+            if (step.asks() && step.url().isEmpty()) {
                 out.add(at + ".url: missing");
             }
-            if (s.kind() == Runbook.Kind.REMOVE
-                    && (s.from().isEmpty() || s.pointer().isEmpty())) {
+            if (step.kind() == Runbook.Kind.REMOVE
+                    && (step.from().isEmpty() || step.pointer().isEmpty())) {
                 out.add(at + ": REMOVE needs from and pointer");
             }
-            Matcher m = Variables.USE.matcher(s.url()
-                    + s.body()
-                    + s.headers().values()
-                    + s.expect().equals()
-                    + s.pointer()
-                    + s.title()
-                    + (s.each().isEmpty() ? "" : "${" + s.each() + "}")
-                    + (s.from().isEmpty() ? "" : "${" + s.from() + "}"));
-            while (m.find()) {
-                if (!here.contains(m.group(1))) {
-                    out.add(at + ": ${" + m.group(1) + "} is neither needed nor kept before");
+            Matcher matcher = Variables.USE.matcher(step.url()
+                    + step.body()
+                    + step.headers().values()
+                    + step.expect().equals()
+                    + step.pointer()
+                    + step.title()
+                    + (step.each().isEmpty() ? "" : "${" + step.each() + "}")
+                    + (step.from().isEmpty() ? "" : "${" + step.from() + "}"));
+            while (matcher.find()) {
+                if (!here.contains(matcher.group(1))) {
+                    out.add(at + ": ${" + matcher.group(1) + "} is neither needed nor kept before");
                 }
             }
-            known.addAll(s.keep().keySet());
+            known.addAll(step.keep().keySet());
         }
         return out;
     }
--- a/operator/src/main/java/org/woadvale/operator/Variables.java
+++ b/operator/src/main/java/org/woadvale/operator/Variables.java
@@ -23,12 +23,12 @@
     }
 
     Variables with(String name, String value) {
-        Variables v = new Variables(values);
-        v.put(name, value);
-        return v;
+        Variables variables = new Variables(values);
+        variables.put(name, value);
+        return variables;
     }
 
     String fill(String text) {
-        return USE.matcher(text).replaceAll(m -> Matcher.quoteReplacement(get(m.group(1))));
+        return USE.matcher(text).replaceAll(match -> Matcher.quoteReplacement(get(match.group(1))));
     }
 }
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -90,86 +90,86 @@
             })
     void everyShippedRunbookIsValidAndAsksForWhatItNeeds(String name) throws ServiceException {
         assertEquals(name, Runbooks.load(name).name());
-        Script s = new Script();
-        assertFalse(s.run(name, true, Map.of()));
-        assertTrue(s.said.get(0).startsWith("STOP: missing values"), s.said.toString());
-        assertEquals(List.of(), s.asked);
+        Script script = new Script();
+        assertFalse(script.run(name, true, Map.of()));
+        assertTrue(script.said.get(0).startsWith("STOP: missing values"), script.said.toString());
+        assertEquals(List.of(), script.asked);
     }
 
     @Test
     void withdrawnKeyLeavesTheRestAsItWas() throws ServiceException {
-        Script s = new Script()
+        Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":4}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":5}");
-        assertTrue(s.run("withdraw-key", false, KEY), s.said.toString());
-        assertTrue(s.asked.contains("PUT http://l/v1/layout base \"4\""), s.asked.toString());
-        assertEquals("{\"keys\":{\"new\":{}},\"lanes\":{}}", s.bodies.get(1));
+        assertTrue(script.run("withdraw-key", false, KEY), script.said.toString());
+        assertTrue(script.asked.contains("PUT http://l/v1/layout base \"4\""), script.asked.toString());
+        assertEquals("{\"keys\":{\"new\":{}},\"lanes\":{}}", script.bodies.get(1));
     }
 
     @Test
     void lostRaceStopsTheRunAndSaysWhy() throws ServiceException {
-        Script s = new Script()
+        Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 412, "{\"kind\":\"stale_base\"}");
-        assertFalse(s.run("withdraw-key", false, KEY));
-        assertTrue(s.said.get(s.said.size() - 1).contains("stale_base"), s.said.toString());
-        assertEquals(2, s.asked.size(), "nothing may follow the failed step");
+        assertFalse(script.run("withdraw-key", false, KEY));
+        assertTrue(script.said.get(script.said.size() - 1).contains("stale_base"), script.said.toString());
+        assertEquals(2, script.asked.size(), "nothing may follow the failed step");
     }
 
     @Test
     void actionThatIsToComeBackLaterIsAskedAgain() throws ServiceException {
-        Script s = new Script()
+        Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 503, "{}")
                 .on("PUT http://l/v1/layout", 504, "{}")
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":5}");
-        assertTrue(s.run("withdraw-key", false, KEY), s.said.toString());
-        assertEquals(3, s.asked.stream().filter(a -> a.startsWith("PUT")).count());
+        assertTrue(script.run("withdraw-key", false, KEY), script.said.toString());
+        assertEquals(3, script.asked.stream().filter(a -> a.startsWith("PUT")).count());
     }
 
     @Test
     void dryRunChangesNothing() throws ServiceException {
-        Script s = new Script().on("GET http://l/v1/layout", 200, CONFIGURATION);
-        assertTrue(s.run("withdraw-key", true, KEY));
-        assertEquals(List.of("GET http://l/v1/layout"), s.asked);
+        Script script = new Script().on("GET http://l/v1/layout", 200, CONFIGURATION);
+        assertTrue(script.run("withdraw-key", true, KEY));
+        assertEquals(List.of("GET http://l/v1/layout"), script.asked);
     }
 
     @Test
     void valuesAreFilledIntoPointersToo() throws ServiceException {
-        Script s = new Script()
+        Script script = new Script()
                 .on("GET http://l/v1/services/s/processors", 200, "{\"p1\":{\"address\":\"http://p\"}}")
                 .on("PUT http://l/v1/services/s/processors/p1", 200, "{}")
                 .on("DELETE http://l/v1/services/s/processors/p1", 200, "{}");
         assertTrue(
-                s.run(
+                script.run(
                         "drain-processor",
                         false,
                         Map.of("lighthouse", "http://l", "service", "s", "processor", "p1", "address", "http://p")),
-                s.said.toString());
+                script.said.toString());
     }
 
     @Test
     void waitHasADeadline() throws ServiceException {
-        Script s = new Script()
+        Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":4}");
-        assertFalse(s.run("withdraw-key", false, KEY));
-        assertTrue(s.said.get(s.said.size() - 1).contains("not within 5000 ms"), s.said.toString());
+        assertFalse(script.run("withdraw-key", false, KEY));
+        assertTrue(script.said.get(script.said.size() - 1).contains("not within 5000 ms"), script.said.toString());
     }
 
     @Test
     void rollingRestartFinishesOneNodeBeforeTheNext() throws ServiceException {
-        Script s = new Script();
+        Script script = new Script();
         for (String n : List.of("http://a", "http://b")) {
-            s.on("GET " + n + "/v1/readiness", 200, "{}")
+            script.on("GET " + n + "/v1/readiness", 200, "{}")
                     .on("POST " + n + "/v1/drain", 200, "{\"drained\":false}")
                     .on("POST " + n + "/v1/drain", 200, "{\"drained\":true}");
         }
-        assertTrue(s.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")), s.said.toString());
+        assertTrue(script.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")), script.said.toString());
         assertEquals(
                 List.of(
                         "GET http://a/v1/readiness",
@@ -180,7 +180,7 @@
                         "POST http://b/v1/drain",
                         "POST http://b/v1/drain",
                         "GET http://b/v1/readiness"),
-                s.asked);
+                script.asked);
         Script refusing = new Script()
                 .on("GET http://a/v1/readiness", 200, "{}")
                 .on("POST http://a/v1/drain", 200, "{\"drained\":true}");
@@ -190,13 +190,13 @@
 
     @Test
     void badRunbookFilesAreRefusedWithEveryFault(@TempDir Path dir) throws IOException {
-        Path p = dir.resolve("b.json");
-        Files.writeString(p, """
+        Path path = dir.resolve("b.json");
+        Files.writeString(path, """
             {"name":"b","purpose":"p","steps":[{"title":"${nowhere}","kind":"ASK"},{"title":"t","kind":"REMOVE"}]}""");
-        ServiceException f = assertThrows(ServiceException.class, () -> Runbooks.load(p.toString()));
-        assertEquals(3, f.details().size(), f.details().toString());
+        ServiceException failure = assertThrows(ServiceException.class, () -> Runbooks.load(path.toString()));
+        assertEquals(3, failure.details().size(), failure.details().toString());
         List<String> out = new ArrayList<>();
-        assertEquals(2, OperatorProgram.main(new String[] {"check", p.toString()}, out::add));
+        assertEquals(2, OperatorProgram.main(new String[] {"check", path.toString()}, out::add));
         assertEquals(0, OperatorProgram.main(new String[] {"list"}, out::add));
         assertEquals(2, OperatorProgram.main(new String[] {"run", "nothing-such"}, out::add));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
@@ -46,10 +46,10 @@
     public Map<String, Double> measure(int size) {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         long before = Heap.used();
-        MessageStateMachine m = new MessageStateMachine("m0", codec);
+        MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
         double from = cpuMs();
         for (int i = 1; i <= size; i++) {
-            m.apply(
+            stateMachine.apply(
                     i,
                     new MessageCommands.Accept(
                             "tenant" + i % 8,
@@ -66,7 +66,7 @@
         Map<String, Double> out = new LinkedHashMap<>();
         out.put("heap of a part KB", (Heap.used() - before) / 1024.0);
         from = cpuMs();
-        byte[] view = m.snapshot();
+        byte[] view = stateMachine.snapshot();
         double made = cpuMs() - from;
         from = cpuMs();
         new MessageStateMachine("m0", codec).restore(view);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
@@ -27,51 +27,51 @@
         try {
             measure(Wanted.of(args, Heap.allowed()));
             return 0;
-        } catch (ServiceException e) {
-            err.println("capacity: " + e.getMessage());
-            return e.kind() == ErrorKind.BAD_REQUEST ? 2 : 1;
+        } catch (ServiceException failure) {
+            err.println("capacity: " + failure.getMessage());
+            return failure.kind() == ErrorKind.BAD_REQUEST ? 2 : 1;
         }
     }
 
-    private void measure(Wanted w) throws ServiceException {
+    private void measure(Wanted wanted) throws ServiceException {
         System.setProperty("java.awt.headless", "true");
         try {
-            Files.createDirectories(w.out());
+            Files.createDirectories(wanted.out());
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot make the folder " + w.out() + ".");
+            throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot make the folder " + wanted.out() + ".");
         }
-        for (Map.Entry<Mechanism, List<Integer>> e : w.runs().entrySet()) {
-            String name = w.name(e.getKey());
-            Map<String, Map<Integer, Double>> figures = sweep(name, e.getKey(), e.getValue());
+        for (Map.Entry<Mechanism, List<Integer>> entry : wanted.runs().entrySet()) {
+            String name = wanted.name(entry.getKey());
+            Map<String, Map<Integer, Double>> figures = sweep(name, entry.getKey(), entry.getValue());
             lines(figures);
-            Plot.write(w.out(), name, e.getKey().counts(), figures);
-            if (name.equals(Wanted.NODES) && w.largest() > 0) {
-                forecast(e.getKey(), w.largest(), figures);
+            Plot.write(wanted.out(), name, entry.getKey().counts(), figures);
+            if (name.equals(Wanted.NODES) && wanted.largest() > 0) {
+                forecast(entry.getKey(), wanted.largest(), figures);
             }
         }
     }
 
     /** The middle size is run once unrecorded, so that the first figures are not those of cold code. */
-    private Map<String, Map<Integer, Double>> sweep(String name, Mechanism m, List<Integer> sizes)
+    private Map<String, Map<Integer, Double>> sweep(String name, Mechanism mechanism, List<Integer> sizes)
             throws ServiceException {
-        m.measure(sizes.get(sizes.size() / 2));
+        mechanism.measure(sizes.get(sizes.size() / 2));
         Map<String, Map<Integer, Double>> figures = new LinkedHashMap<>();
         for (int size : sizes) {
-            Map<String, Double> got = timed(name, m, size);
+            Map<String, Double> got = timed(name, mechanism, size);
             got.forEach(
                     (f, y) -> figures.computeIfAbsent(f, k -> new TreeMap<>()).put(size, y));
         }
         out.println();
-        out.println("| " + m.counts() + " | "
+        out.println("| " + mechanism.counts() + " | "
                 + String.join(" | ", sizes.stream().map(String::valueOf).toList())
                 + " | slope | of the slope, standard error | at none | R² | farthest point |");
         out.println("|---" + "|---".repeat(sizes.size() + 5) + "|");
         return figures;
     }
 
-    private Map<String, Double> timed(String name, Mechanism m, int size) throws ServiceException {
+    private Map<String, Double> timed(String name, Mechanism mechanism, int size) throws ServiceException {
         long from = System.nanoTime();
-        Map<String, Double> got = m.measure(size);
+        Map<String, Double> got = mechanism.measure(size);
         err.println("capacity: " + name + " " + size + " took "
                 + Duration.ofNanos(System.nanoTime() - from).toMillis() + " ms.");
         return got;
@@ -79,20 +79,21 @@
 
     private void lines(Map<String, Map<Integer, Double>> figures) {
         figures.forEach((f, points) -> {
-            Fit x = Fit.of(points);
+            Fit fit = Fit.of(points);
             out.println("| " + f + " | "
                     + String.join(
                             " | ",
                             points.values().stream().map(CapacityCommand::shown).toList())
-                    + " | " + shown(x.slope()) + " | " + shown(x.error()) + " | " + shown(x.intercept()) + " | "
-                    + String.format(Locale.ROOT, "%.4f | %.0f %%", x.r2(), 100 * x.spread()) + " |");
+                    + " | " + shown(fit.slope()) + " | " + shown(fit.error()) + " | " + shown(fit.intercept()) + " | "
+                    + String.format(Locale.ROOT, "%.4f | %.0f %%", fit.r2(), 100 * fit.spread()) + " |");
         });
         out.println();
     }
 
-    private void forecast(Mechanism m, int size, Map<String, Map<Integer, Double>> figures) throws ServiceException {
-        Map<String, Double> run = timed(Wanted.NODES, m, size);
-        out.println("| " + size + " " + m.counts() + " | forecast | run | run over forecast |");
+    private void forecast(Mechanism mechanism, int size, Map<String, Map<Integer, Double>> figures)
+            throws ServiceException {
+        Map<String, Double> run = timed(Wanted.NODES, mechanism, size);
+        out.println("| " + size + " " + mechanism.counts() + " | forecast | run | run over forecast |");
         out.println("|---|---|---|---|");
         run.forEach((f, y) -> {
             double said = Fit.of(figures.get(f)).at(size);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Count.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Count.java
@@ -6,12 +6,12 @@
 record Count(double frames, double bytes, double asks, double cpuS) {
     static final Count NOTHING = new Count(0, 0, 0, 0);
 
-    Count plus(Count o) {
-        return new Count(frames + o.frames, bytes + o.bytes, asks + o.asks, cpuS + o.cpuS);
+    Count plus(Count count) {
+        return new Count(frames + count.frames, bytes + count.bytes, asks + count.asks, cpuS + count.cpuS);
     }
 
-    Count minus(Count o) {
-        return plus(o.times(-1));
+    Count minus(Count count) {
+        return plus(count.times(-1));
     }
 
     Count times(double f) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -41,26 +41,26 @@
 
     @Override
     public Map<String, Double> measure(int size) throws ServiceException {
-        FleetSimulation v =
+        FleetSimulation simulation =
                 new FleetSimulation(1, 8, 3, 12, new TestConfiguration(8, 12, 100, 200, 40), RING_BYTES).embark();
-        v.w.sim.run(Duration.ofSeconds(3));
-        v.traffic(size);
-        v.w.sim.run(Duration.ofSeconds(5));
-        long frames = v.w.net.frames();
-        long accepted = accepted(v);
+        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.traffic(size);
+        simulation.w.sim.run(Duration.ofSeconds(5));
+        long frames = simulation.w.net.frames();
+        long accepted = accepted(simulation);
         long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        v.w.sim.run(WINDOW);
+        simulation.w.sim.run(WINDOW);
         double s = WINDOW.toSeconds();
         Map<String, Double> out = new LinkedHashMap<>();
-        out.put("accepted /s", (accepted(v) - accepted) / s);
-        out.put("asks of the fleet /s", (v.w.net.frames() - frames) / s);
+        out.put("accepted /s", (accepted(simulation) - accepted) / s);
+        out.put("asks of the fleet /s", (simulation.w.net.frames() - frames) / s);
         out.put(
                 "processor ms of the fleet /s",
                 (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1e6 / s);
         return out;
     }
 
-    private static long accepted(FleetSimulation v) {
-        return v.kinds().getOrDefault("accepted", 0L);
+    private static long accepted(FleetSimulation simulation) {
+        return simulation.kinds().getOrDefault("accepted", 0L);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Fit.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Fit.java
@@ -18,8 +18,8 @@
         SimpleRegression r = new SimpleRegression();
         points.forEach((x, y) -> r.addData(x, y));
         double worst = points.entrySet().stream()
-                .mapToDouble(
-                        e -> Math.abs(e.getValue() - r.predict(e.getKey())) / Math.max(Math.abs(e.getValue()), 1e-12))
+                .mapToDouble(entry -> Math.abs(entry.getValue() - r.predict(entry.getKey()))
+                        / Math.max(Math.abs(entry.getValue()), 1e-12))
                 .max()
                 .orElse(0);
         boolean flat = r.getTotalSumSquares() < 1e-18;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -65,32 +65,32 @@
 
     private static Mechanism nodes(List<Integer> sizes, int tenants) {
         return new Kind("nodes, " + tenants + " tenants", sizes, MOST_NODES, n -> fleet(n, tenants, 16), n -> {
-            HollowFleet f = new HollowFleet(Shape.usual().nodes(n).tenants(tenants));
-            Map<String, Double> out = steady(f, n);
-            out.put("heap of a node KB", f.heapOfNodes() / 1024.0 / n);
+            HollowFleet fleet = new HollowFleet(Shape.usual().nodes(n).tenants(tenants));
+            Map<String, Double> out = steady(fleet, n);
+            out.put("heap of a node KB", fleet.heapOfNodes() / 1024.0 / n);
             double quiet = out.get("bytes of a node /s") * n;
-            Duration from = f.sim.now();
-            Map<String, Count> was = f.nodeCounts();
-            Duration known = f.restart(AWAY);
-            f.sim.run(Duration.ofSeconds(2));
-            double s = f.sim.now().minus(from).toMillis() / 1000.0;
-            Map<String, Count> now = f.nodeCounts();
-            was.remove(f.restarting());
-            now.remove(f.restarting());
+            Duration from = fleet.sim.now();
+            Map<String, Count> was = fleet.nodeCounts();
+            Duration known = fleet.restart(AWAY);
+            fleet.sim.run(Duration.ofSeconds(2));
+            double s = fleet.sim.now().minus(from).toMillis() / 1000.0;
+            Map<String, Count> now = fleet.nodeCounts();
+            was.remove(fleet.restarting());
+            now.remove(fleet.restarting());
             double extra =
                     Count.sum(now.values()).minus(Count.sum(was.values())).bytes() - quiet * s * (n - 1) / n;
             out.put("bytes of a node for one restart", extra / (n - 1));
             out.put("a restarted node known everywhere s", known.toMillis() / 1000.0);
-            out.put("a change everywhere s", f.changeEverywhere().toMillis() / 1000.0);
+            out.put("a change everywhere s", fleet.changeEverywhere().toMillis() / 1000.0);
             return out;
         });
     }
 
     static Mechanism tenants() {
         return new Kind("tenants", List.of(8, 16, 32, 64, 128), MOST_TENANTS, n -> fleet(36, n, 16), n -> {
-            HollowFleet f = new HollowFleet(Shape.usual().tenants(n));
-            Map<String, Double> out = steady(f, 36);
-            out.put("layout KB", f.configurationBytes() / 1024.0);
+            HollowFleet fleet = new HollowFleet(Shape.usual().tenants(n));
+            Map<String, Double> out = steady(fleet, 36);
+            out.put("layout KB", fleet.configurationBytes() / 1024.0);
             return out;
         });
     }
@@ -99,34 +99,34 @@
     static Mechanism destinations() {
         return new Kind(
                 "processors in a list", List.of(1000, 2000, 4000, 8000), MOST_LISTED, n -> fleet(12, 8, n), n -> {
-                    HollowFleet f = new HollowFleet(Shape.usual().nodes(12).destinations(n));
-                    f.sim.run(WINDOW);
+                    HollowFleet fleet = new HollowFleet(Shape.usual().nodes(12).destinations(n));
+                    fleet.sim.run(WINDOW);
                     Map<String, Double> out = new LinkedHashMap<>();
-                    out.put("heap of a node KB", f.heapOfNodes() / 1024.0 / 12);
-                    Map<String, Count> nodes = f.nodeCounts();
-                    Map<String, Count> controlNodes = f.controlNodeCounts();
-                    f.sim.run(WINDOW);
-                    Count quietNodes = Count.sum(f.nodeCounts().values()).minus(Count.sum(nodes.values()));
+                    out.put("heap of a node KB", fleet.heapOfNodes() / 1024.0 / 12);
+                    Map<String, Count> nodes = fleet.nodeCounts();
+                    Map<String, Count> controlNodes = fleet.controlNodeCounts();
+                    fleet.sim.run(WINDOW);
+                    Count quietNodes = Count.sum(fleet.nodeCounts().values()).minus(Count.sum(nodes.values()));
                     Count quietControlNodes =
-                            Count.sum(f.controlNodeCounts().values()).minus(Count.sum(controlNodes.values()));
-                    nodes = f.nodeCounts();
-                    controlNodes = f.controlNodeCounts();
+                            Count.sum(fleet.controlNodeCounts().values()).minus(Count.sum(controlNodes.values()));
+                    nodes = fleet.nodeCounts();
+                    controlNodes = fleet.controlNodeCounts();
                     Duration took = Duration.ZERO;
                     for (int i = 0; i < MARKS; i++) {
-                        took = took.plus(f.mark(i % 2 == 0));
+                        took = took.plus(fleet.mark(i % 2 == 0));
                     }
-                    f.sim.run(WINDOW.minus(took));
+                    fleet.sim.run(WINDOW.minus(took));
                     int stores = 12 / Shape.STORE_EVERY * MARKS;
                     out.put(
                             "bytes of a store for one mark",
-                            Count.sum(f.nodeCounts().values())
+                            Count.sum(fleet.nodeCounts().values())
                                             .minus(Count.sum(nodes.values()))
                                             .minus(quietNodes)
                                             .bytes()
                                     / stores);
                     out.put(
                             "processor ms of the core for one mark",
-                            Count.sum(f.controlNodeCounts().values())
+                            Count.sum(fleet.controlNodeCounts().values())
                                             .minus(Count.sum(controlNodes.values()))
                                             .minus(quietControlNodes)
                                             .cpuS()
@@ -134,7 +134,7 @@
                                     / MARKS);
                     out.put(
                             "processor ms of a store for one mark",
-                            Count.sum(f.nodeCounts().values())
+                            Count.sum(fleet.nodeCounts().values())
                                             .minus(Count.sum(nodes.values()))
                                             .minus(quietNodes)
                                             .cpuS()
@@ -148,20 +148,20 @@
     /** ConfigurationView changed within a window, evenly; a configuration of 64 tenants. */
     static Mechanism changes() {
         return new Kind("changes in 10 s", List.of(1, 2, 4, 8, 16), MOST_CHANGES, n -> fleet(36, 64, 16), n -> {
-            HollowFleet f = new HollowFleet(Shape.usual().tenants(64));
-            Map<String, Count> nodes = f.nodeCounts();
-            Map<String, Count> controlNodes = f.controlNodeCounts();
+            HollowFleet fleet = new HollowFleet(Shape.usual().tenants(64));
+            Map<String, Count> nodes = fleet.nodeCounts();
+            Map<String, Count> controlNodes = fleet.controlNodeCounts();
             double worst = 0;
             for (int i = 0; i < n; i++) {
-                Duration took = f.changeEverywhere();
+                Duration took = fleet.changeEverywhere();
                 worst = Math.max(worst, took.toMillis() / 1000.0);
                 Duration left = WINDOW.dividedBy(n).minus(took);
-                f.sim.run(left.isNegative() ? Duration.ZERO : left);
+                fleet.sim.run(left.isNegative() ? Duration.ZERO : left);
             }
             Map<String, Double> out = new LinkedHashMap<>();
-            put(out, f, nodes, controlNodes, 36);
+            put(out, fleet, nodes, controlNodes, 36);
             out.put("a change everywhere, longest s", worst);
-            out.put("layout KB", f.configurationBytes() / 1024.0);
+            out.put("layout KB", fleet.configurationBytes() / 1024.0);
             return out;
         });
     }
@@ -170,29 +170,33 @@
     static Mechanism passes() {
         return new Kind(
                 "passes drawn by a node /s", List.of(25, 50, 100, 200), MOST_DRAWN, n -> fleet(36, 8, 16), n -> {
-                    HollowFleet f = new HollowFleet(Shape.usual().draws(n));
-                    long drawn = f.draws();
-                    Map<String, Double> out = steady(f, 36);
-                    out.put("passes drawn of a node /s", (f.draws() - drawn) / (double) WINDOW.toSeconds() / 36);
+                    HollowFleet fleet = new HollowFleet(Shape.usual().draws(n));
+                    long drawn = fleet.draws();
+                    Map<String, Double> out = steady(fleet, 36);
+                    out.put("passes drawn of a node /s", (fleet.draws() - drawn) / (double) WINDOW.toSeconds() / 36);
                     return out;
                 });
     }
 
-    private static Map<String, Double> steady(HollowFleet f, int nodes) {
-        Map<String, Count> n = f.nodeCounts();
-        Map<String, Count> l = f.controlNodeCounts();
-        f.sim.run(WINDOW);
+    private static Map<String, Double> steady(HollowFleet fleet, int nodes) {
+        Map<String, Count> n = fleet.nodeCounts();
+        Map<String, Count> l = fleet.controlNodeCounts();
+        fleet.sim.run(WINDOW);
         Map<String, Double> out = new LinkedHashMap<>();
-        put(out, f, n, l, nodes);
+        put(out, fleet, n, l, nodes);
         return out;
     }
 
     /** Means over the nodes, the busiest node, all control nodes together and the busiest of them; bytes both ways. */
     private static void put(
-            Map<String, Double> out, HollowFleet f, Map<String, Count> nodes, Map<String, Count> controlNodes, int n) {
+            Map<String, Double> out,
+            HollowFleet fleet,
+            Map<String, Count> nodes,
+            Map<String, Count> controlNodes,
+            int n) {
         double s = WINDOW.toSeconds();
-        Map<String, Count> now = f.nodeCounts();
-        Map<String, Count> core = f.controlNodeCounts();
+        Map<String, Count> now = fleet.nodeCounts();
+        Map<String, Count> core = fleet.controlNodeCounts();
         Count mean = Count.sum(now.values()).minus(Count.sum(nodes.values())).times(1 / s / n);
         Count all =
                 Count.sum(core.values()).minus(Count.sum(controlNodes.values())).times(1 / s);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -57,7 +57,7 @@
         HollowHost desk = new HollowHost("10.0.9.1:1", sim);
         net.add(desk);
         CoreClient core = new CoreClient(
-                net.rpc(desk, controlCodec), sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {});
+                net.rpc(desk, controlCodec), sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
         operator = new HollowOperator(core, shape.tenants());
         sim.run(REST);
         change();
@@ -72,8 +72,8 @@
         sim.run(Duration.ofMillis(500));
         await(
                 () -> nodes.values().stream()
-                                .allMatch(n -> n.members() == shape.nodes()
-                                        && n.configurationVersion() == operator.configurationVersion())
+                                .allMatch(node -> node.members() == shape.nodes()
+                                        && node.configurationVersion() == operator.configurationVersion())
                         && held() == shape.tenants(),
                 "the fleet did not get ready");
         sim.run(REST);
@@ -84,39 +84,42 @@
     }
 
     private void light(String address) throws ServiceException {
-        HollowHost h = new HollowHost(address, sim);
-        net.add(h);
-        controlNodes.put(address, h);
+        HollowHost host = new HollowHost(address, sim);
+        net.add(host);
+        controlNodes.put(address, host);
         RpcRouter router = new RpcRouter();
-        h.serve(router);
-        RpcClient rpc = net.rpc(h, controlCodec);
-        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), h, RING_FILES, RING_BYTES);
-        book.onFailure(why -> h.kill());
-        NodeEnvironment env = new NodeEnvironment(
-                h, h, rpc, controlCodec, book, sim.random()::nextLong, ReplicationTiming.partitions());
-        ControlNode n = new ControlNode(
-                env, new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {}), seeds, "");
-        n.route(router);
-        new OperatorHttpHandler(n, "").route(router);
-        n.start();
+        host.serve(router);
+        RpcClient rpc = net.rpc(host, controlCodec);
+        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
+        book.onFailure(why -> host.kill());
+        NodeEnvironment environment = new NodeEnvironment(
+                host, host, rpc, controlCodec, book, sim.random()::nextLong, ReplicationTiming.partitions());
+        ControlNode node = new ControlNode(
+                environment,
+                new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {}),
+                seeds,
+                "");
+        node.route(router);
+        new OperatorHttpHandler(node, "").route(router);
+        node.start();
     }
 
     private void begin(String address) {
         int i = places.get(address);
-        HollowHost h = new HollowHost(address, sim);
-        net.add(h);
-        hosts.put(address, h);
+        HollowHost host = new HollowHost(address, sim);
+        net.add(host);
+        hosts.put(address, host);
         String role = i % Shape.STORE_EVERY == 0 ? ServiceNames.STORES : ServiceNames.INTAKES;
-        HollowNode n =
-                new HollowNode(h, net.rpc(h, pilotCodec), pilotCodec, sim, "hall" + i % Shape.ZONES, seeds, role);
-        nodes.put(address, n);
-        h.work(() -> n.start(List.of(LIST)));
+        HollowNode node =
+                new HollowNode(host, net.rpc(host, pilotCodec), pilotCodec, sim, "hall" + i % Shape.ZONES, seeds, role);
+        nodes.put(address, node);
+        host.work(() -> node.start(List.of(LIST)));
     }
 
     private void drawing(String address) {
-        HollowHost h = hosts.get(address);
+        HollowHost host = hosts.get(address);
         Duration period = Duration.ofNanos((long) (1e9 / shape.drawsPerS()));
-        h.every(
+        host.every(
                 period,
                 () -> nodes.get(address)
                         .draw(ServiceNames.tenantBucket(
@@ -159,8 +162,11 @@
         await(
                 () -> nodes.values().stream()
                         .filter(HollowNode::follows)
-                        .allMatch(n ->
-                                n.latest(LIST).processors().get("processor-0").leaving() == leaving),
+                        .allMatch(node -> node.latest(LIST)
+                                        .processors()
+                                        .get("processor-0")
+                                        .leaving()
+                                == leaving),
                 "a mark did not arrive");
         return sim.now().minus(from);
     }
@@ -173,7 +179,7 @@
         await(
                 () -> operator.configurationVersion() > before
                         && nodes.values().stream()
-                                .allMatch(n -> n.configurationVersion() == operator.configurationVersion()),
+                                .allMatch(node -> node.configurationVersion() == operator.configurationVersion()),
                 "a change did not arrive everywhere");
         return sim.now().minus(from);
     }
@@ -199,7 +205,8 @@
         String now = nodes.get(a).incarnation();
         await(
                 () -> nodes.values().stream()
-                        .allMatch(n -> n.incarnationOf(ServiceNames.INTAKES, a).equals(now)),
+                        .allMatch(node ->
+                                node.incarnationOf(ServiceNames.INTAKES, a).equals(now)),
                 "a restarted node is not known everywhere");
         return sim.now().minus(from);
     }
@@ -218,7 +225,7 @@
 
     long draws() {
         return nodes.values().stream()
-                .mapToLong(n -> n.passes().atOnce() + n.passes().waited())
+                .mapToLong(node -> node.passes().atOnce() + node.passes().waited())
                 .sum();
     }
 
@@ -231,6 +238,6 @@
     }
 
     private static Map<String, Count> counts(Collection<HollowHost> from) {
-        return from.stream().collect(Collectors.toMap(h -> h.address, HollowHost::count));
+        return from.stream().collect(Collectors.toMap(host -> host.address, HollowHost::count));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -36,8 +36,8 @@
         this.started = sim.now();
     }
 
-    void serve(RpcRouter r) {
-        router = r;
+    void serve(RpcRouter rpcRouter) {
+        router = rpcRouter;
     }
 
     RpcRouter router() {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -24,8 +24,8 @@
         this.sim = sim;
     }
 
-    void add(HollowHost h) {
-        hosts.put(h.address, h);
+    void add(HollowHost host) {
+        hosts.put(host.address, host);
     }
 
     RpcClient rpc(HollowHost self, Codec codec) {
@@ -62,15 +62,15 @@
                         byte[] bytes = codec.write(new Frame(1, Frame.Kind.REQUEST, body));
                         self.passed(bytes.length);
                         sim.after(delay(), () -> arrive(to, bytes, sink));
-                        return sink.asMono().doFinally(s -> late.cancel());
+                        return sink.asMono().doFinally(signal -> late.cancel());
                     })
-                    .flatMap(f -> f.kind() == Frame.Kind.ERROR
-                            ? Mono.<T>error(fault((Frame.ErrorResponse) f.body()))
-                            : Mono.just(answer.cast(f.body())));
+                    .flatMap(frame -> frame.kind() == Frame.Kind.ERROR
+                            ? Mono.<T>error(fault((Frame.ErrorResponse) frame.body()))
+                            : Mono.just(answer.cast(frame.body())));
         }
 
-        private ServiceException fault(Frame.ErrorResponse r) {
-            return new ServiceException(ErrorKind.valueOf(r.kind()), r.message(), r.details());
+        private ServiceException fault(Frame.ErrorResponse error) {
+            return new ServiceException(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
         private void arrive(String to, byte[] bytes, Sinks.One<Frame> sink) {
@@ -80,15 +80,15 @@
                         sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + ".")));
                 return;
             }
-            HollowHost t = target.get();
-            t.passed(bytes.length);
-            t.asked();
-            t.work(() ->
-                    PendingCalls.serve(t.router(), self.address, read(bytes)).subscribe(f -> back(t, f, sink)));
+            HollowHost host = target.get();
+            host.passed(bytes.length);
+            host.asked();
+            host.work(() -> PendingCalls.serve(host.router(), self.address, read(bytes))
+                    .subscribe(frame -> back(host, frame, sink)));
         }
 
-        private void back(HollowHost from, Frame f, Sinks.One<Frame> sink) {
-            byte[] bytes = codec.write(f);
+        private void back(HollowHost from, Frame frame, Sinks.One<Frame> sink) {
+            byte[] bytes = codec.write(frame);
             from.passed(bytes.length);
             sim.after(delay(), () -> {
                 self.passed(bytes.length);
@@ -99,8 +99,8 @@
         private Frame read(byte[] bytes) {
             try {
                 return codec.read(bytes, Frame.class);
-            } catch (ServiceException e) {
-                throw new IllegalStateException(e);
+            } catch (ServiceException failure) {
+                throw new IllegalStateException(failure);
             }
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -33,7 +33,7 @@
     private static final Duration LEARN = Duration.ofSeconds(2);
     private static final Duration FOLLOW = Duration.ofSeconds(1);
 
-    private final NodeEnvironment env;
+    private final NodeEnvironment environment;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
@@ -44,7 +44,7 @@
     private final List<TimerHandle> running = new java.util.ArrayList<>();
 
     HollowNode(HollowHost host, RpcClient rpc, Codec codec, Sim sim, String zone, List<String> seeds, String role) {
-        this.env = new NodeEnvironment(
+        this.environment = new NodeEnvironment(
                 host,
                 host,
                 rpc,
@@ -52,21 +52,21 @@
                 new DisabledWriteAheadLog(),
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
-        this.core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {});
+        this.core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
         this.role = role;
         this.memberLease = new MemberLease(
                 zone, host.address, Long.toHexString(sim.random().nextLong()), List.of());
-        this.subscriptions = new ViewSubscriptions(env, core, zone);
+        this.subscriptions = new ViewSubscriptions(environment, core, zone);
         this.configurations = new ConfigurationView(subscriptions);
-        this.localBuckets = new LocalBuckets(env, subscriptions);
+        this.localBuckets = new LocalBuckets(environment, subscriptions);
         this.holders = role.equals(ServiceNames.INTAKES)
                 ? Optional.of(new TokenGranters(
-                        env, core, subscriptions, configurations::admissionLimit, configurations::buckets))
+                        environment, core, subscriptions, configurations::admissionLimit, configurations::buckets))
                 : Optional.empty();
         RpcRouter router = new RpcRouter();
-        router.on(ControlMessages.ServiceViewRequest.class, (f, a) -> subscriptions.onViewRequest(a))
-                .on(ControlMessages.CoreMembersRequest.class, (f, a) -> Mono.just(core.membersResponse()));
-        holders.ifPresent(h -> router.on(TokenMessages.TokenRequest.class, h::onTokenRequest));
+        router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
+                .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()));
+        holders.ifPresent(granters -> router.on(TokenMessages.TokenRequest.class, granters::onTokenRequest));
         host.serve(router);
     }
 
@@ -76,11 +76,11 @@
         localBuckets.start();
         holders.ifPresent(TokenGranters::start);
         lease();
-        running.add(env.timers().every(env.timing().heartbeat(), this::lease));
-        running.add(env.timers().every(LEARN, core::refreshMembers));
+        running.add(environment.timers().every(environment.timing().heartbeat(), this::lease));
+        running.add(environment.timers().every(LEARN, core::refreshMembers));
         if (holders.isEmpty() && !followed.isEmpty()) {
             follow(followed);
-            running.add(env.timers().every(FOLLOW, () -> follow(followed)));
+            running.add(environment.timers().every(FOLLOW, () -> follow(followed)));
         }
     }
 
@@ -91,14 +91,16 @@
     private void lease() {
         core.ask(
                         ServiceNames.controlPart(role),
-                        new ControlMessages.RenewLeaseRequest(role, env.self(), memberLease),
+                        new ControlMessages.RenewLeaseRequest(role, environment.self(), memberLease),
                         ControlMessages.UpdateResult.class)
-                .subscribe(d -> {}, e -> {});
+                .subscribe(result -> {}, e -> {});
     }
 
     /** One pass for one message, settled at once. design 8.3 */
     void draw(String bucket) {
-        localBuckets.take(bucket, LocalBuckets.MAX_WAIT).subscribe(p -> localBuckets.markSpent(bucket, p), e -> {});
+        localBuckets
+                .take(bucket, LocalBuckets.MAX_WAIT)
+                .subscribe(token -> localBuckets.markSpent(bucket, token), e -> {});
     }
 
     LocalBuckets.Counts passes() {
@@ -111,7 +113,7 @@
     }
 
     int holds() {
-        return holders.map(h -> h.ownedCount().size()).orElse(0);
+        return holders.map(granters -> granters.ownedCount().size()).orElse(0);
     }
 
     ServiceView latest(String service) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -62,10 +62,10 @@
         List<HollowHost> hosts = new ArrayList<>();
         List<Map<String, Replica>> replicas = new ArrayList<>();
         for (String s : STORES) {
-            HollowHost h = new HollowHost(s, sim);
-            net.add(h);
-            hosts.add(h);
-            replicas.add(store(h, net, sim, size));
+            HollowHost host = new HollowHost(s, sim);
+            net.add(host);
+            hosts.add(host);
+            replicas.add(store(host, net, sim, size));
         }
         sim.run(START);
         long owned = replicas.stream()
@@ -90,27 +90,38 @@
     }
 
     /** Each part has another first store, so owners are spread. */
-    private static Map<String, Replica> store(HollowHost h, HollowNet net, Sim sim, int parts) throws ServiceException {
+    private static Map<String, Replica> store(HollowHost host, HollowNet net, Sim sim, int parts)
+            throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), h, RING_FILES, RING_BYTES);
-        NodeEnvironment env = new NodeEnvironment(
-                h, h, net.rpc(h, codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
+        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
+        NodeEnvironment environment = new NodeEnvironment(
+                host, host, net.rpc(host, codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
         Map<String, Replica> mine = new HashMap<>();
         for (int i = 0; i < parts; i++) {
             List<String> copies = new ArrayList<>(STORES);
             Collections.rotate(copies, i);
-            mine.put("m" + i, new Replica("m" + i, copies, new MessageStateMachine("m" + i, codec), env));
+            mine.put("m" + i, new Replica("m" + i, copies, new MessageStateMachine("m" + i, codec), environment));
         }
-        RpcRouter r = new RpcRouter();
-        r.on(ReplicationMessages.VoteRequest.class, (f, a) -> at(mine, a.partition(), f, a))
-                .on(ReplicationMessages.AppendEntriesRequest.class, (f, a) -> at(mine, a.partition(), f, a))
-                .on(ReplicationMessages.InstallSnapshotRequest.class, (f, a) -> at(mine, a.partition(), f, a))
-                .on(ReplicationMessages.StartElectionRequest.class, (f, a) -> at(mine, a.partition(), f, a))
-                .on(ReplicationMessages.BootstrapStatusRequest.class, (f, a) -> at(mine, a.partition(), f, a))
-                .on(ReplicationMessages.BootstrapRequest.class, (f, a) -> at(mine, a.partition(), f, a));
-        h.serve(r);
-        for (Replica x : mine.values()) {
-            x.start(List.of());
+        RpcRouter router = new RpcRouter();
+        router.on(ReplicationMessages.VoteRequest.class, (f, request) -> at(mine, request.partition(), f, request))
+                .on(
+                        ReplicationMessages.AppendEntriesRequest.class,
+                        (f, request) -> at(mine, request.partition(), f, request))
+                .on(
+                        ReplicationMessages.InstallSnapshotRequest.class,
+                        (f, request) -> at(mine, request.partition(), f, request))
+                .on(
+                        ReplicationMessages.StartElectionRequest.class,
+                        (f, request) -> at(mine, request.partition(), f, request))
+                .on(
+                        ReplicationMessages.BootstrapStatusRequest.class,
+                        (f, request) -> at(mine, request.partition(), f, request))
+                .on(
+                        ReplicationMessages.BootstrapRequest.class,
+                        (f, request) -> at(mine, request.partition(), f, request));
+        host.serve(router);
+        for (Replica replica : mine.values()) {
+            replica.start(List.of());
         }
         return mine;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
@@ -36,8 +36,8 @@
         c.getStyler().setLegendVisible(false).setChartTitleFont(new Font("SansSerif", Font.PLAIN, 11));
         c.getStyler().setYAxisMin(0.0).setChartBackgroundColor(Color.WHITE).setMarkerSize(6);
         List<Integer> x = new ArrayList<>(points.keySet());
-        Fit f = Fit.of(points);
-        c.addSeries("line", x, x.stream().map(f::at).toList()).setMarker(SeriesMarkers.NONE);
+        Fit fit = Fit.of(points);
+        c.addSeries("line", x, x.stream().map(fit::at).toList()).setMarker(SeriesMarkers.NONE);
         c.addSeries("measured", x, new ArrayList<>(points.values()))
                 .setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Scatter);
         return c;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
@@ -42,32 +42,32 @@
     private final int largest;
     private final Path out;
 
-    private Wanted(Options o, long allowed) throws ServiceException {
-        List<String> only = list(o.nodes.isEmpty() ? o.only : NODES);
-        List<String> sizes = list(o.nodes.isEmpty() ? o.sizes : o.nodes);
+    private Wanted(Options options, long allowed) throws ServiceException {
+        List<String> only = list(options.nodes.isEmpty() ? options.only : NODES);
+        List<String> sizes = list(options.nodes.isEmpty() ? options.sizes : options.nodes);
         Map<String, Supplier<Mechanism>> all = all();
         for (String name : only.isEmpty() ? all.keySet() : only) {
             if (!all.containsKey(name)) {
                 throw bad("There is no mechanism " + name + "; there are " + String.join(", ", all.keySet()) + ".");
             }
-            Mechanism m = all.get(name).get();
-            names.put(m, name);
-            runs.put(m, sizes.isEmpty() ? m.sizes() : checked(sizes));
+            Mechanism mechanism = all.get(name).get();
+            names.put(mechanism, name);
+            runs.put(mechanism, sizes.isEmpty() ? mechanism.sizes() : checked(sizes));
         }
         if (!sizes.isEmpty() && runs.size() != 1) {
             throw bad("Sizes belong to one mechanism: name it with --only.");
         }
-        largest = o.largest;
-        out = Path.of(o.out);
+        largest = options.largest;
+        out = Path.of(options.out);
         if (largest < 0 || largest > 0 && !names.containsValue(NODES)) {
             throw bad("The largest run is a number of nodes over zero, and needs the mechanism nodes.");
         }
-        for (Map.Entry<Mechanism, List<Integer>> e : runs.entrySet()) {
-            for (int size : e.getValue()) {
-                fits(e.getKey(), size, allowed);
+        for (Map.Entry<Mechanism, List<Integer>> entry : runs.entrySet()) {
+            for (int size : entry.getValue()) {
+                fits(entry.getKey(), size, allowed);
             }
-            if (names.get(e.getKey()).equals(NODES) && largest > 0) {
-                fits(e.getKey(), largest, allowed);
+            if (names.get(entry.getKey()).equals(NODES) && largest > 0) {
+                fits(entry.getKey(), largest, allowed);
             }
         }
     }
@@ -120,13 +120,13 @@
         return out;
     }
 
-    private void fits(Mechanism m, int size, long allowed) throws ServiceException {
-        if (size > m.most()) {
-            throw bad(size + " " + m.counts() + " are more than the " + m.most() + " that can be run.");
+    private void fits(Mechanism mechanism, int size, long allowed) throws ServiceException {
+        if (size > mechanism.most()) {
+            throw bad(size + " " + mechanism.counts() + " are more than the " + mechanism.most() + " that can be run.");
         }
-        if (m.needs(size) > allowed) {
-            throw bad(size + " " + m.counts() + " need about " + (m.needs(size) >> 20) + " MB of heap, and "
-                    + (allowed >> 20) + " MB may be used.");
+        if (mechanism.needs(size) > allowed) {
+            throw bad(size + " " + mechanism.counts() + " need about " + (mechanism.needs(size) >> 20)
+                    + " MB of heap, and " + (allowed >> 20) + " MB may be used.");
         }
     }
 
@@ -134,8 +134,8 @@
         return runs;
     }
 
-    String name(Mechanism m) {
-        return names.get(m);
+    String name(Mechanism mechanism) {
+        return names.get(mechanism);
     }
 
     /** Zero where no such run is wanted. */
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
@@ -51,8 +51,8 @@
     }
 
     private static String free() throws ServiceException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "127.0.0.1:" + s.getLocalPort();
+        try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return "127.0.0.1:" + serverSocket.getLocalPort();
         } catch (IOException e) {
             throw new ServiceException(ErrorKind.UNAVAILABLE, "No free port on loopback.");
         }
@@ -66,7 +66,8 @@
     public Map<String, Double> measure(int size) throws ServiceException {
         SystemTimers schedules = new SystemTimers(2);
         RpcRouter router = new RpcRouter();
-        router.on(ControlMessages.LeaveRequest.class, (f, a) -> Mono.just(new ControlMessages.UpdateResult(true)));
+        router.on(
+                ControlMessages.LeaveRequest.class, (f, request) -> Mono.just(new ControlMessages.UpdateResult(true)));
         TcpRpcClient here = new TcpRpcClient(
                 free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), schedules);
         TcpRpcClient there =
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
@@ -30,16 +30,19 @@
 
     public CompletableFuture<Got> send(
             String method, String address, String path, String key, byte[] body, Map<String, String> headers) {
-        HttpRequest.Builder b = HttpRequest.newBuilder(URI.create("http://" + address + path))
+        HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(Duration.ofSeconds(8))
                 .method(method, HttpRequest.BodyPublishers.ofByteArray(body));
-        headers.forEach(b::header);
+        headers.forEach(builder::header);
         if (!key.isEmpty()) {
-            b.header("Authorization", "Bearer " + key);
+            builder.header("Authorization", "Bearer " + key);
         }
-        return http.sendAsync(b.build(), HttpResponse.BodyHandlers.ofByteArray())
-                .thenApply(
-                        r -> new Got(r.statusCode(), json(r.body()), r.headers().map(), r.body()));
+        return http.sendAsync(builder.build(), HttpResponse.BodyHandlers.ofByteArray())
+                .thenApply(response -> new Got(
+                        response.statusCode(),
+                        json(response.body()),
+                        response.headers().map(),
+                        response.body()));
     }
 
     private static JsonNode json(byte[] body) {
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/ClientLoad.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/ClientLoad.java
@@ -29,11 +29,11 @@
     }
 
     public ClientLoad(String http, String key) {
-        ApiClient c = new ApiClient();
-        c.updateBaseUri("http://" + http);
-        c.setRequestInterceptor(b -> b.header("Authorization", "Bearer " + key));
-        c.setReadTimeout(READ_TIMEOUT);
-        this.api = new CallersApi(c);
+        ApiClient apiClient = new ApiClient();
+        apiClient.updateBaseUri("http://" + http);
+        apiClient.setRequestInterceptor(builder -> builder.header("Authorization", "Bearer " + key));
+        apiClient.setReadTimeout(READ_TIMEOUT);
+        this.api = new CallersApi(apiClient);
     }
 
     /** The handle of the message taken; a 202 without one is no answer. */
@@ -51,8 +51,8 @@
 
     public boolean over(String handle) {
         try {
-            Message.StateEnum s = show(handle).getState();
-            return s == Message.StateEnum.DONE || s == Message.StateEnum.FAILED;
+            Message.StateEnum stateEnum = show(handle).getState();
+            return stateEnum == Message.StateEnum.DONE || stateEnum == Message.StateEnum.FAILED;
         } catch (ApiException e) {
             return false;
         }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -80,8 +80,8 @@
         for (int i = 0; i < 1000; i++) {
             int port = LOWEST + ThreadLocalRandom.current().nextInt(HIGHEST - LOWEST);
             if (GIVEN.add(port)) {
-                try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
-                    return "127.0.0.1:" + s.getLocalPort();
+                try (ServerSocket serverSocket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
+                    return "127.0.0.1:" + serverSocket.getLocalPort();
                 } catch (java.net.BindException e) {
                     // taken by somebody else: another one
                 }
@@ -93,10 +93,10 @@
     /** Puts a relay before every process; none may have been started yet. */
     public Relay.Cuts relayed() throws IOException {
         Relay.Cuts cuts = new Relay.Cuts();
-        for (NodeProcess v : all()) {
+        for (NodeProcess process : all()) {
             String listen = free();
-            v.boot("listen", listen);
-            relays.add(new Relay(v.address, listen, cuts));
+            process.boot("listen", listen);
+            relays.add(new Relay(process.address, listen, cuts));
         }
         return cuts;
     }
@@ -114,8 +114,8 @@
     }
 
     public void startAll() throws IOException {
-        for (NodeProcess v : all()) {
-            v.start();
+        for (NodeProcess process : all()) {
+            process.start();
         }
     }
 
@@ -124,15 +124,15 @@
     }
 
     public Optional<NodeProcess> byName(String name) {
-        return all().stream().filter(v -> v.name.equals(name)).findFirst();
+        return all().stream().filter(process -> process.name.equals(name)).findFirst();
     }
 
     @Override
     public void close() {
         killAll();
-        for (Relay r : relays) {
+        for (Relay relay : relays) {
             try {
-                r.close();
+                relay.close();
             } catch (IOException e) {
                 System.out.println("A relay did not close: " + e.getMessage());
             }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -78,8 +78,8 @@
         open.add(submit(0, id, "hold", "", body, 0, intake, secret));
         open.add(town.client
                 .send("GET", intake.http, "/v1/messages?state=failed", secret, new byte[0], Map.of())
-                .handle((g, e) -> {
-                    if (e == null && g.status() == 200) {
+                .handle((got, e) -> {
+                    if (e == null && got.status() == 200) {
                         town.seen.saw(
                                 town.seen.served,
                                 new Observations.KeyServed(secret, "read", town.times.monotonicTime()));
@@ -102,17 +102,18 @@
     }
 
     private CompletableFuture<Observations.Submitted> submit(
-            int tenant, String id, String lane, String order, byte[] body, int tries, NodeProcess v, String key) {
+            int tenant, String id, String lane, String order, byte[] body, int tries, NodeProcess process, String key) {
         Duration sent = town.times.monotonicTime();
         CompletableFuture<Observations.Submitted> f = town.client
-                .send("POST", v.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
-                .handle((g, e) -> {
-                    Sampling t = e == null ? Sampling.of(g) : Sampling.NONE;
-                    kinds.computeIfAbsent(t.kind(), k -> new AtomicLong()).incrementAndGet();
-                    if (t.broken()) {
-                        broken.add(id + ": " + g.told());
+                .send("POST", process.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
+                .handle((got, e) -> {
+                    Sampling sampling = e == null ? Sampling.of(got) : Sampling.NONE;
+                    kinds.computeIfAbsent(sampling.kind(), k -> new AtomicLong())
+                            .incrementAndGet();
+                    if (sampling.broken()) {
+                        broken.add(id + ": " + got.told());
                     }
-                    Observations.Submitted h = new Observations.Submitted(
+                    Observations.Submitted submitted = new Observations.Submitted(
                             TestConfiguration.tenant(tenant),
                             id,
                             lane,
@@ -120,20 +121,20 @@
                             key,
                             sent,
                             town.times.monotonicTime(),
-                            t.said(),
-                            t.kind(),
-                            t.handle(),
-                            t.repeated());
-                    town.seen.saw(town.seen.submitted, h);
-                    if (t.said() == Observations.Said.ACCEPTED) {
-                        owners.put(t.handle(), tenant);
-                        left.put(t.handle(), "not asked yet");
+                            sampling.said(),
+                            sampling.kind(),
+                            sampling.handle(),
+                            sampling.repeated());
+                    town.seen.saw(town.seen.submitted, submitted);
+                    if (sampling.said() == Observations.Said.ACCEPTED) {
+                        owners.put(sampling.handle(), tenant);
+                        left.put(sampling.handle(), "not asked yet");
                     }
-                    return h;
+                    return submitted;
                 })
-                .thenCompose(h -> h.said() == Observations.Said.UNKNOWN && tries > 0
+                .thenCompose(submitted -> submitted.said() == Observations.Said.UNKNOWN && tries > 0
                         ? submit(tenant, id, lane, order, body, tries - 1)
-                        : CompletableFuture.completedFuture(h));
+                        : CompletableFuture.completedFuture(submitted));
         open.add(f);
         return f;
     }
@@ -158,23 +159,23 @@
     }
 
     private CompletableFuture<?> ask(String handle) {
-        NodeProcess v = fleet.intakes.get(random.nextInt(fleet.intakes.size()));
+        NodeProcess process = fleet.intakes.get(random.nextInt(fleet.intakes.size()));
         Duration asked = town.times.monotonicTime();
         return town.client
                 .send(
                         "GET",
-                        v.http,
+                        process.http,
                         "/v1/messages/" + handle,
                         TestConfiguration.callerKey(owners.get(handle)),
                         new byte[0],
                         Map.of())
-                .handle((g, e) -> {
-                    left.computeIfPresent(handle, (h, before) -> e == null ? g.told() : "no answer: " + e);
+                .handle((got, e) -> {
+                    left.computeIfPresent(handle, (h, before) -> e == null ? got.told() : "no answer: " + e);
                     if (e == null
-                            && g.status() == 200
-                            && g.json().path("handle").asText().equals(handle)) {
+                            && got.status() == 200
+                            && got.json().path("handle").asText().equals(handle)) {
                         Observations.Shown shown = Observations.Shown.read(
-                                handle, g.json(), asked, town.times.monotonicTime(), town::trueTime);
+                                handle, got.json(), asked, town.times.monotonicTime(), town::trueTime);
                         town.seen.saw(town.seen.shown, shown);
                         if (shown.over()) {
                             left.remove(handle);
@@ -202,7 +203,7 @@
 
     public Map<String, Long> states() {
         Map<String, String> last = new HashMap<>();
-        town.seen.copy(town.seen.shown).forEach(s -> last.put(s.handle(), s.state()));
+        town.seen.copy(town.seen.shown).forEach(shown -> last.put(shown.handle(), shown.state()));
         Map<String, Long> out = new TreeMap<>();
         last.values().forEach(s -> out.merge(s, 1L, Long::sum));
         return out;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
@@ -95,24 +95,24 @@
 
     /** Like a loss of power of the process: no orderly stop. */
     public void kill() {
-        process.ifPresent(p -> {
-            p.destroyForcibly();
-            waitFor(p);
+        process.ifPresent(process -> {
+            process.destroyForcibly();
+            waitFor(process);
         });
     }
 
     /** SIGTERM: the program drains first. */
     public void stop() {
-        process.ifPresent(p -> {
-            p.destroy();
-            waitFor(p);
+        process.ifPresent(process -> {
+            process.destroy();
+            waitFor(process);
         });
     }
 
-    private static void waitFor(Process p) {
+    private static void waitFor(Process process) {
         try {
-            if (!p.waitFor(15, java.util.concurrent.TimeUnit.SECONDS)) {
-                p.destroyForcibly();
+            if (!process.waitFor(15, java.util.concurrent.TimeUnit.SECONDS)) {
+                process.destroyForcibly();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -133,8 +133,8 @@
     /** As if the disk was lost. */
     public void loseDisk() throws IOException {
         try (var walk = Files.walk(folder.resolve("data"))) {
-            for (Path p : walk.sorted(java.util.Comparator.reverseOrder()).toList()) {
-                Files.delete(p);
+            for (Path path : walk.sorted(java.util.Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
@@ -50,17 +50,17 @@
         return Integer.parseInt(address.substring(address.indexOf(':') + 1));
     }
 
-    private static void start(Runnable r) {
-        Thread t = new Thread(r, "relay");
-        t.setDaemon(true);
-        t.start();
+    private static void start(Runnable task) {
+        Thread thread = new Thread(task, "relay");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void accept() {
         while (!server.isClosed()) {
             try {
-                Socket s = server.accept();
-                start(() -> serve(s));
+                Socket socket = server.accept();
+                start(() -> serve(socket));
             } catch (IOException e) {
                 return;
             }
@@ -114,9 +114,9 @@
         close(to);
     }
 
-    private static void close(Socket s) {
+    private static void close(Socket socket) {
         try {
-            s.close();
+            socket.close();
         } catch (IOException e) {
             // nothing left to close
         }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Sampling.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Sampling.java
@@ -11,21 +11,21 @@
     private static final Sampling BROKEN =
             new Sampling(Observations.Said.UNKNOWN, "accepted without a handle", "", false);
 
-    static Sampling of(Client.Got g) {
-        if (g.status() == 202) {
-            String handle = g.json().path("handle").asText("");
+    static Sampling of(Client.Got got) {
+        if (got.status() == 202) {
+            String handle = got.json().path("handle").asText("");
             return handle.isEmpty()
                     ? BROKEN
                     : new Sampling(
                             Observations.Said.ACCEPTED,
                             "accepted",
                             handle,
-                            g.json().path("repeated").asBoolean());
+                            got.json().path("repeated").asBoolean());
         }
-        boolean unknown = g.status() >= 500 && g.status() != 503;
+        boolean unknown = got.status() >= 500 && got.status() != 503;
         return new Sampling(
                 unknown ? Observations.Said.UNKNOWN : Observations.Said.REFUSED,
-                g.json().path("kind").asText(),
+                got.json().path("kind").asText(),
                 "",
                 false);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
@@ -26,7 +26,7 @@
 
     static Shape of(String name) {
         return Arrays.stream(values())
-                .filter(s -> s.name().equalsIgnoreCase(name))
+                .filter(shape -> shape.name().equalsIgnoreCase(name))
                 .findFirst()
                 .orElseThrow(
                         () -> new IllegalArgumentException("no shape " + name + "; try small, lankavidya, rotterdam"));
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -50,24 +50,24 @@
     }
 
     private void backend(String id, String service, boolean paced) throws IOException, ServiceException {
-        Backend b = new Backend(id, service, paced, seen, times, schedules, new SecureRandom()::nextLong);
+        Backend backend = new Backend(id, service, paced, seen, times, schedules, new SecureRandom()::nextLong);
         String address = Fleet.free();
-        HttpGateway g = new HttpGateway(address, 64 << 10, b::answer);
-        g.start();
-        gates.add(g);
-        backends.put(id, b);
+        HttpGateway httpGateway = new HttpGateway(address, 64 << 10, backend::answer);
+        httpGateway.start();
+        gates.add(httpGateway);
+        backends.put(id, backend);
         addresses.put(id, address);
     }
 
     /** ControlMessages control nodes in turn until one gives a clear answer. */
     public Client.Got operate(String method, String path, byte[] body, Map<String, String> headers) {
         for (int i = 0; i < 60; i++) {
-            NodeProcess v = fleet.lighthouses.get(i % fleet.lighthouses.size());
+            NodeProcess process = fleet.lighthouses.get(i % fleet.lighthouses.size());
             try {
-                Client.Got g =
-                        client.send(method, v.http, path, "", body, headers).join();
-                if (g.status() < 500) {
-                    return g;
+                Client.Got got = client.send(method, process.http, path, "", body, headers)
+                        .join();
+                if (got.status() < 500) {
+                    return got;
                 }
             } catch (CompletionException e) {
                 // the next one is asked
@@ -77,18 +77,18 @@
         throw new IllegalStateException("no lighthouse answered " + method + " " + path);
     }
 
-    public long putConfiguration(Configuration l, long base, String requestId) {
-        byte[] json = Configurations.write(l);
+    public long putConfiguration(Configuration configuration, long base, String requestId) {
+        byte[] json = Configurations.write(configuration);
         if (!System.getProperty("older", "").isEmpty()) {
             // the older build does not know this field
             json = new String(json, java.nio.charset.StandardCharsets.UTF_8)
                     .replace(",\"ifUnclear\":\"FAIL\"", "")
                     .getBytes(java.nio.charset.StandardCharsets.UTF_8);
         }
-        Client.Got g =
+        Client.Got got =
                 operate("PUT", "/v1/layout", json, Map.of("If-Match", Long.toString(base), "X-Request-Id", requestId));
-        boolean taken = g.status() == 200;
-        long version = taken ? g.json().path("version").asLong() : -1;
+        boolean taken = got.status() == 200;
+        long version = taken ? got.json().path("version").asLong() : -1;
         seen.saw(
                 seen.configurations,
                 new Observations.ConfigurationSaid(
@@ -100,7 +100,7 @@
                         Configurations.sha256(new String(json, java.nio.charset.StandardCharsets.UTF_8))));
         if (!taken) {
             throw new IllegalStateException(
-                    "layout refused: " + new String(g.body(), java.nio.charset.StandardCharsets.UTF_8));
+                    "layout refused: " + new String(got.body(), java.nio.charset.StandardCharsets.UTF_8));
         }
         present = version;
         return version;
@@ -108,7 +108,7 @@
 
     /** A key of tenant 0 comes or goes; what follows is by the version that results. */
     public void putKey(String secret, boolean there) {
-        Configuration l = Edit.keys(configuration(), m -> {
+        Configuration configuration = Edit.keys(configuration(), m -> {
             if (there) {
                 m.put(
                         secret,
@@ -119,7 +119,7 @@
                                 Configurations.sha256(secret)));
             }
         });
-        putConfiguration(l, present, "key-" + there);
+        putConfiguration(configuration, present, "key-" + there);
         if (!there) {
             seen.saw(seen.keys, new Observations.KeyWithdrawn(secret, times.monotonicTime()));
         }
@@ -136,13 +136,13 @@
     public void list(String id, boolean leaving) {
         int n = Integer.parseInt(id.substring(1));
         String service = n % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
-        Client.Got g = operate(
+        Client.Got got = operate(
                 "PUT",
                 "/v1/services/" + service + "/processors/" + id,
                 Configurations.write(Map.of("address", "http://" + addresses.get(id), "leaving", leaving)),
                 Map.of());
-        if (g.status() != 200) {
-            throw new IllegalStateException("processor refused: " + g.status());
+        if (got.status() != 200) {
+            throw new IllegalStateException("processor refused: " + got.status());
         }
         if (leaving) {
             seen.saw(seen.leaving, new Observations.MarkedLeaving(id, times.monotonicTime()));
@@ -154,9 +154,9 @@
         return times.monotonicTime().minus(Duration.between(stamp, times.wallTime()));
     }
 
-    public boolean ready(NodeProcess v) {
+    public boolean ready(NodeProcess process) {
         try {
-            return client.send("GET", v.http, "/v1/readiness", "", new byte[0], Map.of())
+            return client.send("GET", process.http, "/v1/readiness", "", new byte[0], Map.of())
                             .join()
                             .status()
                     == 200;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -84,12 +84,13 @@
     }
 
     private static void smoke(Fleet fleet, StubEnvironment town, Load load) {
-        ClientLoad s = new ClientLoad(fleet.intakes.get(0).http, TestConfiguration.callerKey(0));
+        ClientLoad client = new ClientLoad(fleet.intakes.get(0).http, TestConfiguration.callerKey(0));
         try {
-            String handle = s.submit("hold", "smoke");
-            town.await("the end of " + handle, Duration.ofSeconds(20), () -> s.over(handle));
+            String handle = client.submit("hold", "smoke");
+            town.await("the end of " + handle, Duration.ofSeconds(20), () -> client.over(handle));
             System.out.println("By the generated client: " + handle + " is "
-                    + s.show(handle).getState() + ", proof " + s.show(handle).getProof() + ".");
+                    + client.show(handle).getState() + ", proof "
+                    + client.show(handle).getProof() + ".");
         } catch (org.woadvale.client.ApiException e) {
             throw new IllegalStateException("the generated client got " + e.getCode() + " " + e.getResponseBody(), e);
         }
@@ -113,7 +114,9 @@
     }
 
     private static void stay(Fleet fleet) {
-        fleet.all().forEach(v -> System.out.println(v.name + " internal " + v.address + " http " + v.http));
+        fleet.all()
+                .forEach(process ->
+                        System.out.println(process.name + " internal " + process.address + " http " + process.http));
         System.out.println("Caller keys: " + TestConfiguration.callerKey(0) + " .. "
                 + TestConfiguration.callerKey(TENANTS - 1) + ". Press Enter to stop.");
         try {
@@ -140,19 +143,19 @@
 
     private static void counts(Fleet fleet, StubEnvironment town) {
         long[] sum = new long[6];
-        for (NodeProcess v : fleet.all()) {
+        for (NodeProcess process : fleet.all()) {
             try {
-                var g = town.client
-                        .send("GET", v.http, "/v1/status", "", new byte[0], Map.of())
+                var got = town.client
+                        .send("GET", process.http, "/v1/status", "", new byte[0], Map.of())
                         .join();
-                sum[0] += g.json().path("syncs").asLong();
-                sum[5] = Math.max(sum[5], g.json().path("ringFilesWritten").asLong());
-                sum[1] += g.json().path("passes").path("atOnce").asLong();
-                sum[2] += g.json().path("passes").path("waited").asLong();
-                sum[3] += g.json().path("passes").path("throttled").asLong();
-                sum[4] += g.json().path("passes").path("asks").asLong();
+                sum[0] += got.json().path("syncs").asLong();
+                sum[5] = Math.max(sum[5], got.json().path("ringFilesWritten").asLong());
+                sum[1] += got.json().path("passes").path("atOnce").asLong();
+                sum[2] += got.json().path("passes").path("waited").asLong();
+                sum[3] += got.json().path("passes").path("throttled").asLong();
+                sum[4] += got.json().path("passes").path("asks").asLong();
             } catch (java.util.concurrent.CompletionException e) {
-                System.out.println(v.name + " does not answer.");
+                System.out.println(process.name + " does not answer.");
             }
         }
         System.out.println("Store syncs " + sum[0] + "; passes at once " + sum[1] + ", after a wait " + sum[2]
--- a/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
@@ -112,8 +112,8 @@
             Map<?, ?> stored = codec.read(entry.bytes(), Map.class);
             stored.forEach((name, identity) -> members.put((String) name, (String) identity));
             return members;
-        } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable group", e);
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("unreadable group", failure);
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
@@ -63,8 +63,8 @@
     private ReplicationMessages.ReplicaSnapshot decode(WalRecord entry) {
         try {
             return codec.read(entry.bytes(), ReplicationMessages.ReplicaSnapshot.class);
-        } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable base", e);
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("unreadable base", failure);
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
@@ -42,7 +42,7 @@
         timers = new ModelTimers(() -> mutant.clock(this, cluster.localTime(name)));
         log = new ModelWriteAheadLog(disk);
         machine = new RegisterMachine();
-        NodeEnvironment env = new NodeEnvironment(
+        NodeEnvironment environment = new NodeEnvironment(
                 timers,
                 timers,
                 mutant.rpc(this, new Rpc()),
@@ -51,11 +51,11 @@
                 random(),
                 mutant.timing(this, cluster.timing()));
         wanted = cluster.wanted();
-        replica = new Replica(PARTITION, wanted, mutant.machine(this, machine), env);
+        replica = new Replica(PARTITION, wanted, mutant.machine(this, machine), environment);
         try {
-            replica.start(env.wal().recovered().getOrDefault(PARTITION, List.of()));
-        } catch (ServiceException e) {
-            throw new IllegalStateException("the replica of " + name + " cannot start", e);
+            replica.start(environment.wal().recovered().getOrDefault(PARTITION, List.of()));
+        } catch (ServiceException failure) {
+            throw new IllegalStateException("the replica of " + name + " cannot start", failure);
         }
     }
 
