--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
@@ -24,108 +24,137 @@
     private BareReplicas() {}
 
     private static Seams replies(Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> f) {
-        return Seams.none().withPost((a, p) -> c -> p.send(c).map(f));
+        return Seams.none()
+                .withPost((a, client) ->
+                        deliveryRequest -> client.send(deliveryRequest).map(f));
     }
 
-    private static DeliveryClient.DeliveryResponse other(DeliveryClient.DeliveryResponse r, int status, String seal) {
-        Map<String, String> h = new HashMap<>(r.headers());
+    private static DeliveryClient.DeliveryResponse other(
+            DeliveryClient.DeliveryResponse deliveryResponse, int status, String seal) {
+        Map<String, String> h = new HashMap<>(deliveryResponse.headers());
         h.remove(SEAL);
         if (!seal.isEmpty()) {
             h.put(SEAL, seal);
         }
-        return new DeliveryClient.DeliveryResponse(status, h, r.body());
+        return new DeliveryClient.DeliveryResponse(status, h, deliveryResponse.body());
     }
 
     /** LOST: the stores' disks say "synced" and have not. */
     static Seams lyingStores() {
         return Seams.none()
-                .withDisk((a, d) -> a.startsWith("10.0.1.")
-                        ? NaiveVariants.lyingDisk().disk().apply(a, d)
-                        : d);
+                .withDisk((a, disk) -> a.startsWith("10.0.1.")
+                        ? NaiveVariants.lyingDisk().disk().apply(a, disk)
+                        : disk);
     }
 
     /** TWICE: a success is no proof, every fourth time. */
     static Seams successIsNoProof() {
         int[] n = {0};
-        return replies(r -> r.status() == 200 && n[0]++ % 4 == 0 ? other(r, 502, "") : r);
+        return replies(deliveryResponse -> deliveryResponse.status() == 200 && n[0]++ % 4 == 0
+                ? other(deliveryResponse, 502, "")
+                : deliveryResponse);
     }
 
     /** MIXED: an error is taken for done. */
     static Seams errorIsSuccess() {
-        return replies(
-                r -> r.status() >= 500 && !r.headers().containsKey("x-not-executed") ? other(r, 200, "surely") : r);
+        return replies(deliveryResponse ->
+                deliveryResponse.status() >= 500 && !deliveryResponse.headers().containsKey("x-not-executed")
+                        ? other(deliveryResponse, 200, "surely")
+                        : deliveryResponse);
     }
 
     /** ORDER: silence is taken for a refusal for good. */
     static Seams silenceIsRefusal() {
         return Seams.none()
-                .withPost((a, p) -> c -> p.send(c)
+                .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(
-                                        422, Map.of("x-attempt-id", c.headers().getOrDefault(ID, "")), new byte[0]))
+                                        422,
+                                        Map.of(
+                                                "x-attempt-id",
+                                                deliveryRequest.headers().getOrDefault(ID, "")),
+                                        new byte[0]))
                                 : Mono.error(e)));
     }
 
     /** ROUTE: nobody is told who is expected. */
     static Seams nobodyIsExpected() {
-        return Seams.none().withPost((a, p) -> c -> {
-            Map<String, String> h = new LinkedHashMap<>(c.headers());
+        return Seams.none().withPost((a, client) -> deliveryRequest -> {
+            Map<String, String> h = new LinkedHashMap<>(deliveryRequest.headers());
             h.remove("X-Expect-Instance");
-            return p.send(new DeliveryClient.DeliveryRequest(
-                    c.method(), c.url(), h, c.body(), c.timeout(), c.stillPermitted(), c.expectedEcho()));
+            return client.send(new DeliveryClient.DeliveryRequest(
+                    deliveryRequest.method(),
+                    deliveryRequest.url(),
+                    h,
+                    deliveryRequest.body(),
+                    deliveryRequest.timeout(),
+                    deliveryRequest.stillPermitted(),
+                    deliveryRequest.expectedEcho()));
         });
     }
 
     /** UNASKED: bytes are sent in the wrong order, as a careless client might. */
     static Seams bytesChange() {
-        return Seams.none().withPost((a, p) -> c -> {
-            byte[] b = c.body().clone();
+        return Seams.none().withPost((a, client) -> deliveryRequest -> {
+            byte[] b = deliveryRequest.body().clone();
             byte first = b[0];
             b[0] = b[b.length - 1];
             b[b.length - 1] = first;
-            return p.send(new DeliveryClient.DeliveryRequest(
-                    c.method(), c.url(), c.headers(), b, c.timeout(), c.stillPermitted(), c.expectedEcho()));
+            return client.send(new DeliveryClient.DeliveryRequest(
+                    deliveryRequest.method(),
+                    deliveryRequest.url(),
+                    deliveryRequest.headers(),
+                    b,
+                    deliveryRequest.timeout(),
+                    deliveryRequest.stillPermitted(),
+                    deliveryRequest.expectedEcho()));
         });
     }
 
     /** CEILING: looked at once, sent whenever the stream is open. */
     static Seams lookFirstSendLater() {
         return Seams.none()
-                .withPost((a, p) -> c -> Mono.defer(() -> {
-                    boolean go = c.stillPermitted().getAsBoolean();
-                    return p.send(new DeliveryClient.DeliveryRequest(
-                            c.method(), c.url(), c.headers(), c.body(), c.timeout(), () -> go, c.expectedEcho()));
+                .withPost((a, client) -> deliveryRequest -> Mono.defer(() -> {
+                    boolean go = deliveryRequest.stillPermitted().getAsBoolean();
+                    return client.send(new DeliveryClient.DeliveryRequest(
+                            deliveryRequest.method(),
+                            deliveryRequest.url(),
+                            deliveryRequest.headers(),
+                            deliveryRequest.body(),
+                            deliveryRequest.timeout(),
+                            () -> go,
+                            deliveryRequest.expectedEcho()));
                 }));
     }
 
     /** CONFIG, DRAIN: from a moment on the views that are known are taken for confirmed. */
     static Seams newsStands(BooleanSupplier frozen) {
-        return Seams.none().withRpc((a, b) -> {
+        return Seams.none().withRpc((a, rpc) -> {
             Map<String, ServiceView> last = new HashMap<>();
             return new RpcClient() {
                 @Override
                 public String self() {
-                    return b.self();
+                    return rpc.self();
                 }
 
                 @Override
                 public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-                    if (!(body instanceof ControlMessages.ServiceViewRequest n)
+                    if (!(body instanceof ControlMessages.ServiceViewRequest request)
                             || frozen.getAsBoolean()
                                     && !last.keySet()
-                                            .containsAll(n.knownVersions().keySet())) {
-                        return b.call(to, body, answer, limit);
+                                            .containsAll(request.knownVersions().keySet())) {
+                        return rpc.call(to, body, answer, limit);
                     }
                     return frozen.getAsBoolean()
-                            ? Mono.just(answer.cast(NaiveVariants.anew(n, last)))
-                            : b.call(
+                            ? Mono.just(answer.cast(NaiveVariants.anew(request, last)))
+                            : rpc.call(
                                             to,
-                                            new ControlMessages.ServiceViewRequest(n.knownVersions(), false),
+                                            new ControlMessages.ServiceViewRequest(request.knownVersions(), false),
                                             answer,
                                             limit)
                                     .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
                                             .views()
-                                            .forEach(v -> last.put(v.service(), v)));
+                                            .forEach(view -> last.put(view.service(), view)));
                 }
             };
         });
@@ -134,28 +163,28 @@
     /** TWICE: whoever has a lease of a message, has its present one. */
     static Seams anyLeaseWillDo() {
         Map<String, Integer> present = new ConcurrentHashMap<>();
-        return Seams.none().withRpc((a, b) -> new RpcClient() {
+        return Seams.none().withRpc((a, rpc) -> new RpcClient() {
             @Override
             public String self() {
-                return b.self();
+                return rpc.self();
             }
 
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-                if (body instanceof MessageCommands.EndLeaseRequest e) {
-                    MessageCommands.End x = e.end();
+                if (body instanceof MessageCommands.EndLeaseRequest request) {
+                    MessageCommands.End end = request.end();
                     MessageCommands.End now = new MessageCommands.End(
-                            x.handle(),
-                            present.getOrDefault(x.handle(), x.attempt()),
-                            x.outcome(),
-                            x.proof(),
-                            x.due(),
-                            x.at());
-                    return b.call(to, new MessageCommands.EndLeaseRequest(e.partition(), now), answer, limit);
+                            end.handle(),
+                            present.getOrDefault(end.handle(), end.attempt()),
+                            end.outcome(),
+                            end.proof(),
+                            end.due(),
+                            end.at());
+                    return rpc.call(to, new MessageCommands.EndLeaseRequest(request.partition(), now), answer, limit);
                 }
-                return b.call(to, body, answer, limit).doOnNext(t -> {
-                    if (t instanceof MessageCommands.LongPullResponse p) {
-                        p.messages().forEach(m -> present.put(m.handle(), m.attempt()));
+                return rpc.call(to, body, answer, limit).doOnNext(t -> {
+                    if (t instanceof MessageCommands.LongPullResponse response) {
+                        response.messages().forEach(message -> present.put(message.handle(), message.attempt()));
                     }
                 });
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -27,8 +27,8 @@
     private long ids;
     private boolean trafficOn;
 
-    Callers(World w) {
-        this.w = w;
+    Callers(World fleet) {
+        this.w = fleet;
     }
 
     /** Traffic of a rate in messages a second, until told to stop. */
@@ -99,32 +99,33 @@
     public void followWhatRan() {
         Duration from = w.sim.now().minus(REMEMBERED);
         w.seen.copy(w.seen.ran).stream()
-                .filter(r -> r.begun().compareTo(from) > 0)
-                .forEach(r -> follow(r.handle(), Integer.parseInt(r.tenant().substring("tenant".length()))));
+                .filter(ran -> ran.begun().compareTo(from) > 0)
+                .forEach(ran ->
+                        follow(ran.handle(), Integer.parseInt(ran.tenant().substring("tenant".length()))));
     }
 
     /** A caller asks again with the same id while the outcome is unknown. */
     public void submit(int tenant, String id, String lane, String order, byte[] body, List<String> at, int tries) {
         Duration sent = w.sim.now();
-        Request q = new Request(
+        Request request = new Request(
                 "POST",
                 "/v1/lanes/" + lane + "/messages",
                 Map.of("authorization", "Bearer " + TestConfiguration.callerKey(tenant)),
                 body);
-        w.request(at.get(w.sim.random().nextInt(at.size())), q, Duration.ofSeconds(6), a -> {
-            Observations.Said said = a.isEmpty() || unknown(a.get())
+        w.request(at.get(w.sim.random().nextInt(at.size())), request, Duration.ofSeconds(6), optional -> {
+            Observations.Said said = optional.isEmpty() || unknown(optional.get())
                     ? Observations.Said.UNKNOWN
-                    : a.get().status() == 202 ? Observations.Said.ACCEPTED : Observations.Said.REFUSED;
-            String kind = a.map(x -> x.status() == 202
+                    : optional.get().status() == 202 ? Observations.Said.ACCEPTED : Observations.Said.REFUSED;
+            String kind = optional.map(response -> response.status() == 202
                             ? "accepted"
-                            : json(x).path("kind").asText())
+                            : json(response).path("kind").asText())
                     .orElse("no answer");
             kinds.merge(kind, 1L, Long::sum);
             String handle = said == Observations.Said.ACCEPTED
-                    ? json(a.get()).path("handle").asText()
+                    ? json(optional.get()).path("handle").asText()
                     : "";
             boolean repeated = said == Observations.Said.ACCEPTED
-                    && json(a.get()).path("repeated").asBoolean();
+                    && json(optional.get()).path("repeated").asBoolean();
             w.seen.saw(
                     w.seen.submitted,
                     new Observations.Submitted(
@@ -147,17 +148,17 @@
         });
     }
 
-    private static boolean unknown(Response a) {
-        String kind = json(a).path("kind").asText();
-        return a.status() != 202
+    private static boolean unknown(Response response) {
+        String kind = json(response).path("kind").asText();
+        return response.status() != 202
                 && (kind.isEmpty()
                         || !ErrorKind.valueOf(kind.toUpperCase(java.util.Locale.ROOT))
                                 .definite());
     }
 
-    static JsonNode json(Response a) {
+    static JsonNode json(Response response) {
         try {
-            return Configurations.JSON.readTree(a.body());
+            return Configurations.JSON.readTree(response.body());
         } catch (java.io.IOException e) {
             return com.fasterxml.jackson.databind.node.MissingNode.getInstance();
         }
@@ -190,14 +191,15 @@
                         Map.of("authorization", "Bearer " + TestConfiguration.callerKey(owners.get(handle))),
                         new byte[0]),
                 Duration.ofSeconds(5),
-                a -> a.filter(x -> x.status() == 200).ifPresent(x -> {
-                    Observations.Shown shown =
-                            Observations.Shown.read(handle, json(x), asked, w.sim.now(), w::trueTime);
-                    w.seen.saw(w.seen.shown, shown);
-                    if (shown.over()) {
-                        open.remove(handle);
-                    }
-                }));
+                optional -> optional.filter(response -> response.status() == 200)
+                        .ifPresent(response -> {
+                            Observations.Shown shown =
+                                    Observations.Shown.read(handle, json(response), asked, w.sim.now(), w::trueTime);
+                            w.seen.saw(w.seen.shown, shown);
+                            if (shown.over()) {
+                                open.remove(handle);
+                            }
+                        }));
     }
 
     /** ControlMessages for all accepted messages until each has ended. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -22,39 +22,41 @@
 
     /** All processors are down: how long submissions of 1.25 KB at 270 a second are taken, parts of 2 MB. */
     private static void down() throws ServiceException {
-        FleetSimulation v =
+        FleetSimulation simulation =
                 new FleetSimulation(1, 8, 3, 4, new TestConfiguration(8, 2, 45, 60, 26), World.LARGE_RING).embark();
-        v.w.backends.keySet().forEach(b -> v.w.post.down(b, true));
-        Duration from = v.w.sim.now();
+        simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, true));
+        Duration from = simulation.w.sim.now();
         for (int i = 0; i < 270 * 90; i++) {
             int n = i;
-            v.w.sim.after(Duration.ofNanos(i * 1_000_000_000L / 270), () -> {
+            simulation.w.sim.after(Duration.ofNanos(i * 1_000_000_000L / 270), () -> {
                 String id = "d" + n;
-                v.submit(
+                simulation.submit(
                         n % 8,
                         id,
                         "hold",
                         "",
                         Configurations.write(Map.of("id", id, "delayMs", 0, "body", "x".repeat(BODY))),
-                        v.w.intakes,
+                        simulation.w.intakes,
                         0);
             });
         }
-        boolean full = v.w.sim.runUntil(
-                () -> v.w.seen.submitted.stream().anyMatch(h -> h.kind().equals("queue_full")), Duration.ofSeconds(90));
+        boolean full = simulation.w.sim.runUntil(
+                () -> simulation.w.seen.submitted.stream()
+                        .anyMatch(submitted -> submitted.kind().equals("queue_full")),
+                Duration.ofSeconds(90));
         System.out.println("All processors down, 270 x 1.25 KB a second, parts of 2 MB: "
                 + (full ? "first queue_full after " : "none full within ")
-                + v.w.sim.now().minus(from).toSeconds() + " s; "
-                + v.kinds());
+                + simulation.w.sim.now().minus(from).toSeconds() + " s; "
+                + simulation.kinds());
     }
 
     /** On this machine; nobody gets at the part meanwhile. */
     private static void view(int mb) {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        MessageStateMachine m = new MessageStateMachine("m0", codec);
+        MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
         Instant t = Instant.EPOCH;
-        for (long i = 1; m.storedBytes() < (long) mb << 20; i++) {
-            m.apply(
+        for (long i = 1; stateMachine.storedBytes() < (long) mb << 20; i++) {
+            stateMachine.apply(
                     i,
                     new MessageCommands.Accept(
                             "t",
@@ -70,14 +72,14 @@
         List<Long> ms = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             long from = System.nanoTime();
-            byte[] view = m.snapshot();
+            byte[] view = stateMachine.snapshot();
             MessageStateMachine other = new MessageStateMachine("m0", codec);
             long made = System.nanoTime();
             other.restore(view);
             ms.add((made - from) / 1_000_000);
         }
         List<Long> sorted = ms.stream().sorted().toList();
-        System.out.println("View of " + mb + " MB, " + m.count() + " messages: median " + sorted.get(15)
+        System.out.println("View of " + mb + " MB, " + stateMachine.count() + " messages: median " + sorted.get(15)
                 + " ms, longest " + sorted.get(29) + " ms of a claim of 2000 ms; thirty times.");
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -16,19 +16,19 @@
 /** An operator who changes the configuration, races himself, sends bad ones, withdraws keys, and checks the effect. */
 final class ConfigurationOperator {
     private static final Duration PROBE_FOR = Duration.ofSeconds(7);
-    private final FleetSimulation v;
-    private final World w;
+    private final FleetSimulation simulation;
+    private final World fleet;
     private final KeyChanges keyChanges;
     private int n;
 
-    ConfigurationOperator(FleetSimulation v) {
-        this.v = v;
-        this.w = v.w;
-        this.keyChanges = new KeyChanges(v, () -> n++);
+    ConfigurationOperator(FleetSimulation simulation) {
+        this.simulation = simulation;
+        this.fleet = simulation.w;
+        this.keyChanges = new KeyChanges(simulation, () -> n++);
     }
 
-    private Configuration withLane(Configuration l, String lane) {
-        Map<String, Configuration.Lane> lanes = new TreeMap<>(l.lanes());
+    private Configuration withLane(Configuration configuration, String lane) {
+        Map<String, Configuration.Lane> lanes = new TreeMap<>(configuration.lanes());
         lanes.put(
                 lane,
                 new Configuration.Lane(
@@ -38,32 +38,33 @@
                         5,
                         3000,
                         Configuration.IfUnclear.FAIL));
-        return new Configuration(l.tenants(), l.services(), lanes, l.keys());
+        return new Configuration(configuration.tenants(), configuration.services(), lanes, configuration.keys());
     }
 
-    private static Configuration withoutLane(Configuration l, String lane) {
-        Map<String, Configuration.Lane> lanes = new TreeMap<>(l.lanes());
+    private static Configuration withoutLane(Configuration configuration, String lane) {
+        Map<String, Configuration.Lane> lanes = new TreeMap<>(configuration.lanes());
         lanes.remove(lane);
-        return new Configuration(l.tenants(), l.services(), lanes, l.keys());
+        return new Configuration(configuration.tenants(), configuration.services(), lanes, configuration.keys());
     }
 
     /** Adds a lane, or takes the last added one away; then every intake must follow within 3 s. */
     void change() {
-        changeAt(w.lighthouses);
+        changeAt(fleet.lighthouses);
     }
 
     void changeAt(List<String> lighthouses) {
-        Optional<String> extra = v.configuration.lanes().keySet().stream()
+        Optional<String> extra = simulation.configuration.lanes().keySet().stream()
                 .filter(x -> x.startsWith("extra"))
                 .findFirst();
         boolean remove = extra.isPresent() && n % 2 == 1;
         String lane = remove ? extra.get() : "extra" + n;
-        Configuration next = remove ? withoutLane(v.configuration, lane) : withLane(v.configuration, lane);
-        v.put(next, v.version, "change" + n++, lighthouses, a -> {
-            if (a.status() == 200) {
-                long puts = v.puts;
-                w.intakes.forEach(i ->
-                        probe(i, lane, !remove, puts, w.sim.now(), w.sim.now().plus(PROBE_FOR)));
+        Configuration next =
+                remove ? withoutLane(simulation.configuration, lane) : withLane(simulation.configuration, lane);
+        simulation.put(next, simulation.version, "change" + n++, lighthouses, response -> {
+            if (response.status() == 200) {
+                long puts = simulation.puts;
+                fleet.intakes.forEach(i -> probe(
+                        i, lane, !remove, puts, fleet.sim.now(), fleet.sim.now().plus(PROBE_FOR)));
             }
         });
     }
@@ -73,94 +74,115 @@
      * is seen.
      */
     private void probe(String intake, String lane, boolean wanted, long puts, Duration acknowledged, Duration until) {
-        if (w.sim.now().compareTo(until) > 0 || v.puts != puts) {
+        if (fleet.sim.now().compareTo(until) > 0 || simulation.puts != puts) {
             return;
         }
-        Duration sent = w.sim.now();
+        Duration sent = fleet.sim.now();
         byte[] body =
                 Configurations.write(Map.of("id", "probe" + n + "-" + sent.toNanos(), "delayMs", 0, "body", Map.of()));
-        Request q = new Request(
+        Request request = new Request(
                 "POST",
                 "/v1/lanes/" + lane + "/messages",
                 Map.of("authorization", "Bearer " + TestConfiguration.callerKey(2)),
                 body);
-        w.request(intake, q, Duration.ofSeconds(5), a -> {
-            String kind =
-                    a.map(x -> FleetSimulation.json(x).path("kind").asText("")).orElse("");
+        fleet.request(intake, request, Duration.ofSeconds(5), optional -> {
+            String kind = optional.map(response ->
+                            FleetSimulation.json(response).path("kind").asText(""))
+                    .orElse("");
             boolean ignored = wanted
                     ? kind.equals("unknown_lane")
-                    : a.isPresent() && a.get().status() == 202;
-            if (ignored && v.puts == puts) {
-                w.seen.saw(
-                        w.seen.ignored,
+                    : optional.isPresent() && optional.get().status() == 202;
+            if (ignored && simulation.puts == puts) {
+                fleet.seen.saw(
+                        fleet.seen.ignored,
                         new Observations.ConfigurationNeeded(lane + " at " + intake, acknowledged, sent));
             }
         });
-        w.sim.after(Duration.ofMillis(400), () -> probe(intake, lane, wanted, puts, acknowledged, until));
+        fleet.sim.after(Duration.ofMillis(400), () -> probe(intake, lane, wanted, puts, acknowledged, until));
     }
 
     /** Two operators, one base: at most one is taken. */
     void race() {
-        long base = v.version;
-        v.put(withLane(v.configuration, "race" + n), base, "race-a" + n, a -> {});
-        v.put(withLane(v.configuration, "other" + n), base, "race-b" + n, a -> {});
+        long base = simulation.version;
+        simulation.put(withLane(simulation.configuration, "race" + n), base, "race-a" + n, response -> {});
+        simulation.put(withLane(simulation.configuration, "other" + n), base, "race-b" + n, response -> {});
         n++;
     }
 
     /** A tenant is allowed more or less; back to the usual at the next. */
     void allowance() {
-        int t = w.sim.random().nextInt(w.testConfiguration.tenants());
-        boolean usual =
-                v.configuration.tenants().get(TestConfiguration.tenant(t)).ratePerS() != w.testConfiguration.ratePerS();
-        double rate =
-                usual ? w.testConfiguration.ratePerS() : w.testConfiguration.ratePerS() * (w.sim.luck(0.5) ? 0.3 : 1.5);
+        int t = fleet.sim.random().nextInt(fleet.testConfiguration.tenants());
+        boolean usual = simulation
+                        .configuration
+                        .tenants()
+                        .get(TestConfiguration.tenant(t))
+                        .ratePerS()
+                != fleet.testConfiguration.ratePerS();
+        double rate = usual
+                ? fleet.testConfiguration.ratePerS()
+                : fleet.testConfiguration.ratePerS() * (fleet.sim.luck(0.5) ? 0.3 : 1.5);
         int burst = usual
-                ? w.testConfiguration.burst()
-                : (int) Math.max(1, w.testConfiguration.burst() * rate / w.testConfiguration.ratePerS());
-        Duration sent = w.sim.now();
-        v.put(Edit.tenant(v.configuration, TestConfiguration.tenant(t), rate, burst), v.version, "allow" + n++, a -> {
-            if (a.status() == 200) {
-                w.seen.allowed(TestConfiguration.tenant(t), new Observations.Limit(rate, burst, sent, w.sim.now()));
-            }
-        });
+                ? fleet.testConfiguration.burst()
+                : (int) Math.max(1, fleet.testConfiguration.burst() * rate / fleet.testConfiguration.ratePerS());
+        Duration sent = fleet.sim.now();
+        simulation.put(
+                Edit.tenant(simulation.configuration, TestConfiguration.tenant(t), rate, burst),
+                simulation.version,
+                "allow" + n++,
+                response -> {
+                    if (response.status() == 200) {
+                        fleet.seen.allowed(
+                                TestConfiguration.tenant(t),
+                                new Observations.Limit(rate, burst, sent, fleet.sim.now()));
+                    }
+                });
     }
 
     void rate() {
-        String e = TestConfiguration.endpoint(w.sim.random().nextInt(w.testConfiguration.endpoints()));
-        double rate = w.sim.luck(0.5)
-                ? w.testConfiguration.endpointRate()
-                : 10 + w.sim.random().nextInt(20);
-        Duration sent = w.sim.now();
-        v.put(Edit.services(v.configuration, m -> m.put(e, Edit.rate(m.get(e), rate))), v.version, "rate" + n++, a -> {
-            if (a.status() == 200) {
-                w.seen.paced(e, new Observations.Limit(rate, 0, sent, w.sim.now()));
-            }
-        });
+        String e = TestConfiguration.endpoint(fleet.sim.random().nextInt(fleet.testConfiguration.endpoints()));
+        double rate = fleet.sim.luck(0.5)
+                ? fleet.testConfiguration.endpointRate()
+                : 10 + fleet.sim.random().nextInt(20);
+        Duration sent = fleet.sim.now();
+        simulation.put(
+                Edit.services(simulation.configuration, m -> m.put(e, Edit.rate(m.get(e), rate))),
+                simulation.version,
+                "rate" + n++,
+                response -> {
+                    if (response.status() == 200) {
+                        fleet.seen.paced(e, new Observations.Limit(rate, 0, sent, fleet.sim.now()));
+                    }
+                });
     }
 
     void timeLimit() {
-        String lane = w.sim.luck(0.5) ? "hold" : "accept";
-        long limit = w.sim.luck(0.5) ? TestConfiguration.TIME_LIMIT_MS : 30000;
-        w.seen.lane(lane, new Observations.LaneLimits(limit, TestConfiguration.ATTEMPTS));
-        v.put(
+        String lane = fleet.sim.luck(0.5) ? "hold" : "accept";
+        long limit = fleet.sim.luck(0.5) ? TestConfiguration.TIME_LIMIT_MS : 30000;
+        fleet.seen.lane(lane, new Observations.LaneLimits(limit, TestConfiguration.ATTEMPTS));
+        simulation.put(
                 Edit.lanes(
-                        v.configuration, m -> m.put(lane, Edit.limits(m.get(lane), limit, TestConfiguration.ATTEMPTS))),
-                v.version,
+                        simulation.configuration,
+                        m -> m.put(lane, Edit.limits(m.get(lane), limit, TestConfiguration.ATTEMPTS))),
+                simulation.version,
                 "limit" + n++,
-                a -> {});
+                response -> {});
     }
 
     void bad() {
-        Map<String, Configuration.Lane> lanes = new HashMap<>(v.configuration.lanes());
+        Map<String, Configuration.Lane> lanes = new HashMap<>(simulation.configuration.lanes());
         lanes.put(
                 "broken",
                 new Configuration.Lane(
                         "nowhere", Configuration.Ordering.NONE, 30000, 5, 3000, Configuration.IfUnclear.FAIL));
-        v.put(
-                new Configuration(v.configuration.tenants(), v.configuration.services(), lanes, v.configuration.keys()),
-                v.version,
+        simulation.put(
+                new Configuration(
+                        simulation.configuration.tenants(),
+                        simulation.configuration.services(),
+                        lanes,
+                        simulation.configuration.keys()),
+                simulation.version,
                 "bad" + n++,
-                a -> {});
+                response -> {});
     }
 
     /** A caller's key is added, withdrawn, and used on every intake long after. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -69,7 +69,8 @@
     public static boolean votesEverywhere(World world, String node) {
         return ServiceNames.controlParts().stream()
                 .map(p -> world.controlNode(node).replica(p))
-                .allMatch(r -> r.role() != Role.UNINITIALIZED && r.members().containsKey(node));
+                .allMatch(replica -> replica.role() != Role.UNINITIALIZED
+                        && replica.members().containsKey(node));
     }
 
     /** The sorted times of so many seeds. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -21,8 +21,8 @@
     private record Said(String id, byte[] configuration, long base, long version) {}
 
     private static final Duration DOWN = Duration.ofSeconds(5);
-    private final FleetSimulation v;
-    private final World w;
+    private final FleetSimulation simulation;
+    private final World fleet;
     private final List<Long> millis = new ArrayList<>();
     private final List<Said> taken = new ArrayList<>();
     private final List<String> wrong = new ArrayList<>();
@@ -32,54 +32,56 @@
     private int n;
 
     public Day(long seed) throws ServiceException {
-        v = new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), World.SMALL_RING).embark();
-        w = v.w;
+        simulation =
+                new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), World.SMALL_RING).embark();
+        fleet = simulation.w;
     }
 
     /** Each operator changes something every so often; a control node goes down every so often. */
     public Day run(Duration length, Duration between, Duration kills) throws ServiceException {
-        Duration end = w.sim.now().plus(length);
-        operator("a", v.configuration, 1, between, end);
-        operator("b", v.configuration, 1, between, end);
-        Duration nextKill = w.sim.now().plus(kills);
-        while (w.sim.now().compareTo(end) < 0) {
-            w.sim.run(Duration.ofSeconds(10));
-            v.read();
-            w.seenVersions();
-            if (w.sim.now().compareTo(nextKill) >= 0) {
-                nextKill = w.sim.now().plus(kills);
-                String l = w.lighthouses.get(w.sim.random().nextInt(3));
-                w.host(l).powerLoss();
+        Duration end = fleet.sim.now().plus(length);
+        operator("a", simulation.configuration, 1, between, end);
+        operator("b", simulation.configuration, 1, between, end);
+        Duration nextKill = fleet.sim.now().plus(kills);
+        while (fleet.sim.now().compareTo(end) < 0) {
+            fleet.sim.run(Duration.ofSeconds(10));
+            simulation.read();
+            fleet.seenVersions();
+            if (fleet.sim.now().compareTo(nextKill) >= 0) {
+                nextKill = fleet.sim.now().plus(kills);
+                String l = fleet.lighthouses.get(fleet.sim.random().nextInt(3));
+                fleet.host(l).powerLoss();
                 killed++;
-                w.sim.after(DOWN, () -> w.begin(l));
+                fleet.sim.after(DOWN, () -> fleet.begin(l));
             }
         }
-        w.sim.run(Duration.ofSeconds(30));
+        fleet.sim.run(Duration.ofSeconds(30));
         return this;
     }
 
     private void operator(String who, Configuration known, long base, Duration between, Duration end) {
-        Duration pause = between.plus(w.sim.between(0, between.toNanos() / 2000));
-        w.sim.after(pause, () -> {
-            if (w.sim.now().compareTo(end) >= 0) {
+        Duration pause = between.plus(fleet.sim.between(0, between.toNanos() / 2000));
+        fleet.sim.after(pause, () -> {
+            if (fleet.sim.now().compareTo(end) >= 0) {
                 return;
             }
             Configuration next = Edit.tenant(known, "spare" + who, 1 + n % 50, 5);
             String id = who + n++;
-            put(id, Configurations.write(next), base, w.sim.now(), a -> {
-                long version =
-                        a.status() == 200 ? Callers.json(a).path("version").asLong() : present(a);
+            put(id, Configurations.write(next), base, fleet.sim.now(), response -> {
+                long version = response.status() == 200
+                        ? Callers.json(response).path("version").asLong()
+                        : present(response);
                 // the one that lost goes on from what it reads
-                reread(version, l -> operator(who, l, version, between, end));
-                if (!taken.isEmpty() && w.sim.luck(0.2)) {
-                    repeat(taken.get(w.sim.random().nextInt(taken.size())));
+                reread(version, configuration -> operator(who, configuration, version, between, end));
+                if (!taken.isEmpty() && fleet.sim.luck(0.2)) {
+                    repeat(taken.get(fleet.sim.random().nextInt(taken.size())));
                 }
             });
         });
     }
 
-    private static long present(Response a) {
-        return Callers.json(a).path("details").path(0).asLong();
+    private static long present(Response response) {
+        return Callers.json(response).path("details").path(0).asLong();
     }
 
     private Request request(String id, byte[] json, long base) {
@@ -87,25 +89,31 @@
     }
 
     private void put(String id, byte[] json, long base, Duration begun, Consumer<Response> then) {
-        w.request(w.lighthouses.get(w.sim.random().nextInt(3)), request(id, json, base), Duration.ofSeconds(4), a -> {
-            if (a.isEmpty() || a.get().status() >= 500) {
-                w.sim.after(Duration.ofMillis(200), () -> put(id, json, base, begun, then));
-                return;
-            }
-            millis.add(w.sim.now().minus(begun).toMillis());
-            boolean yes = a.get().status() == 200;
-            lost += yes ? 0 : 1;
-            if (yes) {
-                long version = Callers.json(a.get()).path("version").asLong();
-                taken.add(new Said(id, json, base, version));
-                w.seen.saw(
-                        w.seen.configurations,
-                        new Observations.ConfigurationSaid(id, version, true, true, w.sim.now(), digest(json)));
-            } else if (a.get().status() != 412) {
-                wrong.add(id + " was answered " + a.get().status());
-            }
-            then.accept(a.get());
-        });
+        fleet.request(
+                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
+                request(id, json, base),
+                Duration.ofSeconds(4),
+                response -> {
+                    if (response.isEmpty() || response.get().status() >= 500) {
+                        fleet.sim.after(Duration.ofMillis(200), () -> put(id, json, base, begun, then));
+                        return;
+                    }
+                    millis.add(fleet.sim.now().minus(begun).toMillis());
+                    boolean yes = response.get().status() == 200;
+                    lost += yes ? 0 : 1;
+                    if (yes) {
+                        long version =
+                                Callers.json(response.get()).path("version").asLong();
+                        taken.add(new Said(id, json, base, version));
+                        fleet.seen.saw(
+                                fleet.seen.configurations,
+                                new Observations.ConfigurationSaid(
+                                        id, version, true, true, fleet.sim.now(), digest(json)));
+                    } else if (response.get().status() != 412) {
+                        wrong.add(id + " was answered " + response.get().status());
+                    }
+                    then.accept(response.get());
+                });
     }
 
     private static String digest(byte[] json) {
@@ -113,39 +121,42 @@
     }
 
     /** However long ago: the first answer. */
-    private void repeat(Said s) {
-        w.request(
-                w.lighthouses.get(w.sim.random().nextInt(3)),
-                request(s.id(), s.configuration(), s.base()),
+    private void repeat(Said said) {
+        fleet.request(
+                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
+                request(said.id(), said.configuration(), said.base()),
                 Duration.ofSeconds(4),
-                a -> a.filter(x -> x.status() < 500).ifPresent(x -> {
+                optional -> optional.filter(response -> response.status() < 500).ifPresent(response -> {
                     repeats++;
-                    if (x.status() != 200 || Callers.json(x).path("version").asLong() != s.version()) {
-                        wrong.add(s.id() + " was first " + s.version() + " and then " + x.status());
+                    if (response.status() != 200
+                            || Callers.json(response).path("version").asLong() != said.version()) {
+                        wrong.add(said.id() + " was first " + said.version() + " and then " + response.status());
                     }
                 }));
     }
 
     private void reread(long version, Consumer<Configuration> then) {
-        w.request(
-                w.lighthouses.get(w.sim.random().nextInt(3)),
+        fleet.request(
+                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
                 new Request("GET", "/v1/layout/" + version, Map.of(), new byte[0]),
                 Duration.ofSeconds(4),
-                a -> {
-                    Optional<Configuration> l = a.filter(x -> x.status() == 200).flatMap(x -> {
-                        try {
-                            return Optional.of(Configurations.configuration(x.body()));
-                        } catch (ServiceException e) {
-                            return Optional.empty();
-                        }
-                    });
-                    l.ifPresentOrElse(then, () -> w.sim.after(Duration.ofMillis(200), () -> reread(version, then)));
+                optional -> {
+                    Optional<Configuration> configuration = optional.filter(response -> response.status() == 200)
+                            .flatMap(response -> {
+                                try {
+                                    return Optional.of(Configurations.configuration(response.body()));
+                                } catch (ServiceException failure) {
+                                    return Optional.empty();
+                                }
+                            });
+                    configuration.ifPresentOrElse(
+                            then, () -> fleet.sim.after(Duration.ofMillis(200), () -> reread(version, then)));
                 });
     }
 
     public List<String> wrong() {
         List<String> out = new ArrayList<>(wrong);
-        out.addAll(v.violations());
+        out.addAll(simulation.violations());
         return out;
     }
 
@@ -174,13 +185,13 @@
 
     /** day HOURS [SEED] */
     public static void main(String[] args) throws ServiceException {
-        Day d = new Day(args.length > 1 ? Long.parseLong(args[1]) : 1)
+        Day day = new Day(args.length > 1 ? Long.parseLong(args[1]) : 1)
                 .run(
                         Duration.ofMinutes((long) (60 * Double.parseDouble(args[0]))),
                         Duration.ofSeconds(20),
                         Duration.ofMinutes(3));
-        System.out.println(d);
-        d.wrong().stream().limit(5).forEach(System.out::println);
-        System.exit(d.wrong().isEmpty() ? 0 : 1);
+        System.out.println(day);
+        day.wrong().stream().limit(5).forEach(System.out::println);
+        System.exit(day.wrong().isEmpty() ? 0 : 1);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
@@ -24,7 +24,8 @@
                 n,
                 new Request("GET", "/-/readiness", Map.of(), new byte[0]),
                 LOOK,
-                a -> missed.merge(n, 1, (x, y) -> a.isPresent() && a.get().status() == 200 ? 0 : x + 1)));
+                response -> missed.merge(
+                        n, 1, (x, y) -> response.isPresent() && response.get().status() == 200 ? 0 : x + 1)));
         network.sim.after(PERIOD, this::look);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -15,184 +15,200 @@
 
     private FailureScenarios() {}
 
-    private static FleetSimulation begun(long seed, TestConfiguration s, Seams seams) throws ServiceException {
-        FleetSimulation v = new FleetSimulation(seed, 3, 3, 4, s, World.LARGE_RING, seams).embark();
-        v.w.sim.run(Duration.ofSeconds(2));
-        return v;
+    private static FleetSimulation begun(long seed, TestConfiguration testConfiguration, Seams seams)
+            throws ServiceException {
+        FleetSimulation simulation =
+                new FleetSimulation(seed, 3, 3, 4, testConfiguration, World.LARGE_RING, seams).embark();
+        simulation.w.sim.run(Duration.ofSeconds(2));
+        return simulation;
     }
 
-    private static FleetSimulation over(FleetSimulation v) {
-        v.followWhatRan();
-        v.settle(Duration.ofSeconds(120));
-        return v;
+    private static FleetSimulation over(FleetSimulation simulation) {
+        simulation.followWhatRan();
+        simulation.settle(Duration.ofSeconds(120));
+        return simulation;
     }
 
     /** 01: all machines lose their power under traffic. */
     static FleetSimulation powerLossEverywhere(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.traffic(30);
-        v.w.sim.run(Duration.ofSeconds(4));
-        v.calm();
-        v.w.all().forEach(h -> v.w.host(h).powerLoss());
-        v.w.sim.run(Duration.ofSeconds(1));
-        for (String h : v.w.all()) {
-            v.w.restart(h);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation.traffic(30);
+        simulation.w.sim.run(Duration.ofSeconds(4));
+        simulation.calm();
+        simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+        simulation.w.sim.run(Duration.ofSeconds(1));
+        for (String h : simulation.w.all()) {
+            simulation.w.restart(h);
         }
-        v.w.sim.run(Duration.ofSeconds(8));
-        return over(v);
+        simulation.w.sim.run(Duration.ofSeconds(8));
+        return over(simulation);
     }
 
     /** 02: processors do the work, and then something breaks. */
     static FleetSimulation errorsAfterTheWork(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.w.backends.values().forEach(b -> b.behave(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
-        v.traffic(15);
-        v.w.sim.run(Duration.ofSeconds(6));
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation
+                .w
+                .backends
+                .values()
+                .forEach(backend -> backend.behave(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
+        simulation.traffic(15);
+        simulation.w.sim.run(Duration.ofSeconds(6));
+        return over(simulation);
     }
 
     /** 03: the stores hear an intake, but it does not hear them. */
     static FleetSimulation answersDoNotComeBack(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.traffic(30);
-        v.w.sim.run(Duration.ofSeconds(2));
-        v.w.stores.forEach(s -> v.w.net.cutOneWay(s, v.w.intakes.get(0)));
-        v.w.sim.run(Duration.ofSeconds(5));
-        v.calm();
-        v.w.sim.run(Duration.ofSeconds(7));
-        v.w.net.heal();
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation.traffic(30);
+        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.w.stores.forEach(s -> simulation.w.net.cutOneWay(s, simulation.w.intakes.get(0)));
+        simulation.w.sim.run(Duration.ofSeconds(5));
+        simulation.calm();
+        simulation.w.sim.run(Duration.ofSeconds(7));
+        simulation.w.net.heal();
+        return over(simulation);
     }
 
     /** 04: work that takes longer than an attempt may. */
     static FleetSimulation workLongerThanAnAttempt(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.w.backends.values().forEach(b -> b.behave(new Backend.Manner(Duration.ofSeconds(5), 0, 0, 0)));
-        v.traffic(8);
-        v.w.sim.run(Duration.ofSeconds(6));
-        v.calm();
-        v.w.sim.run(Duration.ofSeconds(20));
-        v.w.backends.values().forEach(b -> b.behave(Backend.Manner.good()));
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation
+                .w
+                .backends
+                .values()
+                .forEach(backend -> backend.behave(new Backend.Manner(Duration.ofSeconds(5), 0, 0, 0)));
+        simulation.traffic(8);
+        simulation.w.sim.run(Duration.ofSeconds(6));
+        simulation.calm();
+        simulation.w.sim.run(Duration.ofSeconds(20));
+        simulation.w.backends.values().forEach(backend -> backend.behave(Backend.Manner.good()));
+        return over(simulation);
     }
 
     /** 05: the streams between an intake and the stores stall for a minute under a tenant's flood. */
     static FleetSimulation stalledStreams(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        String i = v.w.intakes.get(0);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        String i = simulation.w.intakes.get(0);
         for (int n = 0; n < 20; n++) {
-            v.plainAt(1, List.of(i));
+            simulation.plainAt(1, List.of(i));
         }
-        v.w.sim.run(Duration.ofSeconds(1));
-        v.w.stores.forEach(s -> v.w.net.stall(i, s));
+        simulation.w.sim.run(Duration.ofSeconds(1));
+        simulation.w.stores.forEach(s -> simulation.w.net.stall(i, s));
         for (int ms = 0; ms < 60000; ms += 50) {
-            v.w.sim.after(Duration.ofMillis(ms), () -> v.plainAt(0, List.of(i)));
+            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, List.of(i)));
         }
-        v.w.sim.run(Duration.ofSeconds(60));
-        v.w.net.heal();
-        v.w.sim.run(Duration.ofSeconds(2));
-        return over(v);
+        simulation.w.sim.run(Duration.ofSeconds(60));
+        simulation.w.net.heal();
+        simulation.w.sim.run(Duration.ofSeconds(2));
+        return over(simulation);
     }
 
     /** 06: streams to an endpoint open after anything up to 3 s, all at once in the end. */
     static FleetSimulation streamsThatOpenSlowly(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, new TestConfiguration(3, 1, 60, 60, 26), seams);
+        FleetSimulation simulation = begun(seed, new TestConfiguration(3, 1, 60, 60, 26), seams);
         for (int ms = 0; ms < 14000; ms += 20) {
-            v.w.sim.after(Duration.ofMillis(ms), () -> v.check(0));
+            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
         }
         String e = TestConfiguration.endpoint(0);
         for (int ms = 0; ms < 3000; ms += 50) {
             Duration left = Duration.ofMillis(3000 - ms);
-            v.w.sim.after(Duration.ofMillis(7000 + ms), () -> v.w.post.slowStreams(e, left));
+            simulation.w.sim.after(Duration.ofMillis(7000 + ms), () -> simulation.w.post.slowStreams(e, left));
         }
-        v.w.sim.after(Duration.ofMillis(10000), () -> v.w.post.slowStreams(e, Duration.ZERO));
-        v.w.sim.run(Duration.ofSeconds(14));
-        return over(v);
+        simulation.w.sim.after(Duration.ofMillis(10000), () -> simulation.w.post.slowStreams(e, Duration.ZERO));
+        simulation.w.sim.run(Duration.ofSeconds(14));
+        return over(simulation);
     }
 
     /** The nodes of a zone hear nothing from the core any more; among themselves they do. */
-    private static void outOfTouch(FleetSimulation v, int zone) {
-        for (String n : List.of(v.w.intakes.get(zone), v.w.stores.get(zone))) {
-            v.w.lighthouses.forEach(l -> v.w.net.cut(l, n));
+    private static void outOfTouch(FleetSimulation simulation, int zone) {
+        for (String n : List.of(simulation.w.intakes.get(zone), simulation.w.stores.get(zone))) {
+            simulation.w.lighthouses.forEach(l -> simulation.w.net.cut(l, n));
         }
     }
 
     /** Its intake goes on getting passes for the tenant that is used here, so that nothing but old subscriptions can stop it. */
-    private static int hallOfAnotherThanTheHolder(FleetSimulation v) {
-        return v.w.pilot(v.w.intakes.get(0)).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(2)) ? 1 : 0;
+    private static int hallOfAnotherThanTheHolder(FleetSimulation simulation) {
+        return simulation
+                        .w
+                        .pilot(simulation.w.intakes.get(0))
+                        .ownedBuckets()
+                        .contains("tenant/" + TestConfiguration.tenant(2))
+                ? 1
+                : 0;
     }
 
     /** 07: a key is withdrawn while a zone is out of touch; it goes on being used, also for reads. */
     static FleetSimulation keyWithdrawnOutOfTouch(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        new ConfigurationOperator(v).withdraw();
-        v.w.sim.run(Duration.ofMillis(1800));
-        outOfTouch(v, hallOfAnotherThanTheHolder(v));
-        v.w.sim.run(Duration.ofSeconds(16));
-        v.w.net.heal();
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        new ConfigurationOperator(simulation).withdraw();
+        simulation.w.sim.run(Duration.ofMillis(1800));
+        outOfTouch(simulation, hallOfAnotherThanTheHolder(simulation));
+        simulation.w.sim.run(Duration.ofSeconds(16));
+        simulation.w.net.heal();
+        return over(simulation);
     }
 
     /** 08: a lane is added and taken away again while a zone is out of touch. */
     static FleetSimulation lanesChangedOutOfTouch(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        ConfigurationOperator operator = new ConfigurationOperator(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        ConfigurationOperator operator = new ConfigurationOperator(simulation);
         operator.change();
-        v.w.sim.run(Duration.ofSeconds(4));
-        outOfTouch(v, hallOfAnotherThanTheHolder(v));
+        simulation.w.sim.run(Duration.ofSeconds(4));
+        outOfTouch(simulation, hallOfAnotherThanTheHolder(simulation));
         operator.change();
-        v.w.sim.run(Duration.ofSeconds(9));
-        v.w.net.heal();
-        v.w.sim.run(Duration.ofSeconds(3));
-        return over(v);
+        simulation.w.sim.run(Duration.ofSeconds(9));
+        simulation.w.net.heal();
+        simulation.w.sim.run(Duration.ofSeconds(3));
+        return over(simulation);
     }
 
     /** 09: the owner of the configuration is cut off from the other control nodes; another configuration is taken; then it is read there. */
     static FleetSimulation ownerOfTheLayoutCutOff(long seed, Seams seams, AtomicReference<String> cut)
             throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        String owner = v.w.lighthouses.stream()
-                .filter(l -> v.w.controlNode(l).replica("c0").isActiveLeader())
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        String owner = simulation.w.lighthouses.stream()
+                .filter(l -> simulation.w.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        v.w.net.cutOff(owner);
+        simulation.w.net.cutOff(owner);
         cut.set(owner);
-        v.w.sim.run(Duration.ofSeconds(4));
+        simulation.w.sim.run(Duration.ofSeconds(4));
         List<String> others =
-                v.w.lighthouses.stream().filter(l -> !l.equals(owner)).toList();
-        new ConfigurationOperator(v).changeAt(others);
-        v.w.sim.run(Duration.ofSeconds(3));
+                simulation.w.lighthouses.stream().filter(l -> !l.equals(owner)).toList();
+        new ConfigurationOperator(simulation).changeAt(others);
+        simulation.w.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
-            v.readAt(owner);
-            v.readAt(others.get(0));
-            v.w.sim.run(Duration.ofSeconds(1));
+            simulation.readAt(owner);
+            simulation.readAt(others.get(0));
+            simulation.w.sim.run(Duration.ofSeconds(1));
         }
         cut.set("");
-        v.w.net.heal();
-        return over(v);
+        simulation.w.net.heal();
+        return over(simulation);
     }
 
     /** 10: processors are marked as leaving while no store hears the core; some have their subscriptions from themselves only. */
     static FleetSimulation markedOutOfTouch(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.traffic(40);
-        v.w.sim.run(Duration.ofSeconds(2));
-        v.w.stores.forEach(s -> v.w.lighthouses.forEach(l -> v.w.net.cut(l, s)));
-        v.list("p0", true);
-        v.list("p1", true);
-        v.w.sim.run(Duration.ofSeconds(10));
-        v.w.net.heal();
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation.traffic(40);
+        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.w.stores.forEach(s -> simulation.w.lighthouses.forEach(l -> simulation.w.net.cut(l, s)));
+        simulation.list("p0", true);
+        simulation.list("p1", true);
+        simulation.w.sim.run(Duration.ofSeconds(10));
+        simulation.w.net.heal();
+        return over(simulation);
     }
 
     /** 11: something in between answers "200" in the name of the endpoints, and does nothing. */
     static FleetSimulation somethingInBetween(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
-        v.w.post.middlebox(true);
-        v.traffic(15);
-        v.w.sim.run(Duration.ofSeconds(5));
-        v.w.post.middlebox(false);
-        return over(v);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
+        simulation.w.post.middlebox(true);
+        simulation.traffic(15);
+        simulation.w.sim.run(Duration.ofSeconds(5));
+        simulation.w.post.middlebox(false);
+        return over(simulation);
     }
 
     /**
@@ -200,48 +216,51 @@
      * come back late, so their parts have to wait out their leases.
      */
     static FleetSimulation twoOutages(long seed, Seams seams) throws ServiceException {
-        FleetSimulation v = begun(seed, SMALL, seams);
+        FleetSimulation simulation = begun(seed, SMALL, seams);
         for (int i = 0; i < 2; i++) {
-            v.traffic(20);
-            v.w.sim.run(Duration.ofSeconds(3));
-            v.calm();
-            v.w.all().forEach(h -> v.w.host(h).powerLoss());
-            v.w.sim.run(Duration.ofSeconds(1));
-            List<String> late = i == 0 ? List.of() : List.of(v.w.lighthouses.get(0), v.w.stores.get(0));
-            for (String h : v.w.all()) {
+            simulation.traffic(20);
+            simulation.w.sim.run(Duration.ofSeconds(3));
+            simulation.calm();
+            simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+            simulation.w.sim.run(Duration.ofSeconds(1));
+            List<String> late =
+                    i == 0 ? List.of() : List.of(simulation.w.lighthouses.get(0), simulation.w.stores.get(0));
+            for (String h : simulation.w.all()) {
                 if (!late.contains(h)) {
-                    v.w.restart(h);
+                    simulation.w.restart(h);
                 }
             }
-            awaitReturn(v);
+            awaitReturn(simulation);
             for (String h : late) {
-                v.w.restart(h);
+                simulation.w.restart(h);
             }
         }
-        return over(v);
+        return over(simulation);
     }
 
     /** Until a submission of every tenant in every part, sent since, was accepted. */
-    static Duration awaitReturn(FleetSimulation v) {
-        Duration restarted = v.w.sim.now();
-        v.w.sim.runUntil(
+    static Duration awaitReturn(FleetSimulation simulation) {
+        Duration restarted = simulation.w.sim.now();
+        simulation.w.sim.runUntil(
                 () -> {
-                    for (int t = 0; t < v.w.testConfiguration.tenants(); t++) {
+                    for (int t = 0; t < simulation.w.testConfiguration.tenants(); t++) {
                         for (int n = 0; n < 2; n++) {
-                            v.plain(t);
+                            simulation.plain(t);
                         }
                     }
-                    long seen = v.w.seen.submitted.stream()
-                            .filter(h -> h.said() == Observations.Said.ACCEPTED
-                                    && h.sent().compareTo(restarted) > 0)
-                            .map(h -> h.tenant()
-                                    + h.handle().substring(0, h.handle().indexOf('-')))
+                    long seen = simulation.w.seen.submitted.stream()
+                            .filter(submitted -> submitted.said() == Observations.Said.ACCEPTED
+                                    && submitted.sent().compareTo(restarted) > 0)
+                            .map(submitted -> submitted.tenant()
+                                    + submitted
+                                            .handle()
+                                            .substring(0, submitted.handle().indexOf('-')))
                             .distinct()
                             .count();
-                    return seen >= (long) ServiceNames.MESSAGE_PARTS * v.w.testConfiguration.tenants();
+                    return seen >= (long) ServiceNames.MESSAGE_PARTS * simulation.w.testConfiguration.tenants();
                 },
                 Duration.ofSeconds(40));
-        v.w.seen.saw(v.w.seen.outages, new Observations.Outage(restarted, v.w.sim.now()));
-        return v.w.sim.now().minus(restarted);
+        simulation.w.seen.saw(simulation.w.seen.outages, new Observations.Outage(restarted, simulation.w.sim.now()));
+        return simulation.w.sim.now().minus(restarted);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
@@ -28,60 +28,66 @@
     /** Tenant 0 sends many times the others' load; trouble makes the back ends slow or useless for it. */
     public static Others run(long seed, double flood, Backend.Manner manner, Duration allDown) throws ServiceException {
         TestConfiguration testConfiguration = new TestConfiguration(4, 2, 40, 60, 26);
-        FleetSimulation v = new FleetSimulation(seed, 3, 3, 4, testConfiguration, World.LARGE_RING).embark();
-        v.w.sim.run(Duration.ofSeconds(3));
-        v.w.backends.entrySet().stream()
-                .filter(e -> e.getKey().startsWith("p"))
-                .forEach(e -> e.getValue().behave(manner));
-        Duration begun = v.w.sim.now();
-        every(v, 1, 3, 12, begun.plus(Duration.ofSeconds(20)));
-        every(v, 0, 0, flood, begun.plus(Duration.ofSeconds(20)));
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4, testConfiguration, World.LARGE_RING).embark();
+        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.w.backends.entrySet().stream()
+                .filter(entry -> entry.getKey().startsWith("p"))
+                .forEach(entry -> entry.getValue().behave(manner));
+        Duration begun = simulation.w.sim.now();
+        every(simulation, 1, 3, 12, begun.plus(Duration.ofSeconds(20)));
+        every(simulation, 0, 0, flood, begun.plus(Duration.ofSeconds(20)));
         if (!allDown.isZero()) {
-            v.w.sim.after(Duration.ofSeconds(4), () -> v.w.backends.keySet().forEach(b -> v.w.post.down(b, true)));
-            v.w.sim.after(
+            simulation.w.sim.after(
+                    Duration.ofSeconds(4),
+                    () -> simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, true)));
+            simulation.w.sim.after(
                     Duration.ofSeconds(4).plus(allDown),
-                    () -> v.w.backends.keySet().forEach(b -> v.w.post.down(b, false)));
+                    () -> simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, false)));
         }
-        v.w.sim.run(Duration.ofSeconds(20));
-        boolean settled = v.settle(Duration.ofSeconds(200));
-        return figures(v, settled);
+        simulation.w.sim.run(Duration.ofSeconds(20));
+        boolean settled = simulation.settle(Duration.ofSeconds(200));
+        return figures(simulation, settled);
     }
 
     /** Messages of the lane without ordering, of tenants in turn. */
-    private static void every(FleetSimulation v, int fromTenant, int toTenant, double perSecond, Duration until) {
-        if (v.w.sim.now().compareTo(until) >= 0) {
+    private static void every(
+            FleetSimulation simulation, int fromTenant, int toTenant, double perSecond, Duration until) {
+        if (simulation.w.sim.now().compareTo(until) >= 0) {
             return;
         }
-        int tenant = fromTenant + v.w.sim.random().nextInt(toTenant - fromTenant + 1);
-        v.plain(tenant);
-        v.w.sim.after(
-                Duration.ofNanos((long) (1e9 / perSecond)), () -> every(v, fromTenant, toTenant, perSecond, until));
+        int tenant = fromTenant + simulation.w.sim.random().nextInt(toTenant - fromTenant + 1);
+        simulation.plain(tenant);
+        simulation.w.sim.after(
+                Duration.ofNanos((long) (1e9 / perSecond)),
+                () -> every(simulation, fromTenant, toTenant, perSecond, until));
     }
 
-    private static Others figures(FleetSimulation v, boolean settled) {
+    private static Others figures(FleetSimulation simulation, boolean settled) {
         Map<String, Duration> begun = new HashMap<>();
-        v.w.seen.ran.forEach(r -> begun.merge(r.handle(), r.begun(), (a, b) -> a.compareTo(b) < 0 ? a : b));
+        simulation.w.seen.ran.forEach(
+                ran -> begun.merge(ran.handle(), ran.begun(), (a, b) -> a.compareTo(b) < 0 ? a : b));
         List<Duration> delays = new ArrayList<>();
         long accepted = 0;
         long all = 0;
         long full = 0;
-        for (Observations.Submitted h : v.w.seen.submitted) {
-            full += h.kind().equals("queue_full") ? 1 : 0;
-            if (!h.tenant().equals(TestConfiguration.tenant(0))) {
+        for (Observations.Submitted submitted : simulation.w.seen.submitted) {
+            full += submitted.kind().equals("queue_full") ? 1 : 0;
+            if (!submitted.tenant().equals(TestConfiguration.tenant(0))) {
                 all++;
-                if (h.said() == Observations.Said.ACCEPTED) {
+                if (submitted.said() == Observations.Said.ACCEPTED) {
                     accepted++;
-                    delays.add(begun.getOrDefault(h.handle(), v.w.sim.now()).minus(h.answered()));
+                    delays.add(begun.getOrDefault(submitted.handle(), simulation.w.sim.now())
+                            .minus(submitted.answered()));
                 }
             }
         }
         delays.sort(Comparator.naturalOrder());
-        long failed = v.w.seen.shown.stream()
-                .filter(x -> x.state().equals("failed"))
+        long failed = simulation.w.seen.shown.stream()
+                .filter(shown -> shown.state().equals("failed"))
                 .map(Observations.Shown::handle)
                 .distinct()
                 .count();
-        List<String> bad = new ArrayList<>(v.violations());
+        List<String> bad = new ArrayList<>(simulation.violations());
         if (!settled) {
             bad.add("not all ended");
         }
@@ -109,17 +115,17 @@
         row("the same, all back ends down 8 s", run(1, 120, good, Duration.ofSeconds(8)));
     }
 
-    private static void row(String name, Others o) {
+    private static void row(String name, Others others) {
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %.1f %% | %d | %d | %d | %d | %d |%n",
                 name,
-                100 * o.acceptedShare(),
-                o.median().toMillis(),
-                o.p95().toMillis(),
-                o.failed(),
-                o.queueFull(),
-                o.violations().size());
-        o.violations().stream().limit(3).forEach(x -> System.out.println("    " + x));
+                100 * others.acceptedShare(),
+                others.median().toMillis(),
+                others.p95().toMillis(),
+                others.failed(),
+                others.queueFull(),
+                others.violations().size());
+        others.violations().stream().limit(3).forEach(x -> System.out.println("    " + x));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -51,8 +51,8 @@
         }
     }
 
-    private final FleetSimulation v;
-    private final World w;
+    private final FleetSimulation simulation;
+    private final World fleet;
     private final Size size;
     private final Random random;
     private final Map<String, FaultInjection> faults = new LinkedHashMap<>();
@@ -65,7 +65,7 @@
     public FaultStorm(long seed, Size size) throws ServiceException {
         this.size = size;
         random = new Random(seed * 31 + 7);
-        v = new FleetSimulation(
+        simulation = new FleetSimulation(
                 seed,
                 size.intakes,
                 size.stores(seed),
@@ -74,15 +74,15 @@
                 size == Size.SMALL ? World.SMALL_RING : World.LARGE_RING,
                 size.zones,
                 Seams.none());
-        w = v.w;
-        v.watch();
-        new MachineFaults(v, random, log).into(faults);
-        new ProcessorFaults(v, random, seed % 4 == 3).into(faults);
+        fleet = simulation.w;
+        simulation.watch();
+        new MachineFaults(simulation, random, log).into(faults);
+        new ProcessorFaults(simulation, random, seed % 4 == 3).into(faults);
     }
 
     private void strike(List<String> names) throws ServiceException {
         String name = names.get(random.nextInt(names.size()));
-        log.add(w.sim.now().toMillis() + " " + name);
+        log.add(fleet.sim.now().toMillis() + " " + name);
         faults.get(name).strike();
     }
 
@@ -92,44 +92,44 @@
     }
 
     public List<String> run(Duration length) throws ServiceException {
-        v.embark();
-        v.list("f2", false);
-        v.list("f3", false);
-        v.traffic(size.perSecond);
+        simulation.embark();
+        simulation.list("f2", false);
+        simulation.list("f3", false);
+        simulation.traffic(size.perSecond);
         List<String> names = List.copyOf(faults.keySet());
-        Duration end = w.sim.now().plus(length);
-        while (w.sim.now().compareTo(end) < 0) {
-            w.sim.run(Duration.ofMillis(300 + random.nextInt(2500)));
+        Duration end = fleet.sim.now().plus(length);
+        while (fleet.sim.now().compareTo(end) < 0) {
+            fleet.sim.run(Duration.ofMillis(300 + random.nextInt(2500)));
             strike(names);
-            v.read();
-            w.seenVersions();
+            simulation.read();
+            fleet.seenVersions();
         }
-        v.calm();
+        simulation.calm();
         strike(names);
-        w.sim.run(Duration.ofSeconds(8));
-        w.net.heal();
-        w.net.weather(0, 0);
-        w.post.answerLoss(0);
-        for (String h : w.all()) {
-            w.restart(h);
+        fleet.sim.run(Duration.ofSeconds(8));
+        fleet.net.heal();
+        fleet.net.weather(0, 0);
+        fleet.post.answerLoss(0);
+        for (String h : fleet.all()) {
+            fleet.restart(h);
         }
-        w.sim.run(Duration.ofSeconds(3));
-        v.read();
+        fleet.sim.run(Duration.ofSeconds(3));
+        simulation.read();
         List<String> out = new ArrayList<>();
-        v.followWhatRan();
-        if (!v.settle(Duration.ofSeconds(200))) {
-            out.add("not ended: " + v.firstOpen());
+        simulation.followWhatRan();
+        if (!simulation.settle(Duration.ofSeconds(200))) {
+            out.add("not ended: " + simulation.firstOpen());
         }
-        out.addAll(v.violations());
+        out.addAll(simulation.violations());
         return out;
     }
 
     void watchAnswers(BiConsumer<Request, Response> watcher) {
-        w.watchAnswers(watcher);
+        fleet.watchAnswers(watcher);
     }
 
     TraceDigest trace() {
-        return w.sim.trace();
+        return fleet.sim.trace();
     }
 
     public List<String> log() {
@@ -137,7 +137,7 @@
     }
 
     public Map<String, Long> kinds() {
-        return v.kinds();
+        return simulation.kinds();
     }
 
     /** fault storm FROM TO [SIZE [SECONDS]]: a sweep over seeds; exits non-zero if any failed. */
@@ -152,11 +152,11 @@
         LongStream.rangeClosed(from, to).parallel().forEach(seed -> {
             List<String> bad;
             try {
-                FaultStorm s = new FaultStorm(seed, size);
-                bad = s.run(length);
+                FaultStorm storm = new FaultStorm(seed, size);
+                bad = storm.run(length);
                 synchronized (kinds) {
-                    s.kinds().forEach((k, n) -> kinds.merge(k, n, Long::sum));
-                    s.log().stream()
+                    storm.kinds().forEach((k, n) -> kinds.merge(k, n, Long::sum));
+                    storm.log().stream()
                             .filter(l -> Character.isDigit(l.charAt(0)))
                             .forEach(l -> struck.merge(l.substring(l.indexOf(' ') + 1), 1L, Long::sum));
                 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
@@ -16,7 +16,7 @@
 /** Stand-in for a processor that fetches: asks again under the same fetch id, repeats each outcome until confirmed. */
 public final class Fetcher {
     private static final Duration AGAIN = Duration.ofMillis(200);
-    private final World w;
+    private final World fleet;
     private final String id;
     private final String service;
     private final Set<String> mine = new HashSet<>();
@@ -26,8 +26,8 @@
     private int life;
     private int fetches;
 
-    Fetcher(World w, String id, String service) {
-        this.w = w;
+    Fetcher(World fleet, String id, String service) {
+        this.fleet = fleet;
         this.id = id;
         this.service = service;
         this.secret = TestConfiguration.fetchKey(service);
@@ -45,13 +45,13 @@
     /** The process dies; what it was doing is not done. */
     public void crash() {
         life++;
-        mine.forEach(h -> w.seen.saw(w.seen.died, new Observations.Died(h, w.sim.now())));
+        mine.forEach(h -> fleet.seen.saw(fleet.seen.died, new Observations.Died(h, fleet.sim.now())));
         mine.clear();
     }
 
     void crashAndReturn() {
         crash();
-        w.sim.after(AGAIN, this::start);
+        fleet.sim.after(AGAIN, this::start);
     }
 
     public Fetcher start() {
@@ -61,7 +61,7 @@
     }
 
     private String any() {
-        return w.intakes.get(w.sim.random().nextInt(w.intakes.size()));
+        return fleet.intakes.get(fleet.sim.random().nextInt(fleet.intakes.size()));
     }
 
     private Request post(String path, Map<String, Object> body) {
@@ -72,22 +72,22 @@
         if (life != bornIn) {
             return;
         }
-        Request q = post(
+        Request request = post(
                 "/v1/services/" + service + "/fetch",
                 Map.of("processor", id, "waitMs", 500, "most", 2, "fetch", fetch, "again", again));
         String used = secret;
-        w.request(any(), q, Duration.ofSeconds(3), a -> {
-            served(a, used, "fetch");
+        fleet.request(any(), request, Duration.ofSeconds(3), response -> {
+            served(response, used, "fetch");
             if (life != bornIn) {
                 return;
             }
-            if (a.isEmpty() || a.get().status() >= 500 || w.sim.luck(loseAnswer)) {
-                w.sim.after(AGAIN, () -> ask(fetch, true, bornIn));
+            if (response.isEmpty() || response.get().status() >= 500 || fleet.sim.luck(loseAnswer)) {
+                fleet.sim.after(AGAIN, () -> ask(fetch, true, bornIn));
                 return;
             }
-            JsonNode got = Callers.json(a.get()).path("messages");
-            got.forEach(m -> run(m, bornIn));
-            w.sim.after(got.size() == 0 ? AGAIN : work, () -> {
+            JsonNode got = Callers.json(response.get()).path("messages");
+            got.forEach(node -> run(node, bornIn));
+            fleet.sim.after(got.size() == 0 ? AGAIN : work, () -> {
                 if (life == bornIn) {
                     start();
                 }
@@ -95,33 +95,35 @@
         });
     }
 
-    private void served(Optional<Response> a, String used, String what) {
-        if (a.isPresent() && a.get().status() == 200) {
-            w.seen.saw(w.seen.served, new Observations.KeyServed(used, what, w.sim.now()));
+    private void served(Optional<Response> response, String used, String what) {
+        if (response.isPresent() && response.get().status() == 200) {
+            fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(used, what, fleet.sim.now()));
         }
     }
 
-    private void run(JsonNode m, int bornIn) {
-        String handle = m.path("messageId").asText();
-        int attempt = m.path("attempt").asInt();
-        w.seen.saw(
-                w.seen.ran,
+    private void run(JsonNode node, int bornIn) {
+        String handle = node.path("messageId").asText();
+        int attempt = node.path("attempt").asInt();
+        fleet.seen.saw(
+                fleet.seen.ran,
                 new Observations.Ran(
                         handle,
-                        m.path("callerId").asText(),
-                        m.path("tenant").asText(),
-                        m.path("lane").asText(),
-                        m.path("orderingKey").asText(),
+                        node.path("callerId").asText(),
+                        node.path("tenant").asText(),
+                        node.path("lane").asText(),
+                        node.path("orderingKey").asText(),
                         attempt,
                         id,
                         service,
-                        w.sim.now()));
+                        fleet.sim.now()));
         mine.add(handle);
-        w.sim.after(work, () -> {
+        fleet.sim.after(work, () -> {
             if (life == bornIn) {
                 String receipt = id + ":" + handle + ":" + attempt;
                 mine.remove(handle);
-                w.seen.saw(w.seen.answered, new Observations.Answered(handle, attempt, id, w.sim.now(), true, receipt));
+                fleet.seen.saw(
+                        fleet.seen.answered,
+                        new Observations.Answered(handle, attempt, id, fleet.sim.now(), true, receipt));
                 report(handle, attempt, receipt, bornIn);
             }
         });
@@ -131,15 +133,16 @@
         if (life != bornIn) {
             return;
         }
-        Request q = post(
+        Request request = post(
                 "/v1/messages/" + handle + "/outcome",
                 Map.of("processor", id, "attempt", attempt, "outcome", "done", "receipt", receipt));
         String used = secret;
-        w.request(any(), q, Duration.ofSeconds(4), a -> {
-            served(a, used, "outcome");
-            boolean clear = a.isPresent() && List.of(200, 404).contains(a.get().status());
+        fleet.request(any(), request, Duration.ofSeconds(4), response -> {
+            served(response, used, "outcome");
+            boolean clear = response.isPresent()
+                    && List.of(200, 404).contains(response.get().status());
             if (!clear) {
-                w.sim.after(AGAIN, () -> report(handle, attempt, receipt, bornIn));
+                fleet.sim.after(AGAIN, () -> report(handle, attempt, receipt, bornIn));
             }
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -70,7 +70,7 @@
 
     /** Puts the first configuration, lists the processors and waits until every intake is ready. */
     public FleetSimulation embark() {
-        put(configuration, 0, "first", g -> {});
+        put(configuration, 0, "first", response -> {});
         w.backends.keySet().stream().filter(b -> b.startsWith("p")).forEach(b -> list(b, false));
         require(w.sim.runUntil(w::ready, Duration.ofSeconds(40)), "the fleet did not get ready");
         return this;
@@ -84,7 +84,7 @@
     }
 
     void useFetchSecret(String group, String secret) {
-        fetchers.values().forEach(f -> f.use(group, secret));
+        fetchers.values().forEach(fetcher -> fetcher.use(group, secret));
     }
 
     public Fetcher fetcher(String id) {
@@ -96,7 +96,7 @@
         String service = service(Integer.parseInt(processor.substring(1)));
         operate(
                 new Request("DELETE", "/v1/services/" + service + "/processors/" + processor, Map.of(), new byte[0]),
-                a -> {});
+                response -> {});
     }
 
     public static void require(boolean ok, String why) {
@@ -111,17 +111,18 @@
     }
 
     /** Repeats with the same request id until the answer is definite. */
-    public void put(Configuration l, long base, String id, Consumer<Response> then) {
-        put(l, base, id, w.presentLighthouses(), then);
+    public void put(Configuration configuration, long base, String id, Consumer<Response> then) {
+        put(configuration, base, id, w.presentLighthouses(), then);
     }
 
     void put(Configuration l, long base, String id, List<String> at, Consumer<Response> then) {
         byte[] json = Configurations.write(l);
         puts++;
-        Request q = new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
-        operate(q, at, a -> {
-            boolean taken = a.status() == 200;
-            long v = taken ? json(a).path("version").asLong() : -1;
+        Request request =
+                new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
+        operate(request, at, response -> {
+            boolean taken = response.status() == 200;
+            long v = taken ? json(response).path("version").asLong() : -1;
             w.seen.saw(
                     w.seen.configurations,
                     new Observations.ConfigurationSaid(
@@ -135,7 +136,7 @@
                 version = v;
                 configuration = l;
             }
-            then.accept(a);
+            then.accept(response);
         });
     }
 
@@ -143,7 +144,7 @@
         try {
             Configurations.configuration(json);
             return true;
-        } catch (ServiceException e) {
+        } catch (ServiceException failure) {
             return false;
         }
     }
@@ -158,26 +159,27 @@
                 controlNode,
                 new Request("GET", "/v1/layout", Map.of(), new byte[0]),
                 Duration.ofSeconds(4),
-                a -> a.filter(x -> x.status() == 200)
-                        .ifPresent(x -> w.seen.saw(
+                optional -> optional.filter(response -> response.status() == 200)
+                        .ifPresent(response -> w.seen.saw(
                                 w.seen.reads,
                                 new Observations.ConfigurationRead(
-                                        Long.parseLong(x.headers().get("ETag").replace("\"", "")),
+                                        Long.parseLong(
+                                                response.headers().get("ETag").replace("\"", "")),
                                         Configurations.sha256(
-                                                new String(x.body(), java.nio.charset.StandardCharsets.UTF_8)),
+                                                new String(response.body(), java.nio.charset.StandardCharsets.UTF_8)),
                                         asked))));
     }
 
-    void operate(Request q, Consumer<Response> then) {
-        operate(q, w.presentLighthouses(), then);
+    void operate(Request request, Consumer<Response> then) {
+        operate(request, w.presentLighthouses(), then);
     }
 
-    private void operate(Request q, List<String> at, Consumer<Response> then) {
-        w.request(at.get(w.sim.random().nextInt(at.size())), q, Duration.ofSeconds(4), a -> {
-            if (a.isPresent() && a.get().status() < 500) {
-                then.accept(a.get());
+    private void operate(Request request, List<String> at, Consumer<Response> then) {
+        w.request(at.get(w.sim.random().nextInt(at.size())), request, Duration.ofSeconds(4), response -> {
+            if (response.isPresent() && response.get().status() < 500) {
+                then.accept(response.get());
             } else {
-                w.sim.after(Duration.ofMillis(200), () -> operate(q, at, then));
+                w.sim.after(Duration.ofMillis(200), () -> operate(request, at, then));
             }
         });
     }
@@ -191,7 +193,7 @@
         if (!leaving) {
             w.seen.saw(w.seen.listed, new Observations.Listed(processor, w.sim.now()));
         }
-        operate(listing(processor, leaving), a -> marked(processor, leaving));
+        operate(listing(processor, leaving), response -> marked(processor, leaving));
     }
 
     /** The same by a control node of one's choice, asked once. */
@@ -200,7 +202,8 @@
                 controlNode,
                 listing(processor, leaving),
                 Duration.ofSeconds(4),
-                a -> a.filter(x -> x.status() == 200).ifPresent(x -> marked(processor, leaving)));
+                optional -> optional.filter(response -> response.status() == 200)
+                        .ifPresent(response -> marked(processor, leaving)));
     }
 
     private void marked(String processor, boolean leaving) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
@@ -28,8 +28,8 @@
         return net.rpc(host, codec);
     }
 
-    public void boot(RpcRouter r) {
-        host.boot(r);
+    public void boot(RpcRouter router) {
+        host.boot(router);
     }
 
     public boolean alive() {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -34,8 +34,8 @@
         this.timing = 1 + (sim.random().nextDouble() - 0.5) * 0.01;
     }
 
-    void boot(RpcRouter r) {
-        router = r;
+    void boot(RpcRouter rpcRouter) {
+        router = rpcRouter;
         alive = true;
         started = sim.now();
         pausedUntil = Duration.ZERO;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -96,7 +96,7 @@
     private void read(String intake, String secret) {
         Request request = new Request("GET", "/v1/messages?state=failed", authorization(secret), new byte[0]);
         world.request(intake, request, CALLER_LIMIT, answer -> {
-            if (answer.filter(a -> a.status() == 200).isPresent()) {
+            if (answer.filter(response -> response.status() == 200).isPresent()) {
                 world.seen.saw(world.seen.served, new Observations.KeyServed(secret, "read", world.sim.now()));
             }
         });
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -12,18 +12,18 @@
 final class MachineFaults {
     private static final Duration CALM_AFTER_LOSS = Duration.ofSeconds(15);
     private static final Duration CALM_AFTER_REPLACEMENT = Duration.ofSeconds(40);
-    private final FleetSimulation v;
-    private final World w;
+    private final FleetSimulation simulation;
+    private final World fleet;
     private final Random random;
     private final List<String> log;
     private Duration noLossBefore;
 
-    MachineFaults(FleetSimulation v, Random random, List<String> log) {
-        this.v = v;
-        this.w = v.w;
+    MachineFaults(FleetSimulation simulation, Random random, List<String> log) {
+        this.simulation = simulation;
+        this.fleet = simulation.w;
         this.random = random;
         this.log = log;
-        this.noLossBefore = w.sim.now();
+        this.noLossBefore = fleet.sim.now();
     }
 
     void into(Map<String, FaultInjection> faults) {
@@ -31,14 +31,14 @@
         faults.put("power loss", this::powerLoss);
         faults.put("pause", this::pause);
         faults.put("cut off", this::cutOff);
-        faults.put("one-way cut", () -> healing(() -> w.net.cutOneWay(any(w.all()), any(w.all()))));
-        faults.put("stalled streams", () -> healing(() -> w.net.stall(any(w.intakes), any(w.stores))));
-        faults.put("bad weather", () -> w.net.weather(0.05, 0.02));
+        faults.put("one-way cut", () -> healing(() -> fleet.net.cutOneWay(any(fleet.all()), any(fleet.all()))));
+        faults.put("stalled streams", () -> healing(() -> fleet.net.stall(any(fleet.intakes), any(fleet.stores))));
+        faults.put("bad weather", () -> fleet.net.weather(0.05, 0.02));
         faults.put("lost disk", this::wipe);
         faults.put("store lost for good", this::loseStore);
         faults.put("lighthouse lost for good", this::loseLighthouse);
-        faults.put("drain", () -> drain(any(w.stores)));
-        faults.put("holder drained", () -> drain(any(w.intakes)));
+        faults.put("drain", () -> drain(any(fleet.stores)));
+        faults.put("holder drained", () -> drain(any(fleet.intakes)));
         faults.put("stores in turn", this::inTurn);
         faults.put("hall off", this::zoneOff);
         faults.put("outage", this::outage);
@@ -52,99 +52,99 @@
         return Duration.ofMillis(500 + random.nextInt(7000));
     }
 
-    private void later(Duration d, FaultInjection b) {
-        w.sim.after(d, () -> {
+    private void later(Duration d, FaultInjection faultInjection) {
+        fleet.sim.after(d, () -> {
             try {
-                b.strike();
-            } catch (ServiceException e) {
-                throw new IllegalStateException(e);
+                faultInjection.strike();
+            } catch (ServiceException failure) {
+                throw new IllegalStateException(failure);
             }
         });
     }
 
-    private void healing(FaultInjection b) throws ServiceException {
-        b.strike();
-        later(some(), w.net::heal);
+    private void healing(FaultInjection faultInjection) throws ServiceException {
+        faultInjection.strike();
+        later(some(), fleet.net::heal);
     }
 
     private void kill() {
-        String h = any(w.all());
+        String h = any(fleet.all());
         log.add("kill " + h);
-        w.kill(h);
-        later(some(), () -> w.restart(h));
+        fleet.kill(h);
+        later(some(), () -> fleet.restart(h));
     }
 
     private void powerLoss() {
-        String h = any(w.all());
+        String h = any(fleet.all());
         log.add("power " + h);
-        w.host(h).powerLoss();
-        later(some(), () -> w.restart(h));
+        fleet.host(h).powerLoss();
+        later(some(), () -> fleet.restart(h));
     }
 
     private void pause() {
-        w.host(any(w.all())).pause(some());
+        fleet.host(any(fleet.all())).pause(some());
     }
 
     private void cutOff() throws ServiceException {
-        healing(() -> w.net.cutOff(any(w.all())));
+        healing(() -> fleet.net.cutOff(any(fleet.all())));
     }
 
     /** One disk at a time, as the brief asks; the next only once repair had time. */
     private boolean mayLose(Duration calm) {
-        boolean may = w.sim.now().compareTo(noLossBefore) >= 0 && w.repaired();
+        boolean may = fleet.sim.now().compareTo(noLossBefore) >= 0 && fleet.repaired();
         if (may) {
-            noLossBefore = w.sim.now().plus(calm);
+            noLossBefore = fleet.sim.now().plus(calm);
         }
         return may;
     }
 
     private void wipe() {
         if (mayLose(CALM_AFTER_LOSS)) {
-            String h = any(random.nextBoolean() ? w.presentStores() : w.presentLighthouses());
+            String h = any(random.nextBoolean() ? fleet.presentStores() : fleet.presentLighthouses());
             log.add("wipe " + h);
-            w.kill(h);
-            w.host(h).disk.wipe();
-            later(some(), () -> w.restart(h));
+            fleet.kill(h);
+            fleet.host(h).disk.wipe();
+            later(some(), () -> fleet.restart(h));
         }
     }
 
     private void loseStore() {
         if (mayLose(CALM_AFTER_REPLACEMENT)) {
-            String h = any(w.presentStores());
+            String h = any(fleet.presentStores());
             log.add("lost " + h);
-            w.lose(h);
-            later(some(), w::newStore);
+            fleet.lose(h);
+            later(some(), fleet::newStore);
         }
     }
 
     private void loseLighthouse() {
         if (mayLose(CALM_AFTER_REPLACEMENT)) {
-            String h = any(w.presentLighthouses());
+            String h = any(fleet.presentLighthouses());
             log.add("lost " + h);
-            w.lose(h);
+            fleet.lose(h);
             later(some(), () -> {
-                String fresh = w.newLighthouse();
-                v.operate(
+                String fresh = fleet.newLighthouse();
+                simulation.operate(
                         new Request(
                                 "PUT",
                                 "/v1/core",
                                 Map.of(),
-                                Configurations.write(Map.of("lighthouses", w.presentLighthouses()))),
-                        a -> log.add("core " + a.status() + " with " + fresh));
+                                Configurations.write(Map.of("lighthouses", fleet.presentLighthouses()))),
+                        response -> log.add("core " + response.status() + " with " + fresh));
             });
         }
     }
 
     private void drain(String h) {
-        if (w.host(h).alive()) {
-            w.pilot(h).drain();
-            later(Duration.ofSeconds(2), () -> w.kill(h));
-            later(Duration.ofSeconds(4), () -> w.restart(h));
+        if (fleet.host(h).alive()) {
+            fleet.pilot(h).drain();
+            later(Duration.ofSeconds(2), () -> fleet.kill(h));
+            later(Duration.ofSeconds(4), () -> fleet.restart(h));
         }
     }
 
     private void inTurn() {
-        List<String> stores = w.presentStores();
+        List<String> stores = fleet.presentStores();
         for (int i = 0; i < stores.size(); i++) {
             String s = stores.get(i);
             later(Duration.ofSeconds(6L * i), () -> drain(s));
@@ -153,14 +153,14 @@
 
     /** All machines of a zone lose power together and come back together. */
     private void zoneOff() {
-        String zone = w.zone(any(w.all()));
+        String zone = fleet.zone(any(fleet.all()));
         List<String> there =
-                w.all().stream().filter(h -> w.zone(h).equals(zone)).toList();
+                fleet.all().stream().filter(h -> fleet.zone(h).equals(zone)).toList();
         log.add("off " + zone);
-        there.forEach(h -> w.host(h).powerLoss());
+        there.forEach(h -> fleet.host(h).powerLoss());
         later(some(), () -> {
             for (String h : there) {
-                w.restart(h);
+                fleet.restart(h);
             }
         });
     }
@@ -170,10 +170,10 @@
             return;
         }
         log.add("outage");
-        w.all().forEach(h -> w.host(h).powerLoss());
+        fleet.all().forEach(h -> fleet.host(h).powerLoss());
         later(Duration.ofMillis(500), () -> {
-            for (String h : w.all()) {
-                w.restart(h);
+            for (String h : fleet.all()) {
+                fleet.restart(h);
             }
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -40,9 +40,9 @@
     }
 
     String host(String address, int zone) {
-        Host h = new Host(address, sim);
-        hosts.put(address, h);
-        net.add(h);
+        Host host = new Host(address, sim);
+        hosts.put(address, host);
+        net.add(host);
         zones.put(address, "hall" + zone % zoneCount);
         return address;
     }
@@ -93,24 +93,24 @@
             Supplier<Mono<Response>> door,
             Duration limit,
             Consumer<Optional<Response>> then) {
-        Host h = hosts.get(to);
+        Host host = hosts.get(to);
         AtomicBoolean over = new AtomicBoolean();
-        Consumer<Optional<Response>> once = a -> {
+        Consumer<Optional<Response>> once = response -> {
             if (over.compareAndSet(false, true)) {
-                then.accept(a);
+                then.accept(response);
             }
         };
         sim.after(limit, () -> once.accept(Optional.empty()));
         sim.after(net.delay(), () -> {
-            if (!h.alive()) {
+            if (!host.alive()) {
                 // nobody takes the stream: the client's connect times out
                 sim.after(CONNECT, () -> once.accept(Optional.empty()));
                 return;
             }
-            h.soon(() -> door.get().subscribe(a -> {
-                sim.trace().add(sim.now(), to + " " + a.status());
-                answers.accept(request, a);
-                sim.after(net.delay(), () -> once.accept(Optional.of(a)));
+            host.soon(() -> door.get().subscribe(response -> {
+                sim.trace().add(sim.now(), to + " " + response.status());
+                answers.accept(request, response);
+                sim.after(net.delay(), () -> once.accept(Optional.of(response)));
             }));
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -43,37 +43,37 @@
             Duration length,
             java.util.function.Consumer<FleetSimulation> fault)
             throws ServiceException {
-        FleetSimulation v =
+        FleetSimulation simulation =
                 new FleetSimulation(seed, intakes, stores, 12, testConfiguration, World.LARGE_RING).embark();
-        v.w.sim.run(Duration.ofSeconds(3));
-        long frames = v.w.net.frames();
-        long syncs = syncs(v);
-        v.traffic(perSecond);
-        v.w.sim.run(length.dividedBy(3));
-        fault.accept(v);
-        v.w.sim.run(length.multipliedBy(2).dividedBy(3));
-        long framesUsed = v.w.net.frames() - frames;
-        long syncsUsed = syncs(v) - syncs;
-        boolean settled = v.settle(Duration.ofSeconds(120));
-        List<String> bad = new ArrayList<>(v.violations());
+        simulation.w.sim.run(Duration.ofSeconds(3));
+        long frames = simulation.w.net.frames();
+        long syncs = syncs(simulation);
+        simulation.traffic(perSecond);
+        simulation.w.sim.run(length.dividedBy(3));
+        fault.accept(simulation);
+        simulation.w.sim.run(length.multipliedBy(2).dividedBy(3));
+        long framesUsed = simulation.w.net.frames() - frames;
+        long syncsUsed = syncs(simulation) - syncs;
+        boolean settled = simulation.settle(Duration.ofSeconds(120));
+        List<String> bad = new ArrayList<>(simulation.violations());
         if (!settled) {
             bad.add("not all ended");
         }
         long[] passes = new long[3];
-        for (String i : v.w.intakes) {
-            if (v.w.host(i).alive()) {
-                var c = v.w.pilot(i).tokenCounts();
-                passes[0] += c.atOnce();
-                passes[1] += c.waited();
-                passes[2] += c.asks();
+        for (String i : simulation.w.intakes) {
+            if (simulation.w.host(i).alive()) {
+                var counts = simulation.w.pilot(i).tokenCounts();
+                passes[0] += counts.atOnce();
+                passes[1] += counts.waited();
+                passes[2] += counts.asks();
             }
         }
-        Map<String, Long> k = new TreeMap<>(v.kinds());
+        Map<String, Long> k = new TreeMap<>(simulation.kinds());
         long accepted = k.getOrDefault("accepted", 0L);
         long throttled = k.getOrDefault("throttled", 0L);
         long other = k.values().stream().mapToLong(Long::longValue).sum() - accepted - throttled;
-        long failed = v.w.seen.shown.stream()
-                .filter(x -> x.state().equals("failed"))
+        long failed = simulation.w.seen.shown.stream()
+                .filter(shown -> shown.state().equals("failed"))
                 .map(Observations.Shown::handle)
                 .distinct()
                 .count();
@@ -87,57 +87,66 @@
                 passes[2],
                 framesUsed,
                 syncsUsed,
-                worstShare(v.w.seen),
+                worstShare(simulation.w.seen),
                 bad);
     }
 
     /** Power lost everywhere, all started again at once: time until a submission of the given tenant is accepted. */
     public static Duration outage(long seed, int intakes, int stores, TestConfiguration testConfiguration)
             throws ServiceException {
-        FleetSimulation v = new FleetSimulation(seed, intakes, stores, 4, testConfiguration, World.LARGE_RING).embark();
-        v.traffic(60);
-        v.w.sim.run(Duration.ofSeconds(5));
-        v.calm();
-        v.w.all().forEach(h -> v.w.host(h).powerLoss());
-        v.w.sim.run(Duration.ofSeconds(1));
-        for (String h : v.w.all()) {
-            v.w.restart(h);
+        FleetSimulation simulation =
+                new FleetSimulation(seed, intakes, stores, 4, testConfiguration, World.LARGE_RING).embark();
+        simulation.traffic(60);
+        simulation.w.sim.run(Duration.ofSeconds(5));
+        simulation.calm();
+        simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+        simulation.w.sim.run(Duration.ofSeconds(1));
+        for (String h : simulation.w.all()) {
+            simulation.w.restart(h);
         }
-        Duration begun = v.w.sim.now();
+        Duration begun = simulation.w.sim.now();
         FleetSimulation.require(
-                v.w.sim.runUntil(
+                simulation.w.sim.runUntil(
                         () -> {
-                            v.plain(0);
-                            return v.w.seen.submitted.stream()
-                                    .anyMatch(h -> h.said() == Observations.Said.ACCEPTED
-                                            && h.sent().compareTo(begun) > 0);
+                            simulation.plain(0);
+                            return simulation.w.seen.submitted.stream()
+                                    .anyMatch(submitted -> submitted.said() == Observations.Said.ACCEPTED
+                                            && submitted.sent().compareTo(begun) > 0);
                         },
                         Duration.ofSeconds(30)),
                 "no service after the outage");
-        Duration took = v.w.sim.now().minus(begun);
+        Duration took = simulation.w.sim.now().minus(begun);
         FleetSimulation.require(
-                v.settle(Duration.ofSeconds(120)) && v.violations().isEmpty(), "lost after the outage");
+                simulation.settle(Duration.ofSeconds(120))
+                        && simulation.violations().isEmpty(),
+                "lost after the outage");
         return took;
     }
 
-    private static long syncs(FleetSimulation v) {
-        return v.w.stores.stream().mapToLong(s -> v.w.host(s).disk.syncs()).sum();
+    private static long syncs(FleetSimulation simulation) {
+        return simulation.w.stores.stream()
+                .mapToLong(s -> simulation.w.host(s).disk.syncs())
+                .sum();
     }
 
     /** The worst 5 s window of any tenant against its burst and rate. */
-    private static double worstShare(Observations s) {
+    private static double worstShare(Observations observations) {
         double worst = 0;
-        for (Map.Entry<String, List<Observations.Limit>> e : s.allowances().entrySet()) {
-            List<Duration> at = s.copy(s.submitted).stream()
-                    .filter(h ->
-                            h.tenant().equals(e.getKey()) && h.said() == Observations.Said.ACCEPTED && !h.repeated())
+        for (Map.Entry<String, List<Observations.Limit>> entry :
+                observations.allowances().entrySet()) {
+            List<Duration> at = observations.copy(observations.submitted).stream()
+                    .filter(submitted -> submitted.tenant().equals(entry.getKey())
+                            && submitted.said() == Observations.Said.ACCEPTED
+                            && !submitted.repeated())
                     .map(Observations.Submitted::answered)
                     .sorted()
                     .toList();
             double n = NeverList.worst(at);
             worst = Math.max(
                     worst,
-                    n / (e.getValue().get(0).rate() * 5 + e.getValue().get(0).burst()));
+                    n
+                            / (entry.getValue().get(0).rate() * 5
+                                    + entry.getValue().get(0).burst()));
         }
         return worst;
     }
@@ -147,29 +156,33 @@
         List<Long> refused = new ArrayList<>();
         List<Long> sent = new ArrayList<>();
         for (long seed = 1; seed <= 10; seed++) {
-            FleetSimulation v = new FleetSimulation(seed, 8, 3, 4, eight, World.LARGE_RING).embark();
-            String holder = v.w.intakes.stream()
-                    .filter(i -> v.w.pilot(i).ownedBuckets().contains("tenant/tenant0"))
+            FleetSimulation simulation = new FleetSimulation(seed, 8, 3, 4, eight, World.LARGE_RING).embark();
+            String holder = simulation.w.intakes.stream()
+                    .filter(i -> simulation.w.pilot(i).ownedBuckets().contains("tenant/tenant0"))
                     .findFirst()
                     .orElseThrow();
             List<String> others =
-                    v.w.intakes.stream().filter(i -> !i.equals(holder)).toList();
+                    simulation.w.intakes.stream().filter(i -> !i.equals(holder)).toList();
             for (int ms = 0; ms < 12000; ms += 25) {
-                v.w.sim.after(Duration.ofMillis(ms), () -> v.plainAt(0, others));
+                simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, others));
             }
-            v.w.sim.run(Duration.ofSeconds(4));
-            Duration from = v.w.sim.now();
-            v.w.kill(holder);
-            v.w.sim.run(Duration.ofSeconds(8));
+            simulation.w.sim.run(Duration.ofSeconds(4));
+            Duration from = simulation.w.sim.now();
+            simulation.w.kill(holder);
+            simulation.w.sim.run(Duration.ofSeconds(8));
             FleetSimulation.require(
-                    v.settle(Duration.ofSeconds(60)) && v.violations().isEmpty(), "not sound");
-            List<Observations.Submitted> after = v.w.seen.submitted.stream()
-                    .filter(h -> h.sent().compareTo(from) >= 0)
+                    simulation.settle(Duration.ofSeconds(60))
+                            && simulation.violations().isEmpty(),
+                    "not sound");
+            List<Observations.Submitted> after = simulation.w.seen.submitted.stream()
+                    .filter(submitted -> submitted.sent().compareTo(from) >= 0)
                     .toList();
-            refused.add(after.stream().filter(h -> h.kind().equals("throttled")).count());
+            refused.add(after.stream()
+                    .filter(submitted -> submitted.kind().equals("throttled"))
+                    .count());
             sent.add(after.stream()
-                    .filter(h -> h.kind().equals("throttled"))
-                    .map(h -> h.sent().minus(from).toMillis())
+                    .filter(submitted -> submitted.kind().equals("throttled"))
+                    .map(submitted -> submitted.sent().minus(from).toMillis())
                     .max(Long::compare)
                     .orElse(0L));
         }
@@ -177,24 +190,24 @@
         System.out.println("Last refusal, ms after: " + sent);
     }
 
-    private static void row(String name, Figures f) {
-        double n = Math.max(1, f.accepted());
+    private static void row(String name, Figures figures) {
+        double n = Math.max(1, figures.accepted());
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %d | %d | %d (%.2f %%) | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %d |%n",
                 name,
-                f.accepted(),
-                f.failed(),
-                f.throttled(),
-                100 * f.throttledShare(),
-                f.otherRefusals(),
-                f.waited() / n,
-                f.asks() / n,
-                f.frames() / n,
-                f.syncs() / n,
-                f.worstShare(),
-                f.violations().size());
-        f.violations().stream().limit(3).forEach(v -> System.out.println("    " + v));
+                figures.accepted(),
+                figures.failed(),
+                figures.throttled(),
+                100 * figures.throttledShare(),
+                figures.otherRefusals(),
+                figures.waited() / n,
+                figures.asks() / n,
+                figures.frames() / n,
+                figures.syncs() / n,
+                figures.worstShare(),
+                figures.violations().size());
+        figures.violations().stream().limit(3).forEach(v -> System.out.println("    " + v));
     }
 
     public static void main(String[] args) throws ServiceException {
@@ -216,12 +229,18 @@
             return;
         }
         for (long seed = 1; seed <= 3; seed++) {
-            row("lankavidya seed " + seed, steady(seed, 8, 3, eight, 270, length, v -> {}));
+            row("lankavidya seed " + seed, steady(seed, 8, 3, eight, 270, length, simulation -> {}));
         }
-        row("rotterdam", steady(1, 7, 4, new TestConfiguration(8, 12, 45, 60, 27), 270, length, v -> {}));
-        row("tiny tenants 1/s of 2/s", steady(1, 8, 3, new TestConfiguration(8, 2, 2, 4, 26), 8, length, v -> {}));
-        row("twice the allowance", steady(1, 8, 3, new TestConfiguration(8, 12, 15, 20, 26), 270, length, v -> {}));
-        row("holder killed", steady(1, 8, 3, eight, 270, length, v -> v.w.kill(v.w.intakes.get(0))));
+        row("rotterdam", steady(1, 7, 4, new TestConfiguration(8, 12, 45, 60, 27), 270, length, simulation -> {}));
+        row(
+                "tiny tenants 1/s of 2/s",
+                steady(1, 8, 3, new TestConfiguration(8, 2, 2, 4, 26), 8, length, simulation -> {}));
+        row(
+                "twice the allowance",
+                steady(1, 8, 3, new TestConfiguration(8, 12, 15, 20, 26), 270, length, simulation -> {}));
+        row(
+                "holder killed",
+                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.intakes.get(0))));
         row(
                 "holder drained",
                 steady(
@@ -231,8 +250,11 @@
                         eight,
                         270,
                         length,
-                        v -> v.w.pilot(v.w.intakes.get(0)).drain()));
-        row("store killed", steady(1, 8, 3, eight, 270, length, v -> v.w.kill(v.w.stores.get(0))));
+                        simulation ->
+                                simulation.w.pilot(simulation.w.intakes.get(0)).drain()));
+        row(
+                "store killed",
+                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.stores.get(0))));
         row(
                 "store drained",
                 steady(
@@ -242,7 +264,10 @@
                         eight,
                         270,
                         length,
-                        v -> v.w.pilot(v.w.stores.get(0)).drain()));
-        row("lighthouse killed", steady(1, 8, 3, eight, 270, length, v -> v.w.kill(v.w.lighthouses.get(0))));
+                        simulation ->
+                                simulation.w.pilot(simulation.w.stores.get(0)).drain()));
+        row(
+                "lighthouse killed",
+                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.lighthouses.get(0))));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
@@ -38,7 +38,7 @@
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 return forward(
                         to,
-                        body instanceof OperatorHttpHandler.PutConfigurationRequest p ? renamed(p) : body,
+                        body instanceof OperatorHttpHandler.PutConfigurationRequest request ? renamed(request) : body,
                         answer,
                         limit);
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -24,50 +24,50 @@
 /** Stand-ins that leave out one mechanism each; every never-line has a scenario that breaks with one. design 12.3 */
 final class NaiveVariants {
     private interface Asking {
-        <T> Mono<T> ask(RpcClient b, String to, Object body, Class<T> answer, Duration limit);
+        <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit);
     }
 
     private NaiveVariants() {}
 
-    private static RpcClient rpc(RpcClient b, Asking how) {
+    private static RpcClient rpc(RpcClient rpc, Asking how) {
         return new RpcClient() {
             @Override
             public String self() {
-                return b.self();
+                return rpc.self();
             }
 
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-                return how.ask(b, to, body, answer, limit);
+                return how.ask(rpc, to, body, answer, limit);
             }
         };
     }
 
     /** 01: a disk that says "synced" and has not. */
     static Seams lyingDisk() {
-        return Seams.none().withDisk((a, d) -> new Disk() {
+        return Seams.none().withDisk((a, disk) -> new Disk() {
             @Override
             public java.util.List<String> list() throws java.io.IOException {
-                return d.list();
+                return disk.list();
             }
 
             @Override
             public DiskFile open(String name, int size) throws java.io.IOException {
-                DiskFile l = d.open(name, size);
+                DiskFile file = disk.open(name, size);
                 return new DiskFile() {
                     @Override
                     public int size() throws java.io.IOException {
-                        return l.size();
+                        return file.size();
                     }
 
                     @Override
                     public void write(long pos, byte[] bytes, int length) throws java.io.IOException {
-                        l.write(pos, bytes, length);
+                        file.write(pos, bytes, length);
                     }
 
                     @Override
                     public void read(long pos, byte[] into, int length) throws java.io.IOException {
-                        l.read(pos, into, length);
+                        file.read(pos, into, length);
                     }
 
                     @Override
@@ -77,7 +77,7 @@
 
             @Override
             public void setAside() throws java.io.IOException {
-                d.setAside();
+                disk.setAside();
             }
         });
     }
@@ -85,17 +85,19 @@
     /** 02: any 5xx is taken for "later". */
     static Seams anyErrorIsLater() {
         return Seams.none()
-                .withPost((a, p) -> c ->
-                        p.send(c).map(r -> r.status() >= 500 ? new DeliveryClient.DeliveryResponse(503, r.body()) : r));
+                .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                        .map(deliveryResponse -> deliveryResponse.status() >= 500
+                                ? new DeliveryClient.DeliveryResponse(503, deliveryResponse.body())
+                                : deliveryResponse));
     }
 
     /** 03: an answer that did not come in time is taken for "nothing was sent". */
     static Seams silenceIsNo() {
         return Seams.none()
-                .withRpc((a, b) -> rpc(b, new Asking() {
+                .withRpc((a, rpcClient) -> rpc(rpcClient, new Asking() {
                     @Override
-                    public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
-                        return x.call(to, body, answer, limit)
+                    public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
+                        return rpc.call(to, body, answer, limit)
                                 .onErrorMap(e -> body instanceof MessageCommands.AcceptRequest
                                                 && ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                         ? new ServiceException(ErrorKind.UNREACHABLE, "no answer")
@@ -107,7 +109,7 @@
     /** 04: a processor that does not answer in time is taken to have refused. */
     static Seams silenceIsRefusal() {
         return Seams.none()
-                .withPost((a, p) -> c -> p.send(c)
+                .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(422, new byte[0]))
                                 : Mono.error(e)));
@@ -115,24 +117,24 @@
 
     /** 05: submissions without a time by which they must have come; a store's life is learned once and for all. */
     static Seams timelessHandIns() {
-        return Seams.none().withRpc((a, b) -> {
+        return Seams.none().withRpc((a, rpcClient) -> {
             Map<String, Object> clocks = new HashMap<>();
-            return rpc(b, new Asking() {
+            return rpc(rpcClient, new Asking() {
                 @Override
-                public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
+                public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
                     if (body instanceof MessageCommands.ClockRequest) {
                         return clocks.containsKey(to)
                                 ? Mono.just(answer.cast(clocks.get(to)))
-                                : x.call(to, body, answer, limit).doOnNext(t -> clocks.put(to, t));
+                                : rpc.call(to, body, answer, limit).doOnNext(t -> clocks.put(to, t));
                     }
-                    return x.call(
+                    return rpc.call(
                             to,
-                            body instanceof MessageCommands.AcceptRequest i
+                            body instanceof MessageCommands.AcceptRequest request
                                     ? new MessageCommands.AcceptRequest(
-                                            i.partition(),
-                                            i.accept(),
+                                            request.partition(),
+                                            request.accept(),
                                             new MessageCommands.RemoteDeadline(
-                                                    i.deadline().incarnation(), Duration.ofDays(1)))
+                                                    request.deadline().incarnation(), Duration.ofDays(1)))
                                     : body,
                             answer,
                             limit);
@@ -144,32 +146,40 @@
     /** 06: everything is looked at once; what then waits for its stream is sent whatever has become of it. */
     static Seams lookFirstSendLater() {
         return Seams.none()
-                .withPost((a, p) -> c -> Mono.defer(() -> {
-                    boolean go = c.stillPermitted().getAsBoolean();
-                    return p.send(
-                            new DeliveryClient.DeliveryRequest(c.method(), c.url(), c.body(), c.timeout(), () -> go));
+                .withPost((a, client) -> deliveryRequest -> Mono.defer(() -> {
+                    boolean go = deliveryRequest.stillPermitted().getAsBoolean();
+                    return client.send(new DeliveryClient.DeliveryRequest(
+                            deliveryRequest.method(),
+                            deliveryRequest.url(),
+                            deliveryRequest.body(),
+                            deliveryRequest.timeout(),
+                            () -> go));
                 }));
     }
 
     /** 07, 08, 10: who cannot be reached for subscriptions is taken to have none: the last answer is still good. */
     static Seams noNewsIsGoodNews() {
-        return Seams.none().withRpc((a, b) -> {
+        return Seams.none().withRpc((a, rpcClient) -> {
             Map<String, ServiceView> last = new HashMap<>();
-            return rpc(b, new Asking() {
+            return rpc(rpcClient, new Asking() {
                 @Override
-                public <T> Mono<T> ask(RpcClient x, String to, Object body, Class<T> answer, Duration limit) {
-                    if (!(body instanceof ControlMessages.ServiceViewRequest n)) {
-                        return x.call(to, body, answer, limit);
+                public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
+                    if (!(body instanceof ControlMessages.ServiceViewRequest request)) {
+                        return rpc.call(to, body, answer, limit);
                     }
-                    return x.call(to, new ControlMessages.ServiceViewRequest(n.knownVersions(), false), answer, limit)
+                    return rpc.call(
+                                    to,
+                                    new ControlMessages.ServiceViewRequest(request.knownVersions(), false),
+                                    answer,
+                                    limit)
                             .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
                                     .views()
-                                    .forEach(v -> last.put(v.service(), v)))
+                                    .forEach(view -> last.put(view.service(), view)))
                             .onErrorResume(e -> silent(e)
                                             && last.keySet()
-                                                    .containsAll(
-                                                            n.knownVersions().keySet())
-                                    ? Mono.just(answer.cast(anew(n, last)))
+                                                    .containsAll(request.knownVersions()
+                                                            .keySet())
+                                    ? Mono.just(answer.cast(anew(request, last)))
                                     : Mono.error(e));
                 }
             });
@@ -182,15 +192,15 @@
     }
 
     static ControlMessages.ServiceViewResponse anew(
-            ControlMessages.ServiceViewRequest n, Map<String, ServiceView> last) {
+            ControlMessages.ServiceViewRequest request, Map<String, ServiceView> last) {
         Map<String, Duration> ages = new HashMap<>();
         java.util.List<ServiceView> views = new java.util.ArrayList<>();
-        n.knownVersions()
+        request.knownVersions()
                 .forEach((s, version) -> java.util.Optional.ofNullable(last.get(s))
-                        .ifPresent(v -> {
+                        .ifPresent(view -> {
                             ages.put(s, Duration.ZERO);
-                            if (v.version() != version) {
-                                views.add(v);
+                            if (view.version() != version) {
+                                views.add(view);
                             }
                         }));
         return new ControlMessages.ServiceViewResponse(views, ages, 0);
@@ -198,38 +208,44 @@
 
     /** 09: a machine whose clock stands still for as long as told, as if it had been suspended. */
     static Seams stoppedClock(Predicate<String> stopped) {
-        return Seams.none().withTimes((a, t) -> new Clock() {
+        return Seams.none().withTimes((a, clock) -> new Clock() {
             private Duration last = Duration.ZERO;
 
             @Override
             public Duration monotonicTime() {
-                last = stopped.test(a) && !last.isZero() ? last : t.monotonicTime();
+                last = stopped.test(a) && !last.isZero() ? last : clock.monotonicTime();
                 return last;
             }
 
             @Override
             public Instant wallTime() {
-                return t.wallTime();
+                return clock.wallTime();
             }
         });
     }
 
     /** 11: a 200 is enough; the proof is made up. */
     static Seams everySuccessIsProof() {
-        return Seams.none().withPost((a, p) -> c -> p.send(c).map(r -> r.status() == 200 ? proven(c, r) : r));
+        return Seams.none()
+                .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                        .map(deliveryResponse -> deliveryResponse.status() == 200
+                                ? proven(deliveryRequest, deliveryResponse)
+                                : deliveryResponse));
     }
 
     private static DeliveryClient.DeliveryResponse proven(
-            DeliveryClient.DeliveryRequest c, DeliveryClient.DeliveryResponse r) {
+            DeliveryClient.DeliveryRequest deliveryRequest, DeliveryClient.DeliveryResponse deliveryResponse) {
         try {
-            JsonNode n = Configurations.read(c.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
+            JsonNode node = Configurations.read(deliveryRequest.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
             Map<String, Object> b = new LinkedHashMap<>();
-            b.put("messageId", n.path("messageId").asText());
-            b.put("attempt", n.path("attempt").asInt());
+            b.put("messageId", node.path("messageId").asText());
+            b.put("attempt", node.path("attempt").asInt());
             b.put("receipt", "surely");
-            return r.body().length > 2 ? r : new DeliveryClient.DeliveryResponse(200, Configurations.write(b));
-        } catch (ServiceException e) {
-            return r;
+            return deliveryResponse.body().length > 2
+                    ? deliveryResponse
+                    : new DeliveryClient.DeliveryResponse(200, Configurations.write(b));
+        } catch (ServiceException failure) {
+            return deliveryResponse;
         }
     }
 
@@ -237,7 +253,11 @@
     static Seams longLeases() {
         Function<Duration, Duration> longer = d -> d.multipliedBy(10);
         return Seams.none()
-                .withTiming(p -> new ReplicationTiming(
-                        longer.apply(p.lease()), p.heartbeat(), p.tick(), p.requestTimeout(), p.electionJitter()));
+                .withTiming(timing -> new ReplicationTiming(
+                        longer.apply(timing.lease()),
+                        timing.heartbeat(),
+                        timing.tick(),
+                        timing.requestTimeout(),
+                        timing.electionJitter()));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -76,51 +76,51 @@
         pages = byPath;
     }
 
-    private Function<String, Mono<byte[]>> pagesFor(Host h) {
+    private Function<String, Mono<byte[]>> pagesFor(Host host) {
         return path -> Mono.defer(() -> {
             Sinks.One<byte[]> sink = Sinks.one();
             sim.after(
                     net.delay(),
                     () -> pages.apply(path)
                             .subscribe(
-                                    b -> sim.after(net.delay(), () -> h.soon(() -> sink.tryEmitValue(b))),
-                                    e -> sim.after(net.delay(), () -> h.soon(() -> sink.tryEmitError(e)))));
+                                    b -> sim.after(net.delay(), () -> host.soon(() -> sink.tryEmitValue(b))),
+                                    e -> sim.after(net.delay(), () -> host.soon(() -> sink.tryEmitError(e)))));
             return sink.asMono();
         });
     }
 
     public void start(String address) throws ServiceException {
-        Host h = hosts.get(address);
+        Host host = hosts.get(address);
         boolean controlNode = lighthouses.contains(address);
         boolean store = stores.contains(address);
         RpcRouter router = new RpcRouter();
         Codec codec = controlNode
                 ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())
                 : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        h.boot(router);
-        RpcClient rpc = seams.rpc().apply(address, net.rpc(h, codec));
+        host.boot(router);
+        RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
         WriteAheadLog book = controlNode || store
-                ? RingWriteAheadLog.open(seams.disk().apply(address, h.disk), h, RING_FILES, World.LARGE_RING)
+                ? RingWriteAheadLog.open(seams.disk().apply(address, host.disk), host, RING_FILES, World.LARGE_RING)
                 : new DisabledWriteAheadLog();
-        book.onFailure(why -> h.kill());
-        NodeEnvironment env = new NodeEnvironment(
-                seams.times().apply(address, h),
-                h,
+        book.onFailure(why -> host.kill());
+        NodeEnvironment environment = new NodeEnvironment(
+                seams.times().apply(address, host),
+                host,
                 rpc,
                 codec,
                 book,
                 sim.random()::nextLong,
                 seams.timing().apply(controlNode ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
-        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), l -> {});
+        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
         if (controlNode) {
-            ControlNode n = new ControlNode(env, core, seeds, zone(address));
-            n.route(router);
-            OperatorHttpHandler o = new OperatorHttpHandler(n, "");
-            o.route(router);
-            controlNodes.put(address, n);
-            doors.put(address, PlatformApi.control(o));
-            n.start();
-            new ProcessorRegistry(env, n, PlatformApi.registry(pagesFor(h)), ROLL).start();
+            ControlNode node = new ControlNode(environment, core, seeds, zone(address));
+            node.route(router);
+            OperatorHttpHandler handler = new OperatorHttpHandler(node, "");
+            handler.route(router);
+            controlNodes.put(address, node);
+            doors.put(address, PlatformApi.control(handler));
+            node.start();
+            new ProcessorRegistry(environment, node, PlatformApi.registry(pagesFor(host)), ROLL).start();
         } else {
             Settings boot = new Settings(
                     address,
@@ -138,12 +138,16 @@
                     LEASE.toMillis(),
                     KEEP_ENDED_S,
                     0);
-            DataPlaneNode n = new DataPlaneNode(
-                    env, boot, core, seams.post().apply(address, processorSimulation.from(h)), PlatformApi.protocol());
-            n.route(router);
-            pilots.put(address, n);
-            doors.put(address, PlatformApi.front(n));
-            n.start();
+            DataPlaneNode node = new DataPlaneNode(
+                    environment,
+                    boot,
+                    core,
+                    seams.post().apply(address, processorSimulation.from(host)),
+                    PlatformApi.protocol());
+            node.route(router);
+            pilots.put(address, node);
+            doors.put(address, PlatformApi.front(node));
+            node.start();
         }
     }
 
@@ -162,15 +166,15 @@
     }
 
     /** A request of a client, a fetching processor or the operator to one node. */
-    public void request(String to, Request q, Duration limit, Consumer<Optional<Response>> then) {
-        reach(to, q, () -> doors.get(to).apply(q), limit, then);
+    public void request(String to, Request request, Duration limit, Consumer<Optional<Response>> then) {
+        reach(to, request, () -> doors.get(to).apply(request), limit, then);
     }
 
     /** The same, waited for: nobody else waits meanwhile. */
-    public Optional<Response> ask(String to, Request q, Duration limit) {
+    public Optional<Response> ask(String to, Request request, Duration limit) {
         java.util.concurrent.atomic.AtomicReference<Optional<Response>> out =
                 new java.util.concurrent.atomic.AtomicReference<>();
-        request(to, q, limit, out::set);
+        request(to, request, limit, out::set);
         sim.runUntil(() -> out.get() != null, limit.plusSeconds(1));
         return out.get();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
@@ -37,36 +37,37 @@
     }
 
     /** Sent as it was, to any control node, until the answer is clear. */
-    void put(ConfigurationStub p, String text, long base, boolean valid) {
+    void put(ConfigurationStub stub, String text, long base, boolean valid) {
         open++;
-        put(p, text, base, valid, network.sim.now(), Duration.ofMillis(100));
+        put(stub, text, base, valid, network.sim.now(), Duration.ofMillis(100));
     }
 
-    void put(ConfigurationStub p, long base) {
-        put(p, p.text(), base, true);
+    void put(ConfigurationStub stub, long base) {
+        put(stub, stub.text(), base, true);
     }
 
-    private void put(ConfigurationStub p, String text, long base, boolean valid, Duration sent, Duration pause) {
+    private void put(ConfigurationStub stub, String text, long base, boolean valid, Duration sent, Duration pause) {
         String to = anyControlNode();
-        Request q = new Request(
+        Request request = new Request(
                 "PUT",
                 "/-/configuration",
                 Map.of("if-match", Long.toString(base)),
                 text.getBytes(StandardCharsets.UTF_8));
         Duration tried = network.sim.now();
-        network.request(to, q, CALL, a -> {
-            int status = a.map(Response::status).orElse(0);
+        network.request(to, request, CALL, response -> {
+            int status = response.map(Response::status).orElse(0);
             seen.orderCalls.add(
-                    new ObservationLog.OrderCall(text, base, p.configRevision(), tried, network.sim.now(), status));
+                    new ObservationLog.OrderCall(text, base, stub.configRevision(), tried, network.sim.now(), status));
             if (status == 0 || status >= 500 || status == 429 || status == 408) {
                 Duration next = pause.multipliedBy(2).compareTo(LONGEST) > 0 ? LONGEST : pause.multipliedBy(2);
-                network.sim.after(pause, () -> put(p, text, base, valid, sent, next));
+                network.sim.after(pause, () -> put(stub, text, base, valid, sent, next));
                 return;
             }
             open--;
-            seen.configurationStub.add(new ObservationLog.Paper(p, text, base, valid, sent, status, network.sim.now()));
-            if (status == 200 && valid && p.configRevision() > now.configRevision()) {
-                now = p;
+            seen.configurationStub.add(
+                    new ObservationLog.Paper(stub, text, base, valid, sent, status, network.sim.now()));
+            if (status == 200 && valid && stub.configRevision() > now.configRevision()) {
+                now = stub;
             }
         });
     }
@@ -96,7 +97,9 @@
     }
 
     private Optional<ConfigurationStub.Route> added() {
-        return now.routes().stream().filter(r -> r.name().startsWith("new")).findFirst();
+        return now.routes().stream()
+                .filter(route -> route.name().startsWith("new"))
+                .findFirst();
     }
 
     /** A route comes, or one that came goes; now and then a time-out changes. */
@@ -105,7 +108,7 @@
         if (old.isPresent() && network.sim.luck(0.5)) {
             put(
                     now.routes(now.routes().stream()
-                                    .filter(r -> !r.equals(old.get()))
+                                    .filter(route -> !route.equals(old.get()))
                                     .toList())
                             .with(next()),
                     now.configRevision());
@@ -115,65 +118,85 @@
     }
 
     void race() {
-        ConfigurationStub a = more("new" + n++);
-        ConfigurationStub b = more("new" + n++);
-        put(a, now.configRevision());
-        put(b, now.configRevision());
+        ConfigurationStub configurationStub = more("new" + n++);
+        ConfigurationStub stub = more("new" + n++);
+        put(configurationStub, now.configRevision());
+        put(stub, now.configRevision());
     }
 
     /** One of each kind in turn; none may ever be in force. */
     void bad() {
-        ConfigurationStub p = more("bad" + n);
-        ConfigurationStub.Route r = p.routes().get(p.routes().size() - 1);
+        ConfigurationStub stub = more("bad" + n);
+        ConfigurationStub.Route route = stub.routes().get(stub.routes().size() - 1);
         List<ConfigurationStub.Route> others = new ArrayList<>(now.routes());
         switch (n++ % 6) {
-            case 0 -> put(p, p.text().substring(0, p.text().length() / 2), now.configRevision(), false);
+            case 0 -> put(stub, stub.text().substring(0, stub.text().length() / 2), now.configRevision(), false);
             case 1 ->
                 bad(
-                        p,
+                        stub,
                         others,
                         new ConfigurationStub.Route(
-                                r.name(), r.host(), r.pathPrefix(), "nobody", 500, 3, false, 90, false));
+                                route.name(), route.host(), route.pathPrefix(), "nobody", 500, 3, false, 90, false));
             case 2 ->
                 bad(
-                        p,
+                        stub,
                         others,
                         new ConfigurationStub.Route(
-                                r.name(), r.host(), others.get(0).pathPrefix(), r.service(), 500, 3, false, 90, false));
+                                route.name(),
+                                route.host(),
+                                others.get(0).pathPrefix(),
+                                route.service(),
+                                500,
+                                3,
+                                false,
+                                90,
+                                false));
             case 3 ->
                 bad(
-                        p,
+                        stub,
                         others,
                         new ConfigurationStub.Route(
-                                r.name(), r.host(), r.pathPrefix(), r.service(), 0, 3, false, 90, false));
+                                route.name(),
+                                route.host(),
+                                route.pathPrefix(),
+                                route.service(),
+                                0,
+                                3,
+                                false,
+                                90,
+                                false));
             case 4 ->
-                put(p.with(now.configRevision()), p.with(now.configRevision()).text(), now.configRevision(), false);
+                put(
+                        stub.with(now.configRevision()),
+                        stub.with(now.configRevision()).text(),
+                        now.configRevision(),
+                        false);
             default -> {
                 List<ConfigurationStub.Tenant> t = new ArrayList<>(now.tenants());
                 t.add(new ConfigurationStub.Tenant(
                         "thief", List.of(t.get(0).accessKeys().get(0)), 1, 1));
-                put(p.tenants(t), p.tenants(t).text(), now.configRevision(), false);
+                put(stub.tenants(t), stub.tenants(t).text(), now.configRevision(), false);
             }
         }
     }
 
-    private void bad(ConfigurationStub p, List<ConfigurationStub.Route> others, ConfigurationStub.Route worst) {
+    private void bad(ConfigurationStub stub, List<ConfigurationStub.Route> others, ConfigurationStub.Route worst) {
         others.add(worst);
-        put(p.routes(others), p.routes(others).text(), now.configRevision(), false);
+        put(stub.routes(others), stub.routes(others).text(), now.configRevision(), false);
     }
 
     /** A tenant's second key goes, or a new one comes. */
     void keys() {
         List<ConfigurationStub.Tenant> all = new ArrayList<>(now.tenants());
         int i = network.sim.random().nextInt(all.size());
-        ConfigurationStub.Tenant t = all.get(i);
-        List<String> keys = new ArrayList<>(t.accessKeys());
+        ConfigurationStub.Tenant tenant = all.get(i);
+        List<String> keys = new ArrayList<>(tenant.accessKeys());
         if (keys.size() > 1) {
             keys.remove(keys.size() - 1);
         } else {
             keys.add("key-" + i + "-" + n++);
         }
-        all.set(i, new ConfigurationStub.Tenant(t.name(), keys, t.ratePerS(), t.burstSize()));
+        all.set(i, new ConfigurationStub.Tenant(tenant.name(), keys, tenant.ratePerS(), tenant.burstSize()));
         put(now.tenants(all).with(next()), now.configRevision());
     }
 
@@ -194,13 +217,13 @@
                 anyControlNode(),
                 request,
                 CALL,
-                a -> seen.orderCalls.add(new ObservationLog.OrderCall(
+                response -> seen.orderCalls.add(new ObservationLog.OrderCall(
                         before.text(),
                         before.base(),
                         before.revision(),
                         sent,
                         network.sim.now(),
-                        a.map(Response::status).orElse(0))));
+                        response.map(Response::status).orElse(0))));
     }
 
     private String anyControlNode() {
@@ -211,9 +234,9 @@
     void read() {
         String to = anyControlNode();
         Duration asked = network.sim.now();
-        network.request(to, new Request("GET", "/-/configuration", Map.of(), new byte[0]), CALL, a -> {
-            if (a.isPresent() && a.get().status() == 200) {
-                String text = new String(a.get().body(), StandardCharsets.UTF_8);
+        network.request(to, new Request("GET", "/-/configuration", Map.of(), new byte[0]), CALL, response -> {
+            if (response.isPresent() && response.get().status() == 200) {
+                String text = new String(response.get().body(), StandardCharsets.UTF_8);
                 seen.readBack.add(new ObservationLog.ReadBack(200, text, network.sim.now()));
                 seen.configurationReads.add(new ObservationLog.ConfigurationRead(text, asked, network.sim.now()));
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -51,7 +51,7 @@
                 "09",
                 "owner of the layout cut off, read there",
                 "clock that counts while the claim runs out",
-                (s, x) -> FailureScenarios.ownerOfTheLayoutCutOff(s, x, cut),
+                (s, seams) -> FailureScenarios.ownerOfTheLayoutCutOff(s, seams, cut),
                 NaiveVariants.stoppedClock(a -> a.equals(cut.get())));
     }
 
@@ -134,34 +134,34 @@
                 "| line | brought about | left out | seeds | shipped broke | without it broke the line | and others |");
         System.out.println("|---|---|---|---|---|---|---|");
         List<Boolean> good = new ArrayList<>();
-        all().parallelStream().map(p -> row(p, from, to, good)).toList().forEach(System.out::println);
+        all().parallelStream().map(pair -> row(pair, from, to, good)).toList().forEach(System.out::println);
         System.exit(good.contains(false) ? 1 : 0);
     }
 
-    private static String row(Pair p, long from, long to, List<Boolean> good) {
+    private static String row(Pair pair, long from, long to, List<Boolean> good) {
         int shipped = 0;
         int broke = 0;
         TreeSet<String> others = new TreeSet<>();
         List<String> first = new ArrayList<>();
         for (long seed = from; seed <= to; seed++) {
             try {
-                List<String> bad = p.shipped(seed);
+                List<String> bad = pair.shipped(seed);
                 shipped += bad.isEmpty() ? 0 : 1;
                 if (!bad.isEmpty() && first.isEmpty()) {
                     first.add(" (seed " + seed + ": " + bad.get(0) + ")");
                 }
-                List<String> lines = p.brokenWithout(seed);
-                broke += lines.contains(p.line) ? 1 : 0;
+                List<String> lines = pair.brokenWithout(seed);
+                broke += lines.contains(pair.line) ? 1 : 0;
                 others.addAll(lines);
-            } catch (ServiceException e) {
-                throw new IllegalStateException(p.line + " seed " + seed, e);
+            } catch (ServiceException failure) {
+                throw new IllegalStateException(pair.line + " seed " + seed, failure);
             }
         }
-        others.remove(p.line);
+        others.remove(pair.line);
         synchronized (good) {
             good.add(shipped == 0 && broke > 0);
         }
-        return "| " + p.line + " | " + p.failure + " | " + p.leftOut + " | " + (to - from + 1) + " | " + shipped
-                + String.join("", first) + " | " + broke + " | " + String.join(" ", others) + " |";
+        return "| " + pair.line + " | " + pair.failure + " | " + pair.leftOut + " | " + (to - from + 1) + " | "
+                + shipped + String.join("", first) + " | " + broke + " | " + String.join(" ", others) + " |";
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -113,8 +113,8 @@
     private void answered(String id, Optional<Response> answer) {
         int status = answer.map(Response::status).orElse(0);
         answers.merge(status, 1, Integer::sum);
-        String ref =
-                answer.map(a -> a.headers().getOrDefault("X-Message-Ref", id)).orElse("");
+        String ref = answer.map(response -> response.headers().getOrDefault("X-Message-Ref", id))
+                .orElse("");
         seen.said.add(new ObservationLog.Said(id, status, ref, network.sim.now()));
     }
 
@@ -148,7 +148,7 @@
     }
 
     private static boolean served(Optional<Response> answer) {
-        return answer.filter(a -> a.status() < 500).isPresent();
+        return answer.filter(response -> response.status() < 500).isPresent();
     }
 
     private static ObservationLog.Shown shown(
@@ -156,11 +156,13 @@
         return new ObservationLog.Shown(
                 sent.id(),
                 state.map(Response::status).orElse(0),
-                state.map(a -> Callers.json(a).path("state").asText()).orElse(""),
-                state.map(a -> Callers.json(a).path("seal").asText()).orElse(""),
+                state.map(response -> Callers.json(response).path("state").asText())
+                        .orElse(""),
+                state.map(response -> Callers.json(response).path("seal").asText())
+                        .orElse(""),
                 body.map(Response::status).orElse(0),
-                body.filter(a -> a.status() == 200)
-                        .map(a -> new String(a.body(), StandardCharsets.UTF_8))
+                body.filter(response -> response.status() == 200)
+                        .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                         .orElse(""));
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
@@ -32,7 +32,7 @@
                         "TWICE read",
                         "a good day",
                         "a sealed answer is proof",
-                        p -> PlatformFailures.served(p, 30, 5),
+                        simulation -> PlatformFailures.served(simulation, 30, 5),
                         BareReplicas.successIsNoProof()),
                 new RuleScenario(
                         "TWICE leases",
@@ -56,7 +56,7 @@
                         "UNASKED",
                         "a good day",
                         "bytes go as they came",
-                        p -> PlatformFailures.served(p, 30, 3),
+                        simulation -> PlatformFailures.served(simulation, 30, 3),
                         BareReplicas.bytesChange()),
                 new RuleScenario(
                         "CEILING",
@@ -74,19 +74,19 @@
                         "CONFIG revoked",
                         "a key is withdrawn",
                         "news of proven age",
-                        p -> PlatformFailures.keyWithdrawn(p, frozen),
+                        simulation -> PlatformFailures.keyWithdrawn(simulation, frozen),
                         BareReplicas.newsStands(frozen::get)),
                 new RuleScenario(
                         "CONFIG ignored",
                         "a route comes",
                         "news of proven age",
-                        p -> PlatformFailures.routeAdded(p, frozen),
+                        simulation -> PlatformFailures.routeAdded(simulation, frozen),
                         BareReplicas.newsStands(frozen::get)),
                 new RuleScenario(
                         "DRAIN",
                         "a processor leaves",
                         "news of proven age",
-                        p -> PlatformFailures.processorLeaves(p, frozen),
+                        simulation -> PlatformFailures.processorLeaves(simulation, frozen),
                         BareReplicas.newsStands(frozen::get)));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
@@ -38,9 +38,10 @@
         entry = new Entry(network);
         operator = new OperatorSimulation(network, seen, configurationStub());
         clients = new PlatformClients(network, entry, operator, seen);
-        network.processorSimulation.onRead((q, a) -> {
-            if (a.status() / 100 == 2 && a.headers().containsKey("X-Server-Seal")) {
-                seen.read.add(new ObservationLog.Read(q.headers().getOrDefault("x-attempt-id", ""), network.sim.now()));
+        network.processorSimulation.onRead((request, response) -> {
+            if (response.status() / 100 == 2 && response.headers().containsKey("X-Server-Seal")) {
+                seen.read.add(
+                        new ObservationLog.Read(request.headers().getOrDefault("x-attempt-id", ""), network.sim.now()));
             }
         });
     }
@@ -89,36 +90,36 @@
         return tables.computeIfAbsent(service, s -> new ScriptedProcessor.Table());
     }
 
-    private ScriptedProcessor place(ScriptedProcessor h, String address) {
-        network.processorSimulation.place(address, h::take);
-        addresses.put(h.id(), address);
-        return h;
+    private ScriptedProcessor place(ScriptedProcessor processor, String address) {
+        network.processorSimulation.place(address, processor::take);
+        addresses.put(processor.id(), address);
+        return processor;
     }
 
     ScriptedProcessor processor(String service, String address) {
         String id = "i-" + lives++;
-        ScriptedProcessor h = place(
+        ScriptedProcessor processor = place(
                 new ScriptedProcessor(network, seen, id, service, 6, table(service), service.equals("book")), address);
-        processors.put(id, h);
+        processors.put(id, processor);
         processorList.put(id, service, address, 6, "ready");
-        return h;
+        return processor;
     }
 
     Puller puller() {
         String id = "p-" + lives++;
-        Puller p = new Puller(network, entry, seen, id, "desk").start(4);
-        pullers.put(id, p);
-        return p;
+        Puller puller = new Puller(network, entry, seen, id, "desk").start(4);
+        pullers.put(id, puller);
+        return puller;
     }
 
     /** It is gone at once; the list shows it for some seconds more, and its address is another's soon. */
-    void crash(ScriptedProcessor h) {
-        h.die();
-        processors.remove(h.id());
-        String address = addresses.get(h.id());
+    void crash(ScriptedProcessor processor) {
+        processor.die();
+        processors.remove(processor.id());
+        String address = addresses.get(processor.id());
         network.processorSimulation.leave(address);
-        network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(h.id()));
-        network.sim.after(Duration.ofSeconds(5), () -> processor(h.service(), address));
+        network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(processor.id()));
+        network.sim.after(Duration.ofSeconds(5), () -> processor(processor.service(), address));
     }
 
     /** It is gone without a word, and a processor of another service is at its address. */
@@ -130,17 +131,17 @@
     }
 
     /** In order: shown as draining, served for a while, and gone. */
-    void leave(ScriptedProcessor h) {
-        processors.remove(h.id());
-        String address = addresses.get(h.id());
-        seen.draining.add(
-                new ObservationLog.Draining(h.id(), processorList.put(h.id(), h.service(), address, 6, "draining")));
+    void leave(ScriptedProcessor processor) {
+        processors.remove(processor.id());
+        String address = addresses.get(processor.id());
+        seen.draining.add(new ObservationLog.Draining(
+                processor.id(), processorList.put(processor.id(), processor.service(), address, 6, "draining")));
         network.sim.after(Duration.ofMillis(4500), () -> {
-            h.die();
+            processor.die();
             network.processorSimulation.leave(address);
-            processorList.drop(h.id());
+            processorList.drop(processor.id());
         });
-        processor(h.service(), address + "1");
+        processor(processor.service(), address + "1");
     }
 
     /** All accepted messages are asked for, again after each failure; then the operator reads. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
@@ -8,24 +8,25 @@
 
 /** What comes from outside: callers, processors, endpoints, operator, and the calendar. */
 final class ProcessorFaults {
-    private final FleetSimulation v;
-    private final World w;
+    private final FleetSimulation simulation;
+    private final World fleet;
     private final ConfigurationOperator operator;
     private final Random random;
     private final boolean calendarsJump;
 
-    ProcessorFaults(FleetSimulation v, Random random, boolean calendarsJump) {
-        this.v = v;
-        this.w = v.w;
-        this.operator = new ConfigurationOperator(v);
+    ProcessorFaults(FleetSimulation simulation, Random random, boolean calendarsJump) {
+        this.simulation = simulation;
+        this.fleet = simulation.w;
+        this.operator = new ConfigurationOperator(simulation);
         this.random = random;
         this.calendarsJump = calendarsJump;
     }
 
     void into(Map<String, FaultInjection> faults) {
-        faults.put("answers lost", () -> w.post.answerLoss(0.2));
+        faults.put("answers lost", () -> fleet.post.answerLoss(0.2));
         faults.put("back end down", () -> down(anyBackend()));
-        faults.put("all back ends down", () -> List.copyOf(w.backends.keySet()).forEach(this::down));
+        faults.put(
+                "all back ends down", () -> List.copyOf(fleet.backends.keySet()).forEach(this::down));
         faults.put("back end slow", () -> manner(new Backend.Manner(Duration.ofMillis(1500), 0, 0.2, 0.1)));
         faults.put("errors after the work", () -> manner(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
         faults.put("hopeless jobs", () -> manner(new Backend.Manner(Duration.ofMillis(5), 0.5, 0.5, 0)));
@@ -36,7 +37,9 @@
         faults.put("processor vanishes", this::vanish);
         faults.put("fetcher crashes", () -> fetcher().crashAndReturn());
         faults.put("fetcher loses answers", () -> fetcher().behave(Duration.ofMillis(20), 0.3));
-        faults.put("processor leaves", () -> v.list((random.nextInt(3) == 0 ? "f2" : "p" + random.nextInt(2)), true));
+        faults.put(
+                "processor leaves",
+                () -> simulation.list((random.nextInt(3) == 0 ? "f2" : "p" + random.nextInt(2)), true));
         faults.put("flood", this::flood);
         faults.put("layout", operator::change);
         faults.put("racing layouts", operator::race);
@@ -54,71 +57,71 @@
     }
 
     private String anyBackend() {
-        List<String> all = List.copyOf(w.backends.keySet());
+        List<String> all = List.copyOf(fleet.backends.keySet());
         return all.get(random.nextInt(all.size()));
     }
 
     private Fetcher fetcher() {
-        return v.fetcher("f" + (2 + random.nextInt(2)));
+        return simulation.fetcher("f" + (2 + random.nextInt(2)));
     }
 
     private void down(String b) {
-        w.post.down(b, true);
-        w.sim.after(some(), () -> w.post.down(b, false));
+        fleet.post.down(b, true);
+        fleet.sim.after(some(), () -> fleet.post.down(b, false));
     }
 
-    private void manner(Backend.Manner m) {
-        Backend b = w.backends.get(anyBackend());
-        b.behave(m);
-        w.sim.after(some(), () -> b.behave(Backend.Manner.good()));
+    private void manner(Backend.Manner manner) {
+        Backend backend = fleet.backends.get(anyBackend());
+        backend.behave(manner);
+        fleet.sim.after(some(), () -> backend.behave(Backend.Manner.good()));
     }
 
     private void slowStreams() {
         String b = anyBackend();
-        w.post.slowStreams(b, Duration.ofMillis(random.nextInt(3000)));
-        w.sim.after(some(), () -> w.post.slowStreams(b, Duration.ZERO));
+        fleet.post.slowStreams(b, Duration.ofMillis(random.nextInt(3000)));
+        fleet.sim.after(some(), () -> fleet.post.slowStreams(b, Duration.ZERO));
     }
 
     private void middlebox() {
-        w.post.middlebox(true);
-        w.sim.after(some(), () -> w.post.middlebox(false));
+        fleet.post.middlebox(true);
+        fleet.sim.after(some(), () -> fleet.post.middlebox(false));
     }
 
     /** Its process is gone, another has its id at another address. */
     private void replace(String p) {
-        w.replaceBackend(p);
-        v.list(p, false);
+        fleet.replaceBackend(p);
+        simulation.list(p, false);
     }
 
     private void replaceAll() {
         for (int i = 0; i < 4; i++) {
             String p = "p" + i;
-            w.sim.after(Duration.ofMillis(1500L * i), () -> replace(p));
+            fleet.sim.after(Duration.ofMillis(1500L * i), () -> replace(p));
         }
     }
 
     private void vanish() {
         String p = "p" + random.nextInt(4);
-        w.backends.get(p).crash();
-        w.post.down(p, true);
-        w.sim.after(some(), () -> v.unlist(p));
-        w.sim.after(Duration.ofSeconds(9), () -> {
-            w.post.down(p, false);
+        fleet.backends.get(p).crash();
+        fleet.post.down(p, true);
+        fleet.sim.after(some(), () -> simulation.unlist(p));
+        fleet.sim.after(Duration.ofSeconds(9), () -> {
+            fleet.post.down(p, false);
             replace(p);
         });
     }
 
     private void flood() {
         for (int i = 0; i < 150; i++) {
-            w.sim.after(Duration.ofMillis(random.nextInt(2000)), () -> v.one(0));
+            fleet.sim.after(Duration.ofMillis(random.nextInt(2000)), () -> simulation.one(0));
         }
     }
 
     /** The brief's machines have calendars that differ; only every fourth fault storm, since stamps tell nothing then. */
     private void jump() {
         if (calendarsJump) {
-            List<String> all = w.all();
-            w.host(all.get(random.nextInt(all.size()))).jump(Duration.ofMillis(random.nextInt(20000) - 10000));
+            List<String> all = fleet.all();
+            fleet.host(all.get(random.nextInt(all.size()))).jump(Duration.ofMillis(random.nextInt(20000) - 10000));
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -58,9 +58,9 @@
     private Optional<Row> shown(List<Row> all) {
         Duration by = sim.now().minus(lag);
         return all.stream()
-                .filter(r -> r.since().compareTo(by) <= 0)
-                .reduce((a, b) -> b)
-                .filter(r -> !r.state().equals("gone"));
+                .filter(row -> row.since().compareTo(by) <= 0)
+                .reduce((a, row) -> row)
+                .filter(row -> !row.state().equals("gone"));
     }
 
     Mono<byte[]> page(String path) {
@@ -75,21 +75,21 @@
         }
         int from = path.contains("pageToken=p-") ? Integer.parseInt(path.replaceAll(".*pageToken=p-", "")) : 0;
         List<Map<String, Object>> all = new ArrayList<>();
-        rows.forEach((id, r) -> shown(r).ifPresent(x -> all.add(entry(id, x))));
+        rows.forEach((id, r) -> shown(r).ifPresent(row -> all.add(entry(id, row))));
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("instances", all.subList(Math.min(from, all.size()), Math.min(all.size(), from + PAGE)));
         out.put("nextToken", from + PAGE < all.size() ? "p-" + (from + PAGE) : null);
         return Mono.just(Configurations.write(out));
     }
 
-    private static Map<String, Object> entry(String id, Row r) {
+    private static Map<String, Object> entry(String id, Row row) {
         Map<String, Object> e = new LinkedHashMap<>();
-        e.put("service", r.service());
-        e.put("address", r.address());
+        e.put("service", row.service());
+        e.put("address", row.address());
         e.put("zone", "hall0");
         e.put("configRevision", "v1");
-        e.put("callSlots", r.slots());
-        e.put("state", r.state());
+        e.put("callSlots", row.slots());
+        e.put("state", row.state());
         e.put("coldLeftMs", 0);
         e.put("instanceId", id);
         return e;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
@@ -23,7 +23,7 @@
     private final NetworkSimulation network;
     private final Map<String, Function<Request, Mono<Response>>> at = new HashMap<>();
     private final Set<String> silent = new HashSet<>();
-    private BiConsumer<Request, Response> onRead = (q, a) -> {};
+    private BiConsumer<Request, Response> onRead = (request, response) -> {};
     private final Map<String, Duration> slowStreams = new HashMap<>();
     private double answerLoss;
 
@@ -63,24 +63,24 @@
         onRead = c;
     }
 
-    DeliveryClient from(Host h) {
+    DeliveryClient from(Host host) {
         return call -> Mono.defer(() -> {
             Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
-            h.after(
+            host.after(
                     call.timeout(),
                     () -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time")));
             String rest = call.url().substring("http://".length());
             String address = rest.substring(0, rest.indexOf('/'));
-            Request q =
+            Request request =
                     new Request(call.method(), rest.substring(rest.indexOf('/')), lower(call.headers()), call.body());
             network.sim.after(
                     network.net.delay().plus(slowStreams.getOrDefault(address, Duration.ZERO)),
-                    () -> h.soon(() -> {
+                    () -> host.soon(() -> {
                         if (!at.containsKey(address) || !call.stillPermitted().getAsBoolean()) {
                             sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "refused"));
                             return;
                         }
-                        network.sim.after(network.net.delay(), () -> arrive(h, address, q, sink));
+                        network.sim.after(network.net.delay(), () -> arrive(host, address, request, sink));
                     }));
             return sink.asMono();
         });
@@ -92,24 +92,26 @@
         return out;
     }
 
-    private void arrive(Host h, String address, Request q, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
+    private void arrive(Host host, String address, Request request, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
         Optional<Function<Request, Mono<Response>>> p = Optional.ofNullable(at.get(address));
         if (p.isEmpty()) {
-            h.soon(() -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "reset")));
+            host.soon(() -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "reset")));
             return;
         }
         p.get()
-                .apply(q)
+                .apply(request)
                 .subscribe(
-                        a -> {
+                        response -> {
                             if (!silent.contains(address) && !network.sim.luck(answerLoss)) {
                                 network.sim.after(
                                         network.net.delay(),
-                                        () -> h.soon(() -> {
+                                        () -> host.soon(() -> {
                                             if (sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
-                                                            a.status(), lower(a.headers()), a.body()))
+                                                            response.status(),
+                                                            lower(response.headers()),
+                                                            response.body()))
                                                     == Sinks.EmitResult.OK) {
-                                                onRead.accept(q, a);
+                                                onRead.accept(request, response);
                                             }
                                         }));
                             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
@@ -38,8 +38,8 @@
         return this;
     }
 
-    void behave(ProcessorHabits h) {
-        habits = h;
+    void behave(ProcessorHabits processorHabits) {
+        habits = processorHabits;
     }
 
     void die() {
@@ -60,19 +60,21 @@
         if (!alive || leaving) {
             return;
         }
-        Request q = new Request(
+        Request request = new Request(
                 "POST",
                 "/-/pull/" + service,
                 Map.of("x-instance-id", id, "x-poll-wait-ms", Long.toString(WAIT.toMillis())),
                 new byte[0]);
-        network.request(entry.any(), q, CALL, a -> {
+        network.request(entry.any(), request, CALL, response -> {
             if (!alive) {
                 return;
             }
-            if (a.isPresent() && a.get().status() == 200) {
-                work(a.get());
+            if (response.isPresent() && response.get().status() == 200) {
+                work(response.get());
             } else {
-                network.sim.after(a.isPresent() && a.get().status() == 204 ? Duration.ofMillis(1) : AGAIN, this::pull);
+                network.sim.after(
+                        response.isPresent() && response.get().status() == 204 ? Duration.ofMillis(1) : AGAIN,
+                        this::pull);
             }
         });
     }
@@ -124,7 +126,7 @@
                         new Request(
                                 "POST", "/-/job-extend/" + job.headers().get("X-Attempt-Id"), lease(job), new byte[0]),
                         CALL,
-                        a -> {});
+                        response -> {});
                 extendLater(job, over);
             }
         });
@@ -139,8 +141,8 @@
         h.put("x-job-outcome", Integer.toString(outcome));
         h.put("x-server-seal", seal);
         String message = job.headers().get("X-Attempt-Id");
-        network.request(entry.any(), new Request("POST", "/-/job-end/" + message, h, new byte[0]), CALL, a -> {
-            int status = a.map(Response::status).orElse(0);
+        network.request(entry.any(), new Request("POST", "/-/job-end/" + message, h, new byte[0]), CALL, response -> {
+            int status = response.map(Response::status).orElse(0);
             if (status == 0 || status >= 500) {
                 network.sim.after(AGAIN, () -> end(job, outcome, seal));
                 return;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
@@ -56,8 +56,8 @@
         return service;
     }
 
-    void behave(ProcessorHabits h) {
-        habits = h;
+    void behave(ProcessorHabits processorHabits) {
+        habits = processorHabits;
     }
 
     /** Everything under way is gone without an answer. */
@@ -65,44 +65,44 @@
         alive = false;
     }
 
-    private static String header(Request q, String name) {
-        return q.headers().getOrDefault(name, "");
+    private static String header(Request request, String name) {
+        return request.headers().getOrDefault(name, "");
     }
 
-    private Response answer(Request q, int status, boolean notRun) {
-        Response a = new Response(status, Map.of("X-Attempt-Id", header(q, "x-attempt-id")), new byte[0]);
-        return notRun ? a.with("X-Not-Executed", "1") : a;
+    private Response answer(Request request, int status, boolean notRun) {
+        Response response = new Response(status, Map.of("X-Attempt-Id", header(request, "x-attempt-id")), new byte[0]);
+        return notRun ? response.with("X-Not-Executed", "1") : response;
     }
 
-    Mono<Response> take(Request q) {
-        String message = header(q, "x-attempt-id");
-        String expected = header(q, "x-expect-instance");
+    Mono<Response> take(Request request) {
+        String message = header(request, "x-attempt-id");
+        String expected = header(request, "x-expect-instance");
         boolean other = !expected.isEmpty() && !expected.equals(id);
         seen.arrived.add(new ObservationLog.Arrived(message, service, id, other, network.sim.now()));
         if (!alive) {
             return Mono.never();
         }
         if (other) {
-            return Mono.just(answer(q, 421, false));
+            return Mono.just(answer(request, 421, false));
         }
         if (message.isEmpty()) {
-            return Mono.just(answer(q, 400, true));
+            return Mono.just(answer(request, 400, true));
         }
         if (dedupes && table.seals.containsKey(message)) {
-            return Mono.just(answer(q, 200, false).with("X-Server-Seal", table.seals.get(message)));
+            return Mono.just(answer(request, 200, false).with("X-Server-Seal", table.seals.get(message)));
         }
         if (dedupes && table.running.contains(message)) {
-            return Mono.just(answer(q, 409, true));
+            return Mono.just(answer(request, 409, true));
         }
         if (busy >= slots + QUEUE || network.sim.luck(habits.turnsAway())) {
-            return Mono.just(answer(q, 503, true));
+            return Mono.just(answer(request, 503, true));
         }
-        return run(q, message);
+        return run(request, message);
     }
 
-    private Mono<Response> run(Request q, String message) {
+    private Mono<Response> run(Request request, String message) {
         Duration began = network.sim.now();
-        Duration limit = Duration.ofMillis(Long.parseLong(header(q, "x-deadline-ms")));
+        Duration limit = Duration.ofMillis(Long.parseLong(header(request, "x-deadline-ms")));
         Duration work = habits.work(network.sim).plusMillis(busy >= slots ? 50 : 0);
         boolean tooLong = work.compareTo(limit) > 0;
         int outcome = tooLong ? 504 : habits.outcome(message, network.sim);
@@ -112,11 +112,11 @@
         seen.began.add(new ObservationLog.Began(
                 message,
                 service,
-                header(q, "x-tenant"),
-                header(q, "x-order-key"),
-                q.method(),
-                q.path(),
-                new String(q.body()),
+                header(request, "x-tenant"),
+                header(request, "x-order-key"),
+                request.method(),
+                request.path(),
+                new String(request.body()),
                 began));
         return Mono.create(sink -> network.sim.after(tooLong ? limit : work, () -> {
             busy--;
@@ -129,8 +129,8 @@
             }
             seen.ended.add(new ObservationLog.Ended(message, outcome, seal, began, network.sim.now()));
             if (outcome > 0) {
-                Response a = answer(q, outcome, false);
-                sink.success(seal.isEmpty() ? a : a.with("X-Server-Seal", seal));
+                Response response = answer(request, outcome, false);
+                sink.success(seal.isEmpty() ? response : response.with("X-Server-Seal", seal));
             }
         }));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Seams.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Seams.java
@@ -17,7 +17,8 @@
         UnaryOperator<ReplicationTiming> timing) {
 
     public static Seams none() {
-        return new Seams((a, b) -> b, (a, d) -> d, (a, t) -> t, (a, p) -> p, p -> p);
+        return new Seams(
+                (a, rpc) -> rpc, (a, disk) -> disk, (a, clock) -> clock, (a, client) -> client, timing -> timing);
     }
 
     public Seams withRpc(BiFunction<String, RpcClient, RpcClient> b) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -21,8 +21,8 @@
     /** A planned stop, the start, and as long as the entry takes to see it. */
     private static final Duration ROLL = Duration.ofMillis(10_500);
 
-    private final PlatformSimulation p;
-    private final NetworkSimulation r;
+    private final PlatformSimulation simulation;
+    private final NetworkSimulation network;
     private final Random random;
     private final Map<String, Runnable> planned = new LinkedHashMap<>();
     private final Map<String, Runnable> unplanned = new LinkedHashMap<>();
@@ -39,22 +39,22 @@
     public SeededPlatformDays(long seed, Seams seams) throws ServiceException {
         random = new Random(seed * 17 + 3);
         calm = seed % 3 == 0;
-        p = new PlatformSimulation(seed, 3 + (int) (seed % 3), 3, seams);
-        r = p.network;
-        planned.put("change", p.operator::change);
-        planned.put("race", p.operator::race);
-        planned.put("bad", p.operator::bad);
-        planned.put("keys", p.operator::keys);
-        planned.put("leave", () -> p.leave(any(listed())));
-        planned.put("stop", () -> stop(any(r.intakes)));
-        planned.put("stop store", () -> stop(any(r.stores)));
-        planned.put("read", p.operator::read);
-        planned.put("repeat", p.operator::repeat);
-        unplanned.put("kill", () -> kill(any(r.all())));
-        unplanned.put("power", () -> power(any(r.all())));
-        unplanned.put("freeze", () -> freeze(any(r.all())));
-        unplanned.put("cut", () -> cut(any(r.all())));
-        unplanned.put("crash", () -> p.crash(any(listed())));
+        simulation = new PlatformSimulation(seed, 3 + (int) (seed % 3), 3, seams);
+        network = simulation.network;
+        planned.put("change", simulation.operator::change);
+        planned.put("race", simulation.operator::race);
+        planned.put("bad", simulation.operator::bad);
+        planned.put("keys", simulation.operator::keys);
+        planned.put("leave", () -> simulation.leave(any(listed())));
+        planned.put("stop", () -> stop(any(network.intakes)));
+        planned.put("stop store", () -> stop(any(network.stores)));
+        planned.put("read", simulation.operator::read);
+        planned.put("repeat", simulation.operator::repeat);
+        unplanned.put("kill", () -> kill(any(network.all())));
+        unplanned.put("power", () -> power(any(network.all())));
+        unplanned.put("freeze", () -> freeze(any(network.all())));
+        unplanned.put("cut", () -> cut(any(network.all())));
+        unplanned.put("crash", () -> simulation.crash(any(listed())));
         unplanned.put("crash puller", this::crashPuller);
         unplanned.put("rough", this::rough);
         unplanned.put("lost answers", () -> lostAnswers(0.3));
@@ -68,24 +68,26 @@
     }
 
     private List<ScriptedProcessor> listed() {
-        return p.processors.values().stream().filter(h -> !h.id().equals("far")).toList();
+        return simulation.processors.values().stream()
+                .filter(processor -> !processor.id().equals("far"))
+                .toList();
     }
 
     private void trouble(String what, Duration length) {
-        p.seen.troubles.add(
-                new ObservationLog.Trouble(what, r.sim.now(), r.sim.now().plus(length)));
+        simulation.seen.troubles.add(new ObservationLog.Trouble(
+                what, network.sim.now(), network.sim.now().plus(length)));
     }
 
     private void killed(String node) {
-        p.seen.killed.add(new ObservationLog.Killed(node, r.sim.now()));
+        simulation.seen.killed.add(new ObservationLog.Killed(node, network.sim.now()));
     }
 
     private void back(String node, Duration after) {
-        r.sim.after(after, () -> {
+        network.sim.after(after, () -> {
             try {
-                r.restart(node);
-            } catch (ServiceException e) {
-                throw new IllegalStateException(e);
+                network.restart(node);
+            } catch (ServiceException failure) {
+                throw new IllegalStateException(failure);
             }
         });
     }
@@ -98,7 +100,7 @@
         Duration away = away();
         trouble("kill " + node, away.plus(RECOVERY));
         killed(node);
-        r.kill(node);
+        network.kill(node);
         back(node, away);
     }
 
@@ -106,111 +108,115 @@
         Duration away = away();
         trouble("power " + node, away.plus(RECOVERY));
         killed(node);
-        r.host(node).powerLoss();
+        network.host(node).powerLoss();
         back(node, away);
     }
 
     private void freeze(String node) {
         Duration d = away();
         trouble("freeze " + node, d.plus(RECOVERY));
-        r.host(node).pause(d);
+        network.host(node).pause(d);
     }
 
     private void cut(String node) {
         Duration d = away();
         trouble("cut " + node, d.plus(RECOVERY));
-        r.net.cutOff(node);
-        r.sim.after(d, r.net::heal);
+        network.net.cutOff(node);
+        network.sim.after(d, network.net::heal);
     }
 
     /** In order, one at a time: told to drain, no more offered, and ended once its time is over. */
     private void stop(String node) {
-        if (r.sim.now().compareTo(nextStop) < 0
-                || r.all().stream()
-                        .anyMatch(x -> !r.host(x).alive() || r.host(x).paused())) {
+        if (network.sim.now().compareTo(nextStop) < 0
+                || network.all().stream()
+                        .anyMatch(
+                                x -> !network.host(x).alive() || network.host(x).paused())) {
             return;
         }
-        nextStop = r.sim.now().plus(ROLL);
-        r.pilot(node).drain();
+        nextStop = network.sim.now().plus(ROLL);
+        network.pilot(node).drain();
         for (int ms = 200; ms < 2000; ms += 200) {
-            r.sim.after(Duration.ofMillis(ms), () -> r.pilot(node).drain());
+            network.sim.after(Duration.ofMillis(ms), () -> network.pilot(node).drain());
         }
-        r.sim.after(Duration.ofMillis(5500), () -> {
+        network.sim.after(Duration.ofMillis(5500), () -> {
             killed(node);
-            r.kill(node);
+            network.kill(node);
         });
         back(node, Duration.ofMillis(6500));
     }
 
     private void crashPuller() {
-        Puller old = any(List.copyOf(p.pullers.values()));
-        p.pullers.values().remove(old);
+        Puller old = any(List.copyOf(simulation.pullers.values()));
+        simulation.pullers.values().remove(old);
         old.die();
-        r.sim.after(Duration.ofMillis(500), p::puller);
+        network.sim.after(Duration.ofMillis(500), simulation::puller);
     }
 
     private void rough() {
-        p.processors.values().forEach(h -> h.behave(ProcessorHabits.rough()));
-        p.pullers.values().forEach(h -> h.behave(ProcessorHabits.rough()));
-        r.sim.after(Duration.ofSeconds(4), () -> {
-            p.processors.values().forEach(h -> h.behave(ProcessorHabits.good()));
-            p.pullers.values().forEach(h -> h.behave(ProcessorHabits.good()));
+        simulation.processors.values().forEach(processor -> processor.behave(ProcessorHabits.rough()));
+        simulation.pullers.values().forEach(puller -> puller.behave(ProcessorHabits.rough()));
+        network.sim.after(Duration.ofSeconds(4), () -> {
+            simulation.processors.values().forEach(processor -> processor.behave(ProcessorHabits.good()));
+            simulation.pullers.values().forEach(puller -> puller.behave(ProcessorHabits.good()));
         });
     }
 
     private void lostAnswers(double share) {
         trouble("lost answers", Duration.ofSeconds(3));
-        r.processorSimulation.answerLoss(share);
-        r.sim.after(Duration.ofSeconds(3), () -> r.processorSimulation.answerLoss(0));
+        network.processorSimulation.answerLoss(share);
+        network.sim.after(Duration.ofSeconds(3), () -> network.processorSimulation.answerLoss(0));
     }
 
     private void listDown() {
         trouble("list down", Duration.ofSeconds(4));
-        p.processorList.down(true);
-        r.sim.after(Duration.ofSeconds(4), () -> p.processorList.down(false));
+        simulation.processorList.down(true);
+        network.sim.after(Duration.ofSeconds(4), () -> simulation.processorList.down(false));
     }
 
     private void weather() {
         trouble("weather", Duration.ofSeconds(3).plus(RECOVERY));
-        r.net.weather(0.05, 0.1);
-        r.sim.after(Duration.ofSeconds(3), () -> r.net.weather(0, 0));
+        network.net.weather(0.05, 0.1);
+        network.sim.after(Duration.ofSeconds(3), () -> network.net.weather(0, 0));
     }
 
     private void allAway() {
-        listed().stream().filter(h -> h.service().equals("book")).toList().forEach(p::crash);
+        listed().stream()
+                .filter(processor -> processor.service().equals("book"))
+                .toList()
+                .forEach(simulation::crash);
     }
 
     private void strike(Map<String, Runnable> from) {
         String name = any(List.copyOf(from.keySet()));
-        log.add(r.sim.now().toMillis() + " " + name);
+        log.add(network.sim.now().toMillis() + " " + name);
         from.get(name).run();
     }
 
     /** The broken rules; empty when all went well. */
     public List<String> run(Duration length) {
-        p.embark();
-        p.clients.start(30);
-        Duration end = r.sim.now().plus(length);
-        while (r.sim.now().compareTo(end) < 0) {
+        simulation.embark();
+        simulation.clients.start(30);
+        Duration end = network.sim.now().plus(length);
+        while (network.sim.now().compareTo(end) < 0) {
             for (int i = random.nextInt(4); i >= 0; i--) {
-                r.sim.run(Duration.ofMillis(200 + random.nextInt(1500)));
+                network.sim.run(Duration.ofMillis(200 + random.nextInt(1500)));
                 strike(planned);
             }
             strike(calm ? planned : unplanned);
-            r.sim.run(Duration.ofMillis(3000 + random.nextInt(7000)));
+            network.sim.run(Duration.ofMillis(3000 + random.nextInt(7000)));
         }
-        p.operator.read();
+        simulation.operator.read();
         strike(calm ? planned : unplanned);
-        r.sim.run(Duration.ofSeconds(9));
-        return p.end(Duration.ofSeconds(10));
+        network.sim.run(Duration.ofSeconds(9));
+        return simulation.end(Duration.ofSeconds(10));
     }
 
     void watchAnswers(BiConsumer<Request, Response> watcher) {
-        r.watchAnswers(watcher);
+        network.watchAnswers(watcher);
     }
 
     TraceDigest trace() {
-        return r.sim.trace();
+        return network.sim.trace();
     }
 
     public List<String> log() {
@@ -218,7 +224,7 @@
     }
 
     public Map<Integer, Integer> answers() {
-        return p.answers();
+        return simulation.answers();
     }
 
     /** platform --seeds A..B [SECONDS]: a sweep over seeds; false if any rule was broken. */
@@ -229,10 +235,10 @@
         Map<Integer, Integer> answers = new TreeMap<>();
         LongStream.rangeClosed(from, to).parallel().forEach(seed -> {
             try {
-                SeededPlatformDays g = new SeededPlatformDays(seed);
-                List<String> bad = g.run(length);
+                SeededPlatformDays day = new SeededPlatformDays(seed);
+                List<String> bad = day.run(length);
                 synchronized (answers) {
-                    g.answers().forEach((k, n) -> answers.merge(k, n, Integer::sum));
+                    day.answers().forEach((k, n) -> answers.merge(k, n, Integer::sum));
                 }
                 if (!bad.isEmpty()) {
                     failed.put(seed, bad);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
@@ -55,10 +55,10 @@
     public void run(Duration howLong) {
         Duration end = now.plus(howLong);
         while (!events.isEmpty() && events.peek().at().compareTo(end) <= 0) {
-            Event e = events.poll();
-            now = e.at();
+            Event event = events.poll();
+            now = event.at();
             ran++;
-            e.task().run();
+            event.task().run();
         }
         now = end;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -37,8 +37,8 @@
             synced = new byte[size];
         }
 
-        void keep(Write w, int length) {
-            System.arraycopy(w.bytes(), 0, synced, w.pos(), length);
+        void keep(Write write, int length) {
+            System.arraycopy(write.bytes(), 0, synced, write.pos(), length);
         }
     }
 
@@ -67,16 +67,16 @@
 
     @Override
     public DiskFile open(String name, int size) {
-        Platter p = files.computeIfAbsent(name, n -> new Platter(size));
+        Platter platter = files.computeIfAbsent(name, n -> new Platter(size));
         return new DiskFile() {
             @Override
             public int size() {
-                return p.synced.length;
+                return platter.synced.length;
             }
 
             @Override
             public void allocate() throws IOException {
-                takeSpace(p);
+                takeSpace(platter);
             }
 
             @Override
@@ -84,17 +84,17 @@
                 failIfFull();
                 written += length;
                 sim.trace().add(sim.now(), name);
-                p.loose.add(new Write((int) pos, Arrays.copyOf(bytes, length)));
+                platter.loose.add(new Write((int) pos, Arrays.copyOf(bytes, length)));
             }
 
             @Override
             public void read(long pos, byte[] into, int length) {
-                System.arraycopy(p.synced, (int) pos, into, 0, length);
-                p.loose.forEach(w -> {
-                    int start = Math.max((int) pos, w.pos());
-                    int end = Math.min((int) pos + length, w.pos() + w.bytes().length);
+                System.arraycopy(platter.synced, (int) pos, into, 0, length);
+                platter.loose.forEach(write -> {
+                    int start = Math.max((int) pos, write.pos());
+                    int end = Math.min((int) pos + length, write.pos() + write.bytes().length);
                     if (start < end) {
-                        System.arraycopy(w.bytes(), start - w.pos(), into, start - (int) pos, end - start);
+                        System.arraycopy(write.bytes(), start - write.pos(), into, start - (int) pos, end - start);
                     }
                 });
             }
@@ -102,8 +102,8 @@
             @Override
             public void sync() {
                 syncs++;
-                p.loose.forEach(w -> p.keep(w, w.bytes().length));
-                p.loose.clear();
+                platter.loose.forEach(write -> platter.keep(write, write.bytes().length));
+                platter.loose.clear();
             }
         };
     }
@@ -186,15 +186,15 @@
     }
 
     public void powerLoss() {
-        files.values().forEach(p -> {
-            p.loose.stream().flatMap(w -> w.sectors().stream()).forEach(w -> {
+        files.values().forEach(platter -> {
+            platter.loose.stream().flatMap(write -> write.sectors().stream()).forEach(write -> {
                 int fate = sim.random().nextInt(3);
                 int keep = fate == 0
                         ? 0
-                        : fate == 1 ? w.bytes().length : sim.random().nextInt(w.bytes().length + 1);
-                p.keep(w, keep);
+                        : fate == 1 ? write.bytes().length : sim.random().nextInt(write.bytes().length + 1);
+                platter.keep(write, keep);
             });
-            p.loose.clear();
+            platter.loose.clear();
         });
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -22,7 +22,7 @@
 public final class SimNet {
     /** Sees each frame that is sent, with the size of its bytes. */
     public interface Eye {
-        void sent(String from, String to, Frame f, int bytes);
+        void sent(String from, String to, Frame frame, int bytes);
     }
 
     private final Sim sim;
@@ -36,14 +36,14 @@
     private double loss;
     private double twice;
     private long frames;
-    private Eye eye = (from, to, f, bytes) -> {};
+    private Eye eye = (from, to, frame, bytes) -> {};
 
     public SimNet(Sim sim) {
         this.sim = sim;
     }
 
-    void add(Host h) {
-        hosts.put(h.address, h);
+    void add(Host host) {
+        hosts.put(host.address, host);
     }
 
     public void weather(double newLoss, double newTwice) {
@@ -79,7 +79,7 @@
         cuts.clear();
         List<Runnable> late = stalled.values().stream().flatMap(List::stream).toList();
         stalled.clear();
-        late.forEach(r -> sim.after(delay(), r));
+        late.forEach(task -> sim.after(delay(), task));
     }
 
     private void travel(String from, String to, int bytes, Runnable arrive) {
@@ -155,15 +155,15 @@
                         if (sim.luck(twice)) {
                             deliver(to, bytes, sink, life);
                         }
-                        return sink.asMono().doFinally(s -> late.cancel());
+                        return sink.asMono().doFinally(signal -> late.cancel());
                     })
-                    .flatMap(f -> f.kind() == Frame.Kind.ERROR
-                            ? Mono.<T>error(fault((Frame.ErrorResponse) f.body()))
-                            : Mono.just(answer.cast(f.body())));
+                    .flatMap(frame -> frame.kind() == Frame.Kind.ERROR
+                            ? Mono.<T>error(fault((Frame.ErrorResponse) frame.body()))
+                            : Mono.just(answer.cast(frame.body())));
         }
 
-        private ServiceException fault(Frame.ErrorResponse r) {
-            return new ServiceException(ErrorKind.valueOf(r.kind()), r.message(), r.details());
+        private ServiceException fault(Frame.ErrorResponse error) {
+            return new ServiceException(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
         private void deliver(String to, byte[] bytes, Sinks.One<Frame> sink, long life) {
@@ -182,21 +182,21 @@
                 }
                 target.get()
                         .soon(() -> PendingCalls.serve(target.get().router(), self.address, read(bytes))
-                                .subscribe(f -> reply(target.get(), f, sink, life)));
+                                .subscribe(frame -> reply(target.get(), frame, sink, life)));
             });
         }
 
         private Frame read(byte[] bytes) {
             try {
                 return codec.read(bytes, Frame.class);
-            } catch (ServiceException e) {
-                throw new IllegalStateException(e);
+            } catch (ServiceException failure) {
+                throw new IllegalStateException(failure);
             }
         }
 
-        private void reply(Host from, Frame f, Sinks.One<Frame> sink, long life) {
-            byte[] bytes = codec.write(f);
-            sent(from.address, self.address, f, bytes);
+        private void reply(Host from, Frame frame, Sinks.One<Frame> sink, long life) {
+            byte[] bytes = codec.write(frame);
+            sent(from.address, self.address, frame, bytes);
             if (from.alive() && (from == self || !lost(from.address, self.address))) {
                 travel(
                         from.address,
@@ -206,9 +206,9 @@
             }
         }
 
-        private void back(long life, Runnable r) {
+        private void back(long life, Runnable task) {
             if (self.life() == life && self.alive()) {
-                self.soon(r);
+                self.soon(task);
             }
         }
     }
