--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
@@ -12,10 +12,10 @@
 
 /** One tenant's excess is its own trouble; fake-clock delays. */
 class FairnessTest {
-    private static void served(Fairness.Others o, Duration p95) {
-        assertEquals(List.of(), o.violations());
-        assertEquals(1.0, o.acceptedShare());
-        assertTrue(o.p95().compareTo(p95) < 0, "others' p95 delay " + o.p95());
+    private static void served(Fairness.Others others, Duration p95) {
+        assertEquals(List.of(), others.violations());
+        assertEquals(1.0, others.acceptedShare());
+        assertTrue(others.p95().compareTo(p95) < 0, "others' p95 delay " + others.p95());
     }
 
     /** Before, with one line by due time: 7.2 s. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
@@ -22,17 +22,17 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7, 9, 21, 28, 37, 115, 3110})
     void nothingThatMustNeverHappenHappens(long seed) throws ServiceException {
-        FaultStorm s = new FaultStorm(seed);
-        List<String> bad = s.run();
-        assertEquals(List.of(), bad, () -> "blows: " + s.log());
+        FaultStorm storm = new FaultStorm(seed);
+        List<String> bad = storm.run();
+        assertEquals(List.of(), bad, () -> "blows: " + storm.log());
     }
 
     @Test
     void norAtTheDeploymentsSizes() throws ServiceException {
         for (FaultStorm.Size size : List.of(FaultStorm.Size.LANKAVIDYA, FaultStorm.Size.ROTTERDAM)) {
-            FaultStorm s = new FaultStorm(1, size);
-            List<String> bad = s.run();
-            assertEquals(List.of(), bad, () -> size + " blows: " + s.log());
+            FaultStorm storm = new FaultStorm(1, size);
+            List<String> bad = storm.run();
+            assertEquals(List.of(), bad, () -> size + " blows: " + storm.log());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -65,7 +65,7 @@
     private <T> T ask(String service, RepeatableRequest body, Class<T> type) {
         RpcClient lossy = new FirstAnswerLost(shore.r.net.rpc(
                 shore.r.host(caller), RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())));
-        CoreClient core = new CoreClient(lossy, () -> 1L, shore.r.lighthouses, CoreMembers.unknown(), l -> {});
+        CoreClient core = new CoreClient(lossy, () -> 1L, shore.r.lighthouses, CoreMembers.unknown(), members -> {});
         AtomicReference<T> out = new AtomicReference<>();
         core.ask(ServiceNames.controlPart(service), body, type).subscribe(out::set, e -> {
             throw new AssertionError(e);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -156,8 +156,8 @@
             assertEquals(200, shore.put(next, 3, (at + 1) % 3).status());
             network.sim.run(Duration.ofSeconds(8));
             String read = answers.get(0)
-                    .filter(a -> a.status() == 200)
-                    .map(a -> new String(a.body()))
+                    .filter(response -> response.status() == 200)
+                    .map(response -> new String(response.body()))
                     .orElse(next);
             assertTrue(before || read.equals(next), "the old configuration left after the freeze, run " + i);
         }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
@@ -30,12 +30,12 @@
         CountDownLatch full = new CountDownLatch(64);
         Sinks.One<Response> answer = Sinks.one();
         String address = Fleet.free();
-        HttpGateway g = new HttpGateway(address, 1 << 16, q -> {
+        HttpGateway httpGateway = new HttpGateway(address, 1 << 16, request -> {
             arrived.incrementAndGet();
             full.countDown();
             return answer.asMono();
         });
-        g.start();
+        httpGateway.start();
         try {
             AtomicBoolean may = new AtomicBoolean(true);
             HttpDeliveryClient post = new HttpDeliveryClient();
@@ -47,7 +47,7 @@
                                 new byte[] {'{', '}'},
                                 Duration.ofSeconds(20),
                                 may::get))
-                        .map(r -> ErrorKind.CONFLICT)
+                        .map(deliveryResponse -> ErrorKind.CONFLICT)
                         .onErrorResume(e -> Mono.just(ServiceException.of(e).kind()))
                         .cache());
             }
@@ -60,7 +60,7 @@
             assertEquals(
                     16, kinds.stream().filter(ErrorKind.UNREACHABLE::equals).count(), kinds.toString());
         } finally {
-            g.stop();
+            httpGateway.stop();
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -156,7 +156,7 @@
                             shore.r.lighthouses.get(node),
                             new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                             CALL)
-                    .map(a -> new String(a.body(), StandardCharsets.UTF_8))
+                    .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                     .orElseThrow();
             assertEquals(text(version, routeCount), read);
             String name = shore.r.lighthouses.get(node);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
@@ -21,8 +21,8 @@
                     .run(LENGTH).stream()
                             .filter(v -> v.startsWith("CONFIG orders"))
                             .toList();
-        } catch (ServiceException e) {
-            throw new IllegalStateException(e);
+        } catch (ServiceException failure) {
+            throw new IllegalStateException(failure);
         }
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -72,7 +72,7 @@
     private String readBack(int node) {
         return shore.r
                 .ask(shore.r.lighthouses.get(node), new Request("GET", "/-/configuration", Map.of(), new byte[0]), CALL)
-                .map(a -> new String(a.body(), StandardCharsets.UTF_8))
+                .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                 .orElseThrow();
     }
 
@@ -116,7 +116,7 @@
                         node,
                         request(text, version),
                         CALL,
-                        a -> statuses.add(a.map(Response::status).orElse(0)));
+                        response -> statuses.add(response.map(Response::status).orElse(0)));
             }
             shore.run(1 + round);
             shore.r.kill(lost);
@@ -145,8 +145,8 @@
                         node,
                         request(text, version),
                         CALL,
-                        a -> statuses.computeIfAbsent(text, t -> new TreeSet<>())
-                                .add(a.map(Response::status).orElse(0)));
+                        response -> statuses.computeIfAbsent(text, t -> new TreeSet<>())
+                                .add(response.map(Response::status).orElse(0)));
             }
         }
         shore.run(CALL.toMillis());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
@@ -18,16 +18,17 @@
 
     @ParameterizedTest(name = "line {0}")
     @MethodSource("pairs")
-    void lineHoldsAndBreaksWithoutItsMechanism(Pairs.Pair p) throws ServiceException {
+    void lineHoldsAndBreaksWithoutItsMechanism(Pairs.Pair pair) throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
-            assertEquals(List.of(), p.shipped(seed), p.failure);
+            assertEquals(List.of(), pair.shipped(seed), pair.failure);
         }
-        List<String> broken = p.brokenWithout(1);
-        assertTrue(broken.contains(p.line), () -> p.failure + " without " + p.leftOut + " broke only " + broken);
+        List<String> broken = pair.brokenWithout(1);
+        assertTrue(
+                broken.contains(pair.line), () -> pair.failure + " without " + pair.leftOut + " broke only " + broken);
     }
 
     @Test
     void everyLineHasItsPair() {
-        assertEquals(12, Pairs.all().stream().map(p -> p.line).distinct().count());
+        assertEquals(12, Pairs.all().stream().map(pair -> pair.line).distinct().count());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Peer.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Peer.java
@@ -28,9 +28,9 @@
     Peer(Script script) throws IOException {
         this.script = script;
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread t = new Thread(this::accept, "peer");
-        t.setDaemon(true);
-        t.start();
+        Thread thread = new Thread(this::accept, "peer");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     String address() {
@@ -49,22 +49,22 @@
     private void accept() {
         while (!server.isClosed()) {
             try {
-                Socket s = server.accept();
-                s.setTcpNoDelay(true);
-                sockets.add(s);
+                Socket socket = server.accept();
+                socket.setTcpNoDelay(true);
+                sockets.add(socket);
                 int n = sockets.size();
-                Thread t = new Thread(() -> serve(s, n), "peer-" + n);
-                t.setDaemon(true);
-                t.start();
+                Thread thread = new Thread(() -> serve(socket, n), "peer-" + n);
+                thread.setDaemon(true);
+                thread.start();
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void serve(Socket s, int connection) {
-        try (s) {
-            InputStream in = s.getInputStream();
+    private void serve(Socket socket, int connection) {
+        try (socket) {
+            InputStream in = socket.getInputStream();
             for (int n = 1; ; n++) {
                 String head = head(in);
                 if (head.isEmpty()) {
@@ -73,8 +73,8 @@
                 in.readNBytes(Integer.parseInt(head.replaceAll("(?is).*content-length: *([0-9]+).*", "$1")));
                 heads.add(head);
                 Said said = script.say(connection, n, head);
-                s.getOutputStream().write(said.text().getBytes(StandardCharsets.ISO_8859_1));
-                s.getOutputStream().flush();
+                socket.getOutputStream().write(said.text().getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().flush();
                 if (said.close()) {
                     return;
                 }
@@ -99,8 +99,8 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (Socket s : List.copyOf(sockets)) {
-            s.close();
+        for (Socket socket : List.copyOf(sockets)) {
+            socket.close();
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
@@ -19,12 +19,14 @@
     /** Whether the break shows depends on what is under way at the moment: it must in one of the first seeds. */
     @ParameterizedTest
     @MethodSource("scenarios")
-    void shippedHoldsAndWithoutItsMechanismTheRuleBreaks(RuleScenario p) throws ServiceException {
+    void shippedHoldsAndWithoutItsMechanismTheRuleBreaks(RuleScenario ruleScenario) throws ServiceException {
         List<String> broken = List.of();
-        for (long seed = 1; seed <= MOST_SEEDS && !broken.contains(p.rule); seed++) {
-            assertEquals(List.of(), p.shipped(seed), p.failure + ", seed " + seed);
-            broken = p.brokenWithout(seed);
+        for (long seed = 1; seed <= MOST_SEEDS && !broken.contains(ruleScenario.rule); seed++) {
+            assertEquals(List.of(), ruleScenario.shipped(seed), ruleScenario.failure + ", seed " + seed);
+            broken = ruleScenario.brokenWithout(seed);
         }
-        assertTrue(broken.contains(p.rule), p.failure + " without " + p.leftOut + ": " + broken);
+        assertTrue(
+                broken.contains(ruleScenario.rule),
+                ruleScenario.failure + " without " + ruleScenario.leftOut + ": " + broken);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
@@ -12,21 +12,22 @@
 class PlatformSimulationTest {
     @Test
     void calmDayBreaksNoRuleAndServesAll() throws ServiceException {
-        PlatformSimulation p = new PlatformSimulation(1, 3, 3, Seams.none()).embark();
-        p.clients.start(30);
-        p.network.sim.run(Duration.ofSeconds(6));
-        p.operator.change();
-        p.operator.bad();
-        p.network.sim.run(Duration.ofSeconds(6));
-        p.operator.race();
-        p.operator.keys();
-        p.leave(p.processors.values().iterator().next());
-        p.network.sim.run(Duration.ofSeconds(8));
-        assertEquals(List.of(), p.end(Duration.ofSeconds(10)));
-        long accepted = p.answers().get(202);
-        assertTrue(accepted > 400, p.answers().toString());
-        long done =
-                p.seen.shown.stream().filter(s -> s.state().equals("completed")).count();
+        PlatformSimulation simulation = new PlatformSimulation(1, 3, 3, Seams.none()).embark();
+        simulation.clients.start(30);
+        simulation.network.sim.run(Duration.ofSeconds(6));
+        simulation.operator.change();
+        simulation.operator.bad();
+        simulation.network.sim.run(Duration.ofSeconds(6));
+        simulation.operator.race();
+        simulation.operator.keys();
+        simulation.leave(simulation.processors.values().iterator().next());
+        simulation.network.sim.run(Duration.ofSeconds(8));
+        assertEquals(List.of(), simulation.end(Duration.ofSeconds(10)));
+        long accepted = simulation.answers().get(202);
+        assertTrue(accepted > 400, simulation.answers().toString());
+        long done = simulation.seen.shown.stream()
+                .filter(shown -> shown.state().equals("completed"))
+                .count();
         assertTrue(done > accepted * 0.9, done + " of " + accepted);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
@@ -22,17 +22,17 @@
     private static final String UNKNOWN = ErrorKind.UNKNOWN_OUTCOME.name();
     private final HttpDeliveryClient client = new HttpDeliveryClient();
 
-    private String said(Peer p, String id, Duration limit) {
+    private String said(Peer peer, String id, Duration limit) {
         DeliveryClient.DeliveryRequest call = new DeliveryClient.DeliveryRequest(
                 "POST",
-                p.address() + "/x",
+                peer.address() + "/x",
                 Map.of("X-Attempt-Id", id, "Content-Length", "2"),
                 new byte[] {'h', 'i'},
                 limit,
                 () -> true,
                 Map.of("x-attempt-id", id));
         return client.send(call)
-                .map(r -> r.status() + " " + new String(r.body()))
+                .map(deliveryResponse -> deliveryResponse.status() + " " + new String(deliveryResponse.body()))
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block();
     }
@@ -49,7 +49,7 @@
     @Test
     void beginningOfASecondAnswerIsNoPartOfTheNext() throws Exception {
         String second = Peer.answer(200, "a1", "", "spare");
-        try (Peer p = new Peer((c, n, head) -> {
+        try (Peer peer = new Peer((c, n, head) -> {
             if (c != 1) {
                 return own(head);
             }
@@ -59,35 +59,35 @@
                     : new Peer.Said(
                             second.substring(second.length() - 3) + own(head).text(), false);
         })) {
-            assertEquals("200 own a1", said(p, "a1", LONG));
+            assertEquals("200 own a1", said(peer, "a1", LONG));
             for (String id : List.of("a2", "a3", "a4")) {
-                String s = said(p, id, LONG);
+                String s = said(peer, id, LONG);
                 assertTrue(s.equals("200 own " + id) || s.equals(UNKNOWN), id + ": " + s);
             }
-            assertEquals("200 own a5", said(p, "a5", LONG));
-            assertTrue(p.connections() > 1, "the connection was used on");
+            assertEquals("200 own a5", said(peer, "a5", LONG));
+            assertTrue(peer.connections() > 1, "the connection was used on");
         }
     }
 
     @Test
     void answerWithTwoIdsIsNobodysAnswer() throws Exception {
-        try (Peer p = new Peer((c, n, head) -> c == 1
+        try (Peer peer = new Peer((c, n, head) -> c == 1
                 ? new Peer.Said(Peer.answer(200, "other", "X-Attempt-Id: " + id(head) + "\r\n", "mixed"), false)
                 : own(head))) {
-            assertEquals(UNKNOWN, said(p, "a1", LONG));
-            assertEquals("200 own a2", said(p, "a2", LONG));
-            assertEquals(2, p.connections());
+            assertEquals(UNKNOWN, said(peer, "a1", LONG));
+            assertEquals("200 own a2", said(peer, "a2", LONG));
+            assertEquals(2, peer.connections());
         }
     }
 
     @Test
     void answerWithoutAnIdIsNobodysAnswer() throws Exception {
-        try (Peer p = new Peer((c, n, head) -> c == 1
+        try (Peer peer = new Peer((c, n, head) -> c == 1
                 ? new Peer.Said("HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false)
                 : own(head))) {
-            assertEquals(UNKNOWN, said(p, "a1", LONG));
-            assertEquals("200 own a2", said(p, "a2", LONG));
-            assertEquals(2, p.connections());
+            assertEquals(UNKNOWN, said(peer, "a1", LONG));
+            assertEquals("200 own a2", said(peer, "a2", LONG));
+            assertEquals(2, peer.connections());
         }
     }
 
@@ -95,7 +95,7 @@
     @Test
     void connectionIsNotUsedAgainAfterATimeOut() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        try (Peer p = new Peer((c, n, head) -> {
+        try (Peer peer = new Peer((c, n, head) -> {
             if (c == 1) {
                 await(second);
                 return own(head);
@@ -103,10 +103,10 @@
             second.countDown();
             return own(head);
         })) {
-            assertEquals(UNKNOWN, said(p, "a1", Duration.ofMillis(300)));
-            assertEquals("200 own a2", said(p, "a2", LONG));
-            assertEquals(2, p.connections());
-            assertEquals(2, p.heads.size());
+            assertEquals(UNKNOWN, said(peer, "a1", Duration.ofMillis(300)));
+            assertEquals("200 own a2", said(peer, "a2", LONG));
+            assertEquals(2, peer.connections());
+            assertEquals(2, peer.heads.size());
         }
     }
 
@@ -122,14 +122,14 @@
     @Test
     void keepAliveThatDiesAsItIsUsedSendsNothingTwice() throws Exception {
         AtomicInteger wholeRequests = new AtomicInteger();
-        try (Peer p = new Peer((c, n, head) -> {
+        try (Peer peer = new Peer((c, n, head) -> {
             wholeRequests.incrementAndGet();
             return n == 1 ? own(head) : new Peer.Said("", true);
         })) {
-            assertEquals("200 own a1", said(p, "a1", LONG));
-            assertEquals(UNKNOWN, said(p, "a2", LONG));
+            assertEquals("200 own a1", said(peer, "a1", LONG));
+            assertEquals(UNKNOWN, said(peer, "a2", LONG));
             assertEquals(2, wholeRequests.get());
-            assertEquals(1, p.connections());
+            assertEquals(1, peer.connections());
         }
     }
 
@@ -137,9 +137,9 @@
     void closeWithinTheHeadOrTheBodyOfAnAnswerIsUnknown() throws Exception {
         String whole = Peer.answer(200, "a", "X-Server-Seal: s\r\n", "body");
         for (int cut : List.of(1, 12, 20, whole.indexOf("\r\n\r\n") + 3, whole.length() - 1)) {
-            try (Peer p = new Peer((c, n, head) -> new Peer.Said(whole.substring(0, cut), true))) {
-                assertEquals(UNKNOWN, said(p, "a", LONG), "cut at " + cut);
-                assertEquals(1, p.heads.size());
+            try (Peer peer = new Peer((c, n, head) -> new Peer.Said(whole.substring(0, cut), true))) {
+                assertEquals(UNKNOWN, said(peer, "a", LONG), "cut at " + cut);
+                assertEquals(1, peer.heads.size());
             }
         }
     }
@@ -147,20 +147,20 @@
     /** Chunks that end with the connection and not with the last chunk. */
     @Test
     void chunksWithoutTheirEndAreUnknown() throws Exception {
-        try (Peer p = new Peer((c, n, head) -> new Peer.Said(
+        try (Peer peer = new Peer((c, n, head) -> new Peer.Said(
                 "HTTP/1.1 200 X\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", true))) {
-            assertEquals(UNKNOWN, said(p, "a", LONG));
+            assertEquals(UNKNOWN, said(peer, "a", LONG));
         }
     }
 
     /** An answer in advance of the answer is none: it names nobody, and the real one is then out of step. */
     @Test
     void interimAnswerIsNotTheAnswer() throws Exception {
-        try (Peer p = new Peer((c, n, head) ->
+        try (Peer peer = new Peer((c, n, head) ->
                 c == 1 ? new Peer.Said("HTTP/1.1 103 Early\r\n\r\n" + own(head).text(), false) : own(head))) {
-            String first = said(p, "a1", LONG);
+            String first = said(peer, "a1", LONG);
             assertTrue(first.equals(UNKNOWN) || first.equals("200 own a1"), first);
-            assertEquals("200 own a2", said(p, "a2", LONG));
+            assertEquals("200 own a2", said(peer, "a2", LONG));
         }
     }
 
@@ -168,13 +168,13 @@
     @Test
     void endlessAnswerIsGivenUp() throws Exception {
         String megabyte = "x".repeat(1 << 20);
-        try (Peer p = new Peer((c, n, head) -> c == 1
+        try (Peer peer = new Peer((c, n, head) -> c == 1
                 ? new Peer.Said(
                         "HTTP/1.1 200 X\r\nX-Attempt-Id: a1\r\nContent-Length: " + (64L << 20) + "\r\n\r\n" + megabyte,
                         false)
                 : own(head))) {
-            assertEquals(UNKNOWN, said(p, "a1", Duration.ofSeconds(1)));
-            assertEquals("200 own a2", said(p, "a2", LONG));
+            assertEquals(UNKNOWN, said(peer, "a1", Duration.ofSeconds(1)));
+            assertEquals("200 own a2", said(peer, "a2", LONG));
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -16,112 +16,113 @@
     private static final String KEY = ServiceNames.processors("book");
     private static final String AT = "10.9.0.1:8080";
 
-    private static ServiceView view(Shore s) {
+    private static ServiceView view(Shore fixture) {
         String part = ServiceNames.controlPart(KEY);
-        String owner = s.r.lighthouses.stream()
-                .filter(l ->
-                        s.r.host(l).alive() && s.r.controlNode(l).replica(part).isActiveLeader())
+        String owner = fixture.r.lighthouses.stream()
+                .filter(l -> fixture.r.host(l).alive()
+                        && fixture.r.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        return s.r.controlNode(owner)
+        return fixture.r
+                .controlNode(owner)
                 .replica(part)
-                .look(i -> s.r.controlNode(owner).machine(part).service(KEY));
+                .look(i -> fixture.r.controlNode(owner).machine(part).service(KEY));
     }
 
     @Test
     void wholeListIsTakenFromAllPagesAndWrittenOnlyWhereItDiffers() throws ServiceException {
-        Shore s = new Shore(1, 1);
+        Shore fixture = new Shore(1, 1);
         for (int i = 0; i < 8; i++) {
-            s.processorList.put("i-" + i, i % 2 == 0 ? "book" : "same", "10.9.0." + i + ":8080", 4, "ready");
+            fixture.processorList.put("i-" + i, i % 2 == 0 ? "book" : "same", "10.9.0." + i + ":8080", 4, "ready");
         }
-        s.run(3000);
-        ServiceView first = view(s);
+        fixture.run(3000);
+        ServiceView first = view(fixture);
         assertEquals(4, first.processors().size());
         assertEquals(
                 "http://10.9.0.2:8080 4",
                 first.processors().get("i-2").address() + " "
                         + first.processors().get("i-2").slots());
-        s.run(5000);
-        assertEquals(first.version(), view(s).version(), "nothing differs, nothing is written");
-        s.processorList.put("i-2", "book", "10.9.0.2:8080", 4, "draining");
-        s.run(3000);
-        assertTrue(view(s).processors().get("i-2").leaving());
-        assertEquals(4, view(s).processors().size());
-        s.processorList.drop("i-2");
-        s.run(3000);
-        assertEquals(3, view(s).processors().size());
+        fixture.run(5000);
+        assertEquals(first.version(), view(fixture).version(), "nothing differs, nothing is written");
+        fixture.processorList.put("i-2", "book", "10.9.0.2:8080", 4, "draining");
+        fixture.run(3000);
+        assertTrue(view(fixture).processors().get("i-2").leaving());
+        assertEquals(4, view(fixture).processors().size());
+        fixture.processorList.drop("i-2");
+        fixture.run(3000);
+        assertEquals(3, view(fixture).processors().size());
     }
 
     @Test
     void fleetAsksNoOftenerThanOneReaderDoes() throws ServiceException {
-        Shore s = new Shore(2, 2);
-        s.run(2000);
-        int before = s.processorList.calls();
-        s.run(14_000);
-        int calls = s.processorList.calls() - before;
+        Shore fixture = new Shore(2, 2);
+        fixture.run(2000);
+        int before = fixture.processorList.calls();
+        fixture.run(14_000);
+        int calls = fixture.processorList.calls() - before;
         assertTrue(calls >= 15 && calls <= 25, calls + " calls in 14 s");
-        assertEquals(0, s.processorList.refused());
+        assertEquals(0, fixture.processorList.refused());
     }
 
     /** What is being read stays in force while the list cannot be had. */
     @Test
     void listThatIsDownChangesNothing() throws ServiceException {
-        Shore s = new Shore(3, 1);
-        s.processor("i-1", "book", AT, q -> Mono.just(Shore.done(q)));
-        s.processorList.down(true);
-        s.run(8000);
-        assertEquals(1, view(s).processors().size());
-        s.accepted("/push/x", "b", Map.of());
-        s.run(2000);
-        assertEquals(1, s.got.size());
+        Shore fixture = new Shore(3, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        fixture.processorList.down(true);
+        fixture.run(8000);
+        assertEquals(1, view(fixture).processors().size());
+        fixture.accepted("/push/x", "b", Map.of());
+        fixture.run(2000);
+        assertEquals(1, fixture.got.size());
     }
 
     @Test
     void nextOwnerOfTheLayoutsPartReadsOn() throws ServiceException {
-        Shore s = new Shore(4, 1);
-        String owner = s.r.lighthouses.stream()
-                .filter(l -> s.r.controlNode(l).replica("c0").isActiveLeader())
+        Shore fixture = new Shore(4, 1);
+        String owner = fixture.r.lighthouses.stream()
+                .filter(l -> fixture.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        s.r.kill(owner);
-        s.run(4000);
-        s.processor("i-1", "book", AT, q -> Mono.just(Shore.done(q)));
-        assertEquals(1, view(s).processors().size());
+        fixture.r.kill(owner);
+        fixture.run(4000);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        assertEquals(1, view(fixture).processors().size());
     }
 
     @Test
     void drainingProcessorGetsNothingMore() throws ServiceException {
-        Shore s = new Shore(5, 1);
-        s.processor("i-1", "book", AT, q -> Mono.just(Shore.done(q)));
-        s.accepted("/push/x", "b", Map.of());
-        s.run(1500);
-        assertEquals(1, s.got.size());
-        Duration shown = s.processorList.put("i-1", "book", AT, 4, "draining");
+        Shore fixture = new Shore(5, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        fixture.accepted("/push/x", "b", Map.of());
+        fixture.run(1500);
+        assertEquals(1, fixture.got.size());
+        Duration shown = fixture.processorList.put("i-1", "book", AT, 4, "draining");
         for (int i = 0; i < 40; i++) {
-            s.accepted("/push/x", "b", Map.of());
-            s.run(150);
+            fixture.accepted("/push/x", "b", Map.of());
+            fixture.run(150);
         }
-        Duration last = s.got.get(s.got.size() - 1).at();
+        Duration last = fixture.got.get(fixture.got.size() - 1).at();
         assertTrue(
                 last.minus(shown).toMillis() < 2500,
                 "got work until " + last.minus(shown) + " after the list showed it");
-        s.processor("i-2", "book", "10.9.0.2:8080", q -> Mono.just(Shore.done(q)));
-        s.run(3000);
-        assertEquals(41, s.got.size());
+        fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(Shore.done(request)));
+        fixture.run(3000);
+        assertEquals(41, fixture.got.size());
     }
 
     /** Another service may take the address of one that is gone: its id is no more the one that is expected. */
     @Test
     void reusedAddressIsToldWhoIsExpected() throws ServiceException {
-        Shore s = new Shore(6, 1);
-        s.processor("i-1", "book", AT, q -> Mono.just(Shore.done(q)));
-        s.accepted("/push/x", "b", Map.of());
-        s.run(1500);
-        assertEquals("i-1", s.got.get(0).q().headers().get("x-expect-instance"));
-        s.processorList.drop("i-1");
-        s.processor("i-7", "same", AT, q -> Mono.just(Shore.done(q)));
-        s.accepted("/push/x", "b", Map.of());
-        s.run(3000);
-        assertEquals(1, s.got.size(), "nobody serves the first service any more");
+        Shore fixture = new Shore(6, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        fixture.accepted("/push/x", "b", Map.of());
+        fixture.run(1500);
+        assertEquals("i-1", fixture.got.get(0).q().headers().get("x-expect-instance"));
+        fixture.processorList.drop("i-1");
+        fixture.processor("i-7", "same", AT, request -> Mono.just(Shore.done(request)));
+        fixture.accepted("/push/x", "b", Map.of());
+        fixture.run(3000);
+        assertEquals(1, fixture.got.size(), "nobody serves the first service any more");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
@@ -12,8 +12,8 @@
     @Test
     void roughDaysBreakNoRule() throws ServiceException {
         for (long seed = 1; seed <= 3; seed++) {
-            SeededPlatformDays g = new SeededPlatformDays(seed);
-            assertEquals(List.of(), g.run(Duration.ofSeconds(30)), "seed " + seed + ": " + g.log());
+            SeededPlatformDays day = new SeededPlatformDays(seed);
+            assertEquals(List.of(), day.run(Duration.ofSeconds(30)), "seed " + seed + ": " + day.log());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -33,34 +33,41 @@
     @ParameterizedTest
     @ValueSource(longs = {5, 2, 3, 4})
     void allThreeSeedsMayBeGone(long seed) throws ServiceException {
-        FleetSimulation v = new FleetSimulation(seed, 3, 3, 4).embark();
-        v.traffic(20);
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).embark();
+        simulation.traffic(20);
         for (int i = 0; i < 3; i++) {
-            v.w.lose(v.w.lighthouses.get(i));
-            String fresh = v.w.newLighthouse();
-            List<String> wanted = v.w.presentLighthouses();
+            simulation.w.lose(simulation.w.lighthouses.get(i));
+            String fresh = simulation.w.newLighthouse();
+            List<String> wanted = simulation.w.presentLighthouses();
             AtomicInteger status = new AtomicInteger();
-            v.operate(
+            simulation.operate(
                     new Request("PUT", "/v1/core", Map.of(), Configurations.write(Map.of("lighthouses", wanted))),
-                    a -> status.set(a.status()));
+                    response -> status.set(response.status()));
             assertTrue(
-                    v.w.sim.runUntil(
+                    simulation.w.sim.runUntil(
                             () -> status.get() == 200
-                                    && CoreExchange.votesEverywhere(v.w, fresh)
-                                    && v.w.controlNode(fresh)
+                                    && CoreExchange.votesEverywhere(simulation.w, fresh)
+                                    && simulation
+                                            .w
+                                            .controlNode(fresh)
                                             .controlNodes()
                                             .equals(wanted.stream().sorted().toList()),
                             Duration.ofSeconds(60)),
-                    "not seated: " + v.w.controlNode(fresh).controlNodes());
-            v.w.sim.run(Duration.ofSeconds(10));
+                    "not seated: " + simulation.w.controlNode(fresh).controlNodes());
+            simulation.w.sim.run(Duration.ofSeconds(10));
         }
-        new ConfigurationOperator(v).changeAt(v.w.presentLighthouses());
-        v.w.sim.run(Duration.ofSeconds(5));
-        assertEquals(2, v.version, "the layout was changed by the new core");
-        v.w.seenVersions();
-        assertEquals(6, v.w.seen.versions.stream().filter(n -> n.version() == 2).count(), "on every pilot");
-        assertTrue(v.settle(Duration.ofSeconds(120)), "open: " + v.firstOpen());
-        assertEquals(List.of(), v.violations());
+        new ConfigurationOperator(simulation).changeAt(simulation.w.presentLighthouses());
+        simulation.w.sim.run(Duration.ofSeconds(5));
+        assertEquals(2, simulation.version, "the layout was changed by the new core");
+        simulation.w.seenVersions();
+        assertEquals(
+                6,
+                simulation.w.seen.versions.stream()
+                        .filter(nodeVersion -> nodeVersion.version() == 2)
+                        .count(),
+                "on every pilot");
+        assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
+        assertEquals(List.of(), simulation.violations());
     }
 
     @Test
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
@@ -70,13 +70,13 @@
         return new ConfigurationStub.Service(name, 0, 100, dedup, pull, at);
     }
 
-    Response put(ConfigurationStub p, long base, int controlNode) {
-        return put(p.text(), base, controlNode);
+    Response put(ConfigurationStub stub, long base, int controlNode) {
+        return put(stub.text(), base, controlNode);
     }
 
     Response put(String text, long base, int controlNode) {
         for (int i = 0; i < 20; i++) {
-            Optional<Response> a = r.ask(
+            Optional<Response> response = r.ask(
                     r.lighthouses.get((controlNode + i) % 3),
                     new Request(
                             "PUT",
@@ -84,8 +84,8 @@
                             Map.of("if-match", Long.toString(base)),
                             text.getBytes(StandardCharsets.UTF_8)),
                     Duration.ofSeconds(4));
-            if (a.isPresent() && a.get().status() < 500) {
-                return a.get();
+            if (response.isPresent() && response.get().status() < 500) {
+                return response.get();
             }
         }
         throw new AssertionError("the configuration got no clear answer");
@@ -94,27 +94,28 @@
     /** A processor at an address, on the list, whose answers are the script's. */
     void processor(
             String id, String service, String address, java.util.function.Function<Request, Mono<Response>> script) {
-        r.processorSimulation.place(address, q -> {
-            got.add(new Got(q, r.sim.now()));
-            return script.apply(q);
+        r.processorSimulation.place(address, request -> {
+            got.add(new Got(request, r.sim.now()));
+            return script.apply(request);
         });
         processorList.put(id, service, address, 4, "ready");
         r.sim.run(SOON);
     }
 
-    static Response done(Request q) {
+    static Response done(Request request) {
         return new Response(
                 200,
                 Map.of(
                         "X-Attempt-Id",
-                        q.headers().getOrDefault("x-attempt-id", ""),
+                        request.headers().getOrDefault("x-attempt-id", ""),
                         "X-Server-Seal",
-                        "seal-" + q.headers().getOrDefault("x-attempt-id", "")),
+                        "seal-" + request.headers().getOrDefault("x-attempt-id", "")),
                 new byte[0]);
     }
 
-    static Response answer(Request q, int status) {
-        return new Response(status, Map.of("X-Attempt-Id", q.headers().getOrDefault("x-attempt-id", "")), new byte[0]);
+    static Response answer(Request request, int status) {
+        return new Response(
+                status, Map.of("X-Attempt-Id", request.headers().getOrDefault("x-attempt-id", "")), new byte[0]);
     }
 
     Response send(String path, String body, Map<String, String> more) {
@@ -126,13 +127,13 @@
 
     /** The handle of an accepted message; what was refused for now is sent anew. */
     String accepted(String path, String body, Map<String, String> more) {
-        Response a = send(path, body, more);
-        for (int i = 0; i < 20 && (a.status() == 503 || a.status() == 429); i++) {
+        Response response = send(path, body, more);
+        for (int i = 0; i < 20 && (response.status() == 503 || response.status() == 429); i++) {
             run(100);
-            a = send(path, body, more);
+            response = send(path, body, more);
         }
-        assertEquals("202 ", a.status() + " " + new String(a.body()));
-        return a.headers().get("X-Message-Ref");
+        assertEquals("202 ", response.status() + " " + new String(response.body()));
+        return response.headers().get("X-Message-Ref");
     }
 
     Response front(String method, String path, Map<String, String> headers, String body) {
@@ -168,9 +169,10 @@
     }
 
     JsonNode state(String handle) {
-        Response a = front("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
-        assertEquals(200, a.status());
-        return Callers.json(a);
+        Response response =
+                front("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
+        assertEquals(200, response.status());
+        return Callers.json(response);
     }
 
     Response bytes(String handle) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -22,40 +22,41 @@
         return new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), World.LARGE_RING).embark();
     }
 
-    private static FleetSimulation ended(FleetSimulation v) {
-        assertTrue(v.settle(Duration.ofSeconds(180)), "open: " + v.firstOpen());
-        return v;
+    private static FleetSimulation ended(FleetSimulation simulation) {
+        assertTrue(simulation.settle(Duration.ofSeconds(180)), "open: " + simulation.firstOpen());
+        return simulation;
     }
 
     /** Processors do the work and lose the answers; then each is replaced: same id, new address, no memory. */
     private static FleetSimulation replacedOneByOne(long seed) throws ServiceException {
-        FleetSimulation v = fleet(seed);
-        v.traffic(10);
-        v.w.sim.run(Duration.ofSeconds(3));
+        FleetSimulation simulation = fleet(seed);
+        simulation.traffic(10);
+        simulation.w.sim.run(Duration.ofSeconds(3));
         for (String p : List.of("p0", "p1")) {
-            v.w.backends.get(p).behave(LOSES);
-            v.w.sim.run(Duration.ofSeconds(1));
-            v.w.replaceBackend(p);
-            v.list(p, false);
-            v.w.sim.run(Duration.ofSeconds(5));
+            simulation.w.backends.get(p).behave(LOSES);
+            simulation.w.sim.run(Duration.ofSeconds(1));
+            simulation.w.replaceBackend(p);
+            simulation.list(p, false);
+            simulation.w.sim.run(Duration.ofSeconds(5));
         }
-        return ended(v);
+        return ended(simulation);
     }
 
     @Test
     void whatAPredecessorMayHaveDoneIsNotRunBySuccessors() throws ServiceException {
         for (long seed = 1; seed <= 3; seed++) {
-            FleetSimulation v = replacedOneByOne(seed);
-            assertEquals(List.of(), v.violations());
-            assertTrue(v.w.seen.shown.stream().anyMatch(x -> x.proof().equals("unclear: the processor is gone")));
+            FleetSimulation simulation = replacedOneByOne(seed);
+            assertEquals(List.of(), simulation.violations());
+            assertTrue(simulation.w.seen.shown.stream()
+                    .anyMatch(shown -> shown.proof().equals("unclear: the processor is gone")));
         }
     }
 
     /** The lane's operator knows that the work is harmless twice. */
     @Test
     void laneThatSaysRerunRunsItElsewhere() throws ServiceException {
-        FleetSimulation v = fleet(1);
-        Map<String, Configuration.Lane> lanes = new TreeMap<>(v.configuration.lanes());
+        FleetSimulation simulation = fleet(1);
+        Map<String, Configuration.Lane> lanes = new TreeMap<>(simulation.configuration.lanes());
         Configuration.Lane hold = lanes.get("hold");
         lanes.put(
                 "hold",
@@ -66,20 +67,25 @@
                         hold.attempts(),
                         hold.attemptMs(),
                         Configuration.IfUnclear.RERUN));
-        v.put(
-                new Configuration(v.configuration.tenants(), v.configuration.services(), lanes, v.configuration.keys()),
-                v.version,
+        simulation.put(
+                new Configuration(
+                        simulation.configuration.tenants(),
+                        simulation.configuration.services(),
+                        lanes,
+                        simulation.configuration.keys()),
+                simulation.version,
                 "rerun",
-                a -> {});
-        v.w.sim.run(Duration.ofSeconds(2));
-        v.w.backends.get("p0").behave(LOSES);
-        v.plain(0);
-        v.w.sim.run(Duration.ofSeconds(1));
-        v.w.replaceBackend("p0");
-        v.list("p0", false);
-        ended(v);
-        assertEquals(2, v.w.seen.ran.size());
-        assertEquals(List.of("02"), new NeverList(v.w.seen).broken(), "it ran twice, as the operator allowed");
-        assertTrue(v.w.seen.shown.stream().anyMatch(x -> x.state().equals("done")));
+                response -> {});
+        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.w.backends.get("p0").behave(LOSES);
+        simulation.plain(0);
+        simulation.w.sim.run(Duration.ofSeconds(1));
+        simulation.w.replaceBackend("p0");
+        simulation.list("p0", false);
+        ended(simulation);
+        assertEquals(2, simulation.w.seen.ran.size());
+        assertEquals(List.of("02"), new NeverList(simulation.w.seen).broken(), "it ran twice, as the operator allowed");
+        assertTrue(
+                simulation.w.seen.shown.stream().anyMatch(shown -> shown.state().equals("done")));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -23,59 +23,61 @@
                 new byte[0]);
     }
 
-    private static List<Response> waiting(Shore s, int n, long waitMs) {
+    private static List<Response> waiting(Shore fixture, int n, long waitMs) {
         List<Response> out = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            s.r.request(
-                    s.r.intakes.get(i % s.r.intakes.size()),
+            fixture.r.request(
+                    fixture.r.intakes.get(i % fixture.r.intakes.size()),
                     pull("i-" + i, waitMs),
                     Duration.ofSeconds(30),
-                    a -> a.ifPresent(out::add));
+                    response -> response.ifPresent(out::add));
         }
         return out;
     }
 
     @Test
     void fetchWithoutWorkIsEmptyAfterItsWait() throws ServiceException {
-        Shore s = new Shore(1, 2);
-        Duration asked = s.r.sim.now();
-        assertEquals(204, s.pull("i-1", 1000).status());
-        long took = s.r.sim.now().minus(asked).toMillis();
+        Shore fixture = new Shore(1, 2);
+        Duration asked = fixture.r.sim.now();
+        assertEquals(204, fixture.pull("i-1", 1000).status());
+        long took = fixture.r.sim.now().minus(asked).toMillis();
         assertTrue(took >= 900 && took < 2000, "took " + took + " ms");
-        Response none = s.front("POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
+        Response none =
+                fixture.front("POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
         assertEquals("204 ", none.status() + " " + new String(none.body()));
         assertEquals(
                 400,
-                s.front("POST", "/-/pull/desk", Map.of("x-poll-wait-ms", "300"), "")
+                fixture.front("POST", "/-/pull/desk", Map.of("x-poll-wait-ms", "300"), "")
                         .status());
     }
 
     /** Work that becomes due meets a waiting fetch at once, wherever the two are. */
     @Test
     void waitingFetchGetsWhatBecomesDue() throws ServiceException {
-        Shore s = new Shore(2, 3);
-        List<Response> out = waiting(s, 6, 10_000);
-        s.run(1000);
-        Duration sent = s.r.sim.now();
-        s.accepted("/pull/x", "b", Map.of());
-        assertTrue(s.r.sim.runUntil(() -> !out.isEmpty(), Duration.ofSeconds(2)), "nobody got it");
+        Shore fixture = new Shore(2, 3);
+        List<Response> out = waiting(fixture, 6, 10_000);
+        fixture.run(1000);
+        Duration sent = fixture.r.sim.now();
+        fixture.accepted("/pull/x", "b", Map.of());
+        assertTrue(fixture.r.sim.runUntil(() -> !out.isEmpty(), Duration.ofSeconds(2)), "nobody got it");
         assertTrue(
-                s.r.sim.now().minus(sent).toMillis() < 700,
-                "after " + s.r.sim.now().minus(sent));
+                fixture.r.sim.now().minus(sent).toMillis() < 700,
+                "after " + fixture.r.sim.now().minus(sent));
     }
 
     @Test
     void oneMessageGoesToOneFetchOnly() throws ServiceException {
         for (long seed = 3; seed < 6; seed++) {
-            Shore s = new Shore(seed, 3);
-            List<Response> out = waiting(s, 30, 2500);
+            Shore fixture = new Shore(seed, 3);
+            List<Response> out = waiting(fixture, 30, 2500);
             for (int i = 0; i < 12; i++) {
-                s.accepted("/pull/" + i, "b" + i, Map.of());
+                fixture.accepted("/pull/" + i, "b" + i, Map.of());
             }
-            s.run(2600);
+            fixture.run(2600);
             HashSet<String> ids = new HashSet<>();
-            List<Response> jobs = out.stream().filter(a -> a.status() == 200).toList();
-            jobs.forEach(a -> ids.add(a.headers().get("X-Attempt-Id")));
+            List<Response> jobs =
+                    out.stream().filter(response -> response.status() == 200).toList();
+            jobs.forEach(response -> ids.add(response.headers().get("X-Attempt-Id")));
             assertEquals(12, jobs.size());
             assertEquals(12, ids.size(), "each once");
         }
@@ -83,25 +85,29 @@
 
     @Test
     void delayIsKept() throws ServiceException {
-        Shore s = new Shore(6, 1);
-        Duration sent = s.r.sim.now();
-        s.accepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
-        Response a = s.pull("i-1", 8000);
-        long after = s.r.sim.now().minus(sent).toMillis();
-        assertEquals("late", new String(a.body()));
+        Shore fixture = new Shore(6, 1);
+        Duration sent = fixture.r.sim.now();
+        fixture.accepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
+        Response response = fixture.pull("i-1", 8000);
+        long after = fixture.r.sim.now().minus(sent).toMillis();
+        assertEquals("late", new String(response.body()));
         assertTrue(after >= 1400 && after < 2600, "after " + after + " ms");
     }
 
     /** The asking intake dies: its fetch is gone, and what it may have been promised comes again after the lease. */
     @Test
     void fetchOfADeadIntakeLosesNothing() throws ServiceException {
-        Shore s = new Shore(7, 2);
+        Shore fixture = new Shore(7, 2);
         List<Response> out = new ArrayList<>();
-        s.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
-        s.r.request(s.r.intakes.get(1), pull("i-1", 8000), Duration.ofSeconds(30), a -> a.ifPresent(out::add));
-        s.run(400);
-        s.r.kill(s.r.intakes.get(1));
-        assertEquals("kept", new String(s.pull("i-2", 15_000).body()));
+        fixture.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
+        fixture.r.request(
+                fixture.r.intakes.get(1),
+                pull("i-1", 8000),
+                Duration.ofSeconds(30),
+                response -> response.ifPresent(out::add));
+        fixture.run(400);
+        fixture.r.kill(fixture.r.intakes.get(1));
+        assertEquals("kept", new String(fixture.pull("i-2", 15_000).body()));
         assertTrue(out.isEmpty());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/stub/Diary.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/Diary.java
@@ -27,8 +27,8 @@
                 List.of(new ConfigurationStub.Tenant("t", List.of("k", "spare"), 1, 1)));
     }
 
-    void paper(ConfigurationStub p, long base, boolean valid, int status, double at) {
-        w.configurationStub.add(new ObservationLog.Paper(p, p.text(), base, valid, s(at), status, s(at)));
+    void paper(ConfigurationStub stub, long base, boolean valid, int status, double at) {
+        w.configurationStub.add(new ObservationLog.Paper(stub, stub.text(), base, valid, s(at), status, s(at)));
     }
 
     @BeforeEach
@@ -72,8 +72,8 @@
         w.readBack.add(new ObservationLog.ReadBack(
                 200,
                 w.configurationStub.stream()
-                        .filter(p -> p.status() == 200 && p.valid())
-                        .reduce((a, b) -> b)
+                        .filter(paper -> paper.status() == 200 && paper.valid())
+                        .reduce((a, paper) -> paper)
                         .orElseThrow()
                         .text(),
                 s(60)));
--- a/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
@@ -37,121 +37,127 @@
     }
 
     private static Observations sound() {
-        Observations x = new Observations();
-        x.allowed("t", new Observations.Limit(1, 5, s(0), s(0)));
-        x.paced("e", new Observations.Limit(2, 0, s(0), s(0)));
-        x.lane("l", new Observations.LaneLimits(60000, 3));
-        x.submitted.add(in("a", "m0-1", Said.ACCEPTED, "k", 1));
-        x.submitted.add(in("b", "", Said.REFUSED, "k", 1));
-        x.ran.add(ran("m0-1", "a", "o", "p", 2));
-        x.answered.add(ok("m0-1", 3));
-        x.shown.add(shown("m0-1", "done", "r-m0-1", 4));
-        x.configurations.add(new Observations.ConfigurationSaid("q", 1, true, true, s(1), "d1"));
-        x.reads.add(new Observations.ConfigurationRead(1, "d1", s(2)));
-        x.keys.add(new Observations.KeyWithdrawn("k", s(1)));
-        x.leaving.add(new Observations.MarkedLeaving("p", s(1)));
-        x.outages.add(new Observations.Outage(s(1), s(10)));
-        return x;
+        Observations observations = new Observations();
+        observations.allowed("t", new Observations.Limit(1, 5, s(0), s(0)));
+        observations.paced("e", new Observations.Limit(2, 0, s(0), s(0)));
+        observations.lane("l", new Observations.LaneLimits(60000, 3));
+        observations.submitted.add(in("a", "m0-1", Said.ACCEPTED, "k", 1));
+        observations.submitted.add(in("b", "", Said.REFUSED, "k", 1));
+        observations.ran.add(ran("m0-1", "a", "o", "p", 2));
+        observations.answered.add(ok("m0-1", 3));
+        observations.shown.add(shown("m0-1", "done", "r-m0-1", 4));
+        observations.configurations.add(new Observations.ConfigurationSaid("q", 1, true, true, s(1), "d1"));
+        observations.reads.add(new Observations.ConfigurationRead(1, "d1", s(2)));
+        observations.keys.add(new Observations.KeyWithdrawn("k", s(1)));
+        observations.leaving.add(new Observations.MarkedLeaving("p", s(1)));
+        observations.outages.add(new Observations.Outage(s(1), s(10)));
+        return observations;
     }
 
     static Stream<Arguments> planted() {
         Map<String, Consumer<Observations>> m = new TreeMap<>();
-        m.put("00 nothing", x -> {});
-        m.put("01", x -> x.submitted.add(in("c", "m0-2", Said.ACCEPTED, "k", 1)));
-        m.put("01 failed for no reason", x -> x.shown.add(shown("m0-4", "failed", "who knows", 4)));
-        m.put("01 attempts not used up", x -> {
-            x.turnedAway.add(new Observations.TurnedAway("m0-4", 1, s(2)));
-            x.shown.add(shown("m0-4", "failed", "attempts used up; last: answer 503", 4));
+        m.put("00 nothing", observations -> {});
+        m.put("01", observations -> observations.submitted.add(in("c", "m0-2", Said.ACCEPTED, "k", 1)));
+        m.put(
+                "01 failed for no reason",
+                observations -> observations.shown.add(shown("m0-4", "failed", "who knows", 4)));
+        m.put("01 attempts not used up", observations -> {
+            observations.turnedAway.add(new Observations.TurnedAway("m0-4", 1, s(2)));
+            observations.shown.add(shown("m0-4", "failed", "attempts used up; last: answer 503", 4));
         });
-        m.put("02", x -> x.ran.add(ran("m0-1", "a", "o", "p", 3.5)));
-        m.put("03", x -> {
-            x.ran.add(ran("m0-9", "b", "", "p", 2));
-            x.answered.add(ok("m0-9", 3));
+        m.put("02", observations -> observations.ran.add(ran("m0-1", "a", "o", "p", 3.5)));
+        m.put("03", observations -> {
+            observations.ran.add(ran("m0-9", "b", "", "p", 2));
+            observations.answered.add(ok("m0-9", 3));
         });
-        m.put("04", x -> {
-            x.ran.add(ran("m0-2", "c", "o", "p", 2.5));
-            x.answered.add(ok("m0-2", 3.5));
+        m.put("04", observations -> {
+            observations.ran.add(ran("m0-2", "c", "o", "p", 2.5));
+            observations.answered.add(ok("m0-2", 3.5));
         });
-        m.put("04 an earlier one that had not ended", x -> {
-            x.submitted.add(
+        m.put("04 an earlier one that had not ended", observations -> {
+            observations.submitted.add(
                     new Observations.Submitted("t", "c", "l", "o", "k", s(1), s(1), Said.ACCEPTED, "", "m0-0", false));
-            x.shown.add(new Observations.Shown("m0-0", "failed", "unclear", "l", s(4), s(4), s(1), s(2.5)));
+            observations.shown.add(new Observations.Shown("m0-0", "failed", "unclear", "l", s(4), s(4), s(1), s(2.5)));
         });
-        m.put("05 unknown but taken", x -> {
+        m.put("05 unknown but taken", observations -> {
             for (int i = 10; i < 22; i++) {
-                x.submitted.add(in("n" + i, "", Said.UNKNOWN, "other", 1));
-                x.ran.add(ran("m1-" + i, "n" + i, "", "p2", 2));
-                x.answered.add(ok("m1-" + i, 3));
+                observations.submitted.add(in("n" + i, "", Said.UNKNOWN, "other", 1));
+                observations.ran.add(ran("m1-" + i, "n" + i, "", "p2", 2));
+                observations.answered.add(ok("m1-" + i, 3));
             }
         });
-        m.put("05 after it was lowered", x -> {
-            x.allowed("t", new Observations.Limit(0.1, 1, s(10), s(10)));
+        m.put("05 after it was lowered", observations -> {
+            observations.allowed("t", new Observations.Limit(0.1, 1, s(10), s(10)));
             for (int i = 10; i < 15; i++) {
-                x.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 14));
-                x.shown.add(shown("m1-" + i, "failed", "unclear", 15));
+                observations.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 14));
+                observations.shown.add(shown("m1-" + i, "failed", "unclear", 15));
             }
         });
-        m.put("05", x -> {
+        m.put("05", observations -> {
             for (int i = 10; i < 22; i++) {
-                x.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 1));
-                x.shown.add(shown("m1-" + i, "failed", "unclear", 4));
+                observations.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 1));
+                observations.shown.add(shown("m1-" + i, "failed", "unclear", 4));
             }
         });
-        m.put("06", x -> {
+        m.put("06", observations -> {
             for (int i = 0; i < 12; i++) {
-                x.endpoints.add(new Observations.RequestAtEndpoint("e", s(1 + i * 0.1)));
+                observations.endpoints.add(new Observations.RequestAtEndpoint("e", s(1 + i * 0.1)));
             }
         });
-        m.put("07", x -> {
-            x.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 6.5));
-            x.shown.add(shown("m0-7", "failed", "unclear", 9));
+        m.put("07", observations -> {
+            observations.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 6.5));
+            observations.shown.add(shown("m0-7", "failed", "unclear", 9));
         });
-        m.put("07 served a fetch", x -> x.served.add(new Observations.KeyServed("k", "fetch", s(6.5))));
-        m.put("07 accepted late", x -> {
-            x.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 5.5));
-            x.shown.add(new Observations.Shown("m0-7", "failed", "unclear", "l", s(9), s(9), s(6.5), s(7)));
+        m.put(
+                "07 served a fetch",
+                observations -> observations.served.add(new Observations.KeyServed("k", "fetch", s(6.5))));
+        m.put("07 accepted late", observations -> {
+            observations.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 5.5));
+            observations.shown.add(new Observations.Shown("m0-7", "failed", "unclear", "l", s(9), s(9), s(6.5), s(7)));
         });
-        m.put("08 gone back", x -> {
-            x.versions.add(new Observations.NodeVersion("n", 4, s(1)));
-            x.versions.add(new Observations.NodeVersion("n", -1, s(2)));
-            x.versions.add(new Observations.NodeVersion("n", 3, s(3)));
+        m.put("08 gone back", observations -> {
+            observations.versions.add(new Observations.NodeVersion("n", 4, s(1)));
+            observations.versions.add(new Observations.NodeVersion("n", -1, s(2)));
+            observations.versions.add(new Observations.NodeVersion("n", 3, s(3)));
         });
-        m.put("08", x -> x.ignored.add(new Observations.ConfigurationNeeded("lane", s(1), s(4.5))));
-        m.put("09", x -> x.reads.add(new Observations.ConfigurationRead(0, "d0", s(2))));
-        m.put("10", x -> {
-            x.ran.add(ran("m0-8", "y", "", "p", 4.5));
-            x.answered.add(ok("m0-8", 5));
+        m.put(
+                "08",
+                observations -> observations.ignored.add(new Observations.ConfigurationNeeded("lane", s(1), s(4.5))));
+        m.put("09", observations -> observations.reads.add(new Observations.ConfigurationRead(0, "d0", s(2))));
+        m.put("10", observations -> {
+            observations.ran.add(ran("m0-8", "y", "", "p", 4.5));
+            observations.answered.add(ok("m0-8", 5));
         });
-        m.put("11", x -> x.shown.add(shown("m0-5", "done", "made up", 4)));
-        m.put("12", x -> x.outages.add(new Observations.Outage(s(1), s(14))));
-        return m.entrySet().stream().map(e -> Arguments.of(e.getKey(), e.getValue()));
+        m.put("11", observations -> observations.shown.add(shown("m0-5", "done", "made up", 4)));
+        m.put("12", observations -> observations.outages.add(new Observations.Outage(s(1), s(14))));
+        return m.entrySet().stream().map(entry -> Arguments.of(entry.getKey(), entry.getValue()));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("planted")
     void onlyThePlantedFaultIsFound(String line, Consumer<Observations> plant) {
-        Observations x = sound();
-        plant.accept(x);
-        List<String> found = new NeverList(x).broken();
+        Observations observations = sound();
+        plant.accept(observations);
+        List<String> found = new NeverList(observations).broken();
         assertEquals(line.startsWith("00") ? List.of() : List.of(line.substring(0, 2)), found);
     }
 
     @org.junit.jupiter.api.Test
     void endedMessageMayNotBeShownAsOpenLater() {
-        Observations x = sound();
-        x.shown.add(new Observations.Shown(
+        Observations observations = sound();
+        observations.shown.add(new Observations.Shown(
                 "m0-1", "ready", "", "l", s(3.9), s(4.5), Observations.UNSEEN, Observations.UNSEEN));
-        assertEquals(List.of(), new AnswerFaults(x).lost());
-        x.shown.add(new Observations.Shown(
+        assertEquals(List.of(), new AnswerFaults(observations).lost());
+        observations.shown.add(new Observations.Shown(
                 "m0-1", "ready", "", "l", s(4.1), s(4.5), Observations.UNSEEN, Observations.UNSEEN));
-        assertEquals(1, new AnswerFaults(x).lost().size());
+        assertEquals(1, new AnswerFaults(observations).lost().size());
     }
 
     @org.junit.jupiter.api.Test
     void twoLayoutsOfOneVersionAndBadOnesAreFound() {
-        Observations x = sound();
-        x.configurations.add(new Observations.ConfigurationSaid("r", 1, true, true, s(2), "d2"));
-        x.configurations.add(new Observations.ConfigurationSaid("bad", 2, true, false, s(2), "d3"));
-        assertEquals(2, new Orders(x).badConfiguration().size());
+        Observations observations = sound();
+        observations.configurations.add(new Observations.ConfigurationSaid("r", 1, true, true, s(2), "d2"));
+        observations.configurations.add(new Observations.ConfigurationSaid("bad", 2, true, false, s(2), "d3"));
+        assertEquals(2, new Orders(observations).badConfiguration().size());
     }
 }
