--- a/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
+++ b/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
@@ -1,9 +1,11 @@
 package org.woadvale.common.cli;
 
 import java.io.IOException;
+import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.logging.log4j.LogManager;
@@ -48,7 +50,7 @@
             List<String> lines = new ArrayList<>(known.members());
             lines.add(EPOCH + known.epoch());
             Files.write(next, lines);
-            try (var ch = java.nio.channels.FileChannel.open(next, java.nio.file.StandardOpenOption.WRITE)) {
+            try (var ch = FileChannel.open(next, StandardOpenOption.WRITE)) {
                 ch.force(true);
             }
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -3,7 +3,10 @@
 import com.github.rvesse.airline.SingleCommand;
 import com.github.rvesse.airline.help.Help;
 import com.github.rvesse.airline.parser.errors.ParseException;
+import java.io.IOException;
+import java.util.Arrays;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
@@ -63,7 +66,7 @@
 
     public int main(String[] args) {
         String verb = args.length == 0 ? "--help" : args[0];
-        String[] rest = args.length == 0 ? args : java.util.Arrays.copyOfRange(args, 1, args.length);
+        String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
         try {
             switch (verb) {
                 case "run":
@@ -95,7 +98,7 @@
         System.out.println(name + " --version | --help");
         try {
             Help.help(SingleCommand.singleCommand(RunCommand.class).getCommandMetadata(), System.out);
-        } catch (java.io.IOException e) {
+        } catch (IOException e) {
             throw new ServiceException(ErrorKind.INTERNAL, "The help could not be printed.");
         }
     }
@@ -109,7 +112,7 @@
     }
 
     private boolean help(String[] rest) throws ServiceException {
-        boolean wanted = java.util.Arrays.stream(rest).anyMatch(a -> a.equals("-h") || a.equals("--help"));
+        boolean wanted = Arrays.stream(rest).anyMatch(a -> a.equals("-h") || a.equals("--help"));
         if (wanted) {
             usage();
         }
@@ -129,7 +132,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             end.countDown();
             try {
-                stopped.await(10, java.util.concurrent.TimeUnit.SECONDS);
+                stopped.await(10, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -11,8 +11,10 @@
 import jakarta.validation.constraints.Pattern;
 import jakarta.validation.constraints.Size;
 import java.time.Duration;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 
 /** The operator's whole configuration: design 6.1. */
 public record Configuration(
@@ -31,7 +33,7 @@
     }
 
     private static <V> Map<String, V> orEmpty(Map<String, V> m) {
-        return m == null ? Map.of() : java.util.Collections.unmodifiableMap(new java.util.TreeMap<>(m));
+        return m == null ? Map.of() : Collections.unmodifiableMap(new TreeMap<>(m));
     }
 
     /** How many messages a tenant may processor in each second, and how large a burst. */
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -9,9 +9,14 @@
 import jakarta.validation.Validation;
 import jakarta.validation.Validator;
 import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -150,21 +155,19 @@
         try {
             return JSON.writeValueAsBytes(o);
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
+            throw new UncheckedIOException(e);
         }
     }
 
     public static String sha256(String secret) {
-        return sha256(secret.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        return sha256(secret.getBytes(StandardCharsets.UTF_8));
     }
 
     /** The digest of the bytes as they are, in hexadecimal digits. */
     public static String sha256(byte[] bytes) {
         try {
-            return java.util.HexFormat.of()
-                    .formatHex(
-                            java.security.MessageDigest.getInstance("SHA-256").digest(bytes));
-        } catch (java.security.NoSuchAlgorithmException e) {
+            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
+        } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -9,6 +9,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
@@ -118,7 +119,7 @@
     }
 
     public static Settings checked(Settings settings) throws ServiceException {
-        List<String> faults = new java.util.ArrayList<>(Configurations.faults(settings));
+        List<String> faults = new ArrayList<>(Configurations.faults(settings));
         if (faults.isEmpty() && settings.ringFiles() < 4) {
             faults.add("ringFiles: must be at least 4");
         }
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -6,6 +6,7 @@
 import io.netty.channel.group.DefaultChannelGroup;
 import io.netty.util.concurrent.GlobalEventExecutor;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Locale;
 import java.util.Map;
@@ -15,6 +16,7 @@
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
+import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 import reactor.netty.DisposableServer;
 import reactor.netty.NettyPipeline;
@@ -103,13 +105,13 @@
                 .map(HttpGateway::bytes)
                 .reduceWith(() -> new byte[0], (a, b) -> {
                     if (a.length + b.length > maxBody) {
-                        throw reactor.core.Exceptions.propagate(tooLarge());
+                        throw Exceptions.propagate(tooLarge());
                     }
-                    byte[] all = java.util.Arrays.copyOf(a, a.length + b.length);
+                    byte[] all = Arrays.copyOf(a, a.length + b.length);
                     System.arraycopy(b, 0, all, a.length, b.length);
                     return all;
                 })
-                .onErrorMap(reactor.core.Exceptions::unwrap)
+                .onErrorMap(Exceptions::unwrap)
                 .flatMap(b -> MalformedRequestHandler.is(in)
                         ? Mono.error(new ServiceException(ErrorKind.BAD_REQUEST, "The request cannot be read whole."))
                         : Mono.just(b));
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import java.util.stream.IntStream;
 
 /** Names of services and parts, and the draws by hash that everyone makes alike: design 6.2. */
 public final class ServiceNames {
@@ -38,9 +39,7 @@
     }
 
     public static List<String> controlParts() {
-        return java.util.stream.IntStream.rangeClosed(0, CONTROL_PARTS)
-                .mapToObj(i -> "c" + i)
-                .toList();
+        return IntStream.rangeClosed(0, CONTROL_PARTS).mapToObj(i -> "c" + i).toList();
     }
 
     public static String messagePart(String lane, String key) {
@@ -48,9 +47,7 @@
     }
 
     public static List<String> messageParts() {
-        return java.util.stream.IntStream.range(0, MESSAGE_PARTS)
-                .mapToObj(i -> "m" + i)
-                .toList();
+        return IntStream.range(0, MESSAGE_PARTS).mapToObj(i -> "m" + i).toList();
     }
 
     /** Rendezvous draw: losing a node moves only what it had. */
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -5,10 +5,12 @@
 import com.esotericsoftware.kryo.io.Output;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 
@@ -44,8 +46,8 @@
         register(kryo, Frame.class, 27, first);
         kryo.register(Frame.Kind.class, 28);
         register(kryo, Frame.ErrorResponse.class, 29, first);
-        kryo.register(java.util.LinkedHashMap.class, 30);
-        kryo.register(java.util.TreeSet.class, 31);
+        kryo.register(LinkedHashMap.class, 30);
+        kryo.register(TreeSet.class, 31);
         BoundedSerializers.registerImmutable(kryo);
         types.forEach((from, list) -> {
             for (int i = 0; i < list.size(); i++) {
--- a/common/src/main/java/org/woadvale/common/rpc/Frame.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Frame.java
@@ -1,5 +1,6 @@
 package org.woadvale.common.rpc;
 
+import java.util.List;
 import java.util.Objects;
 
 /** What travels on a stream after the handshake. */
@@ -16,5 +17,5 @@
     }
 
     /** A fault on the wire. */
-    public record ErrorResponse(String kind, String message, java.util.List<String> details) {}
+    public record ErrorResponse(String kind, String message, List<String> details) {}
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.stream.IntStream;
 
 /** A record with the count of its components: older readers drop what they do not know, newer ones fill in. design 3.4 */
 final class RecordSerializer extends Serializer<Object> {
@@ -98,7 +99,7 @@
     }
 
     private void readFirst(Kryo kryo, Input in, Object[] args) {
-        int[] order = java.util.stream.IntStream.range(0, components.length)
+        int[] order = IntStream.range(0, components.length)
                 .boxed()
                 .filter(i -> !components[i].isAnnotationPresent(Since.class))
                 .sorted(Comparator.comparing(i -> firstFormatName(components[i])))
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -1,5 +1,6 @@
 package org.woadvale.common.rpc;
 
+import io.netty.channel.ChannelOption;
 import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
@@ -8,6 +9,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.runtime.Component;
+import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Timers;
@@ -94,7 +96,7 @@
     }
 
     private Mono<Object> local(Object body, Duration limit) {
-        return org.woadvale.common.runtime.Delays.limit(
+        return Delays.limit(
                 timers,
                 Mono.<Object>from(router.handle(self, body)),
                 limit,
@@ -106,7 +108,7 @@
         return TcpClient.create()
                 .host(to.substring(0, colon))
                 .port(Integer.parseInt(to.substring(colon + 1)))
-                .option(io.netty.channel.ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
                 .connect()
                 .map(c -> {
                     RpcConnection connection =
--- a/common/src/main/java/org/woadvale/common/runtime/ErrorKind.java
+++ b/common/src/main/java/org/woadvale/common/runtime/ErrorKind.java
@@ -1,5 +1,6 @@
 package org.woadvale.common.runtime;
 
+import java.util.Locale;
 import org.apache.logging.log4j.Level;
 
 /** The one closed list of error kinds, with the table from kind to answer: design 9. */
@@ -54,6 +55,6 @@
     }
 
     public String wireName() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
+++ b/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
@@ -8,6 +8,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.woadvale.common.runtime.ServiceException;
@@ -58,7 +60,7 @@
                 faults(json.replace(",\"later\":1", "")));
         assertEquals(
                 2,
-                Configurations.taken(json.getBytes(java.nio.charset.StandardCharsets.UTF_8))
+                Configurations.taken(json.getBytes(StandardCharsets.UTF_8))
                         .services()
                         .size());
     }
@@ -73,7 +75,7 @@
     /** Each bound, and the usual sizes within all of them. */
     @Test
     void partsThatRingOrHeapCannotCarryAreRefused() throws ServiceException {
-        assertEquals(java.util.Optional.empty(), Settings.sizes(store(16, 16, 8), 160));
+        assertEquals(Optional.empty(), Settings.sizes(store(16, 16, 8), 160));
         assertEquals(
                 "partMb: a part of 16 MB needs ringFileMb of at least 32",
                 Settings.sizes(store(16, 16, 16), 4096).get());
@@ -91,7 +93,7 @@
                 "127.0.0.1:2",
                 "h",
                 List.of("127.0.0.1:3"),
-                java.util.Set.of("store"),
+                Set.of("store"),
                 "d",
                 files,
                 fileMb,
--- a/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
@@ -9,6 +9,8 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Locale;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
@@ -31,7 +33,7 @@
         port = LoopbackPorts.free();
         gate = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
             reached.add(request.path() + " " + new String(request.body(), StandardCharsets.ISO_8859_1));
-            return Mono.just(new Response(200, java.util.Map.of("X-Path", request.path()), new byte[] {'o', 'k'}));
+            return Mono.just(new Response(200, Map.of("X-Path", request.path()), new byte[] {'o', 'k'}));
         });
         gate.start();
     }
@@ -142,7 +144,7 @@
         String answer = said(
                 "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", false);
         assertEquals(List.of("200", "200"), statuses(answer));
-        assertTrue(answer.toLowerCase(java.util.Locale.ROOT).matches("(?s).*x-path: /1.*x-path: /2.*"), answer);
+        assertTrue(answer.toLowerCase(Locale.ROOT).matches("(?s).*x-path: /1.*x-path: /2.*"), answer);
     }
 
     /** The server is told to stop while a request is open: no new streams, and the open one gets its whole answer. */
@@ -166,10 +168,10 @@
             while (takesStreams()) {
                 Thread.onSpinWait();
             }
-            later.tryEmitValue(new Response(200, java.util.Map.of(), "whole".getBytes()));
+            later.tryEmitValue(new Response(200, Map.of(), "whole".getBytes()));
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nwhole"), answer);
-            assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"), answer);
+            assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
             stopping.join();
         }
     }
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -3,10 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayInputStream;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.LoopbackPorts;
@@ -29,7 +31,7 @@
                                         lengthKnown
                                                 ? p
                                                 : HttpRequest.BodyPublishers.ofInputStream(
-                                                        () -> new java.io.ByteArrayInputStream(body)))
+                                                        () -> new ByteArrayInputStream(body)))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString());
     }
@@ -40,7 +42,7 @@
         HttpGateway gate = new HttpGateway(address, 100, request -> {
             reached.incrementAndGet();
             return request.body().length == 3
-                    ? Mono.error(new ServiceException(ErrorKind.THROTTLED, "later", java.util.List.of("7")))
+                    ? Mono.error(new ServiceException(ErrorKind.THROTTLED, "later", List.of("7")))
                     : Mono.just(Response.json(200, request.body().length));
         });
         gate.start();
--- a/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesProperties.java
+++ b/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesProperties.java
@@ -4,6 +4,7 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
 import net.jqwik.api.ForAll;
@@ -23,7 +24,7 @@
         long offset = piece.offset();
         switch (random.nextInt(4)) {
             case 0 -> bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-            case 1 -> bytes = java.util.Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
+            case 1 -> bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
             case 2 -> offset = random.nextInt(1 << 20) - 1000L;
             default -> id = new SnapshotId(id.index(), id.indexTerm(), random.nextInt(1 << 20), id.checksum());
         }
--- a/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -98,6 +99,6 @@
     @Property(tries = 500, seed = SEED)
     void frameThatIsCutShortIsRefused(@ForAll("everything") Everything sent, @ForAll @IntRange(max = 10_000) int cut) {
         byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent));
-        assertEquals(false, readable(java.util.Arrays.copyOf(bytes, cut % bytes.length)));
+        assertEquals(false, readable(Arrays.copyOf(bytes, cut % bytes.length)));
     }
 }
--- a/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
@@ -10,7 +10,9 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
@@ -68,7 +70,7 @@
     }
 
     private static byte[] framed(byte[] frame, int announced) {
-        return java.nio.ByteBuffer.allocate(4 + frame.length)
+        return ByteBuffer.allocate(4 + frame.length)
                 .putInt(announced)
                 .put(frame)
                 .array();
@@ -78,7 +80,7 @@
     void halfARequestIsNotExecuted() throws Exception {
         byte[] request = CODEC.write(new Frame(1, Frame.Kind.REQUEST, new Question("half")));
         byte[] hello = ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "127.0.0.1:1");
-        said(hello, framed(java.util.Arrays.copyOf(request, request.length - 1), request.length));
+        said(hello, framed(Arrays.copyOf(request, request.length - 1), request.length));
         assertEquals(List.of(), handled);
     }
 
@@ -103,7 +105,7 @@
         byte[] list = CODEC.write(new ArrayList<>(List.of(1, 2, 3)));
         byte[] immutable = CODEC.write(List.of(1, 2, 3));
         for (byte[] sound : List.of(bytes, list, immutable)) {
-            byte[] damaged = java.util.Arrays.copyOf(sound, 6);
+            byte[] damaged = Arrays.copyOf(sound, 6);
             int sizeAt = 1;
             damaged[sizeAt] = (byte) 0xff;
             damaged[sizeAt + 1] = (byte) 0xff;
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -3,9 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.net.Socket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
@@ -17,6 +19,7 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.SystemTimers;
+import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 
 /** The real streams, on ephemeral loopback ports. */
@@ -52,8 +55,8 @@
     }
 
     private ServiceException fault(Mono<?> m) {
-        return ServiceException.of(reactor.core.Exceptions.unwrap(
-                assertThrows(RuntimeException.class, () -> m.block(Duration.ofSeconds(20)))));
+        return ServiceException.of(
+                Exceptions.unwrap(assertThrows(RuntimeException.class, () -> m.block(Duration.ofSeconds(20)))));
     }
 
     @Test
@@ -91,14 +94,14 @@
                 out.write(f);
             }
             out.flush();
-            int hello = new java.io.DataInputStream(socket.getInputStream()).readInt();
+            int hello = new DataInputStream(socket.getInputStream()).readInt();
             socket.getInputStream().readNBytes(hello);
             return socket.getInputStream().read();
         }
     }
 
     private static byte[] hello(int oldest, int newest) {
-        return java.nio.ByteBuffer.allocate(8 + 11)
+        return ByteBuffer.allocate(8 + 11)
                 .putInt(0x574F4144)
                 .putShort((short) oldest)
                 .putShort((short) newest)
--- a/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
@@ -6,8 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.util.HexFormat;
 import java.util.Optional;
+import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
 /** Bytes that older builds wrote must stay readable. */
@@ -66,9 +68,9 @@
     void aNewerFormatIsNotTakenForDamage() {
         byte[] newer = FORMAT_1.clone();
         newer[RecordFormat.HEADER_BYTES] = RecordFormat.FORMAT + 1;
-        java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
+        CRC32C crc = new CRC32C();
         crc.update(newer, RecordFormat.HEADER_BYTES, newer.length - RecordFormat.HEADER_BYTES);
-        java.nio.ByteBuffer.wrap(newer).putInt(4, (int) crc.getValue());
+        ByteBuffer.wrap(newer).putInt(4, (int) crc.getValue());
         assertEquals(
                 "written by a newer build: format 4, this one reads up to 3",
                 assertThrows(RecordFormat.NewerFormatException.class, () -> read(newer))
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.Function;
 import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.cli.Program;
@@ -124,7 +125,7 @@
 
     private static void drain(ControlNode node) {
         for (int i = 0; i < DRAIN_LOOKS && !node.drain(); i++) {
-            java.util.concurrent.locks.LockSupport.parkNanos(DRAIN_LOOK.toNanos());
+            LockSupport.parkNanos(DRAIN_LOOK.toNanos());
         }
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
@@ -1,9 +1,11 @@
 package org.woadvale.controlplane.api;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
+import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
@@ -12,6 +14,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.rpc.RepeatableRequest;
+import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.Since;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
@@ -70,7 +73,7 @@
         this.platform = new ProcessorHttpHandler(node);
     }
 
-    public void route(org.woadvale.common.rpc.RpcRouter router) {
+    public void route(RpcRouter router) {
         ControlStateMachine stateMachine = node.machine("c0");
         router.on(
                         PutConfigurationRequest.class,
@@ -108,8 +111,8 @@
     private static Mono<ConfigurationResponse> findRevision(
             List<ConfigurationLog.ConfigurationRevision> steps, long version) {
         if (steps.isEmpty() && version <= 0) {
-            return Mono.just(new ConfigurationResponse(
-                    0, "", Configurations.write(org.woadvale.common.config.Configuration.empty()), new byte[0]));
+            return Mono.just(
+                    new ConfigurationResponse(0, "", Configurations.write(Configuration.empty()), new byte[0]));
         }
         return Mono.justOrEmpty(steps.stream()
                         .filter(revision ->
@@ -220,7 +223,7 @@
 
     private Mono<Response> getHistory() {
         return node.call("c0", new GetHistoryRequest(0), HistoryResponse.class).map(history -> {
-            List<Map<String, Object>> rows = new java.util.ArrayList<>();
+            List<Map<String, Object>> rows = new ArrayList<>();
             for (int i = 0; i < history.versions().size(); i++) {
                 rows.add(Map.of(
                         "version",
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -74,7 +75,7 @@
     /** Each part has another first control node, so owners are spread. */
     static List<String> rotated(List<String> core, String part) {
         List<String> sorted = new ArrayList<>(new TreeSet<>(core));
-        java.util.Collections.rotate(sorted, Integer.parseInt(part.substring(1)));
+        Collections.rotate(sorted, Integer.parseInt(part.substring(1)));
         return sorted;
     }
 
--- a/controlplane/src/test/java/org/woadvale/controlplane/partition/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/partition/ConfigurationLogTest.java
@@ -6,6 +6,7 @@
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.config.Configurations;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
@@ -138,7 +139,7 @@
     /** A build before named an order by the digest of its text alone: its orders are known under that name. */
     @Test
     void orderOfABuildBeforeIsKnownByItsText() {
-        String digest = org.woadvale.common.config.Configurations.sha256(bytes("A"));
+        String digest = Configurations.sha256(bytes("A"));
         put(digest, 0, 5, "A");
         assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("new name", 0, 5, "A"));
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import org.woadvale.common.cli.CoreMembersFile;
@@ -149,6 +150,6 @@
     }
 
     private static void pause(Duration d) {
-        java.util.concurrent.locks.LockSupport.parkNanos(d.toNanos());
+        LockSupport.parkNanos(d.toNanos());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.runtime.Delays;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
@@ -125,8 +126,7 @@
         Duration wait = dispatcher.policy().deduplicates(message)
                 ? dispatcher.policy().retrySoon()
                 : Duration.between(wallTime(), message.deadline()).plus(GRACE_AFTER_DEADLINE);
-        return org.woadvale.common.runtime.Delays.pause(
-                        dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
+        return Delays.pause(dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
                 .then(Mono.defer(() -> recordEnd(
                         MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN,
                         "sent again: " + why,
@@ -136,15 +136,13 @@
     /** Running by the log, but begun by an earlier owner, which may still hand over the answer that it got. */
     Mono<Boolean> resumeAfterAdoption() {
         return dispatcher.policy().resends(message)
-                ? org.woadvale.common.runtime.Delays.pause(
-                                dispatcher.context().environment().timers(), ADOPTION_DELAY)
+                ? Delays.pause(dispatcher.context().environment().timers(), ADOPTION_DELAY)
                         .then(Mono.defer(() -> resend("the owner changed")))
                 : inquire();
     }
 
     private Mono<Boolean> inquireLater() {
-        return org.woadvale.common.runtime.Delays.pause(
-                        dispatcher.context().environment().timers(), INQUIRY_INTERVAL)
+        return Delays.pause(dispatcher.context().environment().timers(), INQUIRY_INTERVAL)
                 .then(Mono.defer(this::inquire));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -16,6 +16,7 @@
 import java.util.regex.Pattern;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
+import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Schedulers;
 import reactor.netty.Connection;
@@ -89,7 +90,7 @@
                         response.responseHeaders().getAll(entry.getKey()).equals(List.of(entry.getValue())));
         if (!ours) {
             stream.channel().close();
-            throw reactor.core.Exceptions.propagate(
+            throw Exceptions.propagate(
                     new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The answer is to another request."));
         }
         Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
@@ -102,7 +103,7 @@
     }
 
     private static Throwable failure(Throwable thrown) {
-        Throwable e = reactor.core.Exceptions.unwrap(thrown);
+        Throwable e = Exceptions.unwrap(thrown);
         if (e instanceof ServiceException) {
             return e;
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -4,6 +4,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.replication.NodeEnvironment;
+import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
@@ -41,7 +42,7 @@
                         LOG.error("launch: gave up recording the end of {}: {}", end.handle(), failure.getMessage());
                         return Mono.just(false);
                     }
-                    return org.woadvale.common.runtime.Delays.pause(environment.timers(), RETRY_PAUSE)
+                    return Delays.pause(environment.timers(), RETRY_PAUSE)
                             .then(Mono.defer(() -> record(part, end, processor, until)));
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -1,6 +1,7 @@
 package org.woadvale.dataplane.delivery;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
@@ -66,7 +67,7 @@
         try {
             return Configurations.read(body, JsonNode.class, ErrorKind.BAD_REQUEST);
         } catch (ServiceException failure) {
-            return com.fasterxml.jackson.databind.node.MissingNode.getInstance();
+            return MissingNode.getInstance();
         }
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
+import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
@@ -47,7 +48,7 @@
                         MessageCommands.ExtendLeaseRequest.class,
                         (f, request) -> leases(request.partition())
                                 .flatMap(deliveryLeases -> deliveryLeases.extend(request))
-                                .map(ok -> new org.woadvale.common.membership.ControlMessages.UpdateResult(true)))
+                                .map(ok -> new ControlMessages.UpdateResult(true)))
                 .on(
                         MessageCommands.EndLeaseRequest.class,
                         (f, request) -> leases(request.partition())
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -2,12 +2,14 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
+import java.util.regex.Pattern;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
@@ -138,7 +140,7 @@
         Configuration.Key key = doors.key(request, Configuration.Role.CALLER);
         String state = query(request, "state").orElse("failed").toUpperCase(Locale.ROOT);
         String reason = query(request, "reason").orElse("");
-        if (java.util.Arrays.stream(MessageState.values())
+        if (Arrays.stream(MessageState.values())
                 .noneMatch(messageState -> messageState.name().equals(state))) {
             throw new ServiceException(ErrorKind.BAD_REQUEST, "state must be waiting, running, done or failed.");
         }
@@ -159,7 +161,7 @@
     }
 
     private static Optional<String> query(Request request, String name) {
-        return java.util.regex.Pattern.compile("[?&]" + name + "=([a-z]+)")
+        return Pattern.compile("[?&]" + name + "=([a-z]+)")
                 .matcher(request.path())
                 .results()
                 .map(match -> match.group(1))
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -3,6 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
 import java.util.TreeSet;
@@ -153,7 +154,7 @@
         subscriptions.latest(ServiceNames.STORES).placement().values().forEach(all::addAll);
         all.retainAll(subscriptions.latest(ServiceNames.STORES).members().keySet());
         List<String> out = new ArrayList<>(all);
-        out.sort(java.util.Comparator.comparing(s -> !near(s)));
+        out.sort(Comparator.comparing(s -> !near(s)));
         return out;
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Optional;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
@@ -26,8 +27,7 @@
         }
         if (key.get().role() != role) {
             throw new ServiceException(
-                    ErrorKind.FORBIDDEN,
-                    "This key is not for " + role.name().toLowerCase(java.util.Locale.ROOT) + "s.");
+                    ErrorKind.FORBIDDEN, "This key is not for " + role.name().toLowerCase(Locale.ROOT) + "s.");
         }
         return key.get();
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
@@ -1,7 +1,9 @@
 package org.woadvale.dataplane.ingress;
 
 import java.time.Duration;
+import java.util.Base64;
 import java.util.Map;
+import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
 
 /**
@@ -19,7 +21,7 @@
         Duration patience) {
     /** Tells a repeat from another content under the same id. */
     String hash() {
-        return Configurations.sha256(orderKey + "\n" + delayMs + "\n" + new java.util.TreeMap<>(envelope) + "\n"
-                + java.util.Base64.getEncoder().encodeToString(body));
+        return Configurations.sha256(orderKey + "\n" + delayMs + "\n" + new TreeMap<>(envelope) + "\n"
+                + Base64.getEncoder().encodeToString(body));
     }
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -10,13 +10,17 @@
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.Scanner;
 import java.util.TreeMap;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
@@ -84,11 +88,7 @@
                 try {
                     List<String> lines = new ArrayList<>(List.of("# " + Instant.now() + " " + book));
                     lines.addAll(runbookRunner.record());
-                    Files.write(
-                            Path.of(record),
-                            lines,
-                            java.nio.file.StandardOpenOption.CREATE,
-                            java.nio.file.StandardOpenOption.APPEND);
+                    Files.write(Path.of(record), lines, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 } catch (IOException e) {
                     throw new ServiceException(ErrorKind.UNAVAILABLE, "The record was not written: " + e.getMessage());
                 }
@@ -128,7 +128,7 @@
                 headers.forEach(builder::header);
                 HttpResponse<byte[]> response = client.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray());
                 Map<String, String> h = new HashMap<>();
-                response.headers().map().forEach((k, v) -> h.put(k.toLowerCase(java.util.Locale.ROOT), v.get(0)));
+                response.headers().map().forEach((k, v) -> h.put(k.toLowerCase(Locale.ROOT), v.get(0)));
                 return new HttpTransport.HttpResult(response.statusCode(), h, response.body());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -143,8 +143,7 @@
         @Override
         public boolean done(String what) {
             out.accept("BY HAND: " + what + (yes ? "" : "  [press Enter when done, n to stop]"));
-            return yes
-                    || !"n".equals(new java.util.Scanner(System.in).nextLine().trim());
+            return yes || !"n".equals(new Scanner(System.in).nextLine().trim());
         }
 
         @Override
@@ -159,7 +158,7 @@
 
         @Override
         public void sleep(Duration d) {
-            java.util.concurrent.locks.LockSupport.parkNanos(d.toNanos());
+            LockSupport.parkNanos(d.toNanos());
         }
     }
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -3,6 +3,7 @@
 import com.github.rvesse.airline.annotations.Cli;
 import com.github.rvesse.airline.help.Help;
 import com.github.rvesse.airline.parser.errors.ParseException;
+import java.util.function.Consumer;
 import org.woadvale.common.runtime.ServiceException;
 
 /** The operator's tool: runbooks that can be executed. It starts no process. */
@@ -23,7 +24,7 @@
         System.exit(main(args, System.out::println));
     }
 
-    static int main(String[] args, java.util.function.Consumer<String> out) {
+    static int main(String[] args, Consumer<String> out) {
         try {
             Object c = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
             if (c instanceof OperatorCommands.Command command) {
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -9,6 +9,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
@@ -174,7 +175,7 @@
                                 ? new String(result.body(), StandardCharsets.UTF_8)
                                 : where.startsWith("header:")
                                         ? result.headers()
-                                                .getOrDefault(where.substring(7).toLowerCase(java.util.Locale.ROOT), "")
+                                                .getOrDefault(where.substring(7).toLowerCase(Locale.ROOT), "")
                                         : json(result.body()).at(where).asText("")));
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
@@ -2,6 +2,8 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
+import java.math.BigDecimal;
+import java.math.MathContext;
 import java.nio.file.Files;
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -109,8 +111,8 @@
                 ? "0"
                 : Math.abs(d) >= 1000
                         ? String.format(Locale.ROOT, "%.0f", d)
-                        : new java.math.BigDecimal(d)
-                                .round(new java.math.MathContext(4))
+                        : new BigDecimal(d)
+                                .round(new MathContext(4))
                                 .stripTrailingZeros()
                                 .toPlainString();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -1,6 +1,7 @@
 package org.woadvale.testkit.capacity;
 
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -41,7 +42,7 @@
     private final Optional<TokenGranters> holders;
     private final String role;
     private final MemberLease memberLease;
-    private final List<TimerHandle> running = new java.util.ArrayList<>();
+    private final List<TimerHandle> running = new ArrayList<>();
 
     HollowNode(HollowHost host, RpcClient rpc, Codec codec, Sim sim, String zone, List<String> seeds, String role) {
         this.environment = new NodeEnvironment(
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
@@ -1,23 +1,27 @@
 package org.woadvale.testkit.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
+import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.woadvale.common.config.Configurations;
 
 /** The stand-in's HTTP client: the JDK's own, so that no code is shared with the tested programs. */
 public final class Client {
-    public record Got(int status, JsonNode json, Map<String, java.util.List<String>> headers, byte[] body) {
+    public record Got(int status, JsonNode json, Map<String, List<String>> headers, byte[] body) {
         private static final int MOST_TOLD = 500;
 
         /** For people who look for the cause: status, headers and the beginning of the body. */
         String told() {
-            String text = new String(body, java.nio.charset.StandardCharsets.UTF_8);
+            String text = new String(body, StandardCharsets.UTF_8);
             return status + " " + headers + " " + body.length + " bytes: "
                     + text.substring(0, Math.min(MOST_TOLD, text.length()));
         }
@@ -48,8 +52,8 @@
     private static JsonNode json(byte[] body) {
         try {
             return Configurations.JSON.readTree(body);
-        } catch (java.io.IOException e) {
-            return com.fasterxml.jackson.databind.node.MissingNode.getInstance();
+        } catch (IOException e) {
+            return MissingNode.getInstance();
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
@@ -3,9 +3,12 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CompletionException;
+import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.Observations;
 
 /** Failures on the real fleet, under traffic. */
@@ -82,7 +85,7 @@
     private static void zoneOff(Fleet fleet, StubEnvironment environment, Load load) throws IOException {
         CompletableFuture<Void> traffic = traffic(load, 24);
         StubEnvironment.sleep(5000);
-        java.util.List<NodeProcess> zone = fleet.inZone(0, environment.shape);
+        List<NodeProcess> zone = fleet.inZone(0, environment.shape);
         zone.forEach(NodeProcess::kill);
         System.out.println(
                 "Hall 0 is off: " + zone.stream().map(process -> process.name).toList());
@@ -96,7 +99,7 @@
     private static void slowEndpoints(Fleet fleet, StubEnvironment environment, Load load) {
         environment.backends.forEach((id, backend) -> {
             if (backend.paced()) {
-                backend.behave(new org.woadvale.testkit.stub.Backend.Manner(Duration.ofMillis(1500), 0, 0, 0.05));
+                backend.behave(new Backend.Manner(Duration.ofMillis(1500), 0, 0, 0.05));
             }
         });
         load.run(Duration.ofSeconds(20), RATE);
@@ -178,7 +181,7 @@
         environment.await("service after the outage", Duration.ofSeconds(60), () -> {
             try {
                 return load.one(0).join().said() == Observations.Said.ACCEPTED;
-            } catch (java.util.concurrent.CompletionException e) {
+            } catch (CompletionException e) {
                 return false;
             }
         });
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -1,6 +1,7 @@
 package org.woadvale.testkit.cluster;
 
 import java.io.IOException;
+import java.net.BindException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.nio.file.Path;
@@ -10,6 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
+import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.woadvale.controlplane.ControlPlaneProgram;
 import org.woadvale.dataplane.DataPlaneProgram;
@@ -82,7 +84,7 @@
             if (GIVEN.add(port)) {
                 try (ServerSocket serverSocket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
                     return "127.0.0.1:" + serverSocket.getLocalPort();
-                } catch (java.net.BindException e) {
+                } catch (BindException e) {
                     // taken by somebody else: another one
                 }
             }
@@ -103,7 +105,7 @@
 
     public List<NodeProcess> inZone(int n, Shape shape) {
         return Stream.of(lighthouses, stores, intakes)
-                .flatMap(l -> java.util.stream.IntStream.range(0, l.size())
+                .flatMap(l -> IntStream.range(0, l.size())
                         .filter(i -> i % shape.zones == n)
                         .mapToObj(l::get))
                 .toList();
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -1,6 +1,7 @@
 package org.woadvale.testkit.cluster;
 
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -146,7 +147,7 @@
         Duration until = town.times.monotonicTime().plus(limit);
         while (!left.isEmpty() && town.times.monotonicTime().compareTo(until) < 0) {
             int n = 0;
-            java.util.ArrayList<CompletableFuture<?>> wave = new java.util.ArrayList<>();
+            ArrayList<CompletableFuture<?>> wave = new ArrayList<>();
             for (String h : left.keySet()) {
                 if (n++ >= 200) {
                     break;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
@@ -4,10 +4,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import org.woadvale.common.config.Configurations;
 
 /** One real process of the fleet; only the fleet dispatcher starts processes. */
@@ -111,7 +113,7 @@
 
     private static void waitFor(Process process) {
         try {
-            if (!process.waitFor(15, java.util.concurrent.TimeUnit.SECONDS)) {
+            if (!process.waitFor(15, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
             }
         } catch (InterruptedException e) {
@@ -133,7 +135,7 @@
     /** As if the disk was lost. */
     public void loseDisk() throws IOException {
         try (var walk = Files.walk(folder.resolve("data"))) {
-            for (Path path : walk.sorted(java.util.Comparator.reverseOrder()).toList()) {
+            for (Path path : walk.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
         }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -81,7 +82,7 @@
             hold(from, self);
             Socket out = new Socket(InetAddress.getByName("127.0.0.1"), port(target));
             out.getOutputStream()
-                    .write(java.nio.ByteBuffer.allocate(4 + length)
+                    .write(ByteBuffer.allocate(4 + length)
                             .putInt(length)
                             .put(hello)
                             .array());
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -1,13 +1,16 @@
 package org.woadvale.testkit.cluster;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.security.SecureRandom;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletionException;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
@@ -81,9 +84,9 @@
         byte[] json = Configurations.write(configuration);
         if (!System.getProperty("older", "").isEmpty()) {
             // the older build does not know this field
-            json = new String(json, java.nio.charset.StandardCharsets.UTF_8)
+            json = new String(json, StandardCharsets.UTF_8)
                     .replace(",\"ifUnclear\":\"FAIL\"", "")
-                    .getBytes(java.nio.charset.StandardCharsets.UTF_8);
+                    .getBytes(StandardCharsets.UTF_8);
         }
         Client.Got got =
                 operate("PUT", "/v1/layout", json, Map.of("If-Match", Long.toString(base), "X-Request-Id", requestId));
@@ -97,10 +100,9 @@
                         taken,
                         true,
                         times.monotonicTime(),
-                        Configurations.sha256(new String(json, java.nio.charset.StandardCharsets.UTF_8))));
+                        Configurations.sha256(new String(json, StandardCharsets.UTF_8))));
         if (!taken) {
-            throw new IllegalStateException(
-                    "layout refused: " + new String(got.body(), java.nio.charset.StandardCharsets.UTF_8));
+            throw new IllegalStateException("layout refused: " + new String(got.body(), StandardCharsets.UTF_8));
         }
         present = version;
         return version;
@@ -150,7 +152,7 @@
     }
 
     /** All processes are on this machine, so there is one calendar. */
-    Duration trueTime(java.time.Instant stamp) {
+    Duration trueTime(Instant stamp) {
         return times.monotonicTime().minus(Duration.between(stamp, times.wallTime()));
     }
 
@@ -177,7 +179,7 @@
     }
 
     static void sleep(long ms) {
-        java.util.concurrent.locks.LockSupport.parkNanos(ms * 1_000_000L);
+        LockSupport.parkNanos(ms * 1_000_000L);
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -4,8 +4,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.CompletionException;
+import org.woadvale.client.ApiException;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.capacity.CapacityCommand;
 import org.woadvale.testkit.explore.ExploreCommand;
@@ -37,8 +41,7 @@
             System.exit(args.length == 0 ? 2 : 0);
         }
         if (args[0].equals("capacity")) {
-            System.exit(new CapacityCommand(System.out, System.err)
-                    .run(java.util.Arrays.copyOfRange(args, 1, args.length)));
+            System.exit(new CapacityCommand(System.out, System.err).run(Arrays.copyOfRange(args, 1, args.length)));
         }
         if (args[0].equals("platform")) {
             System.exit(
@@ -53,7 +56,7 @@
             System.exit(new TraceCommand(System.out).run(args.length > 1 ? Long.parseLong(args[1]) : 3));
         }
         if (args[0].equals("explore")) {
-            System.exit(new ExploreCommand(System.out).run(java.util.Arrays.copyOfRange(args, 1, args.length)));
+            System.exit(new ExploreCommand(System.out).run(Arrays.copyOfRange(args, 1, args.length)));
         }
         boolean drill = args[0].equals("drill");
         Shape shape = Shape.of(args.length > (drill ? 2 : 1) ? args[drill ? 2 : 1] : "small");
@@ -91,13 +94,13 @@
             System.out.println("By the generated client: " + handle + " is "
                     + client.show(handle).getState() + ", proof "
                     + client.show(handle).getProof() + ".");
-        } catch (org.woadvale.client.ApiException e) {
+        } catch (ApiException e) {
             throw new IllegalStateException("the generated client got " + e.getCode() + " " + e.getResponseBody(), e);
         }
         load.run(Duration.ofSeconds(3), 50);
     }
 
-    public static java.util.Set<String> drills() {
+    public static Set<String> drills() {
         return Drills.names();
     }
 
@@ -154,7 +157,7 @@
                 sum[2] += got.json().path("passes").path("waited").asLong();
                 sum[3] += got.json().path("passes").path("throttled").asLong();
                 sum[4] += got.json().path("passes").path("asks").asLong();
-            } catch (java.util.concurrent.CompletionException e) {
+            } catch (CompletionException e) {
                 System.out.println(process.name + " does not answer.");
             }
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -1,11 +1,14 @@
 package org.woadvale.testkit.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
+import java.io.IOException;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
@@ -152,15 +155,14 @@
         String kind = json(response).path("kind").asText();
         return response.status() != 202
                 && (kind.isEmpty()
-                        || !ErrorKind.valueOf(kind.toUpperCase(java.util.Locale.ROOT))
-                                .definite());
+                        || !ErrorKind.valueOf(kind.toUpperCase(Locale.ROOT)).definite());
     }
 
     static JsonNode json(Response response) {
         try {
             return Configurations.JSON.readTree(response.body());
-        } catch (java.io.IOException e) {
-            return com.fasterxml.jackson.databind.node.MissingNode.getInstance();
+        } catch (IOException e) {
+            return MissingNode.getInstance();
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
@@ -144,7 +145,7 @@
     public static void main(String[] args) {
         long from = args.length > 0 ? Long.parseLong(args[0]) : 1;
         long to = args.length > 1 ? Long.parseLong(args[1]) : 20;
-        Size size = args.length > 2 ? Size.valueOf(args[2].toUpperCase(java.util.Locale.ROOT)) : Size.SMALL;
+        Size size = args.length > 2 ? Size.valueOf(args[2].toUpperCase(Locale.ROOT)) : Size.SMALL;
         Duration length = Duration.ofSeconds(args.length > 3 ? Long.parseLong(args[3]) : 25);
         Map<Long, List<String>> failed = new ConcurrentSkipListMap<>();
         Map<String, Long> kinds = new TreeMap<>();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -1,5 +1,6 @@
 package org.woadvale.testkit.simulation;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -131,7 +132,7 @@
                             taken,
                             valid(json),
                             w.sim.now(),
-                            Configurations.sha256(new String(json, java.nio.charset.StandardCharsets.UTF_8))));
+                            Configurations.sha256(new String(json, StandardCharsets.UTF_8))));
             if (taken && v > version) {
                 version = v;
                 configuration = l;
@@ -165,8 +166,7 @@
                                 new Observations.ConfigurationRead(
                                         Long.parseLong(
                                                 response.headers().get("ETag").replace("\"", "")),
-                                        Configurations.sha256(
-                                                new String(response.body(), java.nio.charset.StandardCharsets.UTF_8)),
+                                        Configurations.sha256(new String(response.body(), StandardCharsets.UTF_8)),
                                         asked))));
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -6,6 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.Observations;
@@ -41,7 +42,7 @@
             TestConfiguration testConfiguration,
             double perSecond,
             Duration length,
-            java.util.function.Consumer<FleetSimulation> fault)
+            Consumer<FleetSimulation> fault)
             throws ServiceException {
         FleetSimulation simulation =
                 new FleetSimulation(seed, intakes, stores, 12, testConfiguration, World.LARGE_RING).embark();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -1,11 +1,15 @@
 package org.woadvale.testkit.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Predicate;
 import org.woadvale.common.config.Configurations;
@@ -47,26 +51,26 @@
     static Seams lyingDisk() {
         return Seams.none().withDisk((a, disk) -> new Disk() {
             @Override
-            public java.util.List<String> list() throws java.io.IOException {
+            public List<String> list() throws IOException {
                 return disk.list();
             }
 
             @Override
-            public DiskFile open(String name, int size) throws java.io.IOException {
+            public DiskFile open(String name, int size) throws IOException {
                 DiskFile file = disk.open(name, size);
                 return new DiskFile() {
                     @Override
-                    public int size() throws java.io.IOException {
+                    public int size() throws IOException {
                         return file.size();
                     }
 
                     @Override
-                    public void write(long pos, byte[] bytes, int length) throws java.io.IOException {
+                    public void write(long pos, byte[] bytes, int length) throws IOException {
                         file.write(pos, bytes, length);
                     }
 
                     @Override
-                    public void read(long pos, byte[] into, int length) throws java.io.IOException {
+                    public void read(long pos, byte[] into, int length) throws IOException {
                         file.read(pos, into, length);
                     }
 
@@ -76,7 +80,7 @@
             }
 
             @Override
-            public void setAside() throws java.io.IOException {
+            public void setAside() throws IOException {
                 disk.setAside();
             }
         });
@@ -194,15 +198,14 @@
     static ControlMessages.ServiceViewResponse anew(
             ControlMessages.ServiceViewRequest request, Map<String, ServiceView> last) {
         Map<String, Duration> ages = new HashMap<>();
-        java.util.List<ServiceView> views = new java.util.ArrayList<>();
+        List<ServiceView> views = new ArrayList<>();
         request.knownVersions()
-                .forEach((s, version) -> java.util.Optional.ofNullable(last.get(s))
-                        .ifPresent(view -> {
-                            ages.put(s, Duration.ZERO);
-                            if (view.version() != version) {
-                                views.add(view);
-                            }
-                        }));
+                .forEach((s, version) -> Optional.ofNullable(last.get(s)).ifPresent(view -> {
+                    ages.put(s, Duration.ZERO);
+                    if (view.version() != version) {
+                        views.add(view);
+                    }
+                }));
         return new ControlMessages.ServiceViewResponse(views, ages, 0);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.woadvale.common.config.Settings;
@@ -172,8 +173,7 @@
 
     /** The same, waited for: nobody else waits meanwhile. */
     public Optional<Response> ask(String to, Request request, Duration limit) {
-        java.util.concurrent.atomic.AtomicReference<Optional<Response>> out =
-                new java.util.concurrent.atomic.AtomicReference<>();
+        AtomicReference<Optional<Response>> out = new AtomicReference<>();
         request(to, request, limit, out::set);
         sim.runUntil(() -> out.get() != null, limit.plusSeconds(1));
         return out.get();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.Random;
+import java.util.function.BooleanSupplier;
 
 /** The fake clock and everything that is to happen on it: design 12.1. */
 public final class Sim {
@@ -64,7 +65,7 @@
     }
 
     /** Runs until the condition holds, looked at each 100 ms; false if it does not within the limit. */
-    public boolean runUntil(java.util.function.BooleanSupplier condition, Duration limit) {
+    public boolean runUntil(BooleanSupplier condition, Duration limit) {
         Duration end = now.plus(limit);
         while (!condition.getAsBoolean()) {
             if (now.compareTo(end) >= 0) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.woadvale.common.config.Settings;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
@@ -200,8 +201,7 @@
     }
 
     /** A request from outside to one node; no answer at all if the node dies or stays away. */
-    public void request(
-            String to, Request request, Duration limit, java.util.function.Consumer<Optional<Response>> then) {
+    public void request(String to, Request request, Duration limit, Consumer<Optional<Response>> then) {
         reach(
                 to,
                 request,
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +26,7 @@
     private List<ObservationLog.Paper> acknowledged() {
         return log.configurationStub.stream()
                 .filter(paper -> paper.status() == 200 && paper.valid())
-                .sorted(java.util.Comparator.comparingLong(
+                .sorted(Comparator.comparingLong(
                         paper -> paper.configurationStub().configRevision()))
                 .toList();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationStub.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationStub.java
@@ -1,6 +1,8 @@
 package org.woadvale.testkit.stub;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -46,8 +48,7 @@
     public Optional<Route> route(String host, String path) {
         return routes.stream()
                 .filter(route -> route.host().equals(host) && path.startsWith(route.pathPrefix()))
-                .max(java.util.Comparator.comparingInt(
-                        route -> route.pathPrefix().length()));
+                .max(Comparator.comparingInt(route -> route.pathPrefix().length()));
     }
 
     public Optional<Tenant> tenant(String key) {
@@ -81,7 +82,7 @@
                                 "burstSize",
                                 tenant.burstSize()))
                         .toList());
-        return new String(Configurations.write(out), java.nio.charset.StandardCharsets.UTF_8);
+        return new String(Configurations.write(out), StandardCharsets.UTF_8);
     }
 
     private static Map<String, Object> fields(Route route) {
--- a/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.IntFunction;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 
@@ -40,7 +41,7 @@
         return out;
     }
 
-    public Configuration configuration(java.util.function.IntFunction<String> endpointAddress) {
+    public Configuration configuration(IntFunction<String> endpointAddress) {
         Map<String, Configuration.Tenant> t = new TreeMap<>();
         Map<String, Configuration.Key> k = new TreeMap<>();
         for (int i = 0; i < tenants; i++) {
--- a/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
@@ -14,6 +14,7 @@
 import java.time.Duration;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -73,7 +74,7 @@
             }
             int length = head.toString()
                     .lines()
-                    .map(l -> l.toLowerCase(java.util.Locale.ROOT))
+                    .map(l -> l.toLowerCase(Locale.ROOT))
                     .filter(l -> l.startsWith("content-length:"))
                     .map(l -> Integer.parseInt(l.substring(15).trim()))
                     .findFirst()
--- a/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
@@ -11,6 +11,8 @@
 import org.woadvale.common.replication.LogEntry;
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.rpc.Codec;
+import org.woadvale.common.rpc.FirstFormatName;
+import org.woadvale.common.rpc.Since;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.RouteTerms;
@@ -57,9 +59,7 @@
 
     /** Stored as (alpha, gamma, zone), in the order of the names of that time. */
     private record Renamed(
-            String alpha,
-            @org.woadvale.common.rpc.FirstFormatName("zone") String beta,
-            String gamma) {}
+            String alpha, @FirstFormatName("zone") String beta, String gamma) {}
 
     @Test
     void renamedComponentsAreReadInTheirFormerOrder() throws ServiceException {
@@ -74,8 +74,8 @@
     private record LongRecord(
             String a,
             int b,
-            @org.woadvale.common.rpc.Since(3) List<String> c,
-            @org.woadvale.common.rpc.Since(3) boolean d) {}
+            @Since(3) List<String> c,
+            @Since(3) boolean d) {}
 
     @Test
     void twoBuildsReadEachOther() throws ServiceException {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.Role;
+import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
@@ -137,7 +138,7 @@
         replicas.hosts.get("b:1").kill();
         replicas.hosts.get("b:1").disk().wipe();
         if (naive) {
-            replicas.hosts.get("b:1").boot(new org.woadvale.common.rpc.RpcRouter());
+            replicas.hosts.get("b:1").boot(new RpcRouter());
             RingWriteAheadLog book = RingWriteAheadLog.open(
                     replicas.hosts.get("b:1").disk(), replicas.hosts.get("b:1").host(), 4, 512 << 10);
             ReplicationMessages.ReplicaSnapshot base =
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingBytesTest.java
@@ -6,6 +6,8 @@
 import java.io.IOException;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -30,7 +32,7 @@
         private final Disk disk;
         private final List<Integer> reads = new ArrayList<>();
         private final List<Integer> writes = new ArrayList<>();
-        private final Set<byte[]> buffers = java.util.Collections.newSetFromMap(new java.util.IdentityHashMap<>());
+        private final Set<byte[]> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
         private final List<String> order = new ArrayList<>();
 
         Counting(Disk disk) {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -7,6 +7,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Assertions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -55,8 +56,7 @@
         }
         assertTrue(stopped[0], "nobody gives a base, so the ring must fill");
         for (int i = 0; i < 2; i++) {
-            ServiceException failure =
-                    org.junit.jupiter.api.Assertions.assertThrows(ServiceException.class, this::reopen);
+            ServiceException failure = Assertions.assertThrows(ServiceException.class, this::reopen);
             assertTrue(failure.getMessage().contains("the ring is full"), failure.getMessage());
         }
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -24,7 +25,7 @@
     }
 
     private Response ask(String to, String method, String path, String key, String body, Map<String, String> more) {
-        Map<String, String> headers = new java.util.HashMap<>(more);
+        Map<String, String> headers = new HashMap<>(more);
         headers.put("authorization", "Bearer " + key);
         List<Response> got = new ArrayList<>();
         simulation.w.request(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,7 +54,7 @@
                 .replace("{\"maxBody", "{\"unk\u00fcnown\":null,\"maxBody");
         assertEquals(200, fixture.put(odd, 3, 0).status());
         for (int l = 0; l < 3; l++) {
-            assertEquals(odd, new String(get(l).body(), java.nio.charset.StandardCharsets.UTF_8));
+            assertEquals(odd, new String(get(l).body(), StandardCharsets.UTF_8));
         }
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
@@ -17,6 +17,7 @@
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
 import org.woadvale.dataplane.delivery.HttpDeliveryClient;
+import reactor.core.publisher.Mono;
 
 /** The real client against a back end that says odd things: design 9.3, docs/platform.md 5. */
 class HttpDeliveryClientTest {
@@ -48,8 +49,7 @@
         return post.send(call(address, id, LIMIT))
                 .map(deliveryResponse -> deliveryResponse.status() + " "
                         + deliveryResponse.headers().get("x-attempt-id") + " " + new String(deliveryResponse.body()))
-                .onErrorResume(e -> reactor.core.publisher.Mono.just(
-                        ServiceException.of(e).kind().name()))
+                .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block();
     }
 
@@ -156,8 +156,7 @@
     private CompletableFuture<ErrorKind> kind(DeliveryClient.DeliveryRequest call) {
         return post.send(call)
                 .map(deliveryResponse -> ErrorKind.CONFLICT)
-                .onErrorResume(e ->
-                        reactor.core.publisher.Mono.just(ServiceException.of(e).kind()))
+                .onErrorResume(e -> Mono.just(ServiceException.of(e).kind()))
                 .toFuture();
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
@@ -54,7 +55,7 @@
             all.forEach(Mono::subscribe);
             assertTrue(full.await(30, TimeUnit.SECONDS), "64 must arrive, " + arrived.get() + " did");
             may.set(false);
-            answer.tryEmitValue(Response.json(200, java.util.Map.of()));
+            answer.tryEmitValue(Response.json(200, Map.of()));
             List<ErrorKind> kinds = all.stream().map(Mono::block).toList();
             assertEquals(64, arrived.get());
             assertEquals(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.runtime.ServiceException;
 
 /** A stream that stalls delivers its frames late, all at once, long after those who sent them have given up. */
@@ -16,7 +17,7 @@
         FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).embark();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        String part = org.woadvale.common.membership.ServiceNames.controlPart("service/" + FleetSimulation.service(0));
+        String part = ServiceNames.controlPart("service/" + FleetSimulation.service(0));
         String owner = simulation.w.lighthouses.stream()
                 .filter(l -> simulation.w.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -5,13 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.http.Request;
+import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.testkit.stub.TestConfiguration;
 
 /** What is lost for good is replaced, with traffic going on. */
 class RepairTest {
@@ -76,7 +79,7 @@
     }
 
     private static long terms(FleetSimulation simulation) {
-        return org.woadvale.common.membership.ServiceNames.messageParts().stream()
+        return ServiceNames.messageParts().stream()
                 .mapToLong(p -> simulation.w.stores.stream()
                         .mapToLong(s -> simulation.w.pilot(s).term(p))
                         .max()
@@ -138,7 +141,7 @@
         FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).embark();
         Duration lost = simulation.w.sim.now();
         simulation.w.kill(simulation.w.lighthouses.get(0));
-        List<Integer> answers = new java.util.ArrayList<>();
+        List<Integer> answers = new ArrayList<>();
         repeat(simulation, answers, lost.plusMillis(2500));
         simulation.w.sim.run(Duration.ofSeconds(6));
         assertEquals(200, answers.get(answers.size() - 1), answers.toString());
@@ -164,7 +167,7 @@
     /** Before, when restarted holders of buckets waited for their own leases to lapse: 5.6 to 6.2 s. */
     @Test
     void fullOutageIsOverWithinItsBudget() throws ServiceException {
-        Duration took = Measure.outage(1, 8, 3, new org.woadvale.testkit.stub.TestConfiguration(8, 4, 45, 60, 26));
+        Duration took = Measure.outage(1, 8, 3, new TestConfiguration(8, 4, 45, 60, 26));
         assertTrue(took.compareTo(Duration.ofMillis(5000)) < 0, "first acceptance after " + took);
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Function;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.ServiceException;
@@ -92,8 +93,7 @@
     }
 
     /** A processor at an address, on the list, whose answers are the script's. */
-    void processor(
-            String id, String service, String address, java.util.function.Function<Request, Mono<Response>> script) {
+    void processor(String id, String service, String address, Function<Request, Mono<Response>> script) {
         r.processorSimulation.place(address, request -> {
             got.add(new Got(request, r.sim.now()));
             return script.apply(request);
--- a/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
@@ -8,6 +8,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -142,7 +143,7 @@
         assertEquals(line.startsWith("00") ? List.of() : List.of(line.substring(0, 2)), found);
     }
 
-    @org.junit.jupiter.api.Test
+    @Test
     void endedMessageMayNotBeShownAsOpenLater() {
         Observations observations = sound();
         observations.shown.add(new Observations.Shown(
@@ -153,7 +154,7 @@
         assertEquals(1, new AnswerFaults(observations).lost().size());
     }
 
-    @org.junit.jupiter.api.Test
+    @Test
     void twoLayoutsOfOneVersionAndBadOnesAreFound() {
         Observations observations = sound();
         observations.configurations.add(new Observations.ConfigurationSaid("r", 1, true, true, s(2), "d2"));
