--- a/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
+++ b/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
@@ -14,7 +14,7 @@
 
 /** Peers learned, kept beside the ring so that the seeds may be down at the next start. */
 public final class CoreMembersFile {
-    private static final Logger LOG = LogManager.getLogger("helm");
+    private static final Logger LOG = LogManager.getLogger(CoreMembersFile.class);
     private static final String EPOCH = "epoch ";
     private final Path file;
 
@@ -27,7 +27,7 @@
         try {
             return Files.exists(file) ? parsed(Files.readAllLines(file)) : CoreMembers.unknown();
         } catch (IOException e) {
-            LOG.warn("helm: the list of neighbours is unreadable.");
+            LOG.warn("The stored list of core members is unreadable.");
             return CoreMembers.unknown();
         }
     }
@@ -55,7 +55,7 @@
             }
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            LOG.warn("helm: the list of neighbours was not written: {}.", e.getMessage());
+            LOG.warn("The list of core members was not stored: {}.", e.getMessage());
         }
     }
 }
--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -19,7 +19,7 @@
 /** The command line of a daemon: run, check-boot, --help, --version. design 10.1 */
 public final class Program {
     public static final String VERSION = "0.1.0";
-    private static final Logger LOG = LogManager.getLogger("helm");
+    private static final Logger LOG = LogManager.getLogger(Program.class);
     private static final int THREADS = 4;
 
     /** Builds the supervisor tree of the program. */
@@ -140,7 +140,7 @@
         }));
         try {
             root.start();
-            LOG.info("helm: {} {} runs at {}, HTTP at {}.", name, VERSION, boot.address(), boot.http());
+            LOG.info("{} {} runs at {}, HTTP at {}.", name, VERSION, boot.address(), boot.http());
             end.await();
             drain();
         } catch (InterruptedException e) {
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -26,7 +26,7 @@
 
 /** HTTP/1.1 by Reactor Netty in front of one function from request to answer. */
 public final class HttpGateway implements Component {
-    private static final Logger LOG = LogManager.getLogger("gate");
+    private static final Logger LOG = LogManager.getLogger(HttpGateway.class);
     private static final int MAX_HEADER = 16 << 10;
     /** After this time without a request a kept-alive connection is closed. */
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
@@ -77,7 +77,7 @@
                     ServiceException failure = ServiceException.of(e);
                     LOG.log(
                             failure.kind().level(),
-                            "gate: {} {} ended as {}: {}",
+                            "{} {} ended as {}: {}",
                             in.method(),
                             in.uri(),
                             failure.kind().wireName(),
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -27,7 +27,7 @@
 
 /** The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. design 8.4 */
 public final class TokenGranters {
-    private static final Logger LOG = LogManager.getLogger("tide");
+    private static final Logger LOG = LogManager.getLogger(TokenGranters.class);
     private static final Duration STABLE_AFTER = Duration.ofSeconds(3);
 
     private static final class OwnedBucket {
@@ -152,7 +152,7 @@
                     a.get(),
                     now());
             owned.put(b, ownedBucket);
-            LOG.info("tide: holds {} in term {}.", b, response.lease().term());
+            LOG.info("Acquired {} in term {}.", b, response.lease().term());
         }
         ownedBucket.leaseEnd = end;
     }
@@ -165,7 +165,7 @@
         }
         ControlMessages.ReleaseSingletonRequest request = new ControlMessages.ReleaseSingletonRequest(
                 b, environment.self(), ownedBucket.bucket.term(), ownedBucket.bucket.level(now()));
-        LOG.info("tide: gives up {} with level {}.", b, request.level());
+        LOG.info("Released {} with {} tokens left.", b, request.level());
         shard.afterUnlock(() -> core.ask(ServiceNames.controlPart(b), request, ControlMessages.UpdateResult.class)
                 .subscribe(result -> {}, e -> {}));
     }
--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -82,7 +82,7 @@
         replica.membership.reset(group);
         // design 5.5: before the bootstrap nobody could hold a lease
         replica.leaderLeaseUntil = replica.now();
-        becomeVoter("the group is founded");
+        becomeVoter("bootstrapped");
     }
 
     private void becomeVoter(String why) {
@@ -96,8 +96,8 @@
         if (replica.role == Role.UNINITIALIZED
                 && replica.identity.equals(replica.membership.committed().get(replica.environment.self()))) {
             Replica.LOG.info(
-                    "keeper: {} at {} has caught up and counts again.", replica.partition, replica.environment.self());
-            becomeVoter("seated by a committed entry");
+                    "Partition {} at {} has caught up and votes again.", replica.partition, replica.environment.self());
+            becomeVoter("member by a committed entry");
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/Follower.java
+++ b/common/src/main/java/org/woadvale/common/replication/Follower.java
@@ -32,7 +32,7 @@
             return false;
         }
         if (term > replica.term) {
-            replica.adoptTerm(term, "a new owner");
+            replica.adoptTerm(term, "a new leader");
         }
         if (replica.role == Role.CANDIDATE) {
             replica.transitionTo(Role.FOLLOWER, "another was elected");
@@ -96,7 +96,7 @@
                     from, piece, replica.environment.codec().read(whole, ReplicationMessages.ReplicaSnapshot.class));
         } catch (ServiceException failure) {
             Replica.LOG.error(
-                    "keeper: {} at {} cannot read a snapshot from {}.",
+                    "Partition {} at {} cannot read a snapshot from {}.",
                     replica.partition,
                     replica.environment.self(),
                     from);
@@ -110,7 +110,7 @@
             return Mono.just(reply(ChunkStatus.CORRUPT, 0, 0));
         }
         Replica.LOG.info(
-                "keeper: {} at {} takes a snapshot up to {} from {}.",
+                "Partition {} at {} installs a snapshot up to index {} from {}.",
                 replica.partition,
                 replica.environment.self(),
                 index,
@@ -135,7 +135,7 @@
             return Mono.just(new ReplicationMessages.Acknowledgement(false));
         }
         Replica.LOG.error(
-                "keeper: {} at {} had lost what it confirmed; it counts as lost.",
+                "Partition {} at {} lost entries that it had acknowledged: the replica counts as lost.",
                 replica.partition,
                 replica.environment.self());
         Sinks.One<Object> out = Sinks.one();
@@ -198,7 +198,7 @@
             return Mono.just(reply(true, Math.min(replica.commits.appliedIndex(), replica.storage.syncedIndex())));
         }
         Replica.LOG.info(
-                "keeper: {} at {} takes a view up to {} from {}.",
+                "Partition {} at {} installs a snapshot up to index {} from {}.",
                 replica.partition,
                 replica.environment.self(),
                 index,
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -181,7 +181,7 @@
                                 .compareTo(followedSince()
                                         .plus(replica.environment.timing().lease()))
                         > 0) {
-            replica.transitionTo(Role.FOLLOWER, "the claim lapsed");
+            replica.transitionTo(Role.FOLLOWER, "the lease expired");
         } else if (isActive() && !replica.membership.isChanging()) {
             changeMembership();
         }
@@ -205,7 +205,7 @@
     private void changeMembership() {
         MembershipChange.next(replica.membership.committed(), replica.desiredMembers, followers)
                 .ifPresent(change -> {
-                    Replica.LOG.info("keeper: {} seats {} in its group.", replica.partition, change.joining());
+                    Replica.LOG.info("Partition {} adds {} to its members.", replica.partition, change.joining());
                     membershipChangeIndex = replica.replicatedLog.lastIndex() + 1;
                     append(new LogEntry(
                             replica.term,
@@ -251,7 +251,7 @@
                         replica.environment.timing().requestTimeout(),
                         () -> replica.shard.run(() -> {
                             if (replica.role == Role.LEADER && replica.term == term) {
-                                replica.transitionTo(Role.FOLLOWER, "handed over");
+                                replica.transitionTo(Role.FOLLOWER, "leadership transferred");
                             }
                         }));
         return true;
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -52,7 +52,7 @@
     /** A dry round first, so that a replica nobody would elect does not raise the term. */
     void startElection(boolean leadershipTransferred) {
         electionDueAt = Duration.ZERO;
-        replica.transitionTo(Role.CANDIDATE, "the part is vacant");
+        replica.transitionTo(Role.CANDIDATE, "no leader");
         replica.leaderId = "";
         requestVotes(replica.term + 1, true, leadershipTransferred);
     }
@@ -89,7 +89,7 @@
 
     private void onVoteResponse(
             String from, ReplicationMessages.VoteRequest ask, ReplicationMessages.VoteResponse response) {
-        replica.adoptTerm(response.term(), "a neighbour is ahead");
+        replica.adoptTerm(response.term(), "a peer is in a later term");
         long expected = ask.preVote() ? replica.term + 1 : replica.term;
         if (replica.role != Role.CANDIDATE || ask.term() != expected || !response.granted()) {
             return;
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -191,7 +191,7 @@
     /** What every answer tells; false if the follower knows a later term. */
     private boolean noteResponse(long answeredTerm, String answeredIdentity, boolean answeredWilling, Duration at) {
         if (answeredTerm > term) {
-            replica.adoptTerm(answeredTerm, "a follower is ahead");
+            replica.adoptTerm(answeredTerm, "a follower is in a later term");
             return false;
         }
         String counted = answeredIdentity.equals(revokedIdentity) ? "" : answeredIdentity;
@@ -226,7 +226,7 @@
     private void revokeIdentity(String reported) {
         if (!reported.equals(revokedIdentity)) {
             Replica.LOG.error(
-                    "keeper: {} of {} reports less than it had confirmed; it counts as lost.",
+                    "Follower {} of partition {} reports fewer entries than it had acknowledged: it counts as lost.",
                     follower,
                     replica.partition);
         }
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -16,7 +16,7 @@
 
 /** One replica of one part: the front, and the state that its helpers share. design 5 */
 public final class Replica {
-    static final Logger LOG = LogManager.getLogger("keeper");
+    static final Logger LOG = LogManager.getLogger(Replica.class);
 
     final String partition;
     final NodeEnvironment environment;
@@ -103,7 +103,7 @@
         Role before = role;
         role = next;
         LOG.debug(
-                "keeper: {} of {} at {}: {} to {} in term {}, {}.",
+                "Partition {} of {} at {}: {} to {} in term {}, {}.",
                 partition,
                 stateMachine.getClass().getSimpleName(),
                 environment.self(),
@@ -116,7 +116,7 @@
             commits.failPending();
         }
         if (next == Role.LEADER) {
-            LOG.info("keeper: {} is owned by {} in term {}.", partition, environment.self(), term);
+            LOG.info("Partition {} is led by {} in term {}.", partition, environment.self(), term);
         }
         shard.afterUnlock(onChange);
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -51,7 +51,7 @@
         syncedIndex = replica.replicatedLog.lastIndex();
         if (!ReplicaIdentity.belongsTo(replica.identity, replica.environment.self())) {
             Replica.LOG.error(
-                    "keeper: the disk of {} was written as {}: it counts as lost.",
+                    "The disk of {} was written by {}: the replica counts as lost.",
                     replica.environment.self(),
                     replica.identity);
             replaceIdentity(() -> {});
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -22,7 +22,7 @@
 
 /** One TCP stream: handshake first, frames after; anything else closes it with a log line. design 3.3 */
 final class RpcConnection {
-    private static final Logger LOG = LogManager.getLogger("beam");
+    private static final Logger LOG = LogManager.getLogger(RpcConnection.class);
     private static final String NAME = "[!-~]{1,64}";
     private static final int MAGIC = 0x574F4144;
     private static final Duration HANDSHAKE = Duration.ofSeconds(2);
@@ -154,8 +154,7 @@
 
     private void refuse(String why) {
         if (state != State.CLOSED) {
-            LOG.warn(
-                    "beam: closed the stream from {}: {}.", connection.channel().remoteAddress(), why);
+            LOG.warn("Closed the connection from {}: {}.", connection.channel().remoteAddress(), why);
             close();
         }
     }
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -21,7 +21,7 @@
 
 /** Frames over Reactor Netty TCP: one stream to each peer we ask. */
 public final class TcpRpcClient implements RpcClient, Component {
-    private static final Logger LOG = LogManager.getLogger("beam");
+    private static final Logger LOG = LogManager.getLogger(TcpRpcClient.class);
     private static final Duration CONNECT = Duration.ofMillis(500);
 
     private final String self;
--- a/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
+++ b/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
@@ -7,7 +7,7 @@
 
 /** A task that sets itself again after each run, whatever the run threw. */
 final class RepeatingTimer implements TimerHandle {
-    private static final Logger LOG = LogManager.getLogger("lantern");
+    private static final Logger LOG = LogManager.getLogger(RepeatingTimer.class);
     private final Timers timers;
     private final Duration period;
     private final Runnable task;
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -12,7 +12,7 @@
 
 /** Starts components in order, restarts dead ones with backoff, stops in reverse: design 2.4. */
 public final class Supervisor implements Component {
-    private static final Logger LOG = LogManager.getLogger("lantern");
+    private static final Logger LOG = LogManager.getLogger(Supervisor.class);
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
     private static final int MAX_RESTARTS = 5;
 
@@ -47,7 +47,7 @@
         running = true;
         for (Component component : children) {
             component.start();
-            LOG.info("lantern: started {}.", component.name());
+            LOG.info("Started {}.", component.name());
         }
         checking = timers.every(CHECK_INTERVAL, this::checkComponents);
     }
@@ -63,12 +63,12 @@
     private void restart(Component component) {
         int n = restarts.merge(component, 1, Integer::sum);
         if (n > MAX_RESTARTS) {
-            LOG.error("lantern: {} died {} times, giving up.", component.name(), n);
+            LOG.error("{} failed {} times, giving up.", component.name(), n);
             gaveUp = true;
             onGiveUp.run();
             return;
         }
-        LOG.warn("lantern: {} died, starting it again.", component.name());
+        LOG.warn("{} failed, restarting it.", component.name());
         pending.add(component);
         timers.after(CHECK_INTERVAL.multipliedBy(1L << n), () -> restartNow(component));
     }
@@ -82,7 +82,7 @@
             component.stop();
             component.start();
         } catch (ServiceException failure) {
-            LOG.error("lantern: {} did not start: {}", component.name(), failure.getMessage());
+            LOG.error("{} did not start: {}", component.name(), failure.getMessage());
         }
     }
 
@@ -92,7 +92,7 @@
         checking.cancel();
         for (int i = children.size() - 1; i >= 0; i--) {
             children.get(i).stop();
-            LOG.info("lantern: stopped {}.", children.get(i).name());
+            LOG.info("Stopped {}.", children.get(i).name());
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -12,7 +12,7 @@
 
 /** Several threads for work, one for the disk. */
 public final class SystemTimers implements Timers {
-    private static final Logger LOG = LogManager.getLogger("lantern");
+    private static final Logger LOG = LogManager.getLogger(SystemTimers.class);
     private final ScheduledThreadPoolExecutor pool;
     private final ExecutorService disk;
 
@@ -43,7 +43,7 @@
         try {
             pool.execute(guarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.debug("lantern: dropped a task after the stop.");
+            LOG.debug("Dropped a task after the stop.");
         }
     }
 
@@ -52,7 +52,7 @@
         try {
             disk.execute(guarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.debug("lantern: dropped a disk task after the stop.");
+            LOG.debug("Dropped a disk task after the stop.");
         }
     }
 
@@ -61,7 +61,7 @@
             try {
                 task.run();
             } catch (RuntimeException e) {
-                LOG.error("lantern: task failed.", e);
+                LOG.error("Task failed.", e);
             }
         };
     }
--- a/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
@@ -12,7 +12,7 @@
 
 /** A real data folder. At most one damaged folder is kept aside, so that the disk never holds more than two rings. */
 public final class FolderDisk implements Disk {
-    private static final Logger LOG = LogManager.getLogger("wal");
+    private static final Logger LOG = LogManager.getLogger(FolderDisk.class);
     private static final String SET_ASIDE = "set-aside-";
     private final Path folder;
 
@@ -55,7 +55,7 @@
             if (!(DiskFullException.typed(e) instanceof DiskFullException)) {
                 throw e;
             }
-            LOG.warn("wal: the disk is full, so the damaged files of {} are deleted and not set aside.", folder);
+            LOG.warn("The disk is full, so the damaged files of {} are deleted and not set aside.", folder);
             for (String name : list()) {
                 Files.delete(folder.resolve(name));
             }
@@ -71,7 +71,7 @@
                     .toList();
         }
         for (Path aside : old) {
-            LOG.warn("wal: {}, set aside earlier, is deleted to free its space.", aside);
+            LOG.warn("{}, set aside earlier, is deleted to free its space.", aside);
             deleteFolder(aside);
         }
         return !old.isEmpty();
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -15,7 +15,7 @@
 
 /** One ring of preallocated files; one sync serves everything that waited: design 4. */
 public final class RingWriteAheadLog implements WriteAheadLog {
-    private static final Logger LOG = LogManager.getLogger("wal");
+    private static final Logger LOG = LogManager.getLogger(RingWriteAheadLog.class);
     /** How long after a write that found the disk full it is tried again. */
     private static final Duration FULL_DISK_RETRY = Duration.ofMillis(100);
     /** New work is refused while so many bytes of log entries wait for the disk. */
@@ -45,7 +45,7 @@
         try {
             found = Recovery.run(leaves);
         } catch (Recovery.DamagedLogException e) {
-            LOG.error("wal: the folder is damaged ({}); set aside, starting blank.", e.getMessage());
+            LOG.error("The data folder is damaged ({}); it is set aside and the replica starts empty.", e.getMessage());
             disk.setAside();
             leaves = openAll(disk);
             found = new Recovery();
@@ -62,7 +62,7 @@
         long present =
                 disk.list().stream().filter(name -> name.startsWith("ring-")).count();
         if (present > 0 && present < files) {
-            LOG.warn("wal: some ring files are missing and are made anew.");
+            LOG.warn("Some ring files are missing and are created anew.");
         }
         List<Disk.DiskFile> opened = new ArrayList<>();
         for (int i = 0; i < files; i++) {
@@ -125,7 +125,7 @@
     /** A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. design 4.4 */
     private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String why) {
         if (!diskFull) {
-            LOG.error("wal: the disk is full ({}); nothing is confirmed until it takes writes again.", why);
+            LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", why);
         }
         diskFull = true;
         schedules.after(FULL_DISK_RETRY, () -> schedules.onDisk(() -> write(batch)));
@@ -133,7 +133,7 @@
 
     private synchronized void written() {
         if (diskFull) {
-            LOG.info("wal: the disk takes writes again.");
+            LOG.info("The disk accepts writes again.");
         }
         diskFull = false;
         bytesBeingWritten = 0;
@@ -146,7 +146,7 @@
 
     private synchronized void fail(String why) {
         failed = true;
-        LOG.error("wal: the disk failed: {}.", why);
+        LOG.error("The disk failed: {}.", why);
         failure.accept(why);
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -21,7 +21,7 @@
 
 /** Renewals of one part, in its owner's memory; a new owner grants every lease a whole time anew. design 6.3 */
 public final class LeaseManager {
-    private static final Logger LOG = LogManager.getLogger("watch");
+    private static final Logger LOG = LogManager.getLogger(LeaseManager.class);
     private final Replica replica;
     private final ControlStateMachine stateMachine;
     private final NodeEnvironment environment;
@@ -81,7 +81,7 @@
             if (request.memberLease().equals(known)) {
                 return Mono.just(new ControlMessages.UpdateResult(true));
             }
-            LOG.info("watch: {} joins {}.", request.node(), request.service());
+            LOG.info("{} joins {}.", request.node(), request.service());
             return replica.propose(
                     new ControlMessages.PutMember(request.service(), request.node(), request.memberLease()),
                     ControlMessages.UpdateResult.class);
@@ -135,7 +135,7 @@
                         if (response.granted()) {
                             noteHeartbeat(key);
                             LOG.info(
-                                    "watch: {} takes {} in term {}.",
+                                    "{} acquires {} in term {}.",
                                     request.node(),
                                     request.service(),
                                     response.lease().term());
@@ -165,7 +165,7 @@
         for (ServiceView view : replica.look(i -> stateMachine.services()).values()) {
             view.members().forEach((node, memberLease) -> {
                 if (lapsed(view.service() + "|" + node)) {
-                    LOG.info("watch: the claim of {} in {} lapsed.", node, view.service());
+                    LOG.info("The lease of {} in {} expired.", node, view.service());
                     replica.propose(
                                     new ControlMessages.DropMember(view.service(), node, memberLease.incarnation()),
                                     ControlMessages.UpdateResult.class)
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -28,7 +28,7 @@
  * in the place of a member that is gone or leaves, one at a time, by a committed command. design 6.10
  */
 public final class CoreMembership {
-    private static final Logger LOG = LogManager.getLogger("core");
+    private static final Logger LOG = LogManager.getLogger(CoreMembership.class);
     /** A member that was not in contact with the leader for so long is taken to be gone, if another stands by. */
     private static final Duration ABSENT_AFTER = ReplicationTiming.partitions().lease();
     /** An announcement counts for so long; it is repeated at each look while it matters. */
@@ -201,7 +201,7 @@
 
     private void propose(List<String> members, long epoch, String why) {
         proposing.set(true);
-        LOG.info("core: members {}, {}.", members, why);
+        LOG.info("Members of the core become {}: {}.", members, why);
         c0.propose(new ControlMessages.ChangeCore(members, epoch), ControlMessages.UpdateResult.class)
                 .doFinally(signal -> proposing.set(false))
                 .subscribe(result -> {}, e -> {});
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -25,7 +25,7 @@
 
 /** The owner of part c0 reads the registry for all; whole lists are written, and only where they differ. design 6.7 */
 public final class ProcessorRegistry implements Component {
-    private static final Logger LOG = LogManager.getLogger("watch");
+    private static final Logger LOG = LogManager.getLogger(ProcessorRegistry.class);
     private final NodeEnvironment environment;
     private final ControlNode node;
     private final ProcessorSource source;
@@ -75,7 +75,7 @@
                     }
                 });
             } catch (ServiceException failure) {
-                LOG.error("watch: the layout is unreadable here: {}", failure.details());
+                LOG.error("The configuration is unreadable here: {}", failure.details());
             }
         }
         return out;
@@ -102,7 +102,7 @@
     private void onFailure(Throwable e) {
         if (!failing) {
             LOG.warn(
-                    "watch: the registry of processors cannot be read: {}",
+                    "The list of processors cannot be read: {}",
                     ServiceException.of(e).getMessage());
         }
         failing = true;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -19,7 +19,7 @@
 
 /** The configuration as this node may use it: only while its age is proven. design 7.2 */
 public final class ConfigurationView {
-    private static final Logger LOG = LogManager.getLogger("beacon");
+    private static final Logger LOG = LogManager.getLogger(ConfigurationView.class);
     /** A leaving bucket's burst, in seconds of its rate: any 5 s stay within a tenth of the rate. design 8.3 */
     private static final double DELIVERY_BURST_S = 0.4;
 
@@ -59,7 +59,7 @@
     private synchronized Known onView(ServiceView view) {
         if (view.configurationVersion() > known.version()) {
             known = read(view.configurationVersion(), view.configuration());
-            LOG.info("beacon: layout {} applies here.", view.configurationVersion());
+            LOG.info("Configuration {} is in force here.", view.configurationVersion());
         }
         return known;
     }
@@ -69,7 +69,7 @@
         try {
             configuration = json.length == 0 ? configuration : Configurations.taken(json);
         } catch (ServiceException failure) {
-            LOG.error("beacon: layout {} is unreadable here: {}", version, failure.details());
+            LOG.error("Configuration {} is unreadable here: {}", version, failure.details());
         }
         Map<String, Configuration.Key> keys = new HashMap<>();
         configuration.keys().values().forEach(key -> keys.put(key.sha256(), key));
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -12,7 +12,7 @@
 
 /** One attempt at one message, from its committed start to its committed end: design 9.3. */
 final class DeliveryAttempt {
-    private static final Logger LOG = LogManager.getLogger("launch");
+    private static final Logger LOG = LogManager.getLogger(DeliveryAttempt.class);
     private static final Duration INQUIRY_INTERVAL = Duration.ofMillis(500);
     private static final Duration INQUIRY_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration GRACE_AFTER_DEADLINE = Duration.ofMillis(250);
@@ -200,7 +200,7 @@
 
     /** Nobody can say any more whether it was done: the lane's operator has said what then. */
     private Mono<Boolean> outcomeUnknown(String why) {
-        LOG.warn("launch: it stays unclear whether {} was done: {}.", message.handle(), why);
+        LOG.warn("The outcome of {} stays unknown: {}.", message.handle(), why);
         return dispatcher.policy().terms(message).rerun()
                 ? retry(why)
                 : recordEnd(MessageCommands.AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + why, wallTime());
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -12,7 +12,7 @@
 
 /** Records an ending with whichever store owns the part now, until it is committed: design 9.3. */
 public final class OutcomeRecorder {
-    private static final Logger LOG = LogManager.getLogger("launch");
+    private static final Logger LOG = LogManager.getLogger(OutcomeRecorder.class);
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
     private static final Duration GIVE_UP_AFTER = Duration.ofMinutes(10);
@@ -39,7 +39,7 @@
                         return Mono.just(false);
                     }
                     if (environment.clock().monotonicTime().compareTo(until) >= 0) {
-                        LOG.error("launch: gave up recording the end of {}: {}", end.handle(), failure.getMessage());
+                        LOG.error("Gave up recording the outcome of {}: {}", end.handle(), failure.getMessage());
                         return Mono.just(false);
                     }
                     return Delays.pause(environment.timers(), RETRY_PAUSE)
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -26,7 +26,7 @@
 
 /** The message parts of a store, opened as the placement says: design 9.1. */
 public final class MessagePartitions {
-    private static final Logger LOG = LogManager.getLogger("berth");
+    private static final Logger LOG = LogManager.getLogger(MessagePartitions.class);
     private static final Duration OUTCOME_UNKNOWN_RETENTION = Duration.ofDays(1);
     private static final int MAX_EXPIRY_LAG_S = 5;
 
@@ -207,7 +207,7 @@
                 try {
                     open(part, copies);
                 } catch (ServiceException failure) {
-                    LOG.error("berth: the part {} did not open: {}", part, failure.getMessage());
+                    LOG.error("Partition {} did not open: {}", part, failure.getMessage());
                 }
             }
         });
@@ -246,7 +246,7 @@
                 .filter(h -> draining || (!copies.isEmpty() && h.equals(copies.get(0))))
                 .ifPresent(h -> {
                     if (partition.replica().transferLeadership(h)) {
-                        LOG.info("berth: hands {} over to {}.", partition.id(), h);
+                        LOG.info("Transfers leadership of {} to {}.", partition.id(), h);
                     }
                 });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ExploreCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ExploreCommand.java
@@ -8,6 +8,7 @@
 import java.util.Optional;
 import org.apache.logging.log4j.Level;
 import org.apache.logging.log4j.core.config.Configurator;
+import org.woadvale.common.replication.Replica;
 
 /** Enumerates schedules for a while, then walks at random for as long, and prints what was seen. */
 public final class ExploreCommand {
@@ -33,7 +34,7 @@
             out.println(e.getMessage());
             return 2;
         }
-        Configurator.setAllLevels("keeper", Level.OFF);
+        Configurator.setAllLevels(Replica.class.getPackageName(), Level.OFF);
         boolean sound = enumerate();
         return walk() && sound ? 0 : 1;
     }
