--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -12,6 +12,12 @@
 public final class ControlMessages {
     private ControlMessages() {}
 
+    /** A command in the log of a control partition. */
+    public sealed interface ControlCommand {}
+
+    /** What applying a command to a control partition answers. */
+    public sealed interface ControlResult {}
+
     public record RenewLeaseRequest(String service, String node, MemberLease memberLease)
             implements RepeatableRequest {}
 
@@ -29,12 +35,12 @@
 
     public record SingletonLeaseResponse(
             @FirstFormatName("yours") boolean granted,
-            @FirstFormatName("duty") SingletonLease lease) {}
+            @FirstFormatName("duty") SingletonLease lease) implements ControlResult {}
 
     public record ReleaseSingletonRequest(String service, String node, long term, double level)
             implements RepeatableRequest {}
 
-    public record UpdateResult(boolean accepted) {}
+    public record UpdateResult(boolean accepted) implements ControlResult {}
 
     /** Versions known by the asker; -1 for none. It may read deflated configurations. */
     public record ServiceViewRequest(
@@ -69,9 +75,9 @@
     public record PutMember(
             String service,
             String node,
-            @FirstFormatName("seat") MemberLease memberLease) {}
+            @FirstFormatName("seat") MemberLease memberLease) implements ControlCommand {}
 
-    public record DropMember(String service, String node, String incarnation) {}
+    public record DropMember(String service, String node, String incarnation) implements ControlCommand {}
 
     /** Taken only while the list has the version seen before, plus one; nothing (0) is always taken. design 6.7 */
     public record PutProcessor(
@@ -79,24 +85,24 @@
             String id,
             Processor processor,
             @Since(2) long expectedVersion,
-            @Since(4) long requestId) implements RepeatableRequest {}
+            @Since(4) long requestId) implements ControlCommand, RepeatableRequest {}
 
     public record DropProcessor(
             String service,
             String id,
             @Since(2) long expectedVersion,
-            @Since(4) long requestId) implements RepeatableRequest {}
+            @Since(4) long requestId) implements ControlCommand, RepeatableRequest {}
 
     public record AcquireSingleton(
             String service,
             String node,
             long expectedTerm,
             @Since(2) boolean lapsed,
-            @Since(4) long requestId) {}
+            @Since(4) long requestId) implements ControlCommand {}
 
-    public record ReleaseSingleton(String service, String node, long term, double level) {}
+    public record ReleaseSingleton(String service, String node, long term, double level) implements ControlCommand {}
 
-    public record PutPlacement(Map<String, List<String>> placement, long expectedVersion) {}
+    public record PutPlacement(Map<String, List<String>> placement, long expectedVersion) implements ControlCommand {}
 
     /** A revision of the operator's own, if not 0, becomes the version; the original is kept and given back. design 6.8 */
     public record PutConfiguration(
@@ -105,7 +111,8 @@
             byte[] configuration,
             String author,
             @Since(3) long revision,
-            @Since(3) byte[] original) {
+            @Since(3) byte[] original)
+            implements ControlCommand {
         public PutConfiguration(String requestId, long base, byte[] configuration, String author) {
             this(requestId, base, configuration, author, 0, new byte[0]);
         }
@@ -117,17 +124,18 @@
             Map<String, Processor> processors,
             @FirstFormatName("seen") long expectedVersion,
             @Since(4) long requestId)
-            implements RepeatableRequest {}
+            implements ControlCommand, RepeatableRequest {}
 
     /** A number for a call that may be sent again; the control partitions answer its repeats alike. design 6.11 */
     public static long newRequestId() {
         return UUID.randomUUID().getMostSignificantBits();
     }
 
-    public record ConfigurationAccepted(long version, boolean repeated) {}
+    public record ConfigurationAccepted(long version, boolean repeated) implements ControlResult {}
 
     /** One control node for another: the whole list as it should be. */
-    public record PutCore(List<String> members, @Since(2) List<String> expected) implements RepeatableRequest {}
+    public record PutCore(List<String> members, @Since(2) List<String> expected)
+            implements ControlCommand, RepeatableRequest {}
 
     /** Tells a store that the placement has a newer version, which it need not find out by its next poll. */
     public record PlacementChanged(long version) implements RepeatableRequest {}
@@ -139,7 +147,7 @@
     public record LeaveCoreRequest(String node) implements RepeatableRequest {}
 
     /** Taken only while the list has the epoch that the change was made from. design 6.10 */
-    public record ChangeCore(List<String> members, long epoch) {}
+    public record ChangeCore(List<String> members, long epoch) implements ControlCommand {}
 
     /** Types that came after the first build: numbered after all others. design 3.2 */
     public static List<Class<?>> later() {
--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -3,119 +3,108 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
-import reactor.core.publisher.Sinks;
 
-/** First formation, and the promotion by which a replica may vote again: design 5.5. */
+/**
+ * Founds a group: its preferred leader makes the desired members a group once each of them has reported that it has
+ * nothing. That the members do not agree on this first is a known gap: docs/limits.md, Founding.
+ */
 final class Bootstrap {
     private static final Duration RETRY_PERIOD = Duration.ofMillis(300);
-    private final Replica replica;
+
+    private final ReplicaState state;
+    private final VoterPromotion promotion;
     private final Map<String, String> uninitializedMembers = new TreeMap<>();
     private Duration nextAttempt = Duration.ZERO;
 
-    Bootstrap(Replica replica) {
-        this.replica = replica;
+    Bootstrap(ReplicaState state, VoterPromotion promotion) {
+        this.state = state;
+        this.promotion = promotion;
     }
 
-    /** Only the first of the wanted list founds, and only when every member reports blank. */
+    /** Asks all desired members for their state, again and again until the group is founded. */
     void onTick() {
-        boolean first = !replica.desiredMembers.isEmpty()
-                && replica.desiredMembers.get(0).equals(replica.environment.self());
-        if (!first || !replica.membership.latest().isEmpty() || replica.now().compareTo(nextAttempt) < 0) {
+        if (!state.isPreferredLeader()
+                || !state.membership().latest().isEmpty()
+                || state.now().compareTo(nextAttempt) < 0) {
             return;
         }
-        nextAttempt = replica.now().plus(RETRY_PERIOD);
+        nextAttempt = state.now().plus(RETRY_PERIOD);
         uninitializedMembers.clear();
-        uninitializedMembers.put(replica.environment.self(), replica.identity);
-        for (String n : replica.desiredMembers) {
-            if (!n.equals(replica.environment.self())) {
-                replica.shard.afterUnlock(() -> replica.environment
-                        .rpc()
-                        .call(
-                                n,
-                                new ReplicationMessages.BootstrapStatusRequest(replica.partition),
-                                ReplicationMessages.BootstrapStatusResponse.class,
-                                replica.environment.timing().requestTimeout())
-                        .subscribe(response -> replica.shard.run(() -> onStatus(n, response)), e -> {}));
+        uninitializedMembers.put(state.self(), state.identity());
+        for (String node : state.desiredMembers()) {
+            if (!node.equals(state.self())) {
+                askForStatus(node);
             }
         }
-        if (replica.desiredMembers.size() == 1) {
-            onStatus(
-                    replica.environment.self(),
-                    new ReplicationMessages.BootstrapStatusResponse(true, replica.identity));
+        if (state.desiredMembers().size() == 1) {
+            onStatus(state.self(), new ReplicationMessages.BootstrapStatusResponse(true, state.identity()));
         }
     }
 
+    private void askForStatus(String node) {
+        ReplicationMessages.BootstrapStatusRequest request =
+                new ReplicationMessages.BootstrapStatusRequest(state.partition());
+        state.shard()
+                .afterUnlock(() -> state.environment()
+                        .rpc()
+                        .call(
+                                node,
+                                request,
+                                ReplicationMessages.BootstrapStatusResponse.class,
+                                state.timing().requestTimeout())
+                        .subscribe(response -> state.shard().run(() -> onStatus(node, response)), e -> {}));
+    }
+
     private void onStatus(String from, ReplicationMessages.BootstrapStatusResponse response) {
-        if (!response.uninitialized()
-                || replica.role != Role.UNINITIALIZED
-                || !replica.membership.latest().isEmpty()) {
+        if (!response.uninitialized() || !isUninitialized()) {
             return;
         }
         uninitializedMembers.put(from, response.identity());
-        if (!uninitializedMembers.keySet().containsAll(replica.desiredMembers)) {
+        if (!uninitializedMembers.keySet().containsAll(state.desiredMembers())) {
             return;
         }
-        Map<String, String> group = new TreeMap<>(uninitializedMembers);
-        initialize(group);
-        group.forEach((n, id) -> {
-            if (!n.equals(replica.environment.self())) {
-                send(n, new ReplicationMessages.BootstrapRequest(replica.partition, id, group));
+        Map<String, String> members = new TreeMap<>(uninitializedMembers);
+        initialize(members);
+        members.forEach((node, identity) -> {
+            if (!node.equals(state.self())) {
+                send(node, new ReplicationMessages.BootstrapRequest(state.partition(), identity, members));
             }
         });
     }
 
-    private void send(String n, ReplicationMessages.BootstrapRequest request) {
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        n,
-                        request,
-                        ReplicationMessages.Acknowledgement.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(ok -> {}, e -> {}));
+    private void send(String node, ReplicationMessages.BootstrapRequest request) {
+        state.shard()
+                .afterUnlock(() -> state.environment()
+                        .rpc()
+                        .call(
+                                node,
+                                request,
+                                ReplicationMessages.Acknowledgement.class,
+                                state.timing().requestTimeout())
+                        .subscribe(acknowledgement -> {}, e -> {}));
     }
 
-    private void initialize(Map<String, String> group) {
-        replica.membership.reset(group);
-        // design 5.5: before the bootstrap nobody could hold a lease
-        replica.leaderLeaseUntil = replica.now();
-        becomeVoter("bootstrapped");
+    private void initialize(Map<String, String> members) {
+        state.membership().reset(members);
+        state.expireLeaderLease();
+        promotion.promote("bootstrapped");
     }
 
-    private void becomeVoter(String why) {
-        replica.voter = true;
-        replica.transitionTo(Role.FOLLOWER, why);
-        replica.storage.storeSnapshot();
+    private boolean isUninitialized() {
+        return state.role() == Role.UNINITIALIZED && state.membership().latest().isEmpty();
     }
 
-    /** Voter again once a committed group entry names our new identity; it was committed without us. */
-    void promoteIfMember() {
-        if (replica.role == Role.UNINITIALIZED
-                && replica.identity.equals(replica.membership.committed().get(replica.environment.self()))) {
-            Replica.LOG.info(
-                    "Partition {} at {} has caught up and votes again.", replica.partition, replica.environment.self());
-            becomeVoter("member by a committed entry");
-        }
+    Mono<ReplicationMessages.BootstrapStatusResponse> onStatusRequest() {
+        return Mono.just(new ReplicationMessages.BootstrapStatusResponse(isUninitialized(), state.identity()));
     }
 
-    Mono<Object> onRequest(Object body) {
-        boolean blank = replica.role == Role.UNINITIALIZED
-                && replica.membership.latest().isEmpty();
-        if (body instanceof ReplicationMessages.BootstrapStatusRequest) {
-            return Mono.just(new ReplicationMessages.BootstrapStatusResponse(blank, replica.identity));
-        }
-        if (body instanceof ReplicationMessages.BootstrapRequest request) {
-            if (blank && request.identity().equals(replica.identity)) {
-                Sinks.One<Object> out = Sinks.one();
-                initialize(request.members());
-                out.tryEmitValue(new ReplicationMessages.Acknowledgement(true));
-                return out.asMono();
-            }
-            return Mono.just(new ReplicationMessages.Acknowledgement(false));
+    /** Accepted only by the very identity that reported that it has nothing. */
+    Mono<ReplicationMessages.Acknowledgement> onBootstrap(ReplicationMessages.BootstrapRequest request) {
+        boolean accepted = isUninitialized() && request.identity().equals(state.identity());
+        if (accepted) {
+            initialize(request.members());
         }
-        return Mono.error(new ServiceException(ErrorKind.BAD_REQUEST, "A replica does not answer this."));
+        return Mono.just(new ReplicationMessages.Acknowledgement(accepted));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
@@ -1,23 +1,30 @@
 package org.woadvale.common.replication;
 
-import java.util.Optional;
 import java.util.TreeMap;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** What is committed and applied, and who waits for it. */
-final class CommitTracker {
-    private record PendingProposal(long term, Sinks.One<Object> sink) {}
+/** Applies what is committed to the state machine, and completes the proposals that wait for it. */
+final class CommitTracker<C, R> {
+    private record PendingProposal<R>(long term, Sinks.One<R> sink) {}
 
-    private final Replica replica;
-    private final TreeMap<Long, PendingProposal> pending = new TreeMap<>();
+    private final ReplicaState state;
+    private final StateMachine<C, R> stateMachine;
+    private final TreeMap<Long, PendingProposal<R>> pending = new TreeMap<>();
+    private Runnable onAdvance = () -> {};
     private long commitIndex;
     private long appliedIndex;
 
-    CommitTracker(Replica replica) {
-        this.replica = replica;
+    CommitTracker(ReplicaState state, StateMachine<C, R> stateMachine) {
+        this.state = state;
+        this.stateMachine = stateMachine;
+    }
+
+    /** The task runs after each advance of the commit index. */
+    void onAdvance(Runnable task) {
+        onAdvance = task;
     }
 
     long commitIndex() {
@@ -28,17 +35,20 @@
         return appliedIndex;
     }
 
-    Mono<Object> awaitCommit(long index, long term) {
-        Sinks.One<Object> sink = Sinks.one();
-        pending.put(index, new PendingProposal(term, sink));
+    /** The result of the command that is proposed at an index in a term. */
+    Mono<R> awaitCommit(long index, long term) {
+        Sinks.One<R> sink = Sinks.one();
+        pending.put(index, new PendingProposal<>(term, sink));
         return sink.asMono();
     }
 
+    /** The state machine was restored from a snapshot up to the index. */
     void resetTo(long index) {
         commitIndex = Math.max(commitIndex, index);
         appliedIndex = index;
     }
 
+    /** Applies all entries up to the index; an earlier index changes nothing. */
     void advanceTo(long index) {
         if (index <= commitIndex) {
             return;
@@ -46,43 +56,50 @@
         commitIndex = index;
         while (appliedIndex < commitIndex) {
             appliedIndex++;
-            apply(replica.replicatedLog.get(appliedIndex));
+            apply(state.log().get(appliedIndex));
         }
-        replica.membership.onCommitted(commitIndex);
-        replica.bootstrap.promoteIfMember();
+        state.membership().onCommitted(commitIndex);
+        onAdvance.run();
     }
 
-    private void apply(LogEntry item) {
-        Object result = "";
-        if (item.kind() == LogEntry.Kind.COMMAND) {
-            try {
-                result = replica.stateMachine.apply(
-                        appliedIndex, replica.environment.codec().read(item.bytes(), Object.class));
-            } catch (ServiceException failure) {
-                result = failure;
-            }
+    private void apply(LogEntry entry) {
+        PendingProposal<R> proposal = pending.remove(appliedIndex);
+        if (proposal != null && proposal.term() != entry.term()) {
+            fail(proposal, outcomeUnknown());
+            proposal = null;
         }
-        Object answer = result;
-        Optional.ofNullable(pending.remove(appliedIndex)).ifPresent(pendingProposal -> {
-            if (pendingProposal.term() == item.term()) {
-                replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitValue(answer));
-            } else {
-                replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitError(outcomeUnknown()));
+        if (entry.kind() == LogEntry.Kind.COMMAND) {
+            applyCommand(entry, proposal);
+        }
+    }
+
+    private void applyCommand(LogEntry entry, PendingProposal<R> proposal) {
+        try {
+            C command = state.environment().codec().read(entry.bytes(), stateMachine.commandType());
+            R result = stateMachine.apply(appliedIndex, command);
+            if (proposal != null) {
+                state.shard().afterUnlock(() -> proposal.sink().tryEmitValue(result));
+            }
+        } catch (ServiceException e) {
+            if (proposal != null) {
+                fail(proposal, e);
             }
-        });
+        }
     }
 
-    /** The lease is gone: what waits may still be committed by the next owner, or not. */
+    /** The leadership is over: what is pending may still be committed by the next leader, or not. */
     void failPending() {
-        pending.values()
-                .forEach(pendingProposal ->
-                        replica.shard.afterUnlock(() -> pendingProposal.sink().tryEmitError(outcomeUnknown())));
+        pending.values().forEach(proposal -> fail(proposal, outcomeUnknown()));
         pending.clear();
     }
 
+    private void fail(PendingProposal<R> proposal, ServiceException failure) {
+        state.shard().afterUnlock(() -> proposal.sink().tryEmitError(failure));
+    }
+
     private ServiceException outcomeUnknown() {
         return new ServiceException(
                 ErrorKind.UNKNOWN_OUTCOME,
-                "The part " + replica.partition + " changed its owner before the commit was known.");
+                "The partition " + state.partition() + " changed its leader before the commit was known.");
     }
 }
--- /dev/null
+++ b/common/src/main/java/org/woadvale/common/replication/Followers.java
@@ -0,0 +1,83 @@
+package org.woadvale.common.replication;
+
+import java.time.Duration;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Function;
+import java.util.function.Predicate;
+
+/** The appenders of a leader, one for each node that it sends to. */
+final class Followers {
+    private final Function<String, LogAppender> newAppender;
+    private final Map<String, LogAppender> appenders = new TreeMap<>();
+
+    Followers(Function<String, LogAppender> newAppender) {
+        this.newAppender = newAppender;
+    }
+
+    void clear() {
+        appenders.clear();
+    }
+
+    void retain(Set<String> nodes) {
+        appenders.keySet().retainAll(nodes);
+    }
+
+    /** The appender of a node; a new one if the node was not sent to so far. */
+    LogAppender appender(String node) {
+        return appenders.computeIfAbsent(node, newAppender);
+    }
+
+    Collection<LogAppender> appenders() {
+        return appenders.values();
+    }
+
+    Set<String> nodes() {
+        return appenders.keySet();
+    }
+
+    Optional<FollowerProgress> progress(String node) {
+        return Optional.ofNullable(appenders.get(node)).map(LogAppender::progress);
+    }
+
+    /** What is known of each, by node. */
+    Map<String, FollowerProgress> progress() {
+        Map<String, FollowerProgress> progress = new TreeMap<>();
+        appenders.forEach((node, appender) -> progress.put(node, appender.progress()));
+        return progress;
+    }
+
+    /** The identities of those for which the condition holds, by node: to be counted for a majority. */
+    Map<String, String> identitiesWhere(Predicate<FollowerProgress> condition) {
+        Map<String, String> identities = new TreeMap<>();
+        appenders.forEach((node, appender) -> {
+            if (condition.test(appender.progress())) {
+                identities.put(node, appender.progress().identity());
+            }
+        });
+        return identities;
+    }
+
+    /** When each follower was last sent something that it answered; those that never answered are left out. */
+    Map<String, Duration> contacts() {
+        Map<String, Duration> contacts = new TreeMap<>();
+        appenders.forEach((node, appender) -> {
+            if (!appender.progress().lastContact().isZero()) {
+                contacts.put(node, appender.progress().lastContact());
+            }
+        });
+        return contacts;
+    }
+
+    /** Since when the leader sends to the one it has sent to for longest; zero if there is none. */
+    Duration since() {
+        return appenders.values().stream()
+                .map(appender -> appender.progress().since())
+                .min(Comparator.naturalOrder())
+                .orElse(Duration.ZERO);
+    }
+}
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Who sits in the group, by address and identity; a change in flight needs both majorities: design 5.6. */
+/** The members of a group, node to identity. While a change is not committed, a majority is one of the former members and one of the new ones. */
 final class GroupMembership {
     private record Change(long index, Map<String, String> members) {}
 
@@ -41,7 +41,7 @@
         change = Optional.empty();
     }
 
-    /** An owner starts a change only after the former one was committed. */
+    /** A leader starts a change only after the former one was committed. */
     void onAppended(long index, Map<String, String> members) {
         change.ifPresent(change -> committed = change.members());
         change = Optional.of(new Change(index, new TreeMap<>(members)));
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -7,37 +7,48 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
-
-/** Replicating, counting commits and holding the lease: design 5.1. */
-final class Leader {
-    private final Replica replica;
-    private final Map<String, LogAppender> followers = new TreeMap<>();
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+
+/**
+ * The leader's work in one term. Entered by {@link #onElected} and left by {@link #onDeposed}; in between it appends and
+ * replicates entries, advances the commit index, renews its lease and changes the members of the group.
+ */
+final class Leader implements ReplicaStorage.LogRetention {
+    private static final Logger LOG = LogManager.getLogger(Leader.class);
+
+    private final ReplicaState state;
+    private final CommitTracker<?, ?> commits;
+    private final ReplicaStorage storage;
+    private final Followers followers;
+    private final LeaderLease lease;
     private final DepartingMembers departingMembers = new DepartingMembers();
     private long firstIndexOfTerm;
-    /** The entry that changes the group and is not known to be committed; zero for none. */
+    /** The entry that changes the members and is not known to be committed; zero for none. */
     private long membershipChangeIndex;
 
-    private boolean relinquished;
-
-    Leader(Replica replica) {
-        this.replica = replica;
+    Leader(ReplicaState state, CommitTracker<?, ?> commits, ReplicaStorage storage, VoteStore votes) {
+        this.state = state;
+        this.commits = commits;
+        this.storage = storage;
+        this.followers =
+                new Followers(node -> new LogAppender(state, commits, storage, votes, this::advanceCommit, node));
+        this.lease = new LeaderLease(state, followers);
     }
 
+    /** Appends an entry of the new term: only with it entries of earlier terms are committed. */
     void onElected() {
         followers.clear();
         departingMembers.clear();
-        relinquished = false;
-        firstIndexOfTerm = replica.replicatedLog.lastIndex() + 1;
-        membershipChangeIndex = replica.membership.isChanging() ? firstIndexOfTerm : 0;
-        if (replica.membership.isChanging()) {
-            append(new LogEntry(replica.term, LogEntry.Kind.NO_OP, new byte[0]));
+        lease.begin();
+        firstIndexOfTerm = state.log().lastIndex() + 1;
+        if (state.membership().isChanging()) {
+            membershipChangeIndex = firstIndexOfTerm;
+            append(new LogEntry(state.term(), LogEntry.Kind.NO_OP, new byte[0]));
         } else {
-            append(new LogEntry(
-                    replica.term,
-                    LogEntry.Kind.MEMBERSHIP,
-                    replica.environment.codec().write(replica.membership.committed())));
+            membershipChangeIndex = 0;
+            appendMembers(state.membership().committed());
         }
     }
 
@@ -46,214 +57,188 @@
         departingMembers.clear();
     }
 
-    /** When each follower was last sent something that it answered; those that never answered are left out. */
     Map<String, Duration> followerContacts() {
-        Map<String, Duration> out = new TreeMap<>();
-        followers.forEach((node, appender) -> {
-            if (!appender.lastContact.isZero()) {
-                out.put(node, appender.lastContact);
-            }
-        });
-        return out;
+        return followers.contacts();
     }
 
-    boolean isActive() {
-        return leaseRunning() && replica.commits.commitIndex() >= firstIndexOfTerm;
+    LeaderLease lease() {
+        return lease;
     }
 
     boolean leaseRunning() {
-        return !relinquished && replica.now().compareTo(leaseEnd()) < 0;
+        return lease.isRunning();
     }
 
-    /** Counted from the sending of the latest renewal that a majority has confirmed. */
-    Duration leaseEnd() {
-        List<Duration> sent = new ArrayList<>(followers.values().stream()
-                .map(appender -> appender.lastContact)
-                .toList());
-        sent.add(replica.now());
-        sent.sort(Comparator.reverseOrder());
-        for (Duration t : sent) {
-            Map<String, String> agreeing = new TreeMap<>(Map.of(replica.environment.self(), replica.identity));
-            followers.forEach((n, appender) -> {
-                if (appender.lastContact.compareTo(t) >= 0 && !appender.lastContact.isZero()) {
-                    agreeing.put(n, appender.identity);
-                }
-            });
-            if (replica.membership.hasMajority(agreeing)) {
-                return t.plus(replica.environment.timing().leaderLease());
-            }
-        }
-        return Duration.ZERO;
+    /** The lease runs and an entry of the own term is committed: reads and effects are allowed right now. */
+    boolean isActive() {
+        return lease.isRunning() && commits.commitIndex() >= firstIndexOfTerm;
+    }
+
+    /** Adds an entry to the log, here and on all followers. */
+    void append(LogEntry entry) {
+        storage.append(List.of(entry), this::advanceCommit);
+        followerNodes().forEach(node -> followers.appender(node).sendEntries());
     }
 
-    void append(LogEntry item) {
-        replica.storage.append(List.of(item), this::advanceCommit);
-        followerNodes()
-                .forEach(n -> followers
-                        .computeIfAbsent(n, k -> new LogAppender(replica, this, k))
-                        .send(false));
+    private void appendMembers(Map<String, String> members) {
+        byte[] bytes = state.environment().codec().write(members);
+        append(new LogEntry(state.term(), LogEntry.Kind.MEMBERSHIP, bytes));
     }
 
-    /** The first index that a follower on its way from a snapshot still needs, or the given one. */
-    long firstIndexNeeded(long otherwise) {
-        return followers.values().stream()
+    @Override
+    public long firstIndexNeeded(long otherwise) {
+        return followers.appenders().stream()
                 .flatMap(appender -> appender.firstIndexNeeded().stream())
                 .mapToLong(Long::longValue)
                 .reduce(otherwise, Math::min);
     }
 
-    /** The group and those that are to join it. */
+    /** The group, those that are to join it, and those that do not know yet that they have left it. */
     private Set<String> followerNodes() {
-        Set<String> all = new TreeSet<>(replica.membership.membersExcept(replica.environment.self()));
-        replica.desiredMembers.stream()
-                .filter(w -> !w.equals(replica.environment.self()))
-                .forEach(all::add);
-        all.addAll(departingMembers.notNotified(
-                followers, replica.now().minus(replica.environment.timing().lease())));
-        return all;
+        Set<String> nodes = new TreeSet<>(state.membership().membersExcept(state.self()));
+        state.desiredMembers().stream()
+                .filter(node -> !node.equals(state.self()))
+                .forEach(nodes::add);
+        Duration oldest = state.now().minus(state.timing().lease());
+        nodes.addAll(departingMembers.notNotified(followers, oldest));
+        return nodes;
     }
 
     /** Committed is what a majority has synced, from the first entry of the own term on. */
-    void advanceCommit() {
-        if (replica.role != Role.LEADER) {
+    private void advanceCommit() {
+        if (!state.isLeader()) {
             return;
         }
-        List<Long> matches = new ArrayList<>(
-                followers.values().stream().map(appender -> appender.matchIndex).toList());
-        matches.add(replica.storage.syncedIndex());
-        matches.sort(Comparator.reverseOrder());
-        for (long m : matches) {
-            Map<String, String> agreeing = new TreeMap<>();
-            if (replica.storage.syncedIndex() >= m) {
-                agreeing.put(replica.environment.self(), replica.identity);
-            }
-            followers.forEach((n, appender) -> {
-                if (appender.matchIndex >= m) {
-                    agreeing.put(n, appender.identity);
-                }
-            });
-            if (m >= firstIndexOfTerm && replica.membership.hasMajority(agreeing)) {
-                replica.commits.advanceTo(m);
-                confirmChange();
+        List<Long> candidates = new ArrayList<>(followers.appenders().stream()
+                .map(appender -> appender.progress().matchIndex())
+                .toList());
+        candidates.add(storage.syncedIndex());
+        candidates.sort(Comparator.reverseOrder());
+        for (long index : candidates) {
+            if (index >= firstIndexOfTerm && isSyncedByMajority(index)) {
+                commits.advanceTo(index);
+                confirmMembershipChange();
                 return;
             }
         }
     }
 
-    /** A committed change is appended again: whoever holds that entry knows of the commit, also after a restart. design 6.9 */
-    private void confirmChange() {
-        if (membershipChangeIndex == 0 || replica.commits.commitIndex() < membershipChangeIndex) {
+    private boolean isSyncedByMajority(long index) {
+        Map<String, String> synced = followers.identitiesWhere(progress -> progress.matchIndex() >= index);
+        if (storage.syncedIndex() >= index) {
+            synced.put(state.self(), state.identity());
+        }
+        return state.membership().hasMajority(synced);
+    }
+
+    /** A committed change is appended again: whoever holds that entry knows of the commit, also after a restart. */
+    private void confirmMembershipChange() {
+        if (membershipChangeIndex == 0 || commits.commitIndex() < membershipChangeIndex) {
             return;
         }
         membershipChangeIndex = 0;
-        Map<String, String> members = replica.membership.committed();
+        Map<String, String> members = state.membership().committed();
         Set<String> staying = new TreeSet<>(members.keySet());
-        staying.addAll(replica.desiredMembers);
-        departingMembers.addAllBut(staying, followers.keySet(), replica.replicatedLog.lastIndex() + 1, replica.now());
-        append(new LogEntry(
-                replica.term,
-                LogEntry.Kind.MEMBERSHIP,
-                replica.environment.codec().write(members)));
+        staying.addAll(state.desiredMembers());
+        long confirmedIndex = state.log().lastIndex() + 1;
+        departingMembers.addAllBut(staying, followers.nodes(), confirmedIndex, state.now());
+        appendMembers(members);
     }
 
     /** No change is under way, and each other member was brought up to date under the identity that counts. */
-    boolean stable() {
-        return !replica.membership.isChanging()
-                && replica.membership.committed().entrySet().stream()
-                        .allMatch(member -> member.getKey().equals(replica.environment.self())
-                                || followers.containsKey(member.getKey())
-                                        && followers.get(member.getKey()).upToDateAs(member.getValue()));
+    boolean isStable() {
+        return !state.membership().isChanging()
+                && state.membership().committed().entrySet().stream()
+                        .allMatch(member -> member.getKey().equals(state.self()) || isUpToDate(member));
     }
 
+    private boolean isUpToDate(Map.Entry<String, String> member) {
+        return followers
+                .progress(member.getKey())
+                .filter(progress -> progress.upToDateAs(member.getValue()))
+                .isPresent();
+    }
+
+    /** Sends heartbeats, and leaves the role if the replica is no member or has been without a majority for too long. */
     void onTick() {
-        Set<String> now = followerNodes();
-        followers.keySet().retainAll(now);
-        now.forEach(n -> followers
-                .computeIfAbsent(n, k -> new LogAppender(replica, this, k))
-                .send(true));
-        if (!replica.membership.latest().containsKey(replica.environment.self()) && !replica.membership.isChanging()) {
-            stepDown();
-        } else if (replica.now()
-                                .compareTo(leaseEnd()
-                                        .plus(replica.environment.timing().lease()))
-                        > 0
-                && replica.now()
-                                .compareTo(followedSince()
-                                        .plus(replica.environment.timing().lease()))
-                        > 0) {
-            replica.transitionTo(Role.FOLLOWER, "the lease expired");
-        } else if (isActive() && !replica.membership.isChanging()) {
+        Set<String> nodes = followerNodes();
+        followers.retain(nodes);
+        nodes.forEach(node -> followers.appender(node).onTick());
+        GroupMembership membership = state.membership();
+        if (!membership.latest().containsKey(state.self()) && !membership.isChanging()) {
+            leaveGroup();
+        } else if (isWithoutMajority()) {
+            state.transitionTo(Role.FOLLOWER, "the lease expired");
+        } else if (isActive() && !membership.isChanging()) {
             changeMembership();
         }
     }
 
-    /** Removed from its group: another member takes over at once, or the others elect one. */
-    private void stepDown() {
-        if (!relinquished && !successor().map(this::transferLeadership).orElse(false)) {
-            replica.transitionTo(Role.FOLLOWER, "no longer a member");
-        }
+    private boolean isWithoutMajority() {
+        Duration lapse = state.timing().lease();
+        return state.now().compareTo(lease.end().plus(lapse)) > 0
+                && state.now().compareTo(followers.since().plus(lapse)) > 0;
     }
 
-    private Duration followedSince() {
-        return followers.values().stream()
-                .map(appender -> appender.startedAt)
-                .min(Comparator.naturalOrder())
-                .orElse(Duration.ZERO);
+    /** Removed from its group: another member takes over at once, or the others elect one. */
+    private void leaveGroup() {
+        boolean transferred = lease.isRelinquished()
+                || successor().map(this::transferLeadership).orElse(false);
+        if (!transferred) {
+            state.transitionTo(Role.FOLLOWER, "no longer a member");
+        }
     }
 
-    /** One change at a time. design 5.6 */
+    /** One change at a time. */
     private void changeMembership() {
-        MembershipChange.next(replica.membership.committed(), replica.desiredMembers, followers)
+        MembershipChange.next(state.membership().committed(), state.desiredMembers(), followers.progress())
                 .ifPresent(change -> {
-                    Replica.LOG.info("Partition {} adds {} to its members.", replica.partition, change.joining());
-                    membershipChangeIndex = replica.replicatedLog.lastIndex() + 1;
-                    append(new LogEntry(
-                            replica.term,
-                            LogEntry.Kind.MEMBERSHIP,
-                            replica.environment.codec().write(change.members())));
+                    LOG.info("Partition {} adds {} to its members.", state.partition(), change.joining());
+                    membershipChangeIndex = state.log().lastIndex() + 1;
+                    appendMembers(change.members());
                 });
     }
 
+    /** The member that would lead next: up to date, electable, and the first of those by preference. */
     Optional<String> successor() {
-        return followers.entrySet().stream()
-                .filter(entry -> entry.getValue()
-                        .identity
-                        .equals(replica.membership.committed().get(entry.getKey())))
-                .filter(entry ->
-                        entry.getValue().electable && entry.getValue().matchIndex >= replica.replicatedLog.lastIndex())
+        Map<String, String> members = state.membership().committed();
+        List<String> preference = state.desiredMembers();
+        return followers.progress().entrySet().stream()
+                .filter(follower -> follower.getValue().identity().equals(members.get(follower.getKey())))
+                .filter(follower -> follower.getValue().isElectable()
+                        && follower.getValue().matchIndex() >= state.log().lastIndex())
                 .map(Map.Entry::getKey)
-                .min(Comparator.comparingInt(n ->
-                        replica.desiredMembers.contains(n) ? replica.desiredMembers.indexOf(n) : Integer.MAX_VALUE));
+                .min(Comparator.comparingInt(
+                        node -> preference.contains(node) ? preference.indexOf(node) : Integer.MAX_VALUE));
     }
 
-    /** The lease is given up first; only then may the successor stand. */
-    boolean transferLeadership(String to) {
-        LogAppender appender = followers.get(to);
-        if (appender == null
-                || appender.matchIndex < replica.replicatedLog.lastIndex()
-                || !isActive()
-                || replica.membership.isChanging()) {
+    /** Gives up the lease first; only then may the successor start its election. False if it is not up to date. */
+    boolean transferLeadership(String successor) {
+        boolean upToDate = followers
+                .progress(successor)
+                .filter(progress -> progress.matchIndex() >= state.log().lastIndex())
+                .isPresent();
+        if (!upToDate || !isActive() || state.membership().isChanging()) {
             return false;
         }
-        relinquished = true;
-        long term = replica.term;
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        to,
-                        new ReplicationMessages.StartElectionRequest(replica.partition, term),
-                        ReplicationMessages.Acknowledgement.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(ok -> {}, e -> {}));
-        replica.environment
-                .timers()
-                .after(
-                        replica.environment.timing().requestTimeout(),
-                        () -> replica.shard.run(() -> {
-                            if (replica.role == Role.LEADER && replica.term == term) {
-                                replica.transitionTo(Role.FOLLOWER, "leadership transferred");
-                            }
-                        }));
+        lease.relinquish();
+        long term = state.term();
+        NodeEnvironment environment = state.environment();
+        Duration timeout = state.timing().requestTimeout();
+        ReplicationMessages.StartElectionRequest request =
+                new ReplicationMessages.StartElectionRequest(state.partition(), term);
+        state.shard()
+                .afterUnlock(() -> environment
+                        .rpc()
+                        .call(successor, request, ReplicationMessages.Acknowledgement.class, timeout)
+                        .subscribe(acknowledgement -> {}, e -> {}));
+        environment.timers().after(timeout, () -> state.shard().run(() -> onTransferTimeout(term)));
         return true;
     }
+
+    private void onTransferTimeout(long term) {
+        if (state.isLeader() && state.term() == term) {
+            state.transitionTo(Role.FOLLOWER, "leadership transferred");
+        }
+    }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -3,158 +3,198 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
+import org.woadvale.common.replication.ReplicationMessages.Acknowledgement;
+import org.woadvale.common.replication.ReplicationMessages.StartElectionRequest;
+import org.woadvale.common.replication.ReplicationMessages.VoteRequest;
+import org.woadvale.common.replication.ReplicationMessages.VoteResponse;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Standing, and voting for others: design 5.3. */
+/** Candidacy of this replica, and its votes for others. */
 final class LeaderElection {
-    private final Replica replica;
+    /** The preferred leader waits this part of the jitter at most, so that it usually stands first. */
+    private static final int PREFERRED_FRACTION = 8;
+
+    private final ReplicaState state;
+    private final VoteStore votes;
+    private final BooleanSupplier ownLeaseRunning;
+    private final Runnable onElected;
     private Duration electionDueAt = Duration.ZERO;
-    private Map<String, String> votes = new TreeMap<>();
+    private Map<String, String> votesReceived = new TreeMap<>();
 
-    LeaderElection(Replica replica) {
-        this.replica = replica;
+    /**
+     * Elections of one replica.
+     *
+     * @param ownLeaseRunning whether the lease of this replica runs, while it leads
+     * @param onElected runs when this replica has become leader
+     */
+    LeaderElection(ReplicaState state, VoteStore votes, BooleanSupplier ownLeaseRunning, Runnable onElected) {
+        this.state = state;
+        this.votes = votes;
+        this.ownLeaseRunning = ownLeaseRunning;
+        this.onElected = onElected;
     }
 
+    /** On a follower: starts an election once no lease can run and the election time-out is over. */
     void onTick() {
-        if (wasLastLeader() && replica.membership.latest().containsKey(replica.environment.self())) {
-            electionDueAt = electionDueAt.isZero() ? replica.now().plus(electionTimeout()) : electionDueAt;
-            if (replica.now().compareTo(electionDueAt) >= 0) {
-                startElection(false);
-            }
-        } else if (replica.now().compareTo(replica.leaderLeaseUntil) < 0
-                || !replica.membership.latest().containsKey(replica.environment.self())) {
+        boolean member = state.membership().latest().containsKey(state.self());
+        if (!member || state.leaderLeaseMayRun() && !wasLastLeader()) {
             electionDueAt = Duration.ZERO;
-        } else if (electionDueAt.isZero()) {
-            electionDueAt = replica.now().plus(electionTimeout());
-        } else if (replica.now().compareTo(electionDueAt) >= 0) {
+            return;
+        }
+        if (electionDueAt.isZero()) {
+            electionDueAt = state.now().plus(electionTimeout());
+            if (!wasLastLeader()) {
+                return;
+            }
+        }
+        if (state.now().compareTo(electionDueAt) >= 0) {
             startElection(false);
         }
     }
 
     /**
-     * Started again, and nobody else can hold a lease that was confirmed here: it was ours, and ended with our former
-     * life. design 5.3
+     * After a restart: the lease that was confirmed here last was this node's own, and ended with its former incarnation,
+     * so nobody else can hold one.
      */
     private boolean wasLastLeader() {
-        return replica.term > 0 && replica.votedFor.equals(replica.environment.self()) && replica.leaderId.isEmpty();
+        return state.term() > 0
+                && state.votedFor().equals(state.self())
+                && state.leaderId().isEmpty();
     }
 
-    /** The first of the wanted list stands first; the others leave it time: owners spread by placement. */
+    /** The preferred leader stands first and the others leave it time, so that leaders are spread by placement. */
     private Duration electionTimeout() {
-        Duration spread = replica.environment.timing().electionJitter();
-        long jitter = Math.floorMod(replica.environment.random().getAsLong(), spread.toNanos());
-        boolean first = !replica.desiredMembers.isEmpty()
-                && replica.desiredMembers.get(0).equals(replica.environment.self());
-        return first ? Duration.ofNanos(jitter / 8) : spread.dividedBy(2).plusNanos(jitter);
+        Duration jitter = state.timing().electionJitter();
+        long random = Math.floorMod(state.environment().random().getAsLong(), jitter.toNanos());
+        return state.isPreferredLeader()
+                ? Duration.ofNanos(random / PREFERRED_FRACTION)
+                : jitter.dividedBy(2).plusNanos(random);
     }
 
-    /** A dry round first, so that a replica nobody would elect does not raise the term. */
-    void startElection(boolean leadershipTransferred) {
+    /** A pre-vote comes first, so that a replica that nobody would elect does not raise the term. */
+    private void startElection(boolean leadershipTransferred) {
         electionDueAt = Duration.ZERO;
-        replica.transitionTo(Role.CANDIDATE, "no leader");
-        replica.leaderId = "";
-        requestVotes(replica.term + 1, true, leadershipTransferred);
+        state.transitionTo(Role.CANDIDATE, "no leader");
+        state.forgetLeader();
+        requestVotes(state.term() + 1, true, leadershipTransferred);
     }
 
-    private void requestVotes(long term, boolean dry, boolean leadershipTransferred) {
-        votes = new TreeMap<>(Map.of(replica.environment.self(), replica.identity));
-        ReplicationMessages.VoteRequest ask = new ReplicationMessages.VoteRequest(
-                replica.partition,
+    private void requestVotes(long term, boolean preVote, boolean leadershipTransferred) {
+        votesReceived = new TreeMap<>(Map.of(state.self(), state.identity()));
+        VoteRequest request = new VoteRequest(
+                state.partition(),
                 term,
-                replica.replicatedLog.lastIndex(),
-                replica.replicatedLog.lastTerm(),
-                dry,
+                state.log().lastIndex(),
+                state.log().lastTerm(),
+                preVote,
                 leadershipTransferred);
-        for (String n : replica.membership.membersExcept(replica.environment.self())) {
-            replica.shard.afterUnlock(() -> replica.environment
-                    .rpc()
-                    .call(
-                            n,
-                            ask,
-                            ReplicationMessages.VoteResponse.class,
-                            replica.environment.timing().requestTimeout())
-                    .subscribe(response -> replica.shard.run(() -> onVoteResponse(n, ask, response)), e -> {}));
+        NodeEnvironment environment = state.environment();
+        Duration timeout = state.timing().requestTimeout();
+        for (String node : state.membership().membersExcept(state.self())) {
+            state.shard()
+                    .afterUnlock(() -> environment
+                            .rpc()
+                            .call(node, request, VoteResponse.class, timeout)
+                            .subscribe(
+                                    response -> state.shard().run(() -> onVoteResponse(node, request, response)),
+                                    e -> {}));
+        }
+        environment.timers().after(timeout, () -> state.shard().run(() -> onTimeout(request)));
+    }
+
+    /** The term of a running round of votes: a pre-vote asks for the term after the present one. */
+    private long requestedTerm(VoteRequest request) {
+        return request.preVote() ? state.term() + 1 : state.term();
+    }
+
+    private void onTimeout(VoteRequest request) {
+        if (state.role() == Role.CANDIDATE && requestedTerm(request) == request.term()) {
+            state.transitionTo(Role.FOLLOWER, "no majority in time");
         }
-        replica.environment
-                .timers()
-                .after(
-                        replica.environment.timing().requestTimeout(),
-                        () -> replica.shard.run(() -> {
-                            if (replica.role == Role.CANDIDATE && (dry ? replica.term + 1 : replica.term) == term) {
-                                replica.transitionTo(Role.FOLLOWER, "no majority in time");
-                            }
-                        }));
     }
 
-    private void onVoteResponse(
-            String from, ReplicationMessages.VoteRequest ask, ReplicationMessages.VoteResponse response) {
-        replica.adoptTerm(response.term(), "a peer is in a later term");
-        long expected = ask.preVote() ? replica.term + 1 : replica.term;
-        if (replica.role != Role.CANDIDATE || ask.term() != expected || !response.granted()) {
+    private void onVoteResponse(String from, VoteRequest request, VoteResponse response) {
+        votes.adoptTerm(response.term(), "a peer is in a later term");
+        boolean current = state.role() == Role.CANDIDATE && request.term() == requestedTerm(request);
+        if (!current || !response.granted()) {
             return;
         }
-        votes.put(from, response.identity());
-        if (!replica.membership.hasMajority(votes)) {
+        votesReceived.put(from, response.identity());
+        if (!state.membership().hasMajority(votesReceived)) {
             return;
         }
-        if (ask.preVote()) {
-            replica.term = ask.term();
-            replica.votedFor = replica.environment.self();
-            long term = replica.term;
-            replica.storage.storeVote(() -> {
-                if (replica.role == Role.CANDIDATE && replica.term == term) {
-                    requestVotes(term, false, ask.leadershipTransferred());
-                }
-            });
+        if (request.preVote()) {
+            voteForItself(request);
         } else {
-            replica.transitionTo(Role.LEADER, "elected");
-            replica.leaderId = replica.environment.self();
-            replica.leader.onElected();
+            state.transitionTo(Role.LEADER, "elected");
+            state.leadItself();
+            onElected.run();
         }
     }
 
-    Mono<Object> onVoteRequest(String from, ReplicationMessages.VoteRequest request) {
-        boolean leaseRuns = replica.now().compareTo(replica.leaderLeaseUntil) < 0
-                || (replica.role == Role.LEADER && replica.leader.leaseRunning());
-        // whoever held the lease and stands now has given it up, or lost it with its former life
-        boolean itsOwn = from.equals(replica.votedFor) && replica.role != Role.LEADER;
-        boolean complete = request.lastTerm() > replica.replicatedLog.lastTerm()
-                || (request.lastTerm() == replica.replicatedLog.lastTerm()
-                        && request.lastIndex() >= replica.replicatedLog.lastIndex());
-        boolean free =
-                request.term() > replica.term || (request.term() == replica.term && (replica.votedFor.equals(from)));
-        if (!replica.voter || (leaseRuns && !request.leadershipTransferred() && !itsOwn) || !complete || !free) {
-            return Mono.just(new ReplicationMessages.VoteResponse(replica.term, false, replica.identity));
+    private void voteForItself(VoteRequest preVote) {
+        long term = preVote.term();
+        state.voteFor(term, state.self());
+        votes.store(() -> {
+            if (state.role() == Role.CANDIDATE && state.term() == term) {
+                requestVotes(term, false, preVote.leadershipTransferred());
+            }
+        });
+    }
+
+    /** Answers a candidate; a vote that is granted is on disk before the answer leaves. */
+    Mono<VoteResponse> onVoteRequest(String from, VoteRequest request) {
+        if (!mayGrant(from, request)) {
+            return Mono.just(new VoteResponse(state.term(), false, state.identity()));
         }
         if (request.preVote()) {
-            return Mono.just(new ReplicationMessages.VoteResponse(replica.term, true, replica.identity));
+            return Mono.just(new VoteResponse(state.term(), true, state.identity()));
         }
-        if (request.term() > replica.term) {
-            replica.term = request.term();
-            replica.leaderId = "";
-            replica.votedFor = from;
-            if (replica.role == Role.LEADER || replica.role == Role.CANDIDATE) {
-                replica.transitionTo(Role.FOLLOWER, "voted for " + from);
+        if (request.term() > state.term()) {
+            state.forgetLeader();
+            state.voteFor(request.term(), from);
+            if (state.role() == Role.LEADER || state.role() == Role.CANDIDATE) {
+                state.transitionTo(Role.FOLLOWER, "voted for " + from);
             }
         }
-        electionDueAt = replica.now().plus(replica.environment.timing().lease());
-        long term = replica.term;
-        Sinks.One<Object> out = Sinks.one();
-        replica.storage.storeVote(() -> replica.shard.afterUnlock(
-                () -> out.tryEmitValue(new ReplicationMessages.VoteResponse(term, true, replica.identity))));
-        return out.asMono();
+        electionDueAt = state.now().plus(state.timing().lease());
+        long term = state.term();
+        Sinks.One<VoteResponse> response = Sinks.one();
+        votes.store(() ->
+                state.shard().afterUnlock(() -> response.tryEmitValue(new VoteResponse(term, true, state.identity()))));
+        return response.asMono();
+    }
+
+    private boolean mayGrant(String from, VoteRequest request) {
+        boolean leaseRuns = state.leaderLeaseMayRun() || state.isLeader() && ownLeaseRunning.getAsBoolean();
+        // the last leader itself: it has given its lease up, or lost it with its former incarnation
+        boolean formerLeader = from.equals(state.votedFor()) && !state.isLeader();
+        if (leaseRuns && !request.leadershipTransferred() && !formerLeader) {
+            return false;
+        }
+        boolean voteIsFree = request.term() > state.term()
+                || request.term() == state.term() && state.votedFor().equals(from);
+        return state.isVoter() && voteIsFree && isComplete(request);
+    }
+
+    /** Whether the candidate's log has all that may be committed, as far as this replica can tell. */
+    private boolean isComplete(VoteRequest request) {
+        ReplicatedLog log = state.log();
+        return request.lastTerm() > log.lastTerm()
+                || request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex();
     }
 
-    /** The owner has given up its lease in our favour. */
-    Mono<Object> onStartElection(String from, ReplicationMessages.StartElectionRequest request) {
-        boolean ready = replica.role == Role.FOLLOWER
-                && replica.voter
-                && request.term() == replica.term
-                && from.equals(replica.leaderId);
-        if (ready) {
+    /** The leader has given up its lease in this replica's favour. */
+    Mono<Acknowledgement> onStartElection(String from, StartElectionRequest request) {
+        boolean accepted = state.role() == Role.FOLLOWER
+                && state.isVoter()
+                && request.term() == state.term()
+                && from.equals(state.leaderId());
+        if (accepted) {
             startElection(true);
         }
-        return Mono.just(new ReplicationMessages.Acknowledgement(ready));
+        return Mono.just(new Acknowledgement(accepted));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -6,7 +6,7 @@
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.WalRecord;
 
-/** What an older build wrote into the ring, in the present format. design 3.4 */
+/** What an older build wrote to the write-ahead log, in the present format. */
 final class LegacyFormat {
     /** Records without the count of their components. */
     private static final int FIRST_FORMAT = 1;
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -3,180 +3,212 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import java.util.function.Consumer;
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+import org.woadvale.common.replication.ReplicationMessages.AppendEntriesRequest;
+import org.woadvale.common.replication.ReplicationMessages.AppendEntriesResponse;
+import org.woadvale.common.replication.ReplicationMessages.InstallSnapshotRequest;
+import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
+import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 
-/** The owner's knowledge of one other replica; one append in flight at a time. */
+/** Brings one follower up to the leader's log in one term: entries, heartbeats and snapshots, one request at a time. */
 final class LogAppender {
-    /** So many pieces in a row without an answer, and a whole snapshot is tried once. */
+    /** Is told when a follower has acknowledged more of the log. */
+    interface ProgressListener {
+        void onProgress();
+    }
+
+    private static final Logger LOG = LogManager.getLogger(LogAppender.class);
+
+    /** After so many chunks in a row without an answer the whole snapshot is tried once. */
     private static final int LOST_CHUNKS_BEFORE_WHOLE = 6;
 
-    final Duration startedAt;
-    String identity = "";
-    boolean electable;
-    long matchIndex;
-    /** When the latest confirmed renewal was sent, by the owner's clock. */
-    Duration lastContact = Duration.ZERO;
+    /** So long a node that is to join is asked often, since it opens its replica at any moment. */
+    private static final Duration JOIN_PERIOD = Duration.ofSeconds(5);
 
-    private final Replica replica;
-    private final Leader leading;
+    private final ReplicaState state;
+    private final CommitTracker<?, ?> commits;
+    private final ReplicaStorage storage;
+    private final VoteStore votes;
+    private final ProgressListener listener;
     private final String follower;
+    private final FollowerProgress progress;
     private final long term;
+
     private long nextIndex;
     private boolean inFlight;
     private Duration lastSent = Duration.ZERO;
     private long commitIndexSent;
+    /** The latest request had no answer in time. */
     private boolean unresponsive;
-    /** What was committed when the latest answered call was sent. */
-    private long commitIndexAtResponse;
-    /** The identity under which this follower reported less than it had confirmed. */
-    private String revokedIdentity = "";
-    /** Bytes of entries in one call: fewer after a call without an answer. */
+    /** Bytes of entries in one request: fewer after a request without an answer. */
     private int batchBytes = ReplicatedLog.BATCH_BYTES;
+    /** It told of entries that it holds and has not synced. */
+    private boolean holdsUnsynced;
 
     private Optional<SnapshotSender> snapshotSender = Optional.empty();
-    /** From the first piece of a snapshot until it has all that is committed. */
+    /** From the first chunk of a snapshot until the follower has all that is committed. */
     private boolean catchingUp;
-    /** Its latest answer told of entries that it holds and has not synced. */
-    private boolean holdsUnsynced;
-    /** It does not know pieces of snapshots: a build before them. */
+    /** The follower is of a build that does not know chunks. */
     private boolean needsWholeSnapshot;
-    /** Pieces without an answer since the latest one. */
+
     private int lostChunks;
 
-    LogAppender(Replica replica, Leader leading, String to) {
-        this.replica = replica;
-        this.leading = leading;
-        this.follower = to;
-        this.term = replica.term;
-        this.nextIndex = replica.replicatedLog.lastIndex() + 1;
-        this.startedAt = replica.now();
+    LogAppender(
+            ReplicaState state,
+            CommitTracker<?, ?> commits,
+            ReplicaStorage storage,
+            VoteStore votes,
+            ProgressListener listener,
+            String follower) {
+        this.state = state;
+        this.commits = commits;
+        this.storage = storage;
+        this.votes = votes;
+        this.listener = listener;
+        this.follower = follower;
+        this.progress = new FollowerProgress(state.now());
+        this.term = state.term();
+        this.nextIndex = state.log().lastIndex() + 1;
     }
 
-    boolean upToDateAs(String memberIdentity) {
-        return matchIndex > 0 && identity.equals(memberIdentity);
+    FollowerProgress progress() {
+        return progress;
     }
 
     private boolean inLeaderTerm() {
-        return replica.role == Role.LEADER && replica.term == term;
+        return state.isLeader() && state.term() == term;
     }
 
-    /** A renewal is due each renew time; entries go at once. */
-    void send(boolean look) {
-        boolean soon =
-                matchIndex == 0 && Joining.recently(replica, follower, startedAt) || holdsUnsynced && !unresponsive;
-        Duration pause = soon
-                ? replica.environment.timing().tick()
-                : replica.environment.timing().heartbeat();
-        boolean due = lastSent.isZero() || replica.now().compareTo(lastSent.plus(pause)) >= 0;
-        boolean behind =
-                nextIndex <= replica.replicatedLog.lastIndex() && !unresponsive && (!look || matchIndex > 0 || due);
-        if (inFlight || !inLeaderTerm() || !(due || behind)) {
+    /** Sends a heartbeat if one is due. */
+    void onTick() {
+        boolean due = isHeartbeatDue();
+        boolean entriesWait = hasEntriesToSend() && (progress.hasMatched() || due);
+        send(due || entriesWait);
+    }
+
+    /** Sends new entries at once, unless a request is in flight. */
+    void sendEntries() {
+        send(isHeartbeatDue() || hasEntriesToSend());
+    }
+
+    private boolean isHeartbeatDue() {
+        boolean often = !progress.hasMatched() && isJoining() || holdsUnsynced && !unresponsive;
+        Duration pause = often ? state.timing().tick() : state.timing().heartbeat();
+        return lastSent.isZero() || state.now().compareTo(lastSent.plus(pause)) >= 0;
+    }
+
+    private boolean hasEntriesToSend() {
+        return nextIndex <= state.log().lastIndex() && !unresponsive;
+    }
+
+    private boolean isJoining() {
+        return state.desiredMembers().contains(follower)
+                && !state.membership().committed().containsKey(follower)
+                && state.now().compareTo(progress.since().plus(JOIN_PERIOD)) < 0;
+    }
+
+    private void send(boolean wanted) {
+        if (inFlight || !inLeaderTerm() || !wanted) {
             return;
         }
         inFlight = true;
-        lastSent = replica.now();
-        Duration at = lastSent;
-        commitIndexSent = replica.commits.commitIndex();
-        if (nextIndex <= replica.replicatedLog.baseIndex()) {
-            sendSnapshotChunk(at);
-            return;
+        lastSent = state.now();
+        commitIndexSent = commits.commitIndex();
+        if (nextIndex <= state.log().baseIndex()) {
+            sendSnapshot();
+        } else {
+            sendAppendEntries();
         }
-        List<LogEntry> items = replica.replicatedLog.entriesAfter(nextIndex - 1, batchBytes);
-        ReplicationMessages.AppendEntriesRequest ask = new ReplicationMessages.AppendEntriesRequest(
-                replica.partition,
-                term,
-                nextIndex - 1,
-                replica.replicatedLog.termAt(nextIndex - 1),
-                items,
-                replica.commits.commitIndex());
-        long upTo = nextIndex - 1 + items.size();
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        follower,
-                        ask,
-                        ReplicationMessages.AppendEntriesResponse.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(
-                        response -> replica.shard.run(() -> answered(response, at, upTo)),
-                        e -> replica.shard.run(this::onRequestLost)));
     }
 
-    /** No answer in time: the next call is smaller, so that a slow disk or link can keep up with it. */
-    private void onRequestLost() {
+    private void sendAppendEntries() {
+        ReplicatedLog log = state.log();
+        long previous = nextIndex - 1;
+        List<LogEntry> entries = log.entriesAfter(previous, batchBytes);
+        AppendEntriesRequest request = new AppendEntriesRequest(
+                state.partition(), term, previous, log.termAt(previous), entries, commits.commitIndex());
+        long lastIndex = previous + entries.size();
+        Duration sentAt = lastSent;
+        call(request, AppendEntriesResponse.class, response -> onResponse(response, sentAt, lastIndex), e -> onLost());
+    }
+
+    /** What runs on the shard when a response, or none, has come. */
+    private <T> void call(
+            ReplicationRequest request, Class<T> responseType, Consumer<T> onResponse, Consumer<Throwable> onError) {
+        state.shard()
+                .afterUnlock(() -> state.environment()
+                        .rpc()
+                        .call(follower, request, responseType, state.timing().requestTimeout())
+                        .subscribe(
+                                response -> state.shard().run(() -> onResponse.accept(response)),
+                                error -> state.shard().run(() -> onError.accept(error))));
+    }
+
+    /** No answer in time: the next request is smaller, so that a slow disk or link can keep up with it. */
+    private void onLost() {
         inFlight = false;
         unresponsive = true;
         batchBytes = Math.max(ReplicatedLog.SMALLEST_BATCH, batchBytes / 2);
         snapshotSender.ifPresent(SnapshotSender::onLost);
     }
 
-    private void sendSnapshotChunk(Duration at) {
+    private void sendSnapshot() {
         SnapshotSender sender = snapshotSender.orElseGet(() -> new SnapshotSender(
-                replica.storage.snapshotForFollowers(),
-                replica.environment.timing().requestTimeout()));
+                storage.snapshotForFollowers(), state.timing().requestTimeout()));
         snapshotSender = Optional.of(sender);
         catchingUp = true;
         if (needsWholeSnapshot) {
-            sendWholeSnapshot(sender, at);
+            sendWholeSnapshot();
             return;
         }
-        SnapshotMessages.SnapshotChunkRequest piece = sender.nextChunk(replica.partition, term);
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        follower,
-                        piece,
-                        SnapshotMessages.SnapshotChunkResponse.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(
-                        reply -> replica.shard.run(() -> answered(reply, at, sender)),
-                        e -> replica.shard.run(
-                                () -> onChunkLost(ServiceException.of(e).kind()))));
+        SnapshotChunkRequest chunk = sender.nextChunk(state.partition(), term);
+        Duration sentAt = lastSent;
+        call(
+                chunk,
+                SnapshotChunkResponse.class,
+                response -> onChunkResponse(response, sentAt, sender),
+                error -> onChunkLost(ServiceException.of(error).kind()));
     }
 
-    /** A build that does not know pieces refuses the first one, or drops the connection for it. */
-    private void onChunkLost(ErrorKind why) {
+    /** A build that does not know chunks refuses the first one, or drops the connection for it. */
+    private void onChunkLost(ErrorKind kind) {
         lostChunks++;
-        needsWholeSnapshot = why == ErrorKind.BAD_REQUEST || lostChunks % LOST_CHUNKS_BEFORE_WHOLE == 0;
-        onRequestLost();
+        needsWholeSnapshot = kind == ErrorKind.BAD_REQUEST || lostChunks % LOST_CHUNKS_BEFORE_WHOLE == 0;
+        onLost();
     }
 
-    private void sendWholeSnapshot(SnapshotSender sender, Duration at) {
-        ReplicationMessages.InstallSnapshotRequest whole = new ReplicationMessages.InstallSnapshotRequest(
-                replica.partition, term, replica.storage.snapshotWithoutIdentity());
-        long upTo = whole.snapshot().index();
+    private void sendWholeSnapshot() {
+        InstallSnapshotRequest request =
+                new InstallSnapshotRequest(state.partition(), term, storage.snapshotWithoutIdentity());
+        long lastIndex = request.snapshot().index();
         snapshotSender = Optional.empty();
         needsWholeSnapshot = false;
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        follower,
-                        whole,
-                        ReplicationMessages.AppendEntriesResponse.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(
-                        response -> replica.shard.run(() -> answered(response, at, upTo)),
-                        e -> replica.shard.run(this::onRequestLost)));
+        Duration sentAt = lastSent;
+        call(request, AppendEntriesResponse.class, response -> onResponse(response, sentAt, lastIndex), e -> onLost());
     }
 
-    private void answered(SnapshotMessages.SnapshotChunkResponse reply, Duration at, SnapshotSender sender) {
+    private void onChunkResponse(SnapshotChunkResponse response, Duration sentAt, SnapshotSender sender) {
         inFlight = false;
         unresponsive = false;
-        if (!inLeaderTerm() || !noteResponse(reply.term(), reply.identity(), reply.electable(), at)) {
+        if (!inLeaderTerm() || deposedBy(response.term())) {
             return;
         }
+        progress.onContact(response.identity(), response.electable(), sentAt);
         lostChunks = 0;
-        sender.onResponse(reply, replica.now().minus(at));
-        switch (reply.status()) {
+        sender.onResponse(response, state.now().minus(sentAt));
+        switch (response.status()) {
             case INSTALLED -> {
                 snapshotSender = Optional.empty();
-                matchIndex = Math.max(matchIndex, reply.matchIndex());
+                progress.onSnapshotInstalled(response.matchIndex());
                 nextIndex = Math.max(nextIndex, sender.index() + 1);
-                leading.advanceCommit();
+                listener.onProgress();
             }
             case CORRUPT, TOO_LARGE, OUTDATED_TERM -> {
-                // with the next renewal and not at once: a snapshot that does not arrive must not fill the link
+                // with the next heartbeat and not at once: a snapshot that does not arrive must not fill the link
                 snapshotSender = Optional.empty();
                 return;
             }
@@ -184,103 +216,86 @@
         }
         if (inLeaderTerm()) {
             lastSent = Duration.ZERO;
-            send(false);
+            sendEntries();
         }
     }
 
-    /** What every answer tells; false if the follower knows a later term. */
-    private boolean noteResponse(long answeredTerm, String answeredIdentity, boolean answeredWilling, Duration at) {
-        if (answeredTerm > term) {
-            replica.adoptTerm(answeredTerm, "a follower is in a later term");
+    private boolean deposedBy(long answeredTerm) {
+        if (answeredTerm <= term) {
             return false;
         }
-        String counted = answeredIdentity.equals(revokedIdentity) ? "" : answeredIdentity;
-        if (!counted.equals(identity)) {
-            matchIndex = 0;
-        }
-        identity = counted;
-        electable = answeredWilling;
-        lastContact = at.compareTo(lastContact) > 0 ? at : lastContact;
+        votes.adoptTerm(answeredTerm, "a follower is in a later term");
         return true;
     }
 
-    /** It had synced all that was committed when the latest answered call was sent: only then may it count. */
-    boolean caughtUp() {
-        return !identity.isEmpty()
-                && matchIndex > 0
-                && matchIndex >= commitIndexAtResponse
-                && commitIndexAtResponse > 0;
-    }
-
-    /** The index from which the log must be kept for a follower on its way from a snapshot, if it still answers. */
-    Optional<Long> firstIndexNeeded() {
-        Duration heardAt = lastContact.compareTo(startedAt) > 0 ? lastContact : startedAt;
-        Duration patience = replica.environment.timing().lease().multipliedBy(2);
-        if (!catchingUp || replica.now().compareTo(heardAt.plus(patience)) > 0) {
-            return Optional.empty();
-        }
-        return Optional.of(snapshotSender.map(SnapshotSender::index).orElse(nextIndex - 1));
-    }
-
-    /** A disk that is older than what was confirmed from it counts for nothing until it has another identity. */
-    private void revokeIdentity(String reported) {
-        if (!reported.equals(revokedIdentity)) {
-            Replica.LOG.error(
-                    "Follower {} of partition {} reports fewer entries than it had acknowledged: it counts as lost.",
-                    follower,
-                    replica.partition);
-        }
-        revokedIdentity = reported;
-        identity = "";
-        matchIndex = 0;
-        replica.shard.afterUnlock(() -> replica.environment
-                .rpc()
-                .call(
-                        follower,
-                        new SnapshotMessages.RevokeIdentityRequest(replica.partition, term, revokedIdentity),
-                        ReplicationMessages.Acknowledgement.class,
-                        replica.environment.timing().requestTimeout())
-                .subscribe(ok -> {}, e -> {}));
-    }
-
-    private void answered(ReplicationMessages.AppendEntriesResponse response, Duration at, long upTo) {
+    private void onResponse(AppendEntriesResponse response, Duration sentAt, long lastIndexSent) {
         inFlight = false;
         unresponsive = false;
-        if (!inLeaderTerm()) {
+        if (!inLeaderTerm() || deposedBy(response.term())) {
             return;
         }
-        if (!noteResponse(response.term(), response.identity(), response.electable(), at)) {
-            return;
-        }
-        boolean lostWhatItConfirmed = !response.success() && response.matchIndex() < matchIndex;
-        if (lostWhatItConfirmed || response.identity().equals(revokedIdentity)) {
+        progress.onContact(response.identity(), response.electable(), sentAt);
+        if (progress.check(response) == FollowerProgress.Finding.LOST_ACKNOWLEDGED) {
             revokeIdentity(response.identity());
         }
-        commitIndexAtResponse = commitIndexSent;
+        progress.onCommitIndexTold(commitIndexSent);
         if (response.success()) {
-            matchIndex = identity.isEmpty() ? 0 : Math.max(matchIndex, response.matchIndex());
-            holdsUnsynced = response.matchIndex() < upTo;
-            catchingUp = catchingUp && matchIndex < commitIndexAtResponse;
-            // what it holds and has not synced is not sent again: the next answers tell when it is
-            nextIndex = Math.max(upTo + 1, Math.min(nextIndex, replica.replicatedLog.lastIndex() + 1));
+            progress.onMatch(response.matchIndex());
+            holdsUnsynced = response.matchIndex() < lastIndexSent;
+            catchingUp = catchingUp && !progress.hasTheCommitTold();
+            // what it holds and has not synced is not sent again: the next responses tell when it is
+            nextIndex =
+                    Math.max(lastIndexSent + 1, Math.min(nextIndex, state.log().lastIndex() + 1));
             batchBytes = Math.min(ReplicatedLog.BATCH_BYTES, batchBytes * 2);
         } else {
             nextIndex = Math.min(nextIndex, response.matchIndex() + 1);
         }
-        leading.advanceCommit();
-        if (inLeaderTerm()
-                && (nextIndex <= replica.replicatedLog.lastIndex() && response.matchIndex() >= upTo
-                        || !response.success())) {
-            send(false);
-        } else if (inLeaderTerm()
-                && commitIndexSent < replica.commits.commitIndex()
-                && replica.commits.commitIndex() >= replica.replicatedLog.lastIndex()) {
-            scheduleCommitNotice();
+        listener.onProgress();
+        if (inLeaderTerm()) {
+            sendNext(response, lastIndexSent);
         }
     }
 
-    /** Followers learn of commits soon, so that an successor is ready and an promotion is taken. */
-    private void scheduleCommitNotice() {
-        lastSent = lastSent.minus(replica.environment.timing().heartbeat());
+    private void sendNext(AppendEntriesResponse response, long lastIndexSent) {
+        long lastIndex = state.log().lastIndex();
+        boolean syncedAllSent = response.matchIndex() >= lastIndexSent;
+        if (!response.success() || nextIndex <= lastIndex && syncedAllSent) {
+            sendEntries();
+        } else if (commitIndexSent < commits.commitIndex() && commits.commitIndex() >= lastIndex) {
+            // followers learn of commits soon, so that a successor is ready and a promotion is noticed
+            lastSent = lastSent.minus(state.timing().heartbeat());
+        }
+    }
+
+    /** A disk that has less than was acknowledged from it counts for nothing until it has another identity. */
+    private void revokeIdentity(String reported) {
+        if (progress.revoke(reported)) {
+            LOG.error(
+                    "Follower {} of partition {} reports fewer entries than it had acknowledged: it counts as lost.",
+                    follower,
+                    state.partition());
+        }
+        SnapshotMessages.RevokeIdentityRequest request =
+                new SnapshotMessages.RevokeIdentityRequest(state.partition(), term, reported);
+        state.shard()
+                .afterUnlock(() -> state.environment()
+                        .rpc()
+                        .call(
+                                follower,
+                                request,
+                                ReplicationMessages.Acknowledgement.class,
+                                state.timing().requestTimeout())
+                        .subscribe(acknowledgement -> {}, e -> {}));
+    }
+
+    /** The index from which the log must be kept for a follower that is catching up, if it still answers. */
+    Optional<Long> firstIndexNeeded() {
+        Duration heardAt =
+                progress.lastContact().compareTo(progress.since()) > 0 ? progress.lastContact() : progress.since();
+        Duration patience = state.timing().lease().multipliedBy(2);
+        if (!catchingUp || state.now().compareTo(heardAt.plus(patience)) > 0) {
+            return Optional.empty();
+        }
+        return Optional.of(snapshotSender.map(SnapshotSender::index).orElse(nextIndex - 1));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LogEntry.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogEntry.java
@@ -1,7 +1,13 @@
 package org.woadvale.common.replication;
 
-/** One entry of a part's log. */
+/**
+ * One entry of a partition's log.
+ *
+ * @param term the term of the leader that appended it
+ * @param bytes the encoded command or members; empty for a NO_OP
+ */
 public record LogEntry(long term, Kind kind, byte[] bytes) {
+    /** What the bytes are. Stored by ordinal: only ever add at the end. */
     public enum Kind {
         COMMAND,
         MEMBERSHIP,
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * The next change of a group: a follower that has caught up takes its place in it. design 5.6
+ * The next change of a group: a follower that has caught up takes its place in it.
  *
  * @param joining the node that joins, or that is a member already and comes back with another identity
  * @param members the whole group after the change, node to identity
@@ -14,10 +14,16 @@
 record MembershipChange(String joining, Map<String, String> members) {
     /** A lost disk's new identity, or a wanted member for one not wanted; empty if there is nothing to change. */
     static Optional<MembershipChange> next(
-            Map<String, String> members, List<String> wanted, Map<String, LogAppender> followers) {
+            Map<String, String> members, List<String> wanted, Map<String, FollowerProgress> followers) {
         return followers.entrySet().stream()
                 .filter(follower -> follower.getValue().caughtUp())
-                .flatMap(follower -> joining(members, wanted, follower.getKey(), follower.getValue().identity).stream())
+                .flatMap(follower ->
+                        joining(
+                                members,
+                                wanted,
+                                follower.getKey(),
+                                follower.getValue().identity())
+                                .stream())
                 .findFirst();
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/NodeEnvironment.java
+++ b/common/src/main/java/org/woadvale/common/replication/NodeEnvironment.java
@@ -7,7 +7,17 @@
 import org.woadvale.common.runtime.Timers;
 import org.woadvale.common.wal.WriteAheadLog;
 
-/** All that a replica needs of the world; each piece can be faked: design 2.1. */
+/**
+ * What the components of a node need of the outside; each has a fake for tests.
+ *
+ * @param clock monotonic and wall-clock time
+ * @param timers delayed, repeated and disk tasks
+ * @param rpc requests to other nodes
+ * @param codec messages and stored records as bytes
+ * @param wal the write-ahead log of this node
+ * @param random random numbers, seeded in tests
+ * @param timing the times of the replication engine
+ */
 public record NodeEnvironment(
         Clock clock,
         Timers timers,
@@ -16,6 +26,7 @@
         WriteAheadLog wal,
         LongSupplier random,
         ReplicationTiming timing) {
+    /** The internal address of this node, which is its name. */
     public String self() {
         return rpc.self();
     }
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -5,80 +5,92 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
+import java.util.function.LongFunction;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.LockedShard;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.wal.WalRecord;
 import reactor.core.publisher.Mono;
 
-/** One replica of one part: the front, and the state that its helpers share. design 5 */
-public final class Replica {
-    static final Logger LOG = LogManager.getLogger(Replica.class);
-
-    final String partition;
-    final NodeEnvironment environment;
-    final StateMachine stateMachine;
-    final LockedShard shard = new LockedShard();
-    final ReplicatedLog replicatedLog = new ReplicatedLog();
-    final GroupMembership membership = new GroupMembership();
-    final CommitTracker commits;
-    final ReplicaStorage storage;
-    final LeaderElection election;
-    final Follower follower;
-    final Leader leader;
-    final Bootstrap bootstrap;
-
-    Role role = Role.UNINITIALIZED;
-    long term;
-    String votedFor = "";
-    String identity = "";
-    boolean voter;
-    String leaderId = "";
-    /** A draining replica follows and votes, but is no successor. */
-    boolean electable = true;
-    /** Until when, by our clock, the present owner's lease may run. */
-    Duration leaderLeaseUntil;
-
-    List<String> desiredMembers;
-    private Runnable onChange = () -> {};
+/**
+ * One replica of one partition. This class is what the rest of the program sees of the engine: it joins the engine's parts
+ * and runs each call on the replica's shard.
+ *
+ * @param <C> the commands of the state machine
+ * @param <R> the results of commands
+ */
+public final class Replica<C, R> {
+    private static final Logger LOG = LogManager.getLogger(Replica.class);
+
+    private final ReplicaState state;
+    private final CommitTracker<C, R> commits;
+    private final ReplicaStorage storage;
+    private final ReplicaRecovery recovery;
+    private final LeaderElection election;
+    private final Leader leader;
+    private final AppendEntriesHandler appendEntriesHandler;
+    private final SnapshotInstallationHandler snapshotHandler;
+    private final IdentityRevocationHandler revocationHandler;
+    private final Bootstrap bootstrap;
+    private volatile Runnable onChange = () -> {};
     private TimerHandle ticking = () -> {};
 
-    public Replica(String part, List<String> wanted, StateMachine machine, NodeEnvironment environment) {
-        this.partition = part;
-        this.desiredMembers = List.copyOf(wanted);
-        this.stateMachine = machine;
-        this.environment = environment;
-        this.commits = new CommitTracker(this);
-        this.storage = new ReplicaStorage(this);
-        this.election = new LeaderElection(this);
-        this.follower = new Follower(this);
-        this.leader = new Leader(this);
-        this.bootstrap = new Bootstrap(this);
-        this.leaderLeaseUntil =
-                environment.clock().monotonicTime().plus(environment.timing().lease());
+    /**
+     * A replica that takes part in nothing before {@link #start}.
+     *
+     * @param desiredMembers the nodes that should be in the group, the preferred leader first
+     */
+    public Replica(
+            String partition,
+            List<String> desiredMembers,
+            StateMachine<C, R> stateMachine,
+            NodeEnvironment environment) {
+        state = new ReplicaState(partition, desiredMembers, environment);
+        commits = new CommitTracker<>(state, stateMachine);
+        storage = new ReplicaStorage(state, commits, stateMachine);
+        recovery = new ReplicaRecovery(state, commits, stateMachine, storage);
+        VoteStore votes = new VoteStore(state);
+        VoterPromotion promotion = new VoterPromotion(state, storage);
+        LeaderTracker leaderTracker = new LeaderTracker(state, votes);
+        leader = new Leader(state, commits, storage, votes);
+        election = new LeaderElection(state, votes, leader::leaseRunning, leader::onElected);
+        appendEntriesHandler = new AppendEntriesHandler(state, commits, storage, leaderTracker);
+        snapshotHandler = new SnapshotInstallationHandler(state, commits, storage, leaderTracker, promotion);
+        revocationHandler = new IdentityRevocationHandler(state, storage);
+        bootstrap = new Bootstrap(state, promotion);
+        state.onRoleChange(this::onRoleChange);
+        commits.onAdvance(promotion::promoteIfMember);
+        storage.retainLogFor(leader);
     }
 
+    /**
+     * Recovers from what the write-ahead log held and takes part from then on.
+     *
+     * @throws ServiceException if a record is unreadable; the replica must not be used then
+     */
     public void start(List<WalRecord> recovered) throws ServiceException {
-        Optional<ServiceException> bad = shard.get(() -> {
+        Optional<ServiceException> failure = state.shard().get(() -> {
             try {
-                storage.recover(recovered);
+                recovery.recover(recovered);
                 return Optional.empty();
-            } catch (ServiceException failure) {
-                return Optional.of(failure);
+            } catch (ServiceException e) {
+                return Optional.of(e);
             }
         });
-        if (bad.isPresent()) {
-            throw bad.get();
+        if (failure.isPresent()) {
+            throw failure.get();
         }
-        environment.wal().onSpaceNeeded(partition, () -> shard.run(storage::storeSnapshot));
-        ticking = environment.timers().every(environment.timing().tick(), () -> shard.run(this::look));
+        NodeEnvironment environment = state.environment();
+        environment.wal().onSpaceNeeded(state.partition(), () -> state.shard().run(storage::storeSnapshot));
+        ticking = environment
+                .timers()
+                .every(state.timing().tick(), () -> state.shard().run(this::onTick));
     }
 
-    private void look() {
-        switch (role) {
+    private void onTick() {
+        switch (state.role()) {
             case UNINITIALIZED -> bootstrap.onTick();
             case FOLLOWER -> election.onTick();
             case LEADER -> leader.onTick();
@@ -87,165 +99,185 @@
         storage.compactIfNeeded();
     }
 
+    /** Takes part in nothing any more; what is stored stays. */
     public void stop() {
         ticking.cancel();
-        shard.run(() -> transitionTo(Role.STOPPED, "stop"));
+        state.shard().run(() -> state.transitionTo(Role.STOPPED, "stop"));
     }
 
-    /** The one function for every change of phase. */
-    void transitionTo(Role next, String why) {
-        if (role == next) {
-            return;
-        }
-        if (!role.successors().contains(next)) {
-            throw new IllegalStateException(partition + ": " + role + " to " + next);
-        }
-        Role before = role;
-        role = next;
-        LOG.debug(
-                "Partition {} of {} at {}: {} to {} in term {}, {}.",
-                partition,
-                stateMachine.getClass().getSimpleName(),
-                environment.self(),
-                before,
-                next,
-                term,
-                why);
+    private void onRoleChange(Role before, Role now) {
         if (before == Role.LEADER) {
             leader.onDeposed();
             commits.failPending();
         }
-        if (next == Role.LEADER) {
-            LOG.info("Partition {} is led by {} in term {}.", partition, environment.self(), term);
-        }
-        shard.afterUnlock(onChange);
-    }
-
-    /** A higher term was seen. */
-    void adoptTerm(long newTerm, String why) {
-        if (newTerm > term) {
-            term = newTerm;
-            votedFor = "";
-            leaderId = "";
-            storage.storeVote(() -> {});
-            if (role == Role.LEADER || role == Role.CANDIDATE) {
-                transitionTo(Role.FOLLOWER, why);
-            }
+        if (now == Role.LEADER) {
+            LOG.info("Partition {} is led by {} in term {}.", state.partition(), state.self(), state.term());
         }
+        state.shard().afterUnlock(onChange);
     }
 
-    Duration now() {
-        return environment.clock().monotonicTime();
+    /** The task runs after each change of role; one task at a time, the latest given. */
+    public void onChange(Runnable task) {
+        onChange = task;
     }
 
     /** True while the lease runs and an entry of the own term is committed; ask right before each effect. */
     public boolean isActiveLeader() {
-        return shard.get(() -> role == Role.LEADER && leader.isActive());
+        return state.shard().get(() -> state.isLeader() && leader.isActive());
     }
 
+    /** The term as far as it is known here. */
     public long term() {
-        return shard.get(() -> term);
+        return state.shard().get(state::term);
     }
 
-    /** The present phase; it may be another as soon as this returns. */
+    /** The present role; it may be another as soon as this returns. */
     public Role role() {
-        return shard.get(() -> role);
+        return state.shard().get(state::role);
     }
 
+    /** The leader that was heard last, or this node; empty while none is known. */
     public Optional<String> leaderId() {
-        return shard.get(() -> leaderId.isEmpty() ? Optional.empty() : Optional.of(leaderId));
+        return state.shard().get(() -> state.leaderId().isEmpty() ? Optional.empty() : Optional.of(state.leaderId()));
     }
 
+    /** The committed members, node to identity, as far as they are known here. */
     public Map<String, String> members() {
-        return shard.get(membership::committed);
+        return state.shard().get(state.membership()::committed);
     }
 
+    /** What this replica knows of its group. */
     public GroupStatus status() {
-        return shard.get(() -> GroupStatus.of(this));
+        return state.shard().get(() -> {
+            Map<String, String> members = state.membership().committed();
+            boolean counts = state.identity().equals(members.get(state.self()));
+            return new GroupStatus(
+                    state.term(),
+                    List.copyOf(members.keySet()),
+                    state.isLeader() && leader.isActive(),
+                    state.isVoter() && counts,
+                    state.isLeader() && leader.isStable());
+        });
     }
 
     /** The leader's last contact with each follower, by its monotonic clock; empty on any other replica. */
     public Map<String, Duration> followerContacts() {
-        return shard.get(() -> role == Role.LEADER ? leader.followerContacts() : Map.of());
+        return state.shard().get(() -> state.isLeader() ? leader.followerContacts() : Map.of());
     }
 
-    /** When this replica was last in contact, by the local monotonic clock: a leader with a majority, others with it. */
+    /**
+     * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can know without
+     * asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader was heard.
+     */
     public Duration lastMajorityContact() {
-        return shard.get(() -> MajorityContactTime.of(this));
+        return state.shard()
+                .get(() -> state.isLeader()
+                        ? leader.lease().lastMajorityContact()
+                        : state.leaderLeaseUntil().minus(state.timing().lease()));
     }
 
-    public void onChange(Runnable task) {
-        onChange = task;
+    /** Changes who should be in the group, the preferred leader first; a leader acts on it with its next tick. */
+    public void setDesiredMembers(List<String> members) {
+        state.shard().run(() -> state.setDesiredMembers(members));
     }
 
-    public void setDesiredMembers(List<String> members) {
-        shard.run(() -> desiredMembers = List.copyOf(members));
+    /** From now on this replica is no successor of a leader; it goes on voting. */
+    public void declineLeadership() {
+        state.shard().run(state::declineLeadership);
     }
 
-    ServiceException notLeader() {
+    private ServiceException notLeader() {
         return new ServiceException(
                 ErrorKind.NOT_OWNER,
-                "Another node owns " + partition + ".",
-                leaderId.isEmpty() || leaderId.equals(environment.self()) ? List.of() : List.of(leaderId));
+                "Another node leads " + state.partition() + ".",
+                state.otherLeader().stream().toList());
     }
 
-    /** Reads the machine under lease, so never older than what was acknowledged. */
-    public <T> Mono<T> read(Function<Long, T> reader) {
-        return Mono.defer(() -> shard.get(
-                () -> isActiveLeader() ? Mono.just(reader.apply(commits.appliedIndex())) : Mono.error(notLeader())));
+    /**
+     * Reads the state machine under the lease, so never older than what was acknowledged.
+     *
+     * @param reader is given the applied index
+     * @return fails with NOT_OWNER, and the leader if it is known, where this replica may not act
+     */
+    public <T> Mono<T> read(LongFunction<T> reader) {
+        return Mono.defer(() -> state.shard()
+                .get(() ->
+                        isActiveLeader() ? Mono.just(reader.apply(commits.appliedIndex())) : Mono.error(notLeader())));
     }
 
-    /** Looks at the machine as it is here, owner or not. */
-    public <T> T look(Function<Long, T> reader) {
-        return shard.get(() -> reader.apply(commits.appliedIndex()));
+    /** Looks at the state machine as it is here, leader or not. */
+    public <T> T inspect(LongFunction<T> reader) {
+        return state.shard().get(() -> reader.apply(commits.appliedIndex()));
     }
 
-    /** Refused definitely before anything is written; unknown once it is in the log and the lease is lost. */
-    public <T> Mono<T> propose(Object command, Class<T> result) {
-        return Mono.defer(() -> shard.get(() -> {
+    /**
+     * Appends a command to the log and answers with its result once it is committed and applied.
+     *
+     * @return fails with NOT_OWNER before anything is written, with UNKNOWN_OUTCOME if the leadership is lost while the
+     *     command is in the log, and with the state machine's own failure if it rejects the command
+     */
+    public <T extends R> Mono<T> propose(C command, Class<T> resultType) {
+        Function<R, T> cast = resultType::cast;
+        return Mono.defer(() -> state.shard().get(() -> {
                     if (!isActiveLeader()) {
-                        return Mono.<Object>error(notLeader());
+                        return Mono.<R>error(notLeader());
                     }
-                    LogEntry item = new LogEntry(
-                            term, LogEntry.Kind.COMMAND, environment.codec().write(command));
-                    Mono<Object> out = commits.awaitCommit(replicatedLog.lastIndex() + 1, term);
-                    leader.append(item);
-                    return out;
+                    byte[] bytes = state.environment().codec().write(command);
+                    Mono<R> result = commits.awaitCommit(state.log().lastIndex() + 1, state.term());
+                    leader.append(new LogEntry(state.term(), LogEntry.Kind.COMMAND, bytes));
+                    return result;
                 }))
-                .flatMap(o -> result.isInstance(o) ? Mono.just(result.cast(o)) : Mono.error((Throwable) o));
+                .map(cast);
     }
 
-    public void declineLeadership() {
-        shard.run(() -> electable = false);
+    /** Gives the leadership to a replica that is up to date; false if this is not possible right now. */
+    public boolean transferLeadership(String successor) {
+        return state.shard().get(() -> state.isLeader() && leader.transferLeadership(successor));
     }
 
-    /** Gives the part to another replica that is up to date; used by drains and by spreading. */
-    public boolean transferLeadership(String to) {
-        return shard.get(() -> role == Role.LEADER && leader.transferLeadership(to));
+    /** The replica best placed to take over, if this one leads and any is up to date. */
+    public Optional<String> successor() {
+        return state.shard().get(() -> state.isLeader() ? leader.successor() : Optional.empty());
     }
 
-    /** The replica best placed to take over, if any is up to date. */
-    public Optional<String> successor() {
-        return shard.get(() -> role == Role.LEADER ? leader.successor() : Optional.empty());
+    /** Answers another replica of the partition. */
+    public Mono<?> handle(String from, ReplicationRequest request) {
+        return Mono.defer(() -> state.shard()
+                .get(() -> state.isStopped()
+                        ? Mono.error(new ServiceException(ErrorKind.STOPPING, "The partition is stopped here."))
+                        : dispatch(from, request)));
     }
 
-    public Mono<Object> handle(String from, Object body) {
-        return Mono.defer(() -> shard.get(() -> {
-            if (role == Role.STOPPED) {
-                return Mono.error(new ServiceException(ErrorKind.STOPPING, "The part is stopped here."));
-            }
-            if (body instanceof ReplicationMessages.VoteRequest voteRequest) {
-                return election.onVoteRequest(from, voteRequest);
-            } else if (body instanceof ReplicationMessages.AppendEntriesRequest appendEntriesRequest) {
-                return follower.onAppendEntries(from, appendEntriesRequest);
-            } else if (body instanceof ReplicationMessages.InstallSnapshotRequest installSnapshotRequest) {
-                return follower.onInstallSnapshot(from, installSnapshotRequest);
-            } else if (SnapshotMessages.types().contains(body.getClass())) {
-                return follower.onSnapshotMessage(from, body);
-            } else if (body instanceof ReplicationMessages.StartElectionRequest request) {
-                return election.onStartElection(from, request);
-            }
-            return bootstrap.onRequest(body);
-        }));
+    private Mono<?> dispatch(String from, ReplicationRequest request) {
+        if (request instanceof ReplicationMessages.AppendEntriesRequest append) {
+            return appendEntriesHandler.onAppendEntries(from, append);
+        } else if (request instanceof ReplicationMessages.VoteRequest vote) {
+            return election.onVoteRequest(from, vote);
+        } else if (request instanceof ReplicationMessages.StartElectionRequest start) {
+            return election.onStartElection(from, start);
+        } else if (request instanceof SnapshotMessages.SnapshotChunkRequest chunk) {
+            return snapshotHandler.onChunk(from, chunk);
+        } else if (request instanceof ReplicationMessages.InstallSnapshotRequest whole) {
+            return snapshotHandler.onWholeSnapshot(from, whole);
+        } else if (request instanceof SnapshotMessages.RevokeIdentityRequest revoke) {
+            return revocationHandler.onRevokeIdentity(from, revoke);
+        } else if (request instanceof ReplicationMessages.BootstrapRequest found) {
+            return bootstrap.onBootstrap(found);
+        } else {
+            return bootstrap.onStatusRequest();
+        }
+    }
+
+    /** For model checking: the parts of the engine, to be used on the shard. */
+    ReplicaState state() {
+        return state;
+    }
+
+    CommitTracker<C, R> commits() {
+        return commits;
+    }
+
+    Leader leader() {
+        return leader;
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** A random name with the node that made it, so that a disk that was copied from another member is told. design 5.8 */
+/** The name of one incarnation of a disk: random, and with the node that created it, so that a disk that was copied from another member is noticed. */
 final class ReplicaIdentity {
     private static final String NODE_SEPARATOR = "@";
 
@@ -12,7 +12,7 @@
         return Long.toHexString(random.getAsLong()) + NODE_SEPARATOR + node;
     }
 
-    /** Identities of builds before have no node: they are taken for the node's own. */
+    /** Identities of earlier builds have no node: they count as the node's own. */
     static boolean belongsTo(String identity, String node) {
         return !identity.contains(NODE_SEPARATOR) || identity.endsWith(NODE_SEPARATOR + node);
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -3,265 +3,180 @@
 import java.lang.ref.WeakReference;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.WalRecord;
 
-/** What a replica writes to the wal and reads back from it: design 5.4. */
+/**
+ * What a replica writes to the write-ahead log: entries, and snapshots that replace every earlier record of the partition.
+ * Knows up to which index the log in memory is synced.
+ */
 final class ReplicaStorage {
+    /** Which entries followers still need; the log in memory is kept from there on. */
+    interface LogRetention {
+        /** The first index that is still needed, or the given one if that is smaller or nothing is needed. */
+        long firstIndexNeeded(long otherwise);
+    }
+
     private static final long COMPACTION_BYTES = 4L << 20;
     private static final int COMPACTION_ENTRIES = 8192;
-    /** So many bytes of the log are kept for followers that are on their way from a snapshot. */
-    private static final long KEPT_FOR_FOLLOWERS = 4L << 20;
-
-    private final Replica replica;
+    /** The log since the latest snapshot may take this part of the largest record before a snapshot is due. */
+    private static final int COMPACTION_FRACTION = 4;
+    /** So many bytes of the log are kept for followers that are catching up from a snapshot. */
+    private static final long KEPT_FOR_FOLLOWERS_BYTES = 4L << 20;
+
+    private final ReplicaState state;
+    private final CommitTracker<?, ?> commits;
+    private final StateMachine<?, ?> stateMachine;
+    private LogRetention retention = otherwise -> otherwise;
     private long syncedIndex;
-    /** Shared by all followers that need one; gone with the last of them. */
+    /** Shared by all followers that need one; collected with the last of them. */
     private WeakReference<SnapshotContent> latestSnapshot = new WeakReference<>(null);
 
-    ReplicaStorage(Replica replica) {
-        this.replica = replica;
+    ReplicaStorage(ReplicaState state, CommitTracker<?, ?> commits, StateMachine<?, ?> stateMachine) {
+        this.state = state;
+        this.commits = commits;
+        this.stateMachine = stateMachine;
+    }
+
+    void retainLogFor(LogRetention followers) {
+        retention = followers;
     }
 
+    /** All entries up to this index are on disk. */
     long syncedIndex() {
         return syncedIndex;
     }
 
-    void recover(List<WalRecord> entries) throws ServiceException {
+    /** All that is in memory was read from disk. */
+    void onRecovered() {
+        syncedIndex = state.log().lastIndex();
+    }
+
+    /** Adds to the log in memory and on disk; the task runs once the entries are synced. */
+    void append(List<LogEntry> entries, Runnable onSynced) {
         if (entries.isEmpty()) {
-            replica.identity = ReplicaIdentity.create(replica.environment.random(), replica.environment.self());
-            storeSnapshot();
+            onSynced.run();
             return;
         }
-        for (WalRecord stored : entries) {
-            WalRecord record = LegacyFormat.upgraded(stored, replica.environment.codec());
-            switch (record.kind()) {
-                case SNAPSHOT ->
-                    restoreSnapshot(replica.environment
-                            .codec()
-                            .read(record.bytes(), ReplicationMessages.ReplicaSnapshot.class));
-                case VOTE -> {
-                    replica.term = record.term();
-                    replica.votedFor = replica.environment.codec().read(record.bytes(), String.class);
-                }
-                default -> replay(record);
-            }
-        }
-        syncedIndex = replica.replicatedLog.lastIndex();
-        if (!ReplicaIdentity.belongsTo(replica.identity, replica.environment.self())) {
-            Replica.LOG.error(
-                    "The disk of {} was written by {}: the replica counts as lost.",
-                    replica.environment.self(),
-                    replica.identity);
-            replaceIdentity(() -> {});
-        } else if (replica.voter) {
-            replica.transitionTo(Role.FOLLOWER, "recovered");
+        List<WalRecord> records = new ArrayList<>();
+        for (LogEntry entry : entries) {
+            state.appendInMemory(entry);
+            records.add(new WalRecord(
+                    state.partition(),
+                    WalRecord.Kind.ENTRY,
+                    state.log().lastIndex(),
+                    entry.term(),
+                    state.environment().codec().write(entry)));
         }
+        write(records, onSynced);
     }
 
-    /** What is stored may be used to catch up, but this replica neither votes nor counts until it is promoted again. */
-    void replaceIdentity(Runnable then) {
-        replica.identity = ReplicaIdentity.create(replica.environment.random(), replica.environment.self());
-        replica.voter = false;
-        storeSnapshot(then);
-    }
-
-    private void restoreSnapshot(ReplicationMessages.ReplicaSnapshot snapshot) {
-        replica.identity = snapshot.identity();
-        replica.term = snapshot.term();
-        replica.votedFor = snapshot.votedFor();
-        replica.voter = snapshot.voter();
-        replica.replicatedLog.reset(snapshot.index(), snapshot.indexTerm(), List.of());
-        replica.membership.reset(snapshot.members());
-        if (snapshot.state().length > 0) {
-            replica.stateMachine.restore(snapshot.state());
-        }
-        replica.commits.resetTo(snapshot.index());
-        long i = snapshot.index();
-        for (LogEntry item : snapshot.entries()) {
-            i++;
-            appendInMemory(i, item);
-        }
+    /** An entry that was replaced before its sync ended is not counted as synced. */
+    private void write(List<WalRecord> records, Runnable onSynced) {
+        ReplicatedLog log = state.log();
+        long last = log.lastIndex();
+        long lastTerm = log.lastTerm();
+        state.environment()
+                .wal()
+                .append(
+                        records,
+                        () -> state.shard().run(() -> {
+                            if (state.isStopped()) {
+                                return;
+                            }
+                            if (log.contains(last) && log.termAt(last) == lastTerm) {
+                                syncedIndex = Math.max(syncedIndex, last);
+                            }
+                            onSynced.run();
+                        }));
     }
 
-    private void replay(WalRecord record) throws ServiceException {
-        replica.replicatedLog.truncateFrom(record.index());
-        replica.membership.truncateFrom(record.index());
-        if (record.term() > replica.term) {
-            // a build that did not note its owners: nobody is known to hold a lease of this term. design 5.3
-            replica.term = record.term();
-            replica.votedFor = "";
-        }
-        appendInMemory(record.index(), replica.environment.codec().read(record.bytes(), LogEntry.class));
+    void truncateFrom(long index) {
+        state.truncateInMemory(index);
+        syncedIndex = Math.min(syncedIndex, index - 1);
     }
 
-    private void appendInMemory(long index, LogEntry item) {
-        replica.replicatedLog.append(item);
-        if (item.kind() == LogEntry.Kind.MEMBERSHIP) {
-            replica.membership.onAppended(index, decodeMembers(item));
-        }
+    /** What is stored may be used to catch up, but this replica neither votes nor counts until it is promoted again. */
+    void replaceIdentity(Runnable onSynced) {
+        String identity = ReplicaIdentity.create(state.environment().random(), state.self());
+        state.setIdentity(identity, false);
+        storeSnapshot(onSynced);
     }
 
-    Map<String, String> decodeMembers(LogEntry item) {
-        try {
-            Map<String, String> out = new TreeMap<>();
-            replica.environment
-                    .codec()
-                    .read(item.bytes(), Map.class)
-                    .forEach((k, v) -> out.put((String) k, (String) v));
-            return out;
-        } catch (ServiceException failure) {
-            throw new IllegalStateException("unreadable group entry", failure);
-        }
+    void storeSnapshot() {
+        storeSnapshot(() -> {});
     }
 
-    /** Adds to the memory log and to the disk; then runs once synced, unless the entry was cut since. */
-    void append(List<LogEntry> items, Runnable then) {
-        long first = replica.replicatedLog.lastIndex() + 1;
-        List<WalRecord> out = new ArrayList<>();
-        for (LogEntry item : items) {
-            long index = replica.replicatedLog.lastIndex() + 1;
-            appendInMemory(index, item);
-            out.add(new WalRecord(
-                    replica.partition,
-                    WalRecord.Kind.ENTRY,
-                    index,
-                    item.term(),
-                    replica.environment.codec().write(item)));
-        }
-        long last = replica.replicatedLog.lastIndex();
-        long lastTerm = replica.replicatedLog.lastTerm();
-        if (last < first) {
-            then.run();
+    /** Writes a snapshot of what is applied with the entries after it; the task runs once it is synced. */
+    void storeSnapshot(Runnable onSynced) {
+        if (state.isStopped()) {
             return;
         }
-        replica.environment
-                .wal()
-                .append(
-                        out,
-                        () -> replica.shard.run(() -> {
-                            if (replica.role != Role.STOPPED) {
-                                if (replica.replicatedLog.contains(last)
-                                        && replica.replicatedLog.termAt(last) == lastTerm) {
-                                    syncedIndex = Math.max(syncedIndex, last);
-                                }
-                                then.run();
-                            }
-                        }));
-    }
-
-    void truncateFrom(long index) {
-        replica.replicatedLog.truncateFrom(index);
-        replica.membership.truncateFrom(index);
-        syncedIndex = Math.min(syncedIndex, index - 1);
+        ReplicationMessages.ReplicaSnapshot snapshot = snapshot();
+        long index = snapshot.index();
+        boolean manyBytes = state.log().bytes() > KEPT_FOR_FOLLOWERS_BYTES;
+        state.log().compacted(index, manyBytes ? index : retention.firstIndexNeeded(index));
+        WalRecord record = new WalRecord(
+                state.partition(),
+                WalRecord.Kind.SNAPSHOT,
+                index,
+                snapshot.term(),
+                state.environment().codec().write(snapshot));
+        write(List.of(record), onSynced);
+    }
+
+    /** Replaces all that this replica has by a leader's snapshot; the task runs once it is synced. */
+    void installSnapshot(ReplicationMessages.ReplicaSnapshot snapshot, Runnable onSynced) {
+        state.log().reset(snapshot.index(), snapshot.indexTerm(), List.of());
+        state.membership().reset(snapshot.members());
+        stateMachine.restore(snapshot.state());
+        commits.resetTo(snapshot.index());
+        syncedIndex = Math.min(syncedIndex, snapshot.index());
+        storeSnapshot(onSynced);
     }
 
-    void storeVote(Runnable then) {
-        replica.environment
-                .wal()
-                .append(
-                        List.of(new WalRecord(
-                                replica.partition,
-                                WalRecord.Kind.VOTE,
-                                0,
-                                replica.term,
-                                replica.environment.codec().write(replica.votedFor))),
-                        () -> replica.shard.run(() -> {
-                            if (replica.role != Role.STOPPED) {
-                                then.run();
-                            }
-                        }));
+    /** Writes a snapshot if the log since the latest one has grown large. */
+    void compactIfNeeded() {
+        ReplicatedLog log = state.log();
+        long limit = Math.min(COMPACTION_BYTES, state.environment().wal().largestRecordBytes() / COMPACTION_FRACTION);
+        boolean large =
+                log.bytesAfterCompacted() > limit || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
+        if (large && commits.appliedIndex() > log.compactedIndex()) {
+            storeSnapshot();
+        }
     }
 
-    ReplicationMessages.ReplicaSnapshot snapshot() {
-        long upTo = replica.commits.appliedIndex();
-        List<LogEntry> tail = replica.replicatedLog.entries();
-        int skip = (int) (upTo - replica.replicatedLog.baseIndex());
+    private ReplicationMessages.ReplicaSnapshot snapshot() {
+        long index = commits.appliedIndex();
+        List<LogEntry> entries = state.log().entries();
+        int applied = (int) (index - state.log().baseIndex());
         return new ReplicationMessages.ReplicaSnapshot(
-                replica.identity,
-                replica.term,
-                replica.votedFor,
-                replica.voter,
-                upTo,
-                replica.replicatedLog.termAt(upTo),
-                replica.membership.committed(),
-                replica.stateMachine.snapshot(),
-                List.copyOf(tail.subList(skip, tail.size())));
+                state.identity(),
+                state.term(),
+                state.votedFor(),
+                state.isVoter(),
+                index,
+                state.log().termAt(index),
+                state.membership().committed(),
+                stateMachine.snapshot(),
+                List.copyOf(entries.subList(applied, entries.size())));
     }
 
     /** The state up to what is applied, without what only concerns this replica. */
     ReplicationMessages.ReplicaSnapshot snapshotWithoutIdentity() {
         ReplicationMessages.ReplicaSnapshot own = snapshot();
         return new ReplicationMessages.ReplicaSnapshot(
-                "", replica.term, "", false, own.index(), own.indexTerm(), own.members(), own.state(), List.of());
+                "", own.term(), "", false, own.index(), own.indexTerm(), own.members(), own.state(), List.of());
     }
 
-    /** The same snapshot as long as the log goes on from it: a follower that is on its way gets no other one. */
+    /** The same snapshot as long as the log goes on from it: a follower that is catching up gets no other one. */
     SnapshotContent snapshotForFollowers() {
         SnapshotContent latest = latestSnapshot.get();
-        if (latest == null || latest.index() < replica.replicatedLog.baseIndex()) {
-            ReplicationMessages.ReplicaSnapshot base = snapshotWithoutIdentity();
-            latest = SnapshotContent.of(
-                    base.index(), base.indexTerm(), replica.environment.codec().write(base));
+        if (latest == null || latest.index() < state.log().baseIndex()) {
+            ReplicationMessages.ReplicaSnapshot snapshot = snapshotWithoutIdentity();
+            byte[] bytes = state.environment().codec().write(snapshot);
+            latest = SnapshotContent.of(snapshot.index(), snapshot.indexTerm(), bytes);
             latestSnapshot = new WeakReference<>(latest);
         }
         return latest;
     }
-
-    void storeSnapshot() {
-        storeSnapshot(() -> {});
-    }
-
-    /** A new base makes every earlier record of the part needless. */
-    void storeSnapshot(Runnable then) {
-        if (replica.role == Role.STOPPED) {
-            return;
-        }
-        ReplicationMessages.ReplicaSnapshot snapshot = snapshot();
-        long keptFrom = replica.replicatedLog.bytes() > KEPT_FOR_FOLLOWERS
-                ? snapshot.index()
-                : replica.leader.firstIndexNeeded(snapshot.index());
-        replica.replicatedLog.compacted(snapshot.index(), keptFrom);
-        long last = replica.replicatedLog.lastIndex();
-        long lastTerm = replica.replicatedLog.lastTerm();
-        replica.environment
-                .wal()
-                .append(
-                        List.of(new WalRecord(
-                                replica.partition,
-                                WalRecord.Kind.SNAPSHOT,
-                                snapshot.index(),
-                                snapshot.term(),
-                                replica.environment.codec().write(snapshot))),
-                        () -> replica.shard.run(() -> {
-                            if (replica.role != Role.STOPPED) {
-                                if (replica.replicatedLog.contains(last)
-                                        && replica.replicatedLog.termAt(last) == lastTerm) {
-                                    syncedIndex = Math.max(syncedIndex, last);
-                                }
-                                then.run();
-                            }
-                        }));
-    }
-
-    /** Replaces all we have by the owner's view. */
-    void installSnapshot(ReplicationMessages.ReplicaSnapshot snapshot, Runnable then) {
-        replica.replicatedLog.reset(snapshot.index(), snapshot.indexTerm(), List.of());
-        replica.membership.reset(snapshot.members());
-        replica.stateMachine.restore(snapshot.state());
-        replica.commits.resetTo(snapshot.index());
-        syncedIndex = Math.min(syncedIndex, snapshot.index());
-        storeSnapshot(then);
-    }
-
-    void compactIfNeeded() {
-        ReplicatedLog log = replica.replicatedLog;
-        boolean large = log.bytesAfterCompacted()
-                        > Math.min(COMPACTION_BYTES, replica.environment.wal().largestRecordBytes() / 4)
-                || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
-        if (large && replica.commits.appliedIndex() > log.compactedIndex()) {
-            storeSnapshot();
-        }
-    }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The log of a part in memory, from its base on. */
+/** The log of a partition in memory, from the end of a snapshot on. */
 final class ReplicatedLog {
     static final int BATCH_BYTES = 512 << 10;
     static final int SMALLEST_BATCH = 16 << 10;
@@ -11,7 +11,7 @@
     private long baseTerm;
     private final List<LogEntry> items = new ArrayList<>();
     private long bytes;
-    /** What the latest snapshot on disk covers; followers on their way may need entries before it. */
+    /** What the latest snapshot on disk covers; followers that are catching up may need entries before it. */
     private long compactedIndex;
 
     private long bytesAfterCompacted;
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
@@ -4,14 +4,24 @@
 import java.util.Map;
 import java.util.function.Function;
 import org.woadvale.common.rpc.FirstFormatName;
-import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcRouter;
 import reactor.core.publisher.Mono;
 
-/** What replicas of one part say to each other. */
+/** What the replicas of one partition say to each other; every build must read what another one sends. */
 public final class ReplicationMessages {
+    private static final List<Class<? extends ReplicationRequest>> REQUESTS = List.of(
+            VoteRequest.class,
+            AppendEntriesRequest.class,
+            InstallSnapshotRequest.class,
+            StartElectionRequest.class,
+            BootstrapStatusRequest.class,
+            BootstrapRequest.class,
+            SnapshotMessages.SnapshotChunkRequest.class,
+            SnapshotMessages.RevokeIdentityRequest.class);
+
     private ReplicationMessages() {}
 
+    /** A candidate asks for a vote. A pre-vote changes nothing; a transferred leadership may overrule a running lease. */
     public record VoteRequest(
             @FirstFormatName("part") String partition,
             long term,
@@ -19,14 +29,17 @@
             long lastTerm,
             @FirstFormatName("dry") boolean preVote,
             boolean leadershipTransferred)
-            implements RepeatableRequest {}
+            implements ReplicationRequest {}
 
+    /** The answer to a candidate: the term of the voter, and under which identity it counts. */
     public record VoteResponse(long term, boolean granted, String identity) {}
 
+    /** Entries after an index, or none as a heartbeat; with how far the leader has committed. */
     public record AppendEntriesRequest(
             String partition, long term, long prevIndex, long prevTerm, List<LogEntry> entries, long commitIndex)
-            implements RepeatableRequest {}
+            implements ReplicationRequest {}
 
+    /** Up to where the log of the follower matches and is synced; where it does not match, where to go on from. */
     public record AppendEntriesResponse(
             long term,
             @FirstFormatName("ok") boolean success,
@@ -34,28 +47,33 @@
             String identity,
             @FirstFormatName("willing") boolean electable) {}
 
+    /** A whole snapshot in one request, for builds that do not know chunks. */
     public record InstallSnapshotRequest(
             @FirstFormatName("part") String partition,
             long term,
-            @FirstFormatName("base") ReplicaSnapshot snapshot) implements RepeatableRequest {}
+            @FirstFormatName("base") ReplicaSnapshot snapshot) implements ReplicationRequest {}
 
-    public record BootstrapStatusRequest(String partition) implements RepeatableRequest {}
+    /** Asks a desired member whether it has nothing stored. */
+    public record BootstrapStatusRequest(String partition) implements ReplicationRequest {}
 
+    /** Whether a replica has nothing stored, and its identity. */
     public record BootstrapStatusResponse(
             @FirstFormatName("blank") boolean uninitialized, String identity) {}
 
-    /** Accepted only by the very identity that reported blank: design 5.5. */
+    /** Makes the receiver a member of a new group; accepted only by the very identity that reported that it has nothing. */
     public record BootstrapRequest(
             @FirstFormatName("part") String partition,
             String identity,
             @FirstFormatName("group") Map<String, String> members)
-            implements RepeatableRequest {}
+            implements ReplicationRequest {}
 
-    public record StartElectionRequest(String partition, long term) implements RepeatableRequest {}
+    /** The leader has given up its lease in favour of the receiver. */
+    public record StartElectionRequest(String partition, long term) implements ReplicationRequest {}
 
+    /** Whether a request was accepted. */
     public record Acknowledgement(boolean accepted) {}
 
-    /** All that a part needs to go on from: replaces every earlier record. */
+    /** All that a replica needs to go on from; on disk it replaces every earlier record of its partition. */
     public record ReplicaSnapshot(
             String identity,
             long term,
@@ -67,34 +85,23 @@
             @FirstFormatName("machine") byte[] state,
             @FirstFormatName("tail") List<LogEntry> entries) {}
 
-    /** Every ask of replicas goes to the replica of its part here. */
-    public static RpcRouter route(RpcRouter router, Function<String, Mono<Replica>> at) {
-        return router.on(
-                        VoteRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        AppendEntriesRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        InstallSnapshotRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        StartElectionRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        BootstrapStatusRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        BootstrapRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)))
-                .on(
-                        SnapshotMessages.SnapshotChunkRequest.class,
-                        (f, chunk) -> at.apply(chunk.partition()).flatMap(replica -> replica.handle(f, chunk)))
-                .on(
-                        SnapshotMessages.RevokeIdentityRequest.class,
-                        (f, request) -> at.apply(request.partition()).flatMap(replica -> replica.handle(f, request)));
+    /** Hands each request to the replica of its partition on this node. */
+    public static <T extends Replica<?, ?>> RpcRouter route(RpcRouter router, Function<String, Mono<T>> replicaOf) {
+        for (Class<? extends ReplicationRequest> type : REQUESTS) {
+            routeType(router, type, replicaOf);
+        }
+        return router;
+    }
+
+    private static <Q extends ReplicationRequest, T extends Replica<?, ?>> void routeType(
+            RpcRouter router, Class<Q> type, Function<String, Mono<T>> replicaOf) {
+        router.on(
+                type,
+                (from, request) ->
+                        replicaOf.apply(request.partition()).flatMap(replica -> replica.handle(from, request)));
     }
 
+    /** All types by their numbers on the wire: only ever add at the end. */
     public static List<Class<?>> types() {
         return List.of(
                 VoteRequest.class,
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
@@ -2,31 +2,30 @@
 
 import java.util.List;
 import org.woadvale.common.rpc.FirstFormatName;
-import org.woadvale.common.rpc.RepeatableRequest;
 
-/** The transfer of a snapshot in pieces. design 5.8 */
+/** The transfer of a snapshot in chunks. */
 public final class SnapshotMessages {
     private SnapshotMessages() {}
 
-    /** Which snapshot a piece belongs to; a follower that holds pieces of another one drops them. */
+    /** Which snapshot a chunk belongs to; a follower that holds chunks of another one drops them. */
     public record SnapshotId(long index, long indexTerm, long totalBytes, int checksum) {}
 
-    /** A part of a snapshot's bytes, from the offset on. */
+    /** Bytes of a snapshot, from an offset on. */
     public record SnapshotChunkRequest(
             @FirstFormatName("part") String partition,
             long term,
             @FirstFormatName("id") SnapshotId snapshot,
             long offset,
             byte[] bytes)
-            implements RepeatableRequest {}
+            implements ReplicationRequest {}
 
-    /** What became of a piece. */
+    /** What became of a chunk. */
     public enum ChunkStatus {
-        /** Taken, or held already: the next piece begins at the offset of the answer. */
+        /** Accepted, or held already: the next chunk begins at the offset of the answer. */
         ACCEPTED,
-        /** Not the piece that comes next: nothing changed; the next one begins at the offset of the answer. */
+        /** Not the chunk that comes next: nothing changed; the next one begins at the offset of the answer. */
         UNEXPECTED_OFFSET,
-        /** The whole does not have its checksum: all pieces are dropped. */
+        /** The whole does not have its checksum: all chunks are dropped. */
         CORRUPT,
         /** Larger than this replica can store: nothing changed. */
         TOO_LARGE,
@@ -36,7 +35,7 @@
         INSTALLED
     }
 
-    /** The one answer to a piece. */
+    /** The answer to a chunk. */
     public record SnapshotChunkResponse(
             long term,
             ChunkStatus status,
@@ -45,9 +44,10 @@
             String identity,
             @FirstFormatName("willing") boolean electable) {}
 
-    /** A follower reported less than it had confirmed: it must take another identity. design 5.8 */
-    public record RevokeIdentityRequest(String partition, long term, String identity) implements RepeatableRequest {}
+    /** The follower reported less than it had acknowledged: it must take another identity. */
+    public record RevokeIdentityRequest(String partition, long term, String identity) implements ReplicationRequest {}
 
+    /** All types by their numbers on the wire: only ever add at the end. */
     public static List<Class<?>> types() {
         return List.of(
                 SnapshotId.class,
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
@@ -6,11 +6,11 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
 
-/** Puts the pieces of one snapshot together. What was received outlives a change of the leader, not a restart. */
+/** Puts the chunks of one snapshot together. What was received outlives a change of the leader, not a restart. */
 final class SnapshotReceiver {
     private static final int INITIAL_CAPACITY = 64 << 10;
 
-    /** What a piece led to; the content is there once it is whole and sound. */
+    /** What a chunk led to; the snapshot is there once it is complete and its checksum right. */
     record ReceivedChunk(ChunkStatus status, long nextOffset, Optional<SnapshotContent> snapshot) {
         static ReceivedChunk incomplete(ChunkStatus status, long nextOffset) {
             return new ReceivedChunk(status, nextOffset, Optional.empty());
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Arrays;
 
-/** Sends one snapshot to one follower, piece by piece; a lost call is followed by a smaller piece from the same place. */
+/** Sends one snapshot to one follower in chunks; after a lost request a smaller chunk follows from the same offset. */
 final class SnapshotSender {
-    /** An answer within this part of a call's time is fast. */
+    /** A response within this fraction of the time-out is fast: the next chunk may be larger. */
     private static final int FAST_FRACTION = 4;
 
     static final int LARGEST_CHUNK = 256 << 10;
--- a/common/src/main/java/org/woadvale/common/replication/StateMachine.java
+++ b/common/src/main/java/org/woadvale/common/replication/StateMachine.java
@@ -1,11 +1,28 @@
 package org.woadvale.common.replication;
 
-/** The state machine of a part; must be deterministic. */
-public interface StateMachine {
-    /** Called once for each committed command, in order, inside the part's shard. */
-    Object apply(long index, Object command);
+import org.woadvale.common.runtime.ServiceException;
 
+/**
+ * The state that a partition replicates. Must be deterministic: equal commands in equal order give equal states, results
+ * and failures on every replica.
+ *
+ * @param <C> the commands that the log holds
+ * @param <R> what applying a command answers
+ */
+public interface StateMachine<C, R> {
+    /** The type of all commands, to read them back from the log. */
+    Class<C> commandType();
+
+    /**
+     * Applies a committed command. Called once for each, in the order of the log, on the replica's shard.
+     *
+     * @throws ServiceException if the command is rejected; the state is unchanged then, on every replica alike
+     */
+    R apply(long index, C command) throws ServiceException;
+
+    /** All of the state, for {@link #restore}. */
     byte[] snapshot();
 
-    void restore(byte[] view);
+    /** Replaces all of the state. */
+    void restore(byte[] snapshot);
 }
--- /dev/null
+++ b/common/src/main/java/org/woadvale/common/replication/VoterPromotion.java
@@ -0,0 +1,32 @@
+package org.woadvale.common.replication;
+
+import org.apache.logging.log4j.LogManager;
+import org.apache.logging.log4j.Logger;
+
+/** Lets a replica vote and count: after bootstrap, or once a committed change of members names its identity. */
+final class VoterPromotion {
+    private static final Logger LOG = LogManager.getLogger(VoterPromotion.class);
+
+    private final ReplicaState state;
+    private final ReplicaStorage storage;
+
+    VoterPromotion(ReplicaState state, ReplicaStorage storage) {
+        this.state = state;
+        this.storage = storage;
+    }
+
+    /** The entry that names the identity was committed without this replica's own vote. */
+    void promoteIfMember() {
+        String memberIdentity = state.membership().committed().get(state.self());
+        if (state.role() == Role.UNINITIALIZED && state.identity().equals(memberIdentity)) {
+            LOG.info("Partition {} at {} has caught up and votes again.", state.partition(), state.self());
+            promote("member by a committed entry");
+        }
+    }
+
+    void promote(String reason) {
+        state.becomeVoter();
+        state.transitionTo(Role.FOLLOWER, reason);
+        storage.storeSnapshot();
+    }
+}
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -13,13 +13,16 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 
-/** Versions of the configuration in order; a repeated request id gets the answer it had. Both are bounded. design 6.4 */
+/**
+ * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update has the
+ * answer that it had. All three are bounded: the oldest go first.
+ */
 public final class ConfigurationLog {
     static final int MAX_REVISIONS = 256;
     public static final int MAX_ACCEPTED = 4096;
     public static final int MAX_REJECTED = 256;
 
-    /** One taken configuration. */
+    /** One accepted configuration; the original is what the operator sent, where that was translated. */
     public record ConfigurationRevision(
             long version,
             String requestId,
@@ -27,10 +30,10 @@
             byte[] configuration,
             @Since(3) byte[] original) {}
 
-    /** What a request id was used for. */
+    /** What a request id was used for, by the digest of the content. */
     public record AcceptedUpdate(String requestId, long version, String digest) {}
 
-    /** An order that built on a version ahead of the present one: refused, also once that version is reached. */
+    /** An update that built on a version ahead of the present one: rejected, also once that version is reached. */
     public record RejectedUpdate(String requestId, long base) {}
 
     private final int maxHistoryBytes;
@@ -59,16 +62,16 @@
         return new ArrayList<>(rejectedUpdates);
     }
 
-    /** An older build's view has the steps only. */
+    /** Replaces everything; a snapshot of an older build has the revisions only. */
     public void restore(
-            List<ConfigurationRevision> from, List<AcceptedUpdate> ids, List<RejectedUpdate> refusedOrders) {
+            List<ConfigurationRevision> history, List<AcceptedUpdate> accepted, List<RejectedUpdate> rejected) {
         revisions.clear();
         acceptedUpdates.clear();
         rejectedUpdates.clear();
-        rejectedUpdates.addAll(refusedOrders);
+        rejectedUpdates.addAll(rejected);
         bytes = 0;
-        ids.forEach(this::remember);
-        from.forEach(revision -> {
+        accepted.forEach(this::remember);
+        history.forEach(revision -> {
             add(revision);
             if (!acceptedUpdates.containsKey(revision.requestId())) {
                 remember(new AcceptedUpdate(revision.requestId(), revision.version(), digest(revision)));
@@ -104,41 +107,47 @@
         return revision.configuration().length + revision.original().length;
     }
 
-    /** Decides an order; the same order again has the decision that it had. design 6.11 */
-    public Object put(ControlMessages.PutConfiguration order) {
-        String digest = digest(order.configuration(), order.original());
-        Optional<AcceptedUpdate> before = repeatOf(order, digest);
+    /**
+     * Decides an update; the same update again has the decision that it had.
+     *
+     * @throws ServiceException STALE_BASE if it builds on another version than the present one, CONFLICT if its request id
+     *     stands for other content, INVALID_LAYOUT if its revision is not above the present one
+     */
+    public ControlMessages.ConfigurationAccepted put(ControlMessages.PutConfiguration update) throws ServiceException {
+        String digest = digest(update.configuration(), update.original());
+        Optional<AcceptedUpdate> before = repeatOf(update, digest);
         if (before.isPresent()) {
-            return before.get().digest().equals(digest)
-                    ? new ControlMessages.ConfigurationAccepted(before.get().version(), true)
-                    : new ServiceException(ErrorKind.CONFLICT, "This request id was used for another layout.");
+            if (!before.get().digest().equals(digest)) {
+                throw new ServiceException(ErrorKind.CONFLICT, "This request id was used for another layout.");
+            }
+            return new ControlMessages.ConfigurationAccepted(before.get().version(), true);
         }
-        RejectedUpdate identity = new RejectedUpdate(order.requestId(), order.base());
-        if (order.base() > version()) {
+        RejectedUpdate identity = new RejectedUpdate(update.requestId(), update.base());
+        if (update.base() > version()) {
             rejectPermanently(identity);
         }
-        if (order.base() != version() || rejectedUpdates.contains(identity)) {
-            return staleBase(order.base());
+        if (update.base() != version() || rejectedUpdates.contains(identity)) {
+            throw staleBase(update.base());
         }
-        if (order.revision() != 0 && order.revision() <= version()) {
-            return revisionTooLow(order.revision());
+        if (update.revision() != 0 && update.revision() <= version()) {
+            throw revisionTooLow(update.revision());
         }
-        long next = order.revision() == 0 ? version() + 1 : order.revision();
+        long next = update.revision() == 0 ? version() + 1 : update.revision();
         add(new ConfigurationRevision(
-                next, order.requestId(), order.author(), order.configuration(), order.original()));
-        remember(new AcceptedUpdate(order.requestId(), next, digest));
+                next, update.requestId(), update.author(), update.configuration(), update.original()));
+        remember(new AcceptedUpdate(update.requestId(), next, digest));
         return new ControlMessages.ConfigurationAccepted(next, false);
     }
 
-    /** Builds before named an order with an original by its text alone. */
-    private Optional<AcceptedUpdate> repeatOf(ControlMessages.PutConfiguration order, String digest) {
-        Optional<AcceptedUpdate> byId = Optional.ofNullable(acceptedUpdates.get(order.requestId()));
-        return byId.isPresent() || order.original().length == 0
+    /** Earlier builds named an update with an original by its content alone. */
+    private Optional<AcceptedUpdate> repeatOf(ControlMessages.PutConfiguration update, String digest) {
+        Optional<AcceptedUpdate> byId = Optional.ofNullable(acceptedUpdates.get(update.requestId()));
+        return byId.isPresent() || update.original().length == 0
                 ? byId
                 : Optional.ofNullable(acceptedUpdates.get(digest));
     }
 
-    /** The version that such an order builds on may still be reached; other refused ones can never be taken later. */
+    /** The version that such an update builds on may still be reached; other rejected ones can never be accepted later. */
     private void rejectPermanently(RejectedUpdate identity) {
         rejectedUpdates.add(identity);
         if (rejectedUpdates.size() > MAX_REJECTED) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -8,6 +8,8 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.membership.SingletonLease;
@@ -22,7 +24,7 @@
 /** Renewals of one part, in its owner's memory; a new owner grants every lease a whole time anew. design 6.3 */
 public final class LeaseManager {
     private static final Logger LOG = LogManager.getLogger(LeaseManager.class);
-    private final Replica replica;
+    private final Replica<ControlCommand, ControlResult> replica;
     private final ControlStateMachine stateMachine;
     private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
@@ -33,7 +35,8 @@
     private Duration leaderSince = Duration.ZERO;
     private long leaderTerm;
 
-    public LeaseManager(Replica replica, ControlStateMachine machine, NodeEnvironment environment) {
+    public LeaseManager(
+            Replica<ControlCommand, ControlResult> replica, ControlStateMachine machine, NodeEnvironment environment) {
         this.replica = replica;
         this.stateMachine = machine;
         this.environment = environment;
@@ -75,7 +78,7 @@
     public Mono<ControlMessages.UpdateResult> lease(ControlMessages.RenewLeaseRequest request) {
         return ifLeader(i -> {
             noteHeartbeat(request.service() + "|" + request.node());
-            MemberLease known = replica.look(x -> stateMachine.service(request.service()))
+            MemberLease known = replica.inspect(x -> stateMachine.service(request.service()))
                     .members()
                     .get(request.node());
             if (request.memberLease().equals(known)) {
@@ -89,7 +92,7 @@
     }
 
     public Mono<ControlMessages.UpdateResult> leave(ControlMessages.LeaveRequest request) {
-        return ifLeader(i -> Optional.ofNullable(replica.look(x -> stateMachine.service(request.service()))
+        return ifLeader(i -> Optional.ofNullable(replica.inspect(x -> stateMachine.service(request.service()))
                         .members()
                         .get(request.node()))
                 .map(lease -> replica.propose(
@@ -101,8 +104,8 @@
     public Mono<ControlMessages.SingletonLeaseResponse> acquireSingleton(
             ControlMessages.SingletonLeaseRequest request) {
         return ifLeader(i -> {
-            SingletonLease singleton =
-                    replica.look(x -> stateMachine.service(request.service())).singleton();
+            SingletonLease singleton = replica.inspect(x -> stateMachine.service(request.service()))
+                    .singleton();
             String key = "duty|" + request.service();
             boolean goes = shard.get(() -> grantedSingletons.getOrDefault(key, 0L) == request.term());
             if (singleton.owner().equals(request.node()) && singleton.term() == request.term() && !goes) {
@@ -147,7 +150,7 @@
     /** The ask is a copy of the one that took the duty as it stands. design 6.11 */
     private boolean isRepeat(ControlMessages.SingletonLeaseRequest ask, SingletonLease duty) {
         return duty.owner().equals(ask.node())
-                && replica.look(i -> stateMachine.appliedRequests().singletonTerm(ask.requestId())) == duty.term();
+                && replica.inspect(i -> stateMachine.appliedRequests().singletonTerm(ask.requestId())) == duty.term();
     }
 
     public Mono<ControlMessages.UpdateResult> release(ControlMessages.ReleaseSingletonRequest request) {
@@ -162,7 +165,7 @@
         if (replica.role() != Role.LEADER || !replica.isActiveLeader()) {
             return;
         }
-        for (ServiceView view : replica.look(i -> stateMachine.services()).values()) {
+        for (ServiceView view : replica.inspect(i -> stateMachine.services()).values()) {
             view.members().forEach((node, memberLease) -> {
                 if (lapsed(view.service() + "|" + node)) {
                     LOG.info("The lease of {} in {} expired.", node, view.service());
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -14,6 +14,8 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.ServiceNames;
@@ -48,9 +50,9 @@
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final String zone;
-    private final Replica c0;
+    private final Replica<ControlCommand, ControlResult> c0;
     private final ControlStateMachine stateMachine;
-    private final Supplier<List<Replica>> replicas;
+    private final Supplier<List<Replica<ControlCommand, ControlResult>>> replicas;
     // no lock: two decisions made at once carry the same epoch, and one of them is taken
     private final Map<String, Announcement> announcements = new ConcurrentHashMap<>();
     private final Map<String, Duration> leavers = new ConcurrentHashMap<>();
@@ -68,9 +70,9 @@
             NodeEnvironment environment,
             CoreClient core,
             String zone,
-            Replica c0,
+            Replica<ControlCommand, ControlResult> c0,
             ControlStateMachine machine,
-            Supplier<List<Replica>> replicas) {
+            Supplier<List<Replica<ControlCommand, ControlResult>>> replicas) {
         this.environment = environment;
         this.core = core;
         this.zone = zone;
@@ -81,7 +83,7 @@
 
     /** The list as committed in part c0, as far as that is applied here. */
     public CoreMembers committed() {
-        return c0.look(i -> stateMachine.coreMembers());
+        return c0.inspect(i -> stateMachine.coreMembers());
     }
 
     /** Called at each look of the node: announces this machine where that is needed, and decides as the leader. */
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
@@ -5,6 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.replication.Replica;
 
 /** Remembers when each control partition last had a known leader. Safe for use by several threads. */
@@ -15,7 +17,7 @@
     private final Map<String, Duration> lastSeen = new ConcurrentHashMap<>();
 
     /** Notes the partition as led at {@code now} (monotonic time) if its replica knows a leader. */
-    public void observe(String partition, Replica replica, Duration now) {
+    public void observe(String partition, Replica<ControlCommand, ControlResult> replica, Duration now) {
         replica.leaderId().ifPresent(leader -> lastSeen.put(partition, now));
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -2,6 +2,8 @@
 
 import java.time.Duration;
 import java.util.function.Supplier;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
@@ -19,11 +21,14 @@
 
     private final NodeEnvironment environment;
     private final CoreClient core;
-    private final Replica c0;
+    private final Replica<ControlCommand, ControlResult> c0;
     private final Supplier<Duration> announcementAnsweredAt;
 
     public MajorityContact(
-            NodeEnvironment environment, CoreClient core, Replica c0, Supplier<Duration> announcementAnsweredAt) {
+            NodeEnvironment environment,
+            CoreClient core,
+            Replica<ControlCommand, ControlResult> c0,
+            Supplier<Duration> announcementAnsweredAt) {
         this.environment = environment;
         this.core = core;
         this.c0 = c0;
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -9,6 +9,8 @@
 import java.util.TreeSet;
 import org.woadvale.common.discovery.ViewCompression;
 import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.ServiceNames;
@@ -34,7 +36,8 @@
 
 /** A control node: one replica of every control part, and what it answers as their owner. */
 public final class ControlNode implements Component {
-    private record ControlPartition(Replica replica, ControlStateMachine stateMachine, LeaseManager leases) {}
+    private record ControlPartition(
+            Replica<ControlCommand, ControlResult> replica, ControlStateMachine stateMachine, LeaseManager leases) {}
 
     private static final int HISTORY_BYTES = 512 << 10;
 
@@ -59,7 +62,8 @@
             ControlStateMachine stateMachine = new ControlStateMachine(
                     environment.codec(),
                     Math.min(HISTORY_BYTES, environment.wal().largestRecordBytes() / 4));
-            Replica replica = new Replica(p, rotated(wantedCore, p), stateMachine, environment);
+            Replica<ControlCommand, ControlResult> replica =
+                    new Replica<>(p, rotated(wantedCore, p), stateMachine, environment);
             partitions.put(
                     p,
                     new ControlPartition(replica, stateMachine, new LeaseManager(replica, stateMachine, environment)));
@@ -135,7 +139,7 @@
         return partition(ServiceNames.controlPart(service));
     }
 
-    private Mono<ControlMessages.UpdateResult> change(String service, Object command) {
+    private Mono<ControlMessages.UpdateResult> change(String service, ControlCommand command) {
         return partitionOf(service)
                 .flatMap(partition -> partition.replica().propose(command, ControlMessages.UpdateResult.class));
     }
@@ -177,7 +181,7 @@
         membership.onTick();
     }
 
-    private List<Replica> replicas() {
+    private List<Replica<ControlCommand, ControlResult>> replicas() {
         return partitions.values().stream().map(ControlPartition::replica).toList();
     }
 
@@ -206,7 +210,7 @@
     /** The first control node of a part's list owns it once it is back and up to date; one move at a look. */
     private void balanceLeaders() {
         for (Map.Entry<String, ControlPartition> entry : partitions.entrySet()) {
-            Replica replica = entry.getValue().replica();
+            Replica<ControlCommand, ControlResult> replica = entry.getValue().replica();
             String first = rotated(core.controlNodes(), entry.getKey()).get(0);
             if (replica.successor().filter(first::equals).isPresent() && replica.transferLeadership(first)) {
                 return;
@@ -256,7 +260,7 @@
         return retryingClient.ask(part, request, type);
     }
 
-    public Replica replica(String part) {
+    public Replica<ControlCommand, ControlResult> replica(String part) {
         return partitions.get(part).replica();
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -11,6 +11,8 @@
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
@@ -57,14 +59,14 @@
     }
 
     private boolean isLeader() {
-        Replica replica = node.replica("c0");
+        Replica<ControlCommand, ControlResult> replica = node.replica("c0");
         return replica.isActiveLeader();
     }
 
     /** Services that have a list; none as long as no configuration was taken. */
     private Set<String> onListed() {
         byte[] json = node.replica("c0")
-                .look(i -> node.machine("c0").service(ServiceNames.CONFIGURATION))
+                .inspect(i -> node.machine("c0").service(ServiceNames.CONFIGURATION))
                 .configuration();
         Set<String> out = new TreeSet<>();
         if (json.length > 0) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -7,6 +7,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ControlMessages.ControlCommand;
+import org.woadvale.common.membership.ControlMessages.ControlResult;
+import org.woadvale.common.membership.ControlMessages.UpdateResult;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.Processor;
@@ -22,7 +25,7 @@
 import org.woadvale.controlplane.configuration.ConfigurationLog;
 
 /** The state of one control part: services by name, and in part 0 the configuration. design 6 */
-public final class ControlStateMachine implements StateMachine {
+public final class ControlStateMachine implements StateMachine<ControlCommand, ControlResult> {
     /** All of the machine, for views. */
     public record State(
             Map<String, ServiceView> services,
@@ -59,68 +62,38 @@
     }
 
     @Override
-    public Object apply(long index, Object c) {
-        if (c instanceof ControlMessages.PutMember putMember) {
-            Map<String, MemberLease> members =
-                    new HashMap<>(service(putMember.service()).members());
-            members.put(putMember.node(), putMember.memberLease());
-            return putMembers(index, putMember.service(), members);
-        } else if (c instanceof ControlMessages.DropMember dropMember) {
-            Map<String, MemberLease> members =
-                    new HashMap<>(service(dropMember.service()).members());
-            if (members.containsKey(dropMember.node())
-                    && members.get(dropMember.node()).incarnation().equals(dropMember.incarnation())) {
-                members.remove(dropMember.node());
-                return putMembers(index, dropMember.service(), members);
-            }
-            return new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutProcessor putProcessor) {
-            Map<String, Processor> m =
-                    new HashMap<>(service(putProcessor.service()).processors());
-            m.put(putProcessor.id(), putProcessor.processor());
-            return putProcessors(
-                    index, putProcessor.service(), m, putProcessor.expectedVersion(), putProcessor.requestId());
-        } else if (c instanceof ControlMessages.DropProcessor drop) {
-            Map<String, Processor> m = new HashMap<>(service(drop.service()).processors());
-            m.remove(drop.id());
-            return putProcessors(index, drop.service(), m, drop.expectedVersion(), drop.requestId());
-        } else if (c instanceof ControlMessages.PutProcessors putProcessors) {
-            return putProcessors(
-                    index,
-                    putProcessors.service(),
-                    new HashMap<>(putProcessors.processors()),
-                    putProcessors.expectedVersion(),
-                    putProcessors.requestId());
-        } else if (c instanceof ControlMessages.AcquireSingleton acquire) {
+    public Class<ControlCommand> commandType() {
+        return ControlCommand.class;
+    }
+
+    @Override
+    public ControlResult apply(long index, ControlCommand command) throws ServiceException {
+        if (command instanceof ControlMessages.PutMember put) {
+            return putMember(index, put);
+        } else if (command instanceof ControlMessages.DropMember drop) {
+            return dropMember(index, drop);
+        } else if (command instanceof ControlMessages.PutProcessor put) {
+            return putProcessor(index, put);
+        } else if (command instanceof ControlMessages.DropProcessor drop) {
+            return dropProcessor(index, drop);
+        } else if (command instanceof ControlMessages.PutProcessors put) {
+            Map<String, Processor> processors = new HashMap<>(put.processors());
+            return putProcessors(index, put.service(), processors, put.expectedVersion(), put.requestId());
+        } else if (command instanceof ControlMessages.AcquireSingleton acquire) {
             return acquireSingleton(index, acquire);
-        } else if (c instanceof ControlMessages.ReleaseSingleton release) {
-            SingletonLease now = service(release.service()).singleton();
-            if (now.owner().equals(release.node()) && now.term() == release.term()) {
-                putSingleton(index, release.service(), new SingletonLease("", now.term(), release.level(), false));
-                return new ControlMessages.UpdateResult(true);
-            }
-            return new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutPlacement putPlacement) {
-            return putPlacement(index, putPlacement);
-        } else if (c instanceof ControlMessages.PutCore putCore) {
-            ServiceView view = service(ServiceNames.CORE);
-            Set<String> now = Set.copyOf(view.placement().getOrDefault(ServiceNames.CORE, List.of()));
-            if (!now.isEmpty()
-                    && !putCore.expected().isEmpty()
-                    && !now.equals(Set.copyOf(putCore.expected()))
-                    && !now.equals(Set.copyOf(putCore.members()))) {
-                return new ControlMessages.UpdateResult(false);
-            }
-            return putCoreMembers(index, putCore.members());
-        } else if (c instanceof ControlMessages.ChangeCore change) {
-            return change.epoch() == coreMembers().epoch()
-                    ? putCoreMembers(index, change.members())
-                    : new ControlMessages.UpdateResult(false);
-        } else if (c instanceof ControlMessages.PutConfiguration put) {
+        } else if (command instanceof ControlMessages.ReleaseSingleton release) {
+            return releaseSingleton(index, release);
+        } else if (command instanceof ControlMessages.PutPlacement put) {
+            return putPlacement(index, put);
+        } else if (command instanceof ControlMessages.PutCore put) {
+            return putCore(index, put);
+        } else if (command instanceof ControlMessages.ChangeCore change) {
+            return changeCore(index, change);
+        } else if (command instanceof ControlMessages.PutConfiguration put) {
             return putConfiguration(index, put);
         }
-        return new ServiceException(
-                ErrorKind.BAD_REQUEST, "Unknown command " + c.getClass().getSimpleName() + ".");
+        throw new ServiceException(
+                ErrorKind.BAD_REQUEST, "Unknown command " + command.getClass().getSimpleName() + ".");
     }
 
     /** The members of the core as last committed; the epoch is 0 and the list empty until one was. */
@@ -129,72 +102,128 @@
         return new CoreMembers(core.version(), core.placement().getOrDefault(ServiceNames.CORE, List.of()));
     }
 
-    private Object putCoreMembers(long index, List<String> members) {
-        services.put(
-                ServiceNames.CORE, service(ServiceNames.CORE).withPlacement(index, Map.of(ServiceNames.CORE, members)));
-        return new ControlMessages.UpdateResult(true);
+    private ControlResult putMember(long index, ControlMessages.PutMember put) {
+        Map<String, MemberLease> members = new HashMap<>(service(put.service()).members());
+        members.put(put.node(), put.memberLease());
+        return putMembers(index, put.service(), members);
+    }
+
+    /** A later incarnation of the node stays. */
+    private ControlResult dropMember(long index, ControlMessages.DropMember drop) {
+        Map<String, MemberLease> members = new HashMap<>(service(drop.service()).members());
+        MemberLease lease = members.get(drop.node());
+        if (lease == null || !lease.incarnation().equals(drop.incarnation())) {
+            return new UpdateResult(false);
+        }
+        members.remove(drop.node());
+        return putMembers(index, drop.service(), members);
     }
 
-    private Object putMembers(long index, String service, Map<String, MemberLease> members) {
+    private ControlResult putMembers(long index, String service, Map<String, MemberLease> members) {
         services.put(service, service(service).withMembers(index, members));
-        return new ControlMessages.UpdateResult(true);
+        return new UpdateResult(true);
+    }
+
+    private ControlResult putProcessor(long index, ControlMessages.PutProcessor put) {
+        Map<String, Processor> processors = new HashMap<>(service(put.service()).processors());
+        processors.put(put.id(), put.processor());
+        return putProcessors(index, put.service(), processors, put.expectedVersion(), put.requestId());
+    }
+
+    private ControlResult dropProcessor(long index, ControlMessages.DropProcessor drop) {
+        Map<String, Processor> processors =
+                new HashMap<>(service(drop.service()).processors());
+        processors.remove(drop.id());
+        return putProcessors(index, drop.service(), processors, drop.expectedVersion(), drop.requestId());
     }
 
-    /** A list is taken only if it was made from the present one; a repeat has the outcome of its first copy. */
-    private Object putProcessors(long index, String service, Map<String, Processor> list, long seen, long requestId) {
+    /** A list is accepted only if it was made from the present one; a repeat has the outcome of its first sending. */
+    private ControlResult putProcessors(
+            long index, String service, Map<String, Processor> processors, long expectedVersion, long requestId) {
         Optional<AppliedRequests.Outcome> before = appliedRequests.outcome(requestId);
         if (before.isPresent()) {
-            return new ControlMessages.UpdateResult(before.get().accepted());
+            return new UpdateResult(before.get().accepted());
         }
         ServiceView view = service(service);
-        boolean accepted = seen == 0 || seen == view.version() + 1;
+        boolean accepted = expectedVersion == 0 || expectedVersion == view.version() + 1;
         if (accepted) {
-            services.put(service, view.withProcessors(index, list));
+            services.put(service, view.withProcessors(index, processors));
         }
         appliedRequests.remember(new AppliedRequests.Outcome(requestId, accepted, 0));
-        return new ControlMessages.UpdateResult(accepted);
+        return new UpdateResult(accepted);
     }
 
-    private void putSingleton(long index, String service, SingletonLease duty) {
-        services.put(service, service(service).withSingleton(index, duty));
+    private void putSingleton(long index, String service, SingletonLease singleton) {
+        services.put(service, service(service).withSingleton(index, singleton));
     }
 
-    private Object acquireSingleton(long index, ControlMessages.AcquireSingleton take) {
-        SingletonLease now = service(take.service()).singleton();
-        if (take.requestId() != 0 && appliedRequests.outcome(take.requestId()).isPresent()) {
-            boolean still =
-                    now.owner().equals(take.node()) && now.term() == appliedRequests.singletonTerm(take.requestId());
+    private ControlResult acquireSingleton(long index, ControlMessages.AcquireSingleton acquire) {
+        SingletonLease now = service(acquire.service()).singleton();
+        if (acquire.requestId() != 0
+                && appliedRequests.outcome(acquire.requestId()).isPresent()) {
+            boolean still = now.owner().equals(acquire.node())
+                    && now.term() == appliedRequests.singletonTerm(acquire.requestId());
             return new ControlMessages.SingletonLeaseResponse(still, now);
         }
-        if (now.term() != take.expectedTerm()) {
-            appliedRequests.remember(new AppliedRequests.Outcome(take.requestId(), false, 0));
+        if (now.term() != acquire.expectedTerm()) {
+            appliedRequests.remember(new AppliedRequests.Outcome(acquire.requestId(), false, 0));
             return new ControlMessages.SingletonLeaseResponse(false, now);
         }
-        // design 8.4: a crashed holder's level is lost; only a level given up by the holder itself is handed on
-        SingletonLease next = new SingletonLease(
-                take.node(), now.term() + 1, now.vacant() ? now.level() : 0, take.lapsed() && !now.vacant());
-        putSingleton(index, take.service(), next);
-        appliedRequests.remember(new AppliedRequests.Outcome(take.requestId(), true, next.term()));
+        // the tokens of a crashed owner are lost; only those that an owner has released are handed on
+        double level = now.vacant() ? now.level() : 0;
+        boolean clear = acquire.lapsed() && !now.vacant();
+        SingletonLease next = new SingletonLease(acquire.node(), now.term() + 1, level, clear);
+        putSingleton(index, acquire.service(), next);
+        appliedRequests.remember(new AppliedRequests.Outcome(acquire.requestId(), true, next.term()));
         return new ControlMessages.SingletonLeaseResponse(true, next);
     }
 
-    private Object putPlacement(long index, ControlMessages.PutPlacement place) {
+    private ControlResult releaseSingleton(long index, ControlMessages.ReleaseSingleton release) {
+        SingletonLease now = service(release.service()).singleton();
+        boolean owns = now.owner().equals(release.node()) && now.term() == release.term();
+        if (owns) {
+            putSingleton(index, release.service(), new SingletonLease("", now.term(), release.level(), false));
+        }
+        return new UpdateResult(owns);
+    }
+
+    private ControlResult putPlacement(long index, ControlMessages.PutPlacement put) {
         ServiceView view = service(ServiceNames.STORES);
-        if (view.version() != place.expectedVersion()) {
-            return new ControlMessages.UpdateResult(false);
+        if (view.version() != put.expectedVersion()) {
+            return new UpdateResult(false);
         }
-        services.put(ServiceNames.STORES, view.withPlacement(index, place.placement()));
-        return new ControlMessages.UpdateResult(true);
+        services.put(ServiceNames.STORES, view.withPlacement(index, put.placement()));
+        return new UpdateResult(true);
+    }
+
+    /** Accepted if the present members are those expected, or the new ones already. */
+    private ControlResult putCore(long index, ControlMessages.PutCore put) {
+        Set<String> present = Set.copyOf(coreMembers().members());
+        boolean free = present.isEmpty() || put.expected().isEmpty();
+        boolean accepted =
+                free || present.equals(Set.copyOf(put.expected())) || present.equals(Set.copyOf(put.members()));
+        return accepted ? putCoreMembers(index, put.members()) : new UpdateResult(false);
+    }
+
+    private ControlResult changeCore(long index, ControlMessages.ChangeCore change) {
+        boolean accepted = change.epoch() == coreMembers().epoch();
+        return accepted ? putCoreMembers(index, change.members()) : new UpdateResult(false);
+    }
+
+    private ControlResult putCoreMembers(long index, List<String> members) {
+        Map<String, List<String>> placement = Map.of(ServiceNames.CORE, members);
+        services.put(ServiceNames.CORE, service(ServiceNames.CORE).withPlacement(index, placement));
+        return new UpdateResult(true);
     }
 
-    private Object putConfiguration(long index, ControlMessages.PutConfiguration put) {
-        Object out = configurations.put(put);
-        if (out instanceof ControlMessages.ConfigurationAccepted taken && !taken.repeated()) {
+    private ControlResult putConfiguration(long index, ControlMessages.PutConfiguration put) throws ServiceException {
+        ControlMessages.ConfigurationAccepted accepted = configurations.put(put);
+        if (!accepted.repeated()) {
+            ServiceView view = service(ServiceNames.CONFIGURATION);
             services.put(
-                    ServiceNames.CONFIGURATION,
-                    service(ServiceNames.CONFIGURATION).withConfiguration(index, put.configuration(), taken.version()));
+                    ServiceNames.CONFIGURATION, view.withConfiguration(index, put.configuration(), accepted.version()));
         }
-        return out;
+        return accepted;
     }
 
     @Override
--- a/controlplane/src/test/java/org/woadvale/controlplane/partition/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.configuration;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -10,9 +10,8 @@
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
-import org.woadvale.controlplane.configuration.ConfigurationLog;
 
-/** Revisions, originals and repeats: design 6.8 and 6.4. */
+/** Revisions, originals and repeated updates. */
 class ConfigurationLogTest {
     private final ConfigurationLog log = new ConfigurationLog(1 << 20);
 
@@ -20,8 +19,18 @@
         return s.getBytes(StandardCharsets.UTF_8);
     }
 
+    /** What was accepted, or the failure with which the update was rejected. */
+    private static Object decide(ConfigurationLog log, ControlMessages.PutConfiguration update) {
+        try {
+            return log.put(update);
+        } catch (ServiceException failure) {
+            return failure;
+        }
+    }
+
     private Object put(String id, long base, long revision, String original) {
-        return log.put(new ControlMessages.PutConfiguration(id, base, bytes("{}"), "me", revision, bytes(original)));
+        return decide(
+                log, new ControlMessages.PutConfiguration(id, base, bytes("{}"), "me", revision, bytes(original)));
     }
 
     private static ErrorKind kind(Object o) {
@@ -35,7 +44,7 @@
         assertEquals(17, log.version());
         assertEquals(
                 new ControlMessages.ConfigurationAccepted(18, false),
-                log.put(new ControlMessages.PutConfiguration("c", 17, bytes("{}"), "me")));
+                decide(log, new ControlMessages.PutConfiguration("c", 17, bytes("{}"), "me")));
     }
 
     @Test
@@ -82,7 +91,7 @@
         assertArrayEquals(bytes("B"), other.revisions().get(1).original());
         assertEquals(
                 new ControlMessages.ConfigurationAccepted(5, true),
-                other.put(new ControlMessages.PutConfiguration("a", 0, bytes("{}"), "me", 5, bytes("A"))));
+                decide(other, new ControlMessages.PutConfiguration("a", 0, bytes("{}"), "me", 5, bytes("A"))));
     }
 
     /** Originals count towards the bound, the ids stay. */
@@ -91,15 +100,18 @@
         ConfigurationLog small = new ConfigurationLog(1000);
         long base = 0;
         for (int i = 1; i <= 20; i++) {
-            small.put(new ControlMessages.PutConfiguration(
-                    "id" + i, base, bytes("{}"), "me", i * 3L, bytes("x".repeat(300))));
+            decide(
+                    small,
+                    new ControlMessages.PutConfiguration(
+                            "id" + i, base, bytes("{}"), "me", i * 3L, bytes("x".repeat(300))));
             base = i * 3L;
         }
         assertEquals(60, small.version());
         assertTrue(small.revisions().size() <= 3, small.revisions().size() + " kept");
         assertEquals(
                 new ControlMessages.ConfigurationAccepted(3, true),
-                small.put(
+                decide(
+                        small,
                         new ControlMessages.PutConfiguration("id1", 0, bytes("{}"), "me", 3, bytes("x".repeat(300)))));
     }
 
@@ -116,8 +128,8 @@
         assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
         assertEquals(new ControlMessages.ConfigurationAccepted(7, false), put("b", 5, 7, "B"));
         assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
-        Object inRestored =
-                restored(log).put(new ControlMessages.PutConfiguration("early", 7, bytes("{}"), "me", 9, bytes("E")));
+        Object inRestored = decide(
+                restored(log), new ControlMessages.PutConfiguration("early", 7, bytes("{}"), "me", 9, bytes("E")));
         assertEquals(ErrorKind.STALE_BASE, kind(inRestored));
         assertEquals(new ControlMessages.ConfigurationAccepted(9, false), put("other", 7, 9, "O"));
     }
@@ -132,7 +144,9 @@
         assertEquals(yes, put("first", 0, 2, "F"));
         assertEquals(
                 yes,
-                restored(log).put(new ControlMessages.PutConfiguration("first", 0, bytes("{}"), "me", 2, bytes("F"))));
+                decide(
+                        restored(log),
+                        new ControlMessages.PutConfiguration("first", 0, bytes("{}"), "me", 2, bytes("F"))));
         assertEquals(1202, log.version());
     }
 
--- a/controlplane/src/test/java/org/woadvale/controlplane/partition/RepeatedCommandsTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
@@ -1,4 +1,4 @@
-package org.woadvale.controlplane.partition;
+package org.woadvale.controlplane.state;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,9 +9,8 @@
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
+import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
-import org.woadvale.controlplane.state.AppliedRequests;
-import org.woadvale.controlplane.state.ControlStateMachine;
 
 /** Internal commands that were sent again have the outcome of their first copy, and no effect of their own. */
 class RepeatedCommandsTest {
@@ -23,7 +22,7 @@
     private final ControlStateMachine machine = new ControlStateMachine(CODEC, 1 << 20);
     private long index;
 
-    private Object apply(Object command) {
+    private Object apply(ControlMessages.ControlCommand command) throws ServiceException {
         return machine.apply(++index, command);
     }
 
@@ -36,7 +35,7 @@
     }
 
     @Test
-    void repeatedListIsYesAndUndoesNothing() {
+    void repeatedListIsYesAndUndoesNothing() throws ServiceException {
         ControlMessages.PutProcessors first = list(false, 7);
         assertEquals(YES, apply(first));
         assertEquals(YES, apply(list(true, 8)));
@@ -45,7 +44,7 @@
     }
 
     @Test
-    void repeatOfARefusedListStaysRefused() {
+    void repeatOfARefusedListStaysRefused() throws ServiceException {
         assertEquals(YES, apply(list(false, 7)));
         ControlMessages.PutProcessors late = new ControlMessages.PutProcessors(LIST, Map.of(), 1, 9);
         assertEquals(NO, apply(late));
@@ -54,7 +53,7 @@
     }
 
     @Test
-    void repeatedDutyIsYesWhileItIsHeld() {
+    void repeatedDutyIsYesWhileItIsHeld() throws ServiceException {
         ControlMessages.AcquireSingleton take = new ControlMessages.AcquireSingleton("bucket/t", "node", 0, false, 11);
         ControlMessages.SingletonLeaseResponse first = (ControlMessages.SingletonLeaseResponse) apply(take);
         assertTrue(first.granted());
@@ -65,7 +64,7 @@
     }
 
     @Test
-    void outcomesSurviveASnapshot() {
+    void outcomesSurviveASnapshot() throws ServiceException {
         ControlMessages.PutProcessors first = list(false, 7);
         apply(first);
         apply(list(true, 8));
@@ -76,7 +75,7 @@
     }
 
     @Test
-    void outcomesAreBounded() {
+    void outcomesAreBounded() throws ServiceException {
         for (int i = 1; i <= AppliedRequests.CAPACITY + 20; i++) {
             apply(list(false, i));
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -109,11 +109,13 @@
                                     "messages",
                                     partition
                                             .replica()
-                                            .look(i -> partition.stateMachine().count()),
+                                            .inspect(i ->
+                                                    partition.stateMachine().count()),
                                     "liveBytes",
                                     partition
                                             .replica()
-                                            .look(i -> partition.stateMachine().liveBytes()),
+                                            .inspect(i ->
+                                                    partition.stateMachine().liveBytes()),
                                     "group",
                                     partition.replica().members().keySet())));
             out.put("parts", parts);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -48,7 +48,7 @@
     /** Due messages of a service here, for those that fetch it; the first place among tenants goes round. */
     List<Message> due(String service, int most, int turn) {
         Instant now = wallTime();
-        return partition.replica().look(i -> {
+        return partition.replica().inspect(i -> {
             List<Message> out = new ArrayList<>();
             ReadyQueue ready = partition.stateMachine().ready();
             ready.lanes()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -122,7 +122,7 @@
     /** Running here by the log, but not by us: the owner changed, so the outcome is unclear. */
     private void adoptRunning() {
         for (Message message :
-                partition.replica().look(i -> partition.stateMachine().running())) {
+                partition.replica().inspect(i -> partition.stateMachine().running())) {
             if (message.leased()) {
                 leases.onTick(message);
             } else if (busy.add(message.handle())) {
@@ -136,7 +136,7 @@
 
     private Map<String, List<Message>> due() {
         Instant now = wallTime();
-        return partition.replica().look(i -> {
+        return partition.replica().inspect(i -> {
             Map<String, List<Message>> out = new TreeMap<>();
             ReadyQueue ready = partition.stateMachine().ready();
             ready.lanes().forEach(lane -> {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -134,7 +134,7 @@
         var now = context.environment().clock().wallTime();
         return partition
                 .replica()
-                .look(i -> partition.stateMachine().running().stream()
+                .inspect(i -> partition.stateMachine().running().stream()
                         .filter(message -> message.processor().equals(request.processor())
                                 && message.destination().equals(ProcessorStatus.PULLED + request.fetchId())
                                 && message.deadline().isAfter(now))
@@ -152,7 +152,7 @@
         int turn = turns.incrementAndGet();
         var now = context.environment().clock().wallTime();
         List<Message> out = new ArrayList<>();
-        partition.replica().look(i -> {
+        partition.replica().inspect(i -> {
             partition
                     .stateMachine()
                     .ready()
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -13,6 +13,12 @@
 public final class MessageCommands {
     private MessageCommands() {}
 
+    /** A command in the log of a message partition. */
+    public sealed interface MessageCommand {}
+
+    /** What applying a command to a message partition answers. */
+    public sealed interface MessageResult {}
+
     /** Lapsed: nobody knows, it may run again, and it counts as no attempt. design 9.11 */
     public enum AttemptOutcome {
         SUCCEEDED,
@@ -32,7 +38,8 @@
             RouteTerms terms,
             Instant due,
             Instant at,
-            @Since(3) Map<String, String> envelope) {
+            @Since(3) Map<String, String> envelope)
+            implements MessageCommand {
         public Accept(
                 String tenant,
                 String lane,
@@ -54,7 +61,7 @@
             String processor,
             Instant deadline,
             Instant at,
-            @Since(2) String destination) {}
+            @Since(2) String destination) implements MessageCommand {}
 
     /** Attempt zero ends a message that does not run: its time is over. */
     public record End(
@@ -63,16 +70,17 @@
             @FirstFormatName("ending") AttemptOutcome outcome,
             String proof,
             Instant due,
-            Instant at) {}
+            Instant at)
+            implements MessageCommand {}
 
     /** Ends that nobody could prove are kept longer, for those who must find out: design 9.3. */
-    public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) {}
+    public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) implements MessageCommand {}
 
-    public record Accepted(String handle, String state, boolean repeated) {}
+    public record Accepted(String handle, String state, boolean repeated) implements MessageResult {}
 
-    public record TransitionResult(boolean applied, Message message) {}
+    public record TransitionResult(boolean applied, Message message) implements MessageResult {}
 
-    public record ExpiredCount(int count) {}
+    public record ExpiredCount(int count) implements MessageResult {}
 
     // asks between data plane nodes
     /** By the clock of the asked process in this life of it: what comes later is refused. design 9.7 */
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -22,6 +22,8 @@
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
+import org.woadvale.dataplane.queue.MessageCommands.MessageCommand;
+import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 import reactor.core.publisher.Mono;
 
 /** The message parts of a store, opened as the placement says: design 9.1. */
@@ -31,7 +33,11 @@
     private static final int MAX_EXPIRY_LAG_S = 5;
 
     /** One part here: its replica, its machine and its own bucket in size units. */
-    public record MessagePartition(String id, Replica replica, MessageStateMachine stateMachine, Bucket units) {}
+    public record MessagePartition(
+            String id,
+            Replica<MessageCommand, MessageResult> replica,
+            MessageStateMachine stateMachine,
+            Bucket units) {}
 
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
@@ -110,7 +116,7 @@
     /** Node and part buckets in size units first, then the commit. All refusals here are definite. */
     private Mono<MessageCommands.Accepted> accept(MessagePartition partition, MessageCommands.Accept accept) {
         int units = Math.max(1, (accept.body().length + 1023) / 1024);
-        boolean room = partition.replica().look(i -> partition.stateMachine().storedBytes())
+        boolean room = partition.replica().inspect(i -> partition.stateMachine().storedBytes())
                         < Math.min(maxPartitionBytes, environment.wal().largestRecordBytes() / 2)
                 && !environment.wal().nearlyFull();
         if (!partition.replica().isActiveLeader()) {
@@ -185,7 +191,7 @@
 
     private void open(String part, List<String> wanted) throws ServiceException {
         MessageStateMachine stateMachine = new MessageStateMachine(part, environment.codec());
-        Replica replica = new Replica(part, wanted, stateMachine, environment);
+        Replica<MessageCommand, MessageResult> replica = new Replica<>(part, wanted, stateMachine, environment);
         replica.start(environment.wal().recovered().getOrDefault(part, List.of()));
         MessagePartition partition = new MessagePartition(
                 part,
@@ -223,7 +229,7 @@
         if (partition.replica().isActiveLeader()
                 && partition
                         .replica()
-                        .look(i -> partition
+                        .inspect(i -> partition
                                 .stateMachine()
                                 .anyEndedBefore(
                                         limit.minusSeconds(MAX_EXPIRY_LAG_S),
