--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -8,9 +8,12 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.dataplane.queue.MessageCommands.AttemptOutcome;
+import org.woadvale.dataplane.queue.MessageCommands.MessageCommand;
+import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 
 /** Applies the commands on one partition's messages, in log order and alike on every replica. design 9 */
-public final class MessageStateMachine implements StateMachine {
+public final class MessageStateMachine implements StateMachine<MessageCommand, MessageResult> {
     private final String partition;
     private final Codec codec;
     private final MessageIndex index = new MessageIndex();
@@ -60,46 +63,50 @@
     }
 
     @Override
-    public Object apply(long logIndex, Object c) {
-        if (c instanceof MessageCommands.Accept accept) {
+    public Class<MessageCommand> commandType() {
+        return MessageCommand.class;
+    }
+
+    @Override
+    public MessageResult apply(long logIndex, MessageCommand command) throws ServiceException {
+        if (command instanceof MessageCommands.Accept accept) {
             return accept(accept);
-        } else if (c instanceof MessageCommands.Start start) {
-            return start(start);
-        } else if (c instanceof MessageCommands.End end) {
-            return end(end);
-        } else if (c instanceof MessageCommands.ExpireEnded expireEnded) {
-            return forget(expireEnded);
+        } else if (command instanceof MessageCommands.Start start) {
+            return start(message(start.handle()), start);
+        } else if (command instanceof MessageCommands.End end) {
+            return end(message(end.handle()), end);
+        } else if (command instanceof MessageCommands.ExpireEnded expire) {
+            return new MessageCommands.ExpiredCount(index.expireEnded(expire.endedBefore(), expire.unclearBefore()));
         }
-        return new ServiceException(
-                ErrorKind.BAD_REQUEST, "Unknown command " + c.getClass().getSimpleName() + ".");
+        throw new ServiceException(
+                ErrorKind.BAD_REQUEST, "Unknown command " + command.getClass().getSimpleName() + ".");
     }
 
-    private Object accept(MessageCommands.Accept accept) {
-        long n = lastSequence + 1;
-        String handle = partition + "-" + n;
-        Message m = Message.accepted(handle, n, accept);
-        Optional<Message> known = index.findById(m.idempotencyGroup());
-        if (known.isPresent()) {
-            Message message = known.get();
-            if (!message.hash().equals(accept.hash())) {
-                return new ServiceException(
-                        ErrorKind.CONFLICT, "The message id was used for other content.", List.of(message.handle()));
-            }
-            return new MessageCommands.Accepted(
-                    message.handle(), message.state().name(), true);
-        }
-        lastSequence = n;
-        index.add(m);
-        return new MessageCommands.Accepted(handle, m.state().name(), false);
+    private Message message(String handle) throws ServiceException {
+        return index.find(handle).orElseThrow(() -> new ServiceException(ErrorKind.NOT_FOUND, "No such message."));
     }
 
-    private Object start(MessageCommands.Start start) {
-        Optional<Message> found = index.find(start.handle());
-        return found.isPresent() ? start(found.get(), start) : noSuchMessage();
+    /** The same message id again is the same message, unless its content differs. */
+    private MessageCommands.Accepted accept(MessageCommands.Accept accept) throws ServiceException {
+        long sequence = lastSequence + 1;
+        String handle = partition + "-" + sequence;
+        Message message = Message.accepted(handle, sequence, accept);
+        Optional<Message> known = index.findById(message.idempotencyGroup());
+        if (known.isPresent()) {
+            return repeated(known.get(), accept);
+        }
+        lastSequence = sequence;
+        index.add(message);
+        return new MessageCommands.Accepted(handle, message.state().name(), false);
     }
 
-    private static ServiceException noSuchMessage() {
-        return new ServiceException(ErrorKind.NOT_FOUND, "No such message.");
+    private static MessageCommands.Accepted repeated(Message known, MessageCommands.Accept accept)
+            throws ServiceException {
+        if (!known.hash().equals(accept.hash())) {
+            throw new ServiceException(
+                    ErrorKind.CONFLICT, "The message id was used for other content.", List.of(known.handle()));
+        }
+        return new MessageCommands.Accepted(known.handle(), known.state().name(), true);
     }
 
     private MessageCommands.TransitionResult start(Message message, MessageCommands.Start start) {
@@ -122,52 +129,53 @@
         return new MessageCommands.TransitionResult(true, next);
     }
 
-    private Object end(MessageCommands.End end) {
-        Optional<Message> found = index.find(end.handle());
-        return found.isPresent() ? end(found.get(), end) : noSuchMessage();
-    }
-
     private MessageCommands.TransitionResult end(Message message, MessageCommands.End end) {
-        boolean present = message.state() == MessageState.RUNNING && message.attempt() == end.attempt();
-        // of two leases only the later may end a message: design 9.10
-        boolean lateSuccess = end.outcome() == MessageCommands.AttemptOutcome.SUCCEEDED
-                && !message.state().ended()
-                && end.attempt() <= message.attempt()
-                && (end.attempt() == message.attempt() || !message.leased());
-        boolean overdue = end.attempt() == 0
-                && message.state() == MessageState.WAITING
-                && end.outcome() == MessageCommands.AttemptOutcome.FAILED;
-        if (!present && !lateSuccess && !overdue) {
+        if (!mayEnd(message, end)) {
             return new MessageCommands.TransitionResult(false, message);
         }
-        boolean counts = end.outcome() != MessageCommands.AttemptOutcome.NOT_SENT
-                && end.outcome() != MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN;
-        int tries = counts ? message.attemptsMade() : message.attemptsMade() - 1;
-        MessageState to = switch (end.outcome()) {
-            case SUCCEEDED -> MessageState.DONE;
-            case FAILED -> MessageState.FAILED;
-            default -> MessageState.WAITING;
-        };
-        Message next = message.transition(
-                to,
+        MessageState next = stateAfter(end.outcome());
+        Message ended = message.transition(
+                next,
                 message.attempt(),
-                tries,
+                message.attemptsMade() - (countsAsAttempt(end.outcome()) ? 0 : 1),
                 message.processor(),
                 Instant.MAX,
-                to == MessageState.WAITING ? end.due() : message.due(),
+                next == MessageState.WAITING ? end.due() : message.due(),
                 end.proof(),
                 end.at(),
                 message.destination());
-        Message noted = end.outcome() == MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN
-                ? next
-                : next.withRecordedEnd(end.attempt());
-        index.put(Optional.of(message), noted);
-        return new MessageCommands.TransitionResult(true, noted);
+        Message recorded =
+                end.outcome() == AttemptOutcome.OUTCOME_UNKNOWN ? ended : ended.withRecordedEnd(end.attempt());
+        index.put(Optional.of(message), recorded);
+        return new MessageCommands.TransitionResult(true, recorded);
+    }
+
+    /** The running attempt may end; so may an earlier one that has succeeded, and a waiting message whose time is over. */
+    private static boolean mayEnd(Message message, MessageCommands.End end) {
+        boolean running = message.state() == MessageState.RUNNING && message.attempt() == end.attempt();
+        boolean expired =
+                end.attempt() == 0 && message.state() == MessageState.WAITING && end.outcome() == AttemptOutcome.FAILED;
+        return running || expired || isLateSuccess(message, end);
     }
 
-    private Object forget(MessageCommands.ExpireEnded expireEnded) {
-        return new MessageCommands.ExpiredCount(
-                index.expireEnded(expireEnded.endedBefore(), expireEnded.unclearBefore()));
+    /** Of two leases only the later one may end a message. */
+    private static boolean isLateSuccess(Message message, MessageCommands.End end) {
+        return end.outcome() == AttemptOutcome.SUCCEEDED
+                && !message.state().ended()
+                && end.attempt() <= message.attempt()
+                && (end.attempt() == message.attempt() || !message.leased());
+    }
+
+    private static boolean countsAsAttempt(AttemptOutcome outcome) {
+        return outcome != AttemptOutcome.NOT_SENT && outcome != AttemptOutcome.OUTCOME_UNKNOWN;
+    }
+
+    private static MessageState stateAfter(AttemptOutcome outcome) {
+        return switch (outcome) {
+            case SUCCEEDED -> MessageState.DONE;
+            case FAILED -> MessageState.FAILED;
+            default -> MessageState.WAITING;
+        };
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
+++ b/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
@@ -7,8 +7,8 @@
 /** Read access to the state of a replica for model checking. It lies in the engine's package, outside shipped code. */
 public final class ReplicaProbe {
     /** A copy of the replica's state that is safe to keep; {@code log} begins after {@code baseIndex}. */
-    public record ReplicaState(
-            Role phase,
+    public record Snapshot(
+            Role role,
             long term,
             String identity,
             boolean voter,
@@ -35,30 +35,31 @@
     private ReplicaProbe() {}
 
     /** The state right now, read inside the replica's shard. */
-    public static ReplicaState state(Replica replica) {
-        return replica.shard.get(() -> new ReplicaState(
-                replica.role,
-                replica.term,
-                replica.identity,
-                replica.voter,
-                replica.role == Role.LEADER && replica.leader.isActive(),
-                replica.commits.commitIndex(),
-                replica.commits.appliedIndex(),
-                replica.replicatedLog.baseIndex(),
-                replica.replicatedLog.entries(),
-                new TreeMap<>(replica.membership.committed())));
+    public static Snapshot state(Replica<?, ?> replica) {
+        ReplicaState state = replica.state();
+        return state.shard()
+                .get(() -> new Snapshot(
+                        state.role(),
+                        state.term(),
+                        state.identity(),
+                        state.isVoter(),
+                        state.isLeader() && replica.leader().isActive(),
+                        replica.commits().commitIndex(),
+                        replica.commits().appliedIndex(),
+                        state.log().baseIndex(),
+                        state.log().entries(),
+                        new TreeMap<>(state.membership().committed())));
     }
 
     /** Appends a membership entry at the leader without any of the rules of membership change; for mutants only. */
-    public static void forceGroup(Replica replica, Map<String, String> members) {
-        replica.shard.run(() -> replica.leader.append(new LogEntry(
-                replica.term,
-                LogEntry.Kind.MEMBERSHIP,
-                replica.environment.codec().write(new TreeMap<>(members)))));
+    public static void forceGroup(Replica<?, ?> replica, Map<String, String> members) {
+        ReplicaState state = replica.state();
+        byte[] bytes = state.environment().codec().write(new TreeMap<>(members));
+        state.shard().run(() -> replica.leader().append(new LogEntry(state.term(), LogEntry.Kind.MEMBERSHIP, bytes)));
     }
 
     /** Lets a replica without a trusted log go on as if it were a member; for mutants only. */
-    public static void followUnsworn(Replica replica) {
-        replica.shard.run(() -> replica.transitionTo(Role.FOLLOWER, "unsworn"));
+    public static void followWithoutVote(Replica<?, ?> replica) {
+        replica.state().shard().run(() -> replica.state().transitionTo(Role.FOLLOWER, "not a member"));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
+import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.dataplane.queue.RouteTerms;
@@ -43,7 +44,7 @@
     }
 
     @Override
-    public Map<String, Double> measure(int size) {
+    public Map<String, Double> measure(int size) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         long before = Heap.used();
         MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -60,7 +60,8 @@
         Sim sim = new Sim(1);
         HollowNet net = new HollowNet(sim);
         List<HollowHost> hosts = new ArrayList<>();
-        List<Map<String, Replica>> replicas = new ArrayList<>();
+        List<Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>>> replicas =
+                new ArrayList<>();
         for (String s : STORES) {
             HollowHost host = new HollowHost(s, sim);
             net.add(host);
@@ -90,43 +91,24 @@
     }
 
     /** Each part has another first store, so owners are spread. */
-    private static Map<String, Replica> store(HollowHost host, HollowNet net, Sim sim, int parts)
-            throws ServiceException {
+    private static Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>> store(
+            HollowHost host, HollowNet net, Sim sim, int parts) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
         NodeEnvironment environment = new NodeEnvironment(
                 host, host, net.rpc(host, codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
-        Map<String, Replica> mine = new HashMap<>();
+        Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>> mine = new HashMap<>();
         for (int i = 0; i < parts; i++) {
             List<String> copies = new ArrayList<>(STORES);
             Collections.rotate(copies, i);
-            mine.put("m" + i, new Replica("m" + i, copies, new MessageStateMachine("m" + i, codec), environment));
+            mine.put("m" + i, new Replica<>("m" + i, copies, new MessageStateMachine("m" + i, codec), environment));
         }
         RpcRouter router = new RpcRouter();
-        router.on(ReplicationMessages.VoteRequest.class, (f, request) -> at(mine, request.partition(), f, request))
-                .on(
-                        ReplicationMessages.AppendEntriesRequest.class,
-                        (f, request) -> at(mine, request.partition(), f, request))
-                .on(
-                        ReplicationMessages.InstallSnapshotRequest.class,
-                        (f, request) -> at(mine, request.partition(), f, request))
-                .on(
-                        ReplicationMessages.StartElectionRequest.class,
-                        (f, request) -> at(mine, request.partition(), f, request))
-                .on(
-                        ReplicationMessages.BootstrapStatusRequest.class,
-                        (f, request) -> at(mine, request.partition(), f, request))
-                .on(
-                        ReplicationMessages.BootstrapRequest.class,
-                        (f, request) -> at(mine, request.partition(), f, request));
+        ReplicationMessages.route(router, partition -> Mono.just(mine.get(partition)));
         host.serve(router);
         for (Replica replica : mine.values()) {
             replica.start(List.of());
         }
         return mine;
     }
-
-    private static Mono<Object> at(Map<String, Replica> mine, String part, String from, Object body) {
-        return mine.get(part).handle(from, body);
-    }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ActionMenu.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ActionMenu.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.replication.ReplicaProbe.ReplicaState;
+import org.woadvale.common.replication.ReplicaProbe;
 
 /** What may happen next in a state: first the calm course of things, then everything that deviates from it. */
 final class ActionMenu {
@@ -98,7 +98,7 @@
             add(Action.of(ActionKind.WIPE, node.name()));
         }
         add(Action.of(node.frozen() ? ActionKind.THAW : ActionKind.FREEZE, node.name()));
-        ReplicaState state = node.state();
+        ReplicaProbe.Snapshot state = node.state();
         if (!node.frozen() && !node.disk().hasPending() && state.applied() > state.baseIndex()) {
             add(Action.of(ActionKind.COMPACT, node.name()));
         }
@@ -116,7 +116,7 @@
     }
 
     /** A member that the founding has not reached cannot stand in for a lost one. */
-    private static boolean isReached(ReplicaState member, String identity) {
+    private static boolean isReached(ReplicaProbe.Snapshot member, String identity) {
         return member.identity().equals(identity) && (member.voter() || member.lastIndex() > 0);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.woadvale.common.replication.LogEntry;
-import org.woadvale.common.replication.ReplicaProbe.ReplicaState;
+import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.runtime.ServiceException;
 
@@ -34,7 +34,7 @@
     }
 
     /** Compares what a replica holds for committed with all others, and takes what is new. */
-    void observe(ModelNode node, ReplicaState state) throws BrokenInvariant {
+    void observe(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
         observeFounders(node, state);
         String life = node.name() + node.life();
         long from = Math.max(verified.getOrDefault(life, 0L), state.baseIndex());
@@ -44,7 +44,7 @@
         verified.put(life, state.commit());
     }
 
-    private void observeFounders(ModelNode node, ReplicaState state) throws BrokenInvariant {
+    private void observeFounders(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
         boolean founding = state.commit() == 0
                 && state.baseIndex() == 0
                 && state.log().stream().noneMatch(entry -> entry.kind() == LogEntry.Kind.MEMBERSHIP);
@@ -118,7 +118,7 @@
     }
 
     /** A leader holds all that was committed before its term, and all that it committed itself. */
-    void checkLeader(ModelNode node, ReplicaState leader) throws BrokenInvariant {
+    void checkLeader(ModelNode node, ReplicaProbe.Snapshot leader) throws BrokenInvariant {
         for (Map.Entry<Long, Committed> committed : entries.entrySet()) {
             long index = committed.getKey();
             boolean concerned = committed.getValue().committedInTerm() <= leader.term() && index > leader.baseIndex();
@@ -132,7 +132,7 @@
     }
 
     /** At most one membership entry of a log may be uncommitted. */
-    void checkChanges(ModelNode node, ReplicaState state) throws BrokenInvariant {
+    void checkChanges(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
         long open = 0;
         for (long index = Math.max(last(), state.baseIndex()) + 1; index <= state.lastIndex(); index++) {
             open += state.entry(index).kind() == LogEntry.Kind.MEMBERSHIP ? 1 : 0;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.woadvale.common.replication.ReplicaProbe.ReplicaState;
+import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.replication.Role;
 
 /** Looks at every invariant of the replication engine in one state of the model. */
@@ -24,22 +24,22 @@
     }
 
     void check() throws BrokenInvariant {
-        Map<ModelNode, ReplicaState> states = new LinkedHashMap<>();
+        Map<ModelNode, ReplicaProbe.Snapshot> states = new LinkedHashMap<>();
         for (ModelNode node : cluster.nodes()) {
             durable.observe(node);
             states.put(node, node.state());
         }
         checkActing(states);
-        for (Map.Entry<ModelNode, ReplicaState> each : states.entrySet()) {
+        for (Map.Entry<ModelNode, ReplicaProbe.Snapshot> each : states.entrySet()) {
             check(each.getKey(), each.getValue());
         }
         // what was committed in this very step binds the leaders too
-        for (Map.Entry<ModelNode, ReplicaState> each : states.entrySet()) {
+        for (Map.Entry<ModelNode, ReplicaProbe.Snapshot> each : states.entrySet()) {
             checkLeader(each.getKey(), each.getValue());
         }
     }
 
-    private static void checkActing(Map<ModelNode, ReplicaState> states) throws BrokenInvariant {
+    private static void checkActing(Map<ModelNode, ReplicaProbe.Snapshot> states) throws BrokenInvariant {
         List<String> acting = new ArrayList<>();
         states.forEach((node, state) -> {
             if (state.acting()) {
@@ -51,7 +51,7 @@
         }
     }
 
-    private void check(ModelNode node, ReplicaState state) throws BrokenInvariant {
+    private void check(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
         committed.observe(node, state);
         committed.checkChanges(node, state);
         String content = node.machine().content();
@@ -61,14 +61,14 @@
                     Invariant.STATE_MACHINES_AGREE,
                     node.name() + " has " + content + " after entry " + state.applied() + ", another " + before);
         }
-        boolean candidate = state.phase() == Role.CANDIDATE || state.phase() == Role.LEADER;
+        boolean candidate = state.role() == Role.CANDIDATE || state.role() == Role.LEADER;
         if (candidate && !state.voter()) {
             throw new BrokenInvariant(Invariant.ONLY_VOTERS_STAND, node.name() + " stands and is no voter");
         }
     }
 
-    private void checkLeader(ModelNode node, ReplicaState state) throws BrokenInvariant {
-        if (state.phase() != Role.LEADER) {
+    private void checkLeader(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
+        if (state.role() != Role.LEADER) {
             return;
         }
         String other = leaders.putIfAbsent(state.term(), node.name());
--- a/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
@@ -64,7 +64,7 @@
     }
 
     private static boolean changeUnderWay(ModelCluster cluster, ModelNode leader) {
-        ReplicaProbe.ReplicaState state = leader.state();
+        ReplicaProbe.Snapshot state = leader.state();
         return state.lastIndex() > state.commit()
                 && state.entry(state.lastIndex()).kind() == LogEntry.Kind.MEMBERSHIP;
     }
@@ -99,9 +99,9 @@
             @Override
             public void afterStep(ModelCluster cluster) {
                 cluster.nodes().stream()
-                        .filter(node -> node.state().phase() == Role.UNINITIALIZED)
+                        .filter(node -> node.state().role() == Role.UNINITIALIZED)
                         .filter(node -> !node.state().group().isEmpty())
-                        .forEach(node -> ReplicaProbe.followUnsworn(node.replica()));
+                        .forEach(node -> ReplicaProbe.followWithoutVote(node.replica()));
             }
         };
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.woadvale.common.replication.ReplicationRequest;
 import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
@@ -96,7 +97,7 @@
     private void request(Message message) {
         ModelNode target = cluster.node(message.to());
         long life = target.life();
-        target.handle(message.from(), message.body())
+        target.handle(message.from(), (ReplicationRequest) message.body())
                 .subscribe(
                         reply -> reply(message, target, life, reply),
                         error -> reply(message, target, life, cluster.expected(error)));
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
@@ -7,6 +7,7 @@
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicaProbe;
+import org.woadvale.common.replication.ReplicationRequest;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
@@ -25,7 +26,7 @@
     private ModelTimers timers;
     private ModelWriteAheadLog log;
     private RegisterMachine machine;
-    private Replica replica;
+    private Replica<String, String> replica;
     private List<String> wanted = List.of();
 
     ModelNode(ModelCluster cluster, String name) {
@@ -51,7 +52,7 @@
                 random(),
                 mutant.timing(this, cluster.timing()));
         wanted = cluster.wanted();
-        replica = new Replica(PARTITION, wanted, mutant.machine(this, machine), environment);
+        replica = new Replica<>(PARTITION, wanted, mutant.machine(this, machine), environment);
         try {
             replica.start(environment.wal().recovered().getOrDefault(PARTITION, List.of()));
         } catch (ServiceException failure) {
@@ -119,11 +120,11 @@
         log.press();
     }
 
-    Mono<Object> handle(String from, Object body) {
-        return replica.handle(from, body);
+    Mono<?> handle(String from, ReplicationRequest request) {
+        return replica.handle(from, request);
     }
 
-    ReplicaProbe.ReplicaState state() {
+    ReplicaProbe.Snapshot state() {
         return ReplicaProbe.state(replica);
     }
 
@@ -151,7 +152,7 @@
         return machine;
     }
 
-    Replica replica() {
+    Replica<String, String> replica() {
         return replica;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
@@ -27,7 +27,7 @@
         return timing;
     }
 
-    default StateMachine machine(ModelNode node, StateMachine machine) {
+    default StateMachine<String, String> machine(ModelNode node, StateMachine<String, String> machine) {
         return machine;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
@@ -4,7 +4,7 @@
 import org.woadvale.common.replication.StateMachine;
 
 /** The replicated state of the model: a register with compare-and-set, as configurations are. */
-final class RegisterMachine implements StateMachine {
+final class RegisterMachine implements StateMachine<String, String> {
     /** The answer to a put whose base was not the present value. */
     static final String REFUSED = "refused";
 
@@ -35,8 +35,13 @@
     }
 
     @Override
-    public Object apply(long index, Object command) {
-        String[] parts = ((String) command).split(SEPARATOR);
+    public Class<String> commandType() {
+        return String.class;
+    }
+
+    @Override
+    public String apply(long index, String command) {
+        String[] parts = command.split(SEPARATOR);
         if (!parts[0].equals(value)) {
             return REFUSED;
         }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
@@ -1,6 +1,7 @@
 package org.woadvale.testkit.explore;
 
 import org.woadvale.common.replication.StateMachine;
+import org.woadvale.common.runtime.ServiceException;
 
 /** Engines whose state machines break their contract. */
 final class StateMutants {
@@ -10,7 +11,7 @@
     static Mutant snapshotNotApplied() {
         return new Mutant() {
             @Override
-            public StateMachine machine(ModelNode node, StateMachine machine) {
+            public StateMachine<String, String> machine(ModelNode node, StateMachine<String, String> machine) {
                 return new ForwardingMachine(machine) {
                     @Override
                     public void restore(byte[] view) {}
@@ -23,10 +24,10 @@
     static Mutant lostCommands() {
         return new Mutant() {
             @Override
-            public StateMachine machine(ModelNode node, StateMachine machine) {
+            public StateMachine<String, String> machine(ModelNode node, StateMachine<String, String> machine) {
                 return new ForwardingMachine(machine) {
                     @Override
-                    public Object apply(long index, Object command) {
+                    public String apply(long index, String command) throws ServiceException {
                         return index % 3 == 0 ? RegisterMachine.ACCEPTED + index : super.apply(index, command);
                     }
                 };
@@ -38,10 +39,10 @@
     static Mutant wrongAnswers() {
         return new Mutant() {
             @Override
-            public StateMachine machine(ModelNode node, StateMachine machine) {
+            public StateMachine<String, String> machine(ModelNode node, StateMachine<String, String> machine) {
                 return new ForwardingMachine(machine) {
                     @Override
-                    public Object apply(long index, Object command) {
+                    public String apply(long index, String command) throws ServiceException {
                         super.apply(index, command);
                         return RegisterMachine.REFUSED;
                     }
@@ -51,15 +52,20 @@
     }
 
     /** Hands everything on. */
-    private abstract static class ForwardingMachine implements StateMachine {
-        private final StateMachine machine;
+    private abstract static class ForwardingMachine implements StateMachine<String, String> {
+        private final StateMachine<String, String> machine;
 
-        ForwardingMachine(StateMachine machine) {
+        ForwardingMachine(StateMachine<String, String> machine) {
             this.machine = machine;
         }
 
         @Override
-        public Object apply(long index, Object command) {
+        public Class<String> commandType() {
+            return String.class;
+        }
+
+        @Override
+        public String apply(long index, String command) throws ServiceException {
             return machine.apply(index, command);
         }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -51,7 +51,7 @@
     }
 
     /** On this machine; nobody gets at the part meanwhile. */
-    private static void view(int mb) {
+    private static void view(int mb) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
         Instant t = Instant.EPOCH;
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -74,7 +74,7 @@
                     : new MessageStateMachine(part.getKey(), codec);
             Replica replica = new Replica(part.getKey(), List.of(), state, environment);
             replica.start(part.getValue());
-            ReplicaProbe.ReplicaState recovered = ReplicaProbe.state(replica);
+            ReplicaProbe.Snapshot recovered = ReplicaProbe.state(replica);
             applyLog(recovered, state, codec);
             out.add(line(part, recovered, codec.read(state.snapshot(), Object.class)));
         }
@@ -83,7 +83,7 @@
     }
 
     /** As if a leader had confirmed all that is stored. */
-    private static void applyLog(ReplicaProbe.ReplicaState recovered, StateMachine state, Codec codec)
+    private static void applyLog(ReplicaProbe.Snapshot recovered, StateMachine state, Codec codec)
             throws ServiceException {
         for (long index = recovered.applied() + 1; index <= recovered.lastIndex(); index++) {
             LogEntry entry = recovered.entry(index);
@@ -93,8 +93,7 @@
         }
     }
 
-    private static String line(
-            Map.Entry<String, List<WalRecord>> part, ReplicaProbe.ReplicaState recovered, Object state)
+    private static String line(Map.Entry<String, List<WalRecord>> part, ReplicaProbe.Snapshot recovered, Object state)
             throws ReflectiveOperationException {
         return String.join(
                 " ",
--- a/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
@@ -24,7 +24,7 @@
 
 /** One part on three (or more) simulated hosts, with a machine that keeps a list of words. */
 final class Trio {
-    static final class Words implements StateMachine {
+    static final class Words implements StateMachine<String, String> {
         final List<String> words = new ArrayList<>();
         private final Codec codec;
 
@@ -33,9 +33,14 @@
         }
 
         @Override
-        public Object apply(long index, Object command) {
+        public Class<String> commandType() {
+            return String.class;
+        }
+
+        @Override
+        public String apply(long index, String command) {
             if (!words.contains(command)) {
-                words.add((String) command);
+                words.add(command);
             }
             return command;
         }
@@ -62,7 +67,7 @@
     final SimNet net;
     final Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
     final Map<String, Harness> hosts = new LinkedHashMap<>();
-    final Map<String, Replica> replicas = new LinkedHashMap<>();
+    final Map<String, Replica<String, String>> replicas = new LinkedHashMap<>();
     final Map<String, Words> words = new LinkedHashMap<>();
     List<String> wanted = List.of("a:1", "b:1", "c:1");
 
@@ -99,7 +104,7 @@
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
         Words m = new Words(codec);
-        Replica replica = new Replica(PART, wanted, m, environment);
+        Replica<String, String> replica = new Replica<>(PART, wanted, m, environment);
         ReplicationMessages.route(router, part -> Mono.just(replica));
         words.put(n, m);
         replicas.put(n, replica);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -93,7 +93,7 @@
         return shore.r
                 .controlNode(node)
                 .replica("c0")
-                .look(i -> shore.r.controlNode(node).machine("c0").snapshot().length);
+                .inspect(i -> shore.r.controlNode(node).machine("c0").snapshot().length);
     }
 
     private void restartAfter(String node, long ms) throws ServiceException {
@@ -163,7 +163,7 @@
             long applied = shore.r
                     .controlNode(name)
                     .replica("c0")
-                    .look(i -> shore.r
+                    .inspect(i -> shore.r
                             .controlNode(name)
                             .machine("c0")
                             .configurations()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -26,7 +26,7 @@
         return fixture.r
                 .controlNode(owner)
                 .replica(part)
-                .look(i -> fixture.r.controlNode(owner).machine(part).service(KEY));
+                .inspect(i -> fixture.r.controlNode(owner).machine(part).service(KEY));
     }
 
     @Test
