--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -11,8 +11,9 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.config.Settings;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InternalErrorException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.common.runtime.SystemTimers;
 
@@ -82,8 +83,7 @@
                     usage();
                     return args.length == 0 ? 2 : 0;
                 default:
-                    throw new ServiceException(
-                            ErrorKind.BAD_REQUEST, "There is no command " + verb + "; see " + name + " --help.");
+                    throw new InvalidRequestException("There is no command " + verb + "; see " + name + " --help.");
             }
         } catch (ServiceException failure) {
             System.err.println(name + ": " + failure.getMessage()
@@ -99,7 +99,7 @@
         try {
             Help.help(SingleCommand.singleCommand(RunCommand.class).getCommandMetadata(), System.out);
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.INTERNAL, "The help could not be printed.");
+            throw new InternalErrorException("The help could not be printed.");
         }
     }
 
@@ -107,7 +107,7 @@
         try {
             return SingleCommand.singleCommand(RunCommand.class).parse(args);
         } catch (ParseException e) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, e.getMessage());
+            throw new InvalidRequestException(e.getMessage());
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
+++ b/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
@@ -2,7 +2,7 @@
 
 import com.github.rvesse.airline.annotations.Option;
 import org.woadvale.common.config.Settings;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The flags that both programs share. */
 public class SettingsOptions {
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -22,8 +22,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.hibernate.validator.messageinterpolation.ParameterMessageInterpolator;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidConfigurationException;
+import org.woadvale.common.error.ServiceException;
 
 /** Reading and checking of JSON that people write: design 6.1. */
 public final class Configurations {
@@ -47,8 +48,7 @@
             faults.addAll(crossFaults(configuration));
         }
         if (!faults.isEmpty()) {
-            throw new ServiceException(
-                    ErrorKind.INVALID_LAYOUT, "The layout has " + faults.size() + " faults.", faults);
+            throw new InvalidConfigurationException("The layout has " + faults.size() + " faults.", faults);
         }
         return configuration;
     }
@@ -60,7 +60,7 @@
                     .without(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .readValue(json);
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.INVALID_LAYOUT, "The taken layout cannot be read: " + e.getMessage());
+            throw new InvalidConfigurationException("The taken layout cannot be read: " + e.getMessage());
         }
     }
 
@@ -68,13 +68,13 @@
         try {
             T t = JSON.readValue(json, type);
             if (t == null) {
-                throw new ServiceException(kind, "The JSON document is empty.");
+                throw ServiceException.of(kind, "The JSON document is empty.", List.of());
             }
             return t;
         } catch (JsonMappingException e) {
-            throw new ServiceException(kind, "The document does not fit.", List.of(fault(e)));
+            throw ServiceException.of(kind, "The document does not fit.", List.of(fault(e)));
         } catch (IOException e) {
-            throw new ServiceException(kind, "The document is not JSON.", List.of(fault(e)));
+            throw ServiceException.of(kind, "The document is not JSON.", List.of(fault(e)));
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -13,9 +13,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /** What a process learns of its place: design 10.1. */
 public record Settings(
@@ -108,13 +109,12 @@
             return checked(
                     Configurations.read(Files.readAllBytes(Path.of(file)), Settings.class, ErrorKind.BAD_REQUEST));
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, "Cannot read the boot file " + file + ".");
+            throw new InvalidRequestException("Cannot read the boot file " + file + ".");
         } catch (ServiceException failure) {
             String where = failure.details().isEmpty()
                     ? failure.getMessage()
                     : failure.details().get(0).replace(".<list element>", "").replace(".<iterable element>", "");
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The boot file " + file + " is invalid at " + where + ".");
+            throw new InvalidRequestException("The boot file " + file + " is invalid at " + where + ".");
         }
     }
 
@@ -132,7 +132,7 @@
             sizes(settings, Runtime.getRuntime().maxMemory() >> 20).ifPresent(faults::add);
         }
         if (!faults.isEmpty()) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, "invalid", faults);
+            throw new InvalidRequestException("invalid", faults);
         }
         return settings;
     }
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -8,10 +8,10 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /**
  * Configurations travel deflated in view replies to nodes that say that they can inflate them. A version is deflated
@@ -113,6 +113,6 @@
     }
 
     private static ServiceException unreadable() {
-        return new ServiceException(ErrorKind.BAD_REQUEST, "A deflated configuration cannot be read.");
+        return new InvalidRequestException("A deflated configuration cannot be read.");
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/ErrorKind.java
+++ b/common/src/main/java/org/woadvale/common/error/ErrorKind.java
@@ -1,4 +1,4 @@
-package org.woadvale.common.runtime;
+package org.woadvale.common.error;
 
 import java.util.Locale;
 import org.apache.logging.log4j.Level;
--- /dev/null
+++ b/common/src/main/java/org/woadvale/common/error/RejectedException.java
@@ -0,0 +1,21 @@
+package org.woadvale.common.error;
+
+import java.util.List;
+
+/** The request is at fault: it was not executed, and the same request will not succeed later. */
+public abstract sealed class RejectedException extends ServiceException
+        permits ConflictException,
+                ForbiddenException,
+                InvalidConfigurationException,
+                InvalidRequestException,
+                NotFoundException,
+                RequestTooLargeException,
+                StaleVersionException,
+                UnauthorizedException,
+                UnknownLaneException {
+    private static final long serialVersionUID = 1L;
+
+    RejectedException(ErrorKind kind, String message, List<String> details) {
+        super(kind, message, details);
+    }
+}
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -13,9 +13,12 @@
 import java.util.function.Function;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.InternalErrorException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.RequestTooLargeException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.runtime.Component;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 import reactor.netty.DisposableServer;
@@ -65,14 +68,13 @@
                     .handle(this::serve)
                     .bindNow(BIND_TIMEOUT);
         } catch (RuntimeException e) {
-            throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot listen for HTTP on " + address + ": " + e.getMessage());
+            throw new UnavailableException("Cannot listen for HTTP on " + address + ": " + e.getMessage());
         }
     }
 
     private Mono<Void> serve(HttpServerRequest in, HttpServerResponse out) {
         return body(in).flatMap(b -> app.apply(new Request(in.method().name(), in.uri(), headers(in), b)))
-                .switchIfEmpty(Mono.error(new ServiceException(ErrorKind.INTERNAL, "No answer was made.")))
+                .switchIfEmpty(Mono.error(new InternalErrorException("No answer was made.")))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
                     LOG.log(
@@ -113,12 +115,12 @@
                 })
                 .onErrorMap(Exceptions::unwrap)
                 .flatMap(b -> MalformedRequestHandler.is(in)
-                        ? Mono.error(new ServiceException(ErrorKind.BAD_REQUEST, "The request cannot be read whole."))
+                        ? Mono.error(new InvalidRequestException("The request cannot be read whole."))
                         : Mono.just(b));
     }
 
     private ServiceException tooLarge() {
-        return new ServiceException(ErrorKind.TOO_LARGE, "The body is over " + maxBody + " bytes.");
+        return new RequestTooLargeException("The body is over " + maxBody + " bytes.");
     }
 
     private static byte[] bytes(ByteBuf b) {
--- a/common/src/main/java/org/woadvale/common/http/Response.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -4,11 +4,13 @@
 import java.util.Map;
 import java.util.Optional;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.ThrottledException;
 
 /** An HTTP answer, free of any HTTP library so that the simulator sees what a caller sees. */
 public record Response(int status, Map<String, String> headers, byte[] body) {
+    private static final String DEFAULT_RETRY_AFTER_SECONDS = "1";
+
     public static Response json(int status, Object body) {
         return new Response(status, Map.of("Content-Type", "application/json"), Configurations.write(body));
     }
@@ -33,9 +35,8 @@
         if (!failure.kind().retryable()) {
             return Optional.empty();
         }
-        if (failure.kind() == ErrorKind.THROTTLED && !failure.details().isEmpty()) {
-            return Optional.of(failure.details().get(0));
-        }
-        return Optional.of("1");
+        return failure instanceof ThrottledException throttled
+                ? throttled.retryAfterSeconds().or(() -> Optional.of(DEFAULT_RETRY_AFTER_SECONDS))
+                : Optional.of(DEFAULT_RETRY_AFTER_SECONDS);
     }
 }
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.ResendPolicy;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** A process's way to the owners of the control parts, who are found by asking. */
@@ -109,9 +109,8 @@
                     if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind()) || left <= 1) {
                         return Mono.error(failure);
                     }
-                    String next = failure.kind() == ErrorKind.NOT_OWNER
-                                    && !failure.details().isEmpty()
-                            ? failure.details().get(0)
+                    String next = failure instanceof NotLeaderException notLeader
+                            ? notLeader.leader().orElseGet(() -> nextNode(to))
                             : nextNode(to);
                     return attempt(part, body, type, next, left - 1);
                 });
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -4,14 +4,13 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.ThrottledException;
 import org.woadvale.common.replication.NodeEnvironment;
-import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.LockedShard;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -128,7 +127,7 @@
 
     private ServiceException throttled(BucketState bucket) {
         long s = Math.max(1, (bucket.retry.toMillis() + 999) / 1000);
-        return new ServiceException(ErrorKind.THROTTLED, "The allowance is spent for now.", List.of(Long.toString(s)));
+        return new ThrottledException("The rate limit is reached for now.", s);
     }
 
     private void onTick() {
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -13,15 +13,15 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.StaleViewException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.SingletonLease;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
-import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.common.runtime.LockedShard;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 
@@ -182,11 +182,10 @@
         return Mono.defer(() -> shard.get(() -> {
             OwnedBucket ownedBucket = owned.get(request.bucket());
             if (ownedBucket == null || now().compareTo(ownedBucket.leaseEnd) >= 0) {
-                return Mono.error(
-                        new ServiceException(ErrorKind.NOT_OWNER, "This node does not hold " + request.bucket() + "."));
+                return Mono.error(new NotLeaderException("This node does not hold " + request.bucket() + "."));
             }
             if (allowance.isEmpty()) {
-                return Mono.error(new ServiceException(ErrorKind.STALE_VIEW, "The layout here is not proven fresh."));
+                return Mono.error(new StaleViewException("The layout here is not proven fresh."));
             }
             ownedBucket.bucket.change(allowance.get(), now());
             TokenMessages.TokenResponse response =
--- a/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
@@ -1,8 +1,8 @@
 package org.woadvale.common.replication;
 
 import java.util.TreeMap;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
@@ -98,8 +98,7 @@
     }
 
     private ServiceException outcomeUnknown() {
-        return new ServiceException(
-                ErrorKind.UNKNOWN_OUTCOME,
+        return new OutcomeUnknownException(
                 "The partition " + state.partition() + " changed its leader before the commit was known.");
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.WalRecord;
 
 /** What an older build wrote to the write-ahead log, in the present format. */
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.ReplicationMessages.AppendEntriesRequest;
 import org.woadvale.common.replication.ReplicationMessages.AppendEntriesResponse;
 import org.woadvale.common.replication.ReplicationMessages.InstallSnapshotRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Brings one follower up to the leader's log in one term: entries, heartbeats and snapshots, one request at a time. */
 final class LogAppender {
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -8,8 +8,9 @@
 import java.util.function.LongFunction;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.StoppingException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.wal.WalRecord;
 import reactor.core.publisher.Mono;
@@ -187,10 +188,7 @@
     }
 
     private ServiceException notLeader() {
-        return new ServiceException(
-                ErrorKind.NOT_OWNER,
-                "Another node leads " + state.partition() + ".",
-                state.otherLeader().stream().toList());
+        return new NotLeaderException("Another node leads " + state.partition() + ".", state.otherLeader());
     }
 
     /**
@@ -244,7 +242,7 @@
     public Mono<?> handle(String from, ReplicationRequest request) {
         return Mono.defer(() -> state.shard()
                 .get(() -> state.isStopped()
-                        ? Mono.error(new ServiceException(ErrorKind.STOPPING, "The partition is stopped here."))
+                        ? Mono.error(new StoppingException("The partition is stopped here."))
                         : dispatch(from, request)));
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.WalRecord;
 
 /** Brings a replica to what its disk holds, once, before it takes part in anything. */
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.runtime.LockedShard;
-import org.woadvale.common.runtime.ServiceException;
 
 /**
  * What all roles of a replica share: its role, term, vote, identity, log and members, and which leader it follows. Depends
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
@@ -2,13 +2,13 @@
 
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.ReplicationMessages.AppendEntriesResponse;
 import org.woadvale.common.replication.ReplicationMessages.InstallSnapshotRequest;
 import org.woadvale.common.replication.ReplicationMessages.ReplicaSnapshot;
 import org.woadvale.common.replication.SnapshotMessages.ChunkStatus;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
--- a/common/src/main/java/org/woadvale/common/replication/StateMachine.java
+++ b/common/src/main/java/org/woadvale/common/replication/StateMachine.java
@@ -1,6 +1,6 @@
 package org.woadvale.common.replication;
 
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /**
  * The state that a partition replicates. Must be deterministic: equal commands in equal order give equal states, results
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 
 /** Kryo with required registration and fixed numbers: no class name ever comes off the wire. design 3.2 */
 public final class Codec {
@@ -89,12 +89,12 @@
         try {
             Object o = kryo.readClassAndObject(new Input(bytes));
             if (!type.isInstance(o)) {
-                throw new ServiceException(ErrorKind.BAD_REQUEST, "Expected " + type.getSimpleName() + " in a frame.");
+                throw new InvalidRequestException("Expected " + type.getSimpleName() + " in a frame.");
             }
             return type.cast(o);
         } catch (RuntimeException e) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "Unreadable frame: " + e.getClass().getSimpleName() + ".");
+            throw new InvalidRequestException(
+                    "Unreadable frame: " + e.getClass().getSimpleName() + ".");
         }
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -6,9 +6,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.QueueFullException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Timers;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -31,7 +34,7 @@
                 return Mono.error(notSent());
             }
             if (open.size() >= MAX_IN_FLIGHT) {
-                return Mono.error(new ServiceException(ErrorKind.QUEUE_FULL, "Too many asks in flight on one stream."));
+                return Mono.error(new QueueFullException("Too many asks in flight on one stream."));
             }
             long id = ids.incrementAndGet();
             Sinks.One<Object> sink = Sinks.one();
@@ -41,17 +44,13 @@
                 return Mono.error(notSent());
             }
             send.accept(new Frame(id, Frame.Kind.REQUEST, body));
-            return Delays.limit(
-                            timers,
-                            sink.asMono(),
-                            limit,
-                            new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time."))
+            return Delays.limit(timers, sink.asMono(), limit, new OutcomeUnknownException("No answer in time."))
                     .doFinally(signal -> open.remove(id));
         });
     }
 
     private static ServiceException notSent() {
-        return new ServiceException(ErrorKind.UNREACHABLE, "The stream was lost before this was sent.");
+        return new UnreachableException("The stream was lost before this was sent.");
     }
 
     /**
@@ -74,11 +73,11 @@
         if (body instanceof Frame.ErrorResponse refusal) {
             for (ErrorKind kind : ErrorKind.values()) {
                 if (kind.name().equals(refusal.kind())) {
-                    return new ServiceException(kind, refusal.message(), refusal.details());
+                    return ServiceException.of(kind, refusal.message(), refusal.details());
                 }
             }
         }
-        return new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The peer's refusal cannot be read.");
+        return new OutcomeUnknownException("The peer's refusal cannot be read.");
     }
 
     /** The stream has gone: every open ask has an unknown outcome, and none is sent any more. */
@@ -86,8 +85,7 @@
         closed = true;
         open.keySet()
                 .forEach(id -> Optional.ofNullable(open.remove(id))
-                        .ifPresent(sink -> sink.tryEmitError(
-                                new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The stream was lost."))));
+                        .ifPresent(sink -> sink.tryEmitError(new OutcomeUnknownException("The stream was lost."))));
     }
 
     /** Runs the handler and turns its result into the frame to send back. */
--- a/common/src/main/java/org/woadvale/common/rpc/ResendPolicy.java
+++ b/common/src/main/java/org/woadvale/common/rpc/ResendPolicy.java
@@ -1,6 +1,6 @@
 package org.woadvale.common.rpc;
 
-import org.woadvale.common.runtime.ErrorKind;
+import org.woadvale.common.error.ErrorKind;
 
 /** After which failures a request may be sent again, to the same peer or to another. */
 public enum ResendPolicy {
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Timers;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -142,7 +142,7 @@
     }
 
     Mono<Object> call(Object body, Duration limit) {
-        ServiceException notSent = new ServiceException(ErrorKind.UNREACHABLE, "The handshake took too long.");
+        ServiceException notSent = new UnreachableException("The handshake took too long.");
         return Delays.limit(timers, handshake.asMono(), limit, notSent)
                 .then(pendingCalls.call(body, limit, this::send));
     }
@@ -167,7 +167,7 @@
 
     void onClosed() {
         state = State.CLOSED;
-        handshake.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "The stream closed before the handshake."));
+        handshake.tryEmitError(new UnreachableException("The stream closed before the handshake."));
         pendingCalls.onConnectionLost();
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcRouter.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcRouter.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiFunction;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InternalErrorException;
+import org.woadvale.common.error.InvalidRequestException;
 import reactor.core.publisher.Mono;
 
 /** Which part of the process answers which kind of ask. */
@@ -19,11 +19,10 @@
     public Mono<?> handle(String from, Object body) {
         BiFunction<String, Object, Mono<?>> h = handlers.get(body.getClass());
         if (h == null) {
-            return Mono.error(new ServiceException(
-                    ErrorKind.BAD_REQUEST,
+            return Mono.error(new InvalidRequestException(
                     "This node does not answer " + body.getClass().getSimpleName() + "."));
         }
         return Mono.<Object>defer(() -> h.apply(from, body))
-                .switchIfEmpty(Mono.error(() -> new ServiceException(ErrorKind.INTERNAL, "No answer was made.")));
+                .switchIfEmpty(Mono.error(() -> new InternalErrorException("No answer was made.")));
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -8,10 +8,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.InternalErrorException;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Timers;
 import reactor.core.publisher.Mono;
 import reactor.netty.Connection;
@@ -73,7 +76,7 @@
                     .doOnConnection(this::accept)
                     .bindNow(Duration.ofSeconds(5));
         } catch (RuntimeException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot listen on " + listen + ": " + e.getMessage());
+            throw new UnavailableException("Cannot listen on " + listen + ": " + e.getMessage());
         }
     }
 
@@ -91,8 +94,8 @@
                 : connections.computeIfAbsent(to, this::connect).flatMap(connection -> connection.call(body, limit));
         return got.flatMap(o -> answer.isInstance(o)
                 ? Mono.just(answer.cast(o))
-                : Mono.error(new ServiceException(
-                        ErrorKind.INTERNAL, "Unexpected answer " + o.getClass().getSimpleName() + ".")));
+                : Mono.error(new InternalErrorException(
+                        "Unexpected answer " + o.getClass().getSimpleName() + ".")));
     }
 
     private Mono<Object> local(Object body, Duration limit) {
@@ -100,7 +103,7 @@
                 timers,
                 Mono.<Object>from(router.handle(self, body)),
                 limit,
-                new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time."));
+                new OutcomeUnknownException("No answer in time."));
     }
 
     private Mono<RpcConnection> connect(String to) {
@@ -120,7 +123,7 @@
                     connection.open();
                     return connection;
                 })
-                .onErrorMap(e -> new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + "."))
+                .onErrorMap(e -> new UnreachableException("No stream to " + to + "."))
                 .doOnError(e -> timers.after(Duration.ofMillis(100), () -> connections.remove(to)))
                 .cast(RpcConnection.class)
                 .cache();
--- a/common/src/main/java/org/woadvale/common/runtime/Component.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Component.java
@@ -1,5 +1,7 @@
 package org.woadvale.common.runtime;
 
+import org.woadvale.common.error.ServiceException;
+
 /** A long-lived thing in the supervisor tree. */
 public interface Component {
     String name();
--- a/common/src/main/java/org/woadvale/common/runtime/Delays.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Delays.java
@@ -1,6 +1,7 @@
 package org.woadvale.common.runtime;
 
 import java.time.Duration;
+import org.woadvale.common.error.ServiceException;
 import reactor.core.Disposable;
 import reactor.core.publisher.Mono;
 
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -4,6 +4,7 @@
 import java.util.Deque;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Function;
+import org.woadvale.common.error.QueueFullException;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
@@ -41,7 +42,7 @@
             });
             if (!taken) {
                 refused.incrementAndGet();
-                return Mono.error(new ServiceException(ErrorKind.QUEUE_FULL, "The stage " + name + " is full."));
+                return Mono.error(new QueueFullException("The stage " + name + " is full."));
             }
             return out.asMono();
         });
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ServiceException;
 
 /** Starts components in order, restarts dead ones with backoff, stops in reverse: design 2.4. */
 public final class Supervisor implements Component {
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.runtime.Timers;
 
 /** One ring of preallocated files; one sync serves everything that waited: design 4. */
@@ -75,9 +75,9 @@
         try {
             return new RingWriteAheadLog(disk, schedules, files, size);
         } catch (RecordFormat.NewerFormatException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "The data folder was " + e.getMessage() + ".");
+            throw new UnavailableException("The data folder was " + e.getMessage() + ".");
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot open the data folder: " + e.getMessage());
+            throw new UnavailableException("Cannot open the data folder: " + e.getMessage());
         }
     }
 
--- a/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
+++ b/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 class ConfigurationsTest {
     private static List<String> faults(String json) {
--- a/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
+++ b/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.runtime.ServiceException;
 
 /** What is packed is unpacked as it was; who cannot read it gets it whole. */
 class ViewCompressionTest {
--- a/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Schedulers;
 
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.LoopbackPorts;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ThrottledException;
 import reactor.core.publisher.Mono;
 
 /** The real HTTP server in front of the application function. */
@@ -42,7 +42,7 @@
         HttpGateway gate = new HttpGateway(address, 100, request -> {
             reached.incrementAndGet();
             return request.body().length == 3
-                    ? Mono.error(new ServiceException(ErrorKind.THROTTLED, "later", List.of("7")))
+                    ? Mono.error(new ThrottledException("later", List.of("7")))
                     : Mono.just(Response.json(200, request.body().length));
         });
         gate.start();
@@ -67,7 +67,7 @@
         String address = LoopbackPorts.freeAddress();
         HttpGateway gate = new HttpGateway(address, 100, request -> switch (request.body().length) {
             case 1 -> Mono.just(Response.json(202, "taken"));
-            case 2 -> Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "not known"));
+            case 2 -> Mono.error(new OutcomeUnknownException("not known"));
             case 3 -> throw new IllegalStateException("thrown");
             default -> Mono.empty();
         });
--- a/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.rpc.ResendPolicy;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** What is sent again after which failure; the core is a list of what each sending meets. */
@@ -30,7 +30,7 @@
                 sent.add(to);
                 int n = sent.size();
                 return n <= failures.length
-                        ? Mono.error(new ServiceException(failures[n - 1], "scripted"))
+                        ? Mono.error(ServiceException.of(failures[n - 1], "scripted", List.of()))
                         : Mono.just(answer.cast(new ControlMessages.UpdateResult(true)));
             }
         };
--- a/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 
 /** Any bytes are a frame or are refused as one; nothing else comes of them. The seeds are fixed, so that CI repeats. */
 class FramePropertiesTest {
--- a/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.runtime.SystemTimers;
 import reactor.core.publisher.Mono;
 
--- a/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
+++ b/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** A peer on loopback that greets as it is told and answers each request frame by its script, byte for byte. */
 final class ScriptedRpcPeer implements AutoCloseable {
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.LoopbackPorts;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.runtime.SystemTimers;
 import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
@@ -39,7 +40,7 @@
                 .on(
                         Question.class,
                         (from, question) -> question.words().isEmpty()
-                                ? Mono.error(new ServiceException(ErrorKind.CONFLICT, "empty", List.of("x")))
+                                ? Mono.error(new ConflictException("empty", List.of("x")))
                                 : Mono.just(new Question(question.words() + "!")));
         a = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, new RpcRouter(), schedules);
         tcpRpcClient = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, router, schedules);
--- a/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
+++ b/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
@@ -5,6 +5,7 @@
 import java.util.Arrays;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ErrorKind;
 
 /** The table from kind to answer, written out a second time on purpose. */
 class ErrorKindTest {
--- a/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -12,6 +12,9 @@
 import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.cli.Program;
 import org.woadvale.common.config.Settings;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.http.HttpGateway;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.RpcTypeNumbers;
@@ -21,8 +24,6 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.TcpRpcClient;
 import org.woadvale.common.runtime.Component;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.common.runtime.SystemClock;
 import org.woadvale.common.runtime.SystemTimers;
@@ -57,17 +58,14 @@
 
     public static void check(Settings settings) throws ServiceException {
         if (settings.data().isEmpty()) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The boot file is invalid at data: a lighthouse needs a data folder.");
+            throw new InvalidRequestException("The boot file is invalid at data: a lighthouse needs a data folder.");
         }
         if (!settings.join() && !settings.seeds().contains(settings.address())) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST,
+            throw new InvalidRequestException(
                     "The boot file is invalid at seeds: the first lighthouses name themselves; set join for a later one.");
         }
         if (!settings.roles().isEmpty()) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The boot file is invalid at roles: a lighthouse has none.");
+            throw new InvalidRequestException("The boot file is invalid at roles: a lighthouse has none.");
         }
     }
 
@@ -100,8 +98,7 @@
                     settings.ringFiles(),
                     settings.ringFileMb() << 20);
         } catch (IOException e) {
-            throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + settings.data() + ": " + e.getMessage());
+            throw new UnavailableException("Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
         book.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
@@ -7,6 +7,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnauthorizedException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ControlMessages;
@@ -16,8 +22,6 @@
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.configuration.ConfigurationLog;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.controlplane.state.AppliedRequests;
@@ -120,8 +124,7 @@
                         .findFirst()
                         .map(revision -> new ConfigurationResponse(
                                 revision.version(), revision.author(), revision.configuration(), revision.original())))
-                .switchIfEmpty(Mono.error(
-                        new ServiceException(ErrorKind.NOT_FOUND, "The version " + version + " is not kept.")));
+                .switchIfEmpty(Mono.error(new NotFoundException("The version " + version + " is not kept.")));
     }
 
     public Mono<Response> handle(Request request) {
@@ -132,14 +135,14 @@
     /** Where the owner was not found nothing was written; where it was lost midway nobody knows yet. */
     private static ServiceException asUnavailable(ServiceException failure) {
         return failure.kind() == ErrorKind.NOT_OWNER || failure.kind() == ErrorKind.UNREACHABLE
-                ? new ServiceException(ErrorKind.UNAVAILABLE, "No owner of the part could be reached.")
+                ? new UnavailableException("No owner of the part could be reached.")
                 : failure;
     }
 
     /** A read that got no answer in time has changed nothing. */
     private static ServiceException asFailedRead(ServiceException failure) {
         return failure.kind() == ErrorKind.UNKNOWN_OUTCOME
-                ? new ServiceException(ErrorKind.UNAVAILABLE, "No answer of a leader came in time.")
+                ? new UnavailableException("No answer of a leader came in time.")
                 : failure;
     }
 
@@ -158,7 +161,7 @@
                         .map(Configurations::sha256)
                         .filter(operatorKeySha256::equals)
                         .isEmpty()) {
-            return Mono.error(new ServiceException(ErrorKind.UNAUTHORISED, "The operator key is missing or wrong."));
+            return Mono.error(new UnauthorizedException("The operator key is missing or wrong."));
         }
         return switch (op) {
             case "PUT v1/layout" -> putConfiguration(request);
@@ -166,7 +169,7 @@
             case "POST v1/drain" -> Mono.just(Response.json(200, Map.of("drained", node.drain())));
             case "GET v1/services", "PUT v1/services", "DELETE v1/services" -> platform.processors(request, s);
             case "PUT v1/core" -> platform.core(request);
-            default -> Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + request.path() + "."));
+            default -> Mono.error(new NotFoundException("No such place: " + request.path() + "."));
         };
     }
 
@@ -181,14 +184,12 @@
                 .filter(h -> h.matches("[0-9]{1,18}"))
                 .map(Long::valueOf);
         if (base.isEmpty()) {
-            return Mono.error(new ServiceException(
-                    ErrorKind.BAD_REQUEST, "If-Match must carry the base version, a whole number."));
+            return Mono.error(new InvalidRequestException("If-Match must carry the base version, a whole number."));
         }
         String id = request.header("x-request-id")
                 .orElseGet(() -> "auto-" + ThreadLocalRandom.current().nextLong());
         if (!id.matches("[A-Za-z0-9._-]{1,64}")) {
-            return Mono.error(
-                    new ServiceException(ErrorKind.BAD_REQUEST, "X-Request-Id must be 1 to 64 letters, digits, . _ -"));
+            return Mono.error(new InvalidRequestException("X-Request-Id must be 1 to 64 letters, digits, . _ -"));
         }
         ControlMessages.PutConfiguration put = new ControlMessages.PutConfiguration(
                 id, base.get(), request.body(), request.header("x-author").orElse(""));
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
@@ -7,14 +7,18 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.rpc.RepeatableRequest;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Mono;
 
@@ -38,19 +42,16 @@
             if (wanted.size() != 3
                     || !wanted.stream().allMatch(a -> a.matches(ADDRESS))
                     || new HashSet<>(wanted).size() != 3) {
-                throw new ServiceException(
-                        ErrorKind.BAD_REQUEST, "lighthouses must be three different internal addresses.");
+                throw new InvalidRequestException("lighthouses must be three different internal addresses.");
             }
             if (node.replica(ServiceNames.controlPart(ServiceNames.CORE))
                     .members()
                     .isEmpty()) {
-                throw new ServiceException(ErrorKind.UNAVAILABLE, "This lighthouse is not seated yet; ask another.");
+                throw new UnavailableException("This lighthouse is not seated yet; ask another.");
             }
             if (wanted.stream().filter(node.controlNodes()::contains).count() < 2) {
-                throw new ServiceException(
-                        ErrorKind.CONFLICT,
-                        "Only one lighthouse may be exchanged at a time; the present ones are "
-                                + String.join(", ", node.controlNodes()) + ".");
+                throw new ConflictException("Only one lighthouse may be exchanged at a time; the present ones are "
+                        + String.join(", ", node.controlNodes()) + ".");
             }
             return node.call(
                             ServiceNames.controlPart(ServiceNames.CORE),
@@ -58,8 +59,8 @@
                             ControlMessages.UpdateResult.class)
                     .flatMap(result -> result.accepted()
                             ? Mono.just(Response.json(200, Map.of("lighthouses", wanted)))
-                            : Mono.error(new ServiceException(
-                                    ErrorKind.CONFLICT, "Another exchange is under way; look at GET /v1/status.")));
+                            : Mono.error(
+                                    new ConflictException("Another exchange is under way; look at GET /v1/status.")));
         } catch (ServiceException failure) {
             return Mono.error(failure);
         }
@@ -83,8 +84,7 @@
                         ? Mono.just(true)
                         : left > 1
                                 ? change(service, command, left - 1)
-                                : Mono.error(new ServiceException(
-                                        ErrorKind.UNAVAILABLE, "The list changes too fast; ask again.")));
+                                : Mono.error(new UnavailableException("The list changes too fast; ask again.")));
     }
 
     /** /v1/services/{service}/processors[/{id}] */
@@ -98,7 +98,7 @@
         if (!list && !one
                 || !s.get(2).matches("[a-z0-9][a-z0-9_-]{0,62}")
                 || one && !s.get(4).matches("[A-Za-z0-9][A-Za-z0-9._-]{0,62}")) {
-            return Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No such place: " + request.path() + "."));
+            return Mono.error(new NotFoundException("No such place: " + request.path() + "."));
         }
         String service = ServiceNames.processors(s.get(2));
         if (list) {
@@ -116,7 +116,7 @@
             JsonNode body = Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
             String address = body.path("address").asText("");
             if (!address.matches("(http://[0-9.]+:[0-9]{1,5}(/[A-Za-z0-9/_.-]*)?)?")) {
-                throw new ServiceException(ErrorKind.BAD_REQUEST, "address must be http://IP:port or empty.");
+                throw new InvalidRequestException("address must be http://IP:port or empty.");
             }
             Processor processor = new Processor(address, body.path("leaving").asBoolean(false));
             return change(
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -8,10 +8,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.InvalidConfigurationException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.StaleVersionException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /**
  * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update has the
@@ -118,7 +120,7 @@
         Optional<AcceptedUpdate> before = repeatOf(update, digest);
         if (before.isPresent()) {
             if (!before.get().digest().equals(digest)) {
-                throw new ServiceException(ErrorKind.CONFLICT, "This request id was used for another layout.");
+                throw new ConflictException("This request id was used for another layout.");
             }
             return new ControlMessages.ConfigurationAccepted(before.get().version(), true);
         }
@@ -156,15 +158,13 @@
     }
 
     private ServiceException staleBase(long base) {
-        return new ServiceException(
-                ErrorKind.STALE_BASE,
+        return new StaleVersionException(
                 "The base version " + base + " is not the present one, " + version() + ".",
                 List.of(Long.toString(version())));
     }
 
     private ServiceException revisionTooLow(long revision) {
-        return new ServiceException(
-                ErrorKind.INVALID_LAYOUT,
+        return new InvalidConfigurationException(
                 "The revision " + revision + " is not above the present one, " + version() + ".",
                 List.of("revision: must be above " + version()));
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -2,13 +2,15 @@
 
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.ResendPolicy;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /**
@@ -63,8 +65,7 @@
             if (inContact.getAsBoolean()) {
                 return Mono.just(true);
             } else if (now().compareTo(until) >= 0) {
-                return Mono.error(new ServiceException(
-                        ErrorKind.UNAVAILABLE,
+                return Mono.error(new UnavailableException(
                         "This machine has no contact with a majority of the core; nothing was changed."));
             }
             return Delays.pause(environment.timers(), CONTACT_CHECK).then(awaitContact(until));
@@ -116,12 +117,11 @@
     }
 
     private static ServiceException noLeader() {
-        return new ServiceException(ErrorKind.UNAVAILABLE, "No leader of the part could be reached.");
+        return new UnavailableException("No leader of the part could be reached.");
     }
 
     private static ServiceException unknownOutcome() {
-        return new ServiceException(
-                ErrorKind.UNKNOWN_OUTCOME,
+        return new OutcomeUnknownException(
                 "It is not known whether this was taken; ask again with the same request id.");
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -8,6 +8,8 @@
 import java.util.Map;
 import java.util.TreeSet;
 import org.woadvale.common.discovery.ViewCompression;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ControlMessages.ControlCommand;
 import org.woadvale.common.membership.ControlMessages.ControlResult;
@@ -21,8 +23,6 @@
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.Component;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.controlplane.lease.LeaseManager;
 import org.woadvale.controlplane.membership.CoreMembership;
@@ -132,7 +132,7 @@
 
     private Mono<ControlPartition> partition(String id) {
         return Mono.justOrEmpty(partitions.get(id))
-                .switchIfEmpty(Mono.error(new ServiceException(ErrorKind.NOT_FOUND, "No control part " + id + ".")));
+                .switchIfEmpty(Mono.error(new NotFoundException("No control part " + id + ".")));
     }
 
     private Mono<ControlPartition> partitionOf(String service) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -6,6 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ControlMessages.ControlCommand;
 import org.woadvale.common.membership.ControlMessages.ControlResult;
@@ -20,8 +22,6 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.configuration.ConfigurationLog;
 
 /** The state of one control part: services by name, and in part 0 the configuration. design 6 */
@@ -92,8 +92,8 @@
         } else if (command instanceof ControlMessages.PutConfiguration put) {
             return putConfiguration(index, put);
         }
-        throw new ServiceException(
-                ErrorKind.BAD_REQUEST, "Unknown command " + command.getClass().getSimpleName() + ".");
+        throw new InvalidRequestException(
+                "Unknown command " + command.getClass().getSimpleName() + ".");
     }
 
     /** The members of the core as last committed; the epoch is 0 and the list empty until one was. */
--- a/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
@@ -7,9 +7,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Revisions, originals and repeated updates. */
 class ConfigurationLogTest {
--- a/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
@@ -5,11 +5,11 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 
 /** Internal commands that were sent again have the outcome of their first copy, and no effect of their own. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -11,11 +11,11 @@
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.StaleViewException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.ratelimit.RateLimit;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 
 /** The configuration as this node may use it: only while its age is proven. design 7.2 */
 public final class ConfigurationView {
@@ -101,8 +101,7 @@
     }
 
     public Known require() throws ServiceException {
-        return fresh().orElseThrow(
-                        () -> new ServiceException(ErrorKind.STALE_VIEW, "This node is not in touch with the core."));
+        return fresh().orElseThrow(() -> new StaleViewException("This node is not in touch with the core."));
     }
 
     /** The bucket that paces a service; empty where it is not paced. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -13,6 +13,9 @@
 import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.cli.Program;
 import org.woadvale.common.config.Settings;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.http.HttpGateway;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
@@ -23,8 +26,6 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.TcpRpcClient;
 import org.woadvale.common.runtime.Component;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.common.runtime.SystemClock;
 import org.woadvale.common.runtime.SystemTimers;
@@ -59,12 +60,10 @@
 
     public static void check(Settings settings) throws ServiceException {
         if (settings.roles().isEmpty()) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The boot file is invalid at roles: name intake, store or both.");
+            throw new InvalidRequestException("The boot file is invalid at roles: name intake, store or both.");
         }
         if (settings.join()) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The boot file is invalid at join: only lighthouses have it.");
+            throw new InvalidRequestException("The boot file is invalid at join: only lighthouses have it.");
         }
     }
 
@@ -128,8 +127,7 @@
                     settings.ringFiles(),
                     settings.ringFileMb() << 20);
         } catch (IOException e) {
-            throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot open the data folder " + settings.data() + ": " + e.getMessage());
+            throw new UnavailableException("Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
@@ -180,7 +180,7 @@
     }
 
     private static ServiceException gone() {
-        return new ServiceException(ErrorKind.CONFLICT, "The lease is gone.");
+        return new ConflictException("The lease is gone.");
     }
 
     /** The same end said again has the same answer; the end of an earlier lease is refused. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -7,11 +7,10 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.woadvale.common.error.ForbiddenException;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
@@ -84,8 +83,8 @@
                                     || report.end().attempt() == message.get().attempt()
                                             && !report.processor()
                                                     .equals(message.get().processor()))) {
-                        return Mono.error(new ServiceException(
-                                ErrorKind.FORBIDDEN, "This attempt was not given to " + report.processor() + "."));
+                        return Mono.error(
+                                new ForbiddenException("This attempt was not given to " + report.processor() + "."));
                     }
                     if (report.end().outcome() == MessageCommands.AttemptOutcome.RETRY
                             && message.isPresent()
@@ -113,10 +112,8 @@
             MessagePartition partition, MessageCommands.FetchRequest request) {
         return partition.replica().read(i -> i).flatMap(i -> {
             if (!mayReceive(request)) {
-                return Mono.error(new ServiceException(
-                        ErrorKind.FORBIDDEN,
-                        "The processor " + request.processor()
-                                + " is not listed, is leaving, or the list is not proven fresh."));
+                return Mono.error(new ForbiddenException("The processor " + request.processor()
+                        + " is not listed, is leaving, or the list is not proven fresh."));
             }
             if (request.repeated()) {
                 return Mono.just(new MessageCommands.FetchResponse(deliveredBefore(partition, request)));
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -14,8 +14,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Schedulers;
@@ -61,7 +63,7 @@
                 .uri(deliveryRequest.url())
                 .send((q, out) -> deliveryRequest.stillPermitted().getAsBoolean()
                         ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(deliveryRequest.body())))
-                        : Mono.error(new ServiceException(ErrorKind.UNREACHABLE, "It may not be sent any more.")))
+                        : Mono.error(new UnreachableException("It may not be sent any more.")))
                 .responseConnection((response, stream) -> stream.inbound()
                         .receive()
                         .aggregate()
@@ -90,8 +92,7 @@
                         response.responseHeaders().getAll(entry.getKey()).equals(List.of(entry.getValue())));
         if (!ours) {
             stream.channel().close();
-            throw Exceptions.propagate(
-                    new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The answer is to another request."));
+            throw Exceptions.propagate(new OutcomeUnknownException("The answer is to another request."));
         }
         Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
         if (matcher.find()) {
@@ -111,8 +112,9 @@
                 || e instanceof ConnectTimeoutException
                 || e.getCause() instanceof ConnectException
                 || e.getClass().getSimpleName().startsWith("PoolAcquire");
-        return new ServiceException(
+        return ServiceException.of(
                 never ? ErrorKind.UNREACHABLE : ErrorKind.UNKNOWN_OUTCOME,
-                e.getClass().getSimpleName() + ": " + e.getMessage());
+                e.getClass().getSimpleName() + ": " + e.getMessage(),
+                List.of());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.NodeEnvironment;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** What this node's own asks tell of stores and parts; only for draws, never for what is true. design 9.13 */
@@ -44,7 +45,9 @@
         if (failure.kind() == ErrorKind.UNREACHABLE || failure.kind() == ErrorKind.UNKNOWN_OUTCOME) {
             slowSince.put(store, now().plus(UNHEALTHY_AFTER));
         }
-        if (failure.kind() != ErrorKind.NOT_OWNER || failure.details().isEmpty()) {
+        boolean redirected = failure instanceof NotLeaderException notLeader
+                && notLeader.leader().isPresent();
+        if (!redirected) {
             failures.put(part, now().plus(FAILURE_MEMORY));
         }
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -7,6 +7,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
@@ -15,8 +21,6 @@
 import org.woadvale.common.rpc.ResendPolicy;
 import org.woadvale.common.rpc.RpcRequest;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
@@ -146,7 +150,7 @@
     /** The question for the clock was left without an answer; of the ask itself nothing was sent. */
     private static ServiceException notSent(Throwable e) {
         ServiceException failure = ServiceException.of(e);
-        return failure.kind().definite() ? failure : new ServiceException(ErrorKind.UNREACHABLE, failure.getMessage());
+        return failure.kind().definite() ? failure : new UnreachableException(failure.getMessage());
     }
 
     /** What stays the same in all attempts: the body is made for the store that is asked. */
@@ -157,8 +161,7 @@
         String part = forwarding.part();
         String to = hint.isEmpty() ? likelyLeader(part, turn) : hint;
         if (to.isEmpty()) {
-            return Mono.error(
-                    new ServiceException(ErrorKind.UNAVAILABLE, "No store is placed for the part " + part + "."));
+            return Mono.error(new UnavailableException("No store is placed for the part " + part + "."));
         }
         return forwarding
                 .body()
@@ -179,9 +182,8 @@
                             || environment.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
                         return Mono.error(onSettled(failure, nowUnknown));
                     }
-                    String next = failure.kind() == ErrorKind.NOT_OWNER
-                                    && !failure.details().isEmpty()
-                            ? failure.details().get(0)
+                    String next = failure instanceof NotLeaderException notLeader
+                            ? notLeader.leader().orElse("")
                             : "";
                     Mono<T> more = Mono.defer(() -> attempt(forwarding, turn + 1, nowUnknown, next));
                     return next.isEmpty()
@@ -193,14 +195,13 @@
     /** A definite refusal after an unknown try says nothing of that try: design 9.6. */
     private static ServiceException onSettled(ServiceException last, boolean unknown) {
         if (unknown) {
-            return new ServiceException(
-                    ErrorKind.UNKNOWN_OUTCOME, "It is not known whether this was taken; ask with the same id.");
+            return new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.");
         }
         return last.kind() == ErrorKind.NOT_OWNER
                         || last.kind() == ErrorKind.UNREACHABLE
                         || last.kind() == ErrorKind.STOPPING
                         || last.kind() == ErrorKind.EXPIRED
-                ? new ServiceException(ErrorKind.UNAVAILABLE, "The store of this message has no owner now.")
+                ? new UnavailableException("The store of this message has no owner now.")
                 : last;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 
 /** What a back end's answer means. Only an echo with a receipt is proof: design 9.3. */
 public record Verdict(Kind kind, String reason) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.QueueFullException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
@@ -58,8 +58,7 @@
     private Mono<DeliveryLeases> leases(String part) {
         return Mono.justOrEmpty(
                         Optional.ofNullable(dispatchersByPartition.get(part)).map(Dispatcher::leases))
-                .switchIfEmpty(
-                        Mono.error(new ServiceException(ErrorKind.NOT_OWNER, "The part " + part + " is not here.")));
+                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
     }
 
     private Duration now() {
@@ -71,7 +70,7 @@
         synchronized (this) {
             Deque<WaitingPull> line = waiting.computeIfAbsent(request.service(), s -> new ArrayDeque<>());
             if (line.size() >= MAX_WAITING) {
-                return Mono.error(new ServiceException(ErrorKind.QUEUE_FULL, "Too many fetches wait here."));
+                return Mono.error(new QueueFullException("Too many fetches wait here."));
             }
             line.add(waitingPull);
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -11,12 +11,13 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 import org.woadvale.common.config.Configuration;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
 import org.woadvale.dataplane.queue.Message;
@@ -105,8 +106,7 @@
                 break;
             default:
         }
-        throw new ServiceException(
-                ErrorKind.NOT_FOUND, "No such place: " + request.method() + " " + request.path() + ".");
+        throw new NotFoundException("No such place: " + request.method() + " " + request.path() + ".");
     }
 
     private Mono<Response> getMessage(Request request, String handle) {
@@ -142,7 +142,7 @@
         String reason = query(request, "reason").orElse("");
         if (Arrays.stream(MessageState.values())
                 .noneMatch(messageState -> messageState.name().equals(state))) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, "state must be waiting, running, done or failed.");
+            throw new InvalidRequestException("state must be waiting, running, done or failed.");
         }
         return Flux.fromIterable(ServiceNames.messageParts())
                 .flatMap(p -> forwarder.call(
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -3,14 +3,16 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.woadvale.common.config.Configuration;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.ThrottledException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.ratelimit.LocalBucket;
 import org.woadvale.common.ratelimit.LocalBuckets;
 import org.woadvale.common.ratelimit.TokenMessages;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Stage;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
@@ -146,7 +148,7 @@
     private MessageCommands.Accept command(AdmittedSubmission admitted) throws ServiceException {
         Configuration.Lane lane = validator.recheck(admitted.checked());
         if (!localBuckets.isValid(admitted.token())) {
-            throw new ServiceException(ErrorKind.THROTTLED, "The pass died while waiting.");
+            throw new ThrottledException("The pass died while waiting.");
         }
         return admitted.checked().command(lane, environment.clock().wallTime());
     }
@@ -197,8 +199,7 @@
     /** A definite refusal now says nothing of an earlier unknown try. */
     private static Throwable definite(Throwable error, boolean outcomeUnknown) {
         return outcomeUnknown && ServiceException.of(error).kind().definite()
-                ? new ServiceException(
-                        ErrorKind.UNKNOWN_OUTCOME, "It is not known whether this was taken; ask with the same id.")
+                ? new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.")
                 : error;
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -2,9 +2,10 @@
 
 import java.time.Duration;
 import org.woadvale.common.config.Configuration;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnauthorizedException;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
 import org.woadvale.dataplane.queue.Message;
@@ -26,7 +27,7 @@
     static String partOf(String handle) throws ServiceException {
         String part = handle.replaceAll("-.*", "");
         if (!handle.matches(HANDLE) || !ServiceNames.messageParts().contains(part)) {
-            throw new ServiceException(ErrorKind.NOT_FOUND, "No such message.");
+            throw new NotFoundException("No such message.");
         }
         return part;
     }
@@ -39,8 +40,7 @@
                         .require()
                         .key(secret)
                         .filter(k -> k.role() == Configuration.Role.CALLER)
-                        .orElseThrow(() -> new ServiceException(
-                                ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn."));
+                        .orElseThrow(() -> new UnauthorizedException("The key is missing, wrong or withdrawn."));
                 String part = partOf(handle);
                 return forwarder.call(
                         part, new MessageCommands.StatusRequest(part, handle, key.tenant()), Message.class, LIMIT);
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -8,13 +8,15 @@
 import java.util.Locale;
 import java.util.Map;
 import org.woadvale.common.config.Configuration;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ForbiddenException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
@@ -106,7 +108,7 @@
 
     private void checkKey(Request request, String service) throws ServiceException {
         if (!matcher.key(request, Configuration.Role.PROCESSOR).service().equals(service)) {
-            throw new ServiceException(ErrorKind.FORBIDDEN, "This key is for another service.");
+            throw new ForbiddenException("This key is for another service.");
         }
     }
 
@@ -141,7 +143,7 @@
         Configuration.Key key = matcher.key(request, Configuration.Role.PROCESSOR);
         OutcomeRequest outcome = matcher.body(request, OutcomeRequest.class);
         if (outcome.outcome().equals("done") && outcome.receipt().isBlank()) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, "Done needs a receipt.");
+            throw new InvalidRequestException("Done needs a receipt.");
         }
         String partition = MessageQueries.partOf(handle);
         Instant now = environment.clock().wallTime();
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -11,12 +11,13 @@
 import java.util.function.BooleanSupplier;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.delivery.SubmitForwarder;
 import org.woadvale.dataplane.queue.Message;
@@ -185,8 +186,6 @@
     }
 
     private static Throwable leaseGone(Throwable e) {
-        return ServiceException.of(e).kind() == ErrorKind.NOT_FOUND
-                ? new ServiceException(ErrorKind.CONFLICT, "The lease is gone.")
-                : e;
+        return ServiceException.of(e).kind() == ErrorKind.NOT_FOUND ? new ConflictException("The lease is gone.") : e;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -6,9 +6,13 @@
 import java.util.Optional;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ForbiddenException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnauthorizedException;
+import org.woadvale.common.error.UnknownLaneException;
 import org.woadvale.common.http.Request;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.ConfigurationView;
 
 /** Keys and inputs are checked on every request, on open streams too: design 7.2 and 9.6. */
@@ -23,11 +27,10 @@
         ConfigurationView.Known known = configurations.require();
         Optional<Configuration.Key> key = request.secret().flatMap(known::key);
         if (key.isEmpty()) {
-            throw new ServiceException(ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn.");
+            throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
         }
         if (key.get().role() != role) {
-            throw new ServiceException(
-                    ErrorKind.FORBIDDEN, "This key is not for " + role.name().toLowerCase(Locale.ROOT) + "s.");
+            throw new ForbiddenException("This key is not for " + role.name().toLowerCase(Locale.ROOT) + "s.");
         }
         return key.get();
     }
@@ -37,7 +40,7 @@
         ConfigurationView.Known known = configurations.require();
         Optional<Configuration.Key> key = known.key(secret).filter(x -> x.role() == Configuration.Role.CALLER);
         if (key.isEmpty() && !lane(lane).keyless()) {
-            throw new ServiceException(ErrorKind.UNAUTHORISED, "The key is missing, wrong or withdrawn.");
+            throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
         }
         return key;
     }
@@ -45,14 +48,14 @@
     Configuration.Lane lane(String name) throws ServiceException {
         return Optional.ofNullable(
                         configurations.require().configuration().lanes().get(name))
-                .orElseThrow(() -> new ServiceException(ErrorKind.UNKNOWN_LANE, "There is no lane " + name + "."));
+                .orElseThrow(() -> new UnknownLaneException("There is no lane " + name + "."));
     }
 
     <T> T body(Request request, Class<T> type) throws ServiceException {
         T t = Configurations.read(request.body(), type, ErrorKind.BAD_REQUEST);
         List<String> faults = new ArrayList<>(Configurations.faults(t));
         if (!faults.isEmpty()) {
-            throw new ServiceException(ErrorKind.BAD_REQUEST, "The request has " + faults.size() + " faults.", faults);
+            throw new InvalidRequestException("The request has " + faults.size() + " faults.", faults);
         }
         return t;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
@@ -2,8 +2,9 @@
 
 import java.util.Optional;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnauthorizedException;
 
 /** Checks submissions against the configuration: key, tenant, lane and ordering key. design 9.7 */
 final class SubmissionValidator {
@@ -31,12 +32,10 @@
         }
         boolean hasKey = !submission.orderKey().isEmpty();
         if (lane.ordering() == Configuration.Ordering.KEY && !hasKey) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The lane " + submission.lane() + " needs an orderingKey.");
+            throw new InvalidRequestException("The lane " + submission.lane() + " needs an orderingKey.");
         }
         if (lane.ordering() == Configuration.Ordering.NONE && hasKey) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST,
+            throw new InvalidRequestException(
                     "The lane " + submission.lane() + " has no ordering; leave out orderingKey.");
         }
     }
@@ -49,7 +48,7 @@
                 .map(Configuration.Key::tenant)
                 .orElse("");
         if (!tenant.equals(checked.tenant())) {
-            throw new ServiceException(ErrorKind.UNAUTHORISED, "The key is another tenant's by now.");
+            throw new UnauthorizedException("The key is another tenant's by now.");
         }
         return lane;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -11,6 +11,12 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.discovery.ViewSubscriptions;
+import org.woadvale.common.error.DeadlineExpiredException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.NotLeaderException;
+import org.woadvale.common.error.QueueFullException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.ThrottledException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.ratelimit.Bucket;
 import org.woadvale.common.ratelimit.RateLimit;
@@ -19,8 +25,6 @@
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.Role;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.dataplane.queue.MessageCommands.MessageCommand;
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
@@ -101,8 +105,7 @@
 
     public Mono<MessagePartition> partition(String part) {
         return Mono.justOrEmpty(partitions.get(part))
-                .switchIfEmpty(
-                        Mono.error(new ServiceException(ErrorKind.NOT_OWNER, "The part " + part + " is not here.")));
+                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
     }
 
     /** What was held up on its way past its time is refused: its pass, key and lane have not been looked at since. */
@@ -110,7 +113,7 @@
         return Mono.defer(() -> deadline.incarnation().equals(incarnation)
                         && environment.clock().monotonicTime().compareTo(deadline.at()) < 0
                 ? Mono.empty()
-                : Mono.error(new ServiceException(ErrorKind.EXPIRED, "This came too late to be taken.")));
+                : Mono.error(new DeadlineExpiredException("This came too late to be taken.")));
     }
 
     /** Node and part buckets in size units first, then the commit. All refusals here are definite. */
@@ -124,11 +127,10 @@
             return partition.replica().read(i -> i).flatMap(i -> accept(partition, accept));
         }
         if (!room) {
-            return Mono.error(
-                    new ServiceException(ErrorKind.QUEUE_FULL, "The part " + partition.id() + " has no room."));
+            return Mono.error(new QueueFullException("The part " + partition.id() + " has no room."));
         }
         if (!spend(partition, units)) {
-            return Mono.error(new ServiceException(ErrorKind.THROTTLED, "The store is at its limit.", List.of("1")));
+            return Mono.error(new ThrottledException("The store is at its limit.", List.of("1")));
         }
         return partition.replica().propose(withLeaderTime(accept), MessageCommands.Accepted.class);
     }
@@ -170,8 +172,7 @@
                         .get(request.handle())
                         .filter(message -> message.tenant().equals(request.tenant())))
                 .flatMap(message -> message.map(Mono::just)
-                        .orElseGet(() -> Mono.error(new ServiceException(
-                                ErrorKind.NOT_FOUND,
+                        .orElseGet(() -> Mono.error(new NotFoundException(
                                 "No such message is known; it may have been forgotten after its end."))));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -4,10 +4,12 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.StateMachine;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands.AttemptOutcome;
 import org.woadvale.dataplane.queue.MessageCommands.MessageCommand;
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
@@ -78,12 +80,12 @@
         } else if (command instanceof MessageCommands.ExpireEnded expire) {
             return new MessageCommands.ExpiredCount(index.expireEnded(expire.endedBefore(), expire.unclearBefore()));
         }
-        throw new ServiceException(
-                ErrorKind.BAD_REQUEST, "Unknown command " + command.getClass().getSimpleName() + ".");
+        throw new InvalidRequestException(
+                "Unknown command " + command.getClass().getSimpleName() + ".");
     }
 
     private Message message(String handle) throws ServiceException {
-        return index.find(handle).orElseThrow(() -> new ServiceException(ErrorKind.NOT_FOUND, "No such message."));
+        return index.find(handle).orElseThrow(() -> new NotFoundException("No such message."));
     }
 
     /** The same message id again is the same message, unless its content differs. */
@@ -103,8 +105,7 @@
     private static MessageCommands.Accepted repeated(Message known, MessageCommands.Accept accept)
             throws ServiceException {
         if (!known.hash().equals(accept.hash())) {
-            throw new ServiceException(
-                    ErrorKind.CONFLICT, "The message id was used for other content.", List.of(known.handle()));
+            throw new ConflictException("The message id was used for other content.", List.of(known.handle()));
         }
         return new MessageCommands.Accepted(known.handle(), known.state().name(), true);
     }
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -22,8 +22,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 
 /** list, check and run. */
 final class OperatorCommands {
@@ -90,7 +91,7 @@
                     lines.addAll(runbookRunner.record());
                     Files.write(Path.of(record), lines, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 } catch (IOException e) {
-                    throw new ServiceException(ErrorKind.UNAVAILABLE, "The record was not written: " + e.getMessage());
+                    throw new UnavailableException("The record was not written: " + e.getMessage());
                 }
             }
             return ok ? 0 : 1;
@@ -101,13 +102,13 @@
             for (String s : set) {
                 int i = s.indexOf('=');
                 if (i < 1) {
-                    throw new ServiceException(ErrorKind.BAD_REQUEST, "--set takes NAME=VALUE, not " + s + ".");
+                    throw new InvalidRequestException("--set takes NAME=VALUE, not " + s + ".");
                 }
                 String v = s.substring(i + 1);
                 try {
                     out.put(s.substring(0, i), v.startsWith("@") ? Files.readString(Path.of(v.substring(1))) : v);
                 } catch (IOException e) {
-                    throw new ServiceException(ErrorKind.BAD_REQUEST, "Cannot read " + v.substring(1) + ".");
+                    throw new InvalidRequestException("Cannot read " + v.substring(1) + ".");
                 }
             }
             return out;
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -4,7 +4,7 @@
 import com.github.rvesse.airline.help.Help;
 import com.github.rvesse.airline.parser.errors.ParseException;
 import java.util.function.Consumer;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The operator's tool: runbooks that can be executed. It starts no process. */
 @Cli(
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -13,8 +13,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 
 /** Runs a checked runbook step by step and stops at the first that fails: design 11.1. */
 final class RunbookRunner {
@@ -99,10 +103,10 @@
             case REMOVE -> remove(step, variables);
             case PERSON -> {
                 if (!processors.done(variables.fill(step.title()))) {
-                    throw new ServiceException(ErrorKind.CONFLICT, "not confirmed");
+                    throw new ConflictException("not confirmed");
                 }
             }
-            default -> throw new ServiceException(ErrorKind.BAD_REQUEST, "unknown kind");
+            default -> throw new InvalidRequestException("unknown kind");
         }
         note("ok " + what);
     }
@@ -121,8 +125,7 @@
                     headers,
                     variables.fill(step.body()).getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new ServiceException(
-                    ErrorKind.UNREACHABLE,
+            throw new UnreachableException(
                     "no answer from " + variables.fill(step.url()) + " (" + e.getMessage() + ")");
         }
         String found = step.expect().pointer().isEmpty()
@@ -132,17 +135,16 @@
                         .asText("");
         if (result.status() != step.expect().status()) {
             boolean later = result.status() == 429 || result.status() >= 500;
-            throw new ServiceException(
+            throw ServiceException.of(
                     later ? ErrorKind.UNAVAILABLE : ErrorKind.CONFLICT,
                     "answer " + result.status() + ", expected " + step.expect().status() + ": "
-                            + new String(result.body(), StandardCharsets.UTF_8));
+                            + new String(result.body(), StandardCharsets.UTF_8),
+                    List.of());
         }
         if (!step.expect().pointer().isEmpty()
                 && !found.equals(variables.fill(step.expect().equals()))) {
-            throw new ServiceException(
-                    ErrorKind.CONFLICT,
-                    variables.fill(step.expect().pointer()) + " is \"" + found + "\", expected \""
-                            + variables.fill(step.expect().equals()) + "\"");
+            throw new ConflictException(variables.fill(step.expect().pointer()) + " is \"" + found + "\", expected \""
+                    + variables.fill(step.expect().equals()) + "\"");
         }
         return result;
     }
@@ -158,8 +160,10 @@
                     throw failure;
                 }
                 if (processors.now().compareTo(end) >= 0) {
-                    throw new ServiceException(
-                            failure.kind(), "not within " + step.withinMs() + " ms: " + failure.getMessage());
+                    throw ServiceException.of(
+                            failure.kind(),
+                            "not within " + step.withinMs() + " ms: " + failure.getMessage(),
+                            List.of());
                 }
                 processors.sleep(AGAIN);
             }
@@ -184,7 +188,7 @@
         JsonPointer p = JsonPointer.compile(variables.fill(step.pointer()));
         JsonNode parent = doc.at(p.head());
         if (!(parent instanceof ObjectNode o) || !o.has(p.last().getMatchingProperty())) {
-            throw new ServiceException(ErrorKind.NOT_FOUND, "there is nothing at " + p);
+            throw new NotFoundException("there is nothing at " + p);
         }
         o.remove(p.last().getMatchingProperty());
         variables.put(step.from(), new String(Configurations.write(doc), StandardCharsets.UTF_8));
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -10,8 +10,10 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.NotFoundException;
+import org.woadvale.common.error.ServiceException;
 
 /** Finds and checks runbooks: the shipped ones by name, others by file. */
 final class Runbooks {
@@ -33,8 +35,8 @@
             faults.addAll(crossFaults(runbook));
         }
         if (!faults.isEmpty()) {
-            throw new ServiceException(
-                    ErrorKind.BAD_REQUEST, "The runbook " + nameOrFile + " has " + faults.size() + " faults.", faults);
+            throw new InvalidRequestException(
+                    "The runbook " + nameOrFile + " has " + faults.size() + " faults.", faults);
         }
         return runbook;
     }
@@ -48,7 +50,7 @@
             }
             return Files.readAllBytes(Path.of(nameOrFile));
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.NOT_FOUND, "There is no runbook " + nameOrFile + "; see tender list.");
+            throw new NotFoundException("There is no runbook " + nameOrFile + "; see tender list.");
         }
     }
 
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 class OperatorProgramTest {
     /** A scripted core: answers by method and path, notes what it was asked; its clock moves only by resting. */
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
@@ -11,8 +11,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 
 /** Measures slopes, draws them, and holds a forecast against the largest run: docs/CAPACITY.md. */
 public final class CapacityCommand {
@@ -40,7 +41,7 @@
         try {
             Files.createDirectories(wanted.out());
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "Cannot make the folder " + wanted.out() + ".");
+            throw new UnavailableException("Cannot make the folder " + wanted.out() + ".");
         }
         for (Map.Entry<Mechanism, List<Integer>> entry : wanted.runs().entrySet()) {
             String name = wanted.name(entry.getKey());
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.simulation.FleetSimulation;
 import org.woadvale.testkit.stub.TestConfiguration;
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntFunction;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** Runs of hollow fleets that differ in one number. */
 final class FleetRuns {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -7,6 +7,8 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.RpcTypeNumbers;
@@ -16,8 +18,6 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
@@ -216,8 +216,7 @@
         Duration end = sim.now().plus(PATIENCE);
         while (!condition.getAsBoolean()) {
             if (sim.now().compareTo(end) > 0) {
-                throw new ServiceException(
-                        ErrorKind.UNAVAILABLE, why + " within " + PATIENCE.toSeconds() + " s at " + shape + ".");
+                throw new UnavailableException(why + " within " + PATIENCE.toSeconds() + " s at " + shape + ".");
             }
             sim.run(Duration.ofMillis(10));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -4,12 +4,14 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.Frame;
 import org.woadvale.common.rpc.PendingCalls;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.testkit.simulation.Sim;
 import reactor.core.publisher.Mono;
@@ -56,9 +58,7 @@
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
                         TimerHandle late = self.after(
-                                limit,
-                                () -> sink.tryEmitError(
-                                        new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time.")));
+                                limit, () -> sink.tryEmitError(new OutcomeUnknownException("No answer in time.")));
                         byte[] bytes = codec.write(new Frame(1, Frame.Kind.REQUEST, body));
                         self.passed(bytes.length);
                         sim.after(delay(), () -> arrive(to, bytes, sink));
@@ -70,14 +70,13 @@
         }
 
         private ServiceException fault(Frame.ErrorResponse error) {
-            return new ServiceException(ErrorKind.valueOf(error.kind()), error.message(), error.details());
+            return ServiceException.of(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
         private void arrive(String to, byte[] bytes, Sinks.One<Frame> sink) {
             Optional<HollowHost> target = Optional.ofNullable(hosts.get(to)).filter(HollowHost::alive);
             if (target.isEmpty()) {
-                self.work(() ->
-                        sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + ".")));
+                self.work(() -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
                 return;
             }
             HollowHost host = target.get();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Mechanism.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Mechanism.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** Something whose cost is measured against a size. */
 interface Mechanism {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -7,6 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
@@ -14,8 +16,6 @@
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
@@ -74,8 +74,7 @@
                 .filter(Replica::isActiveLeader)
                 .count();
         if (owned != size) {
-            throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Only " + owned + " of " + size + " parts have an owner.");
+            throw new UnavailableException("Only " + owned + " of " + size + " parts have an owner.");
         }
         Count was = Count.sum(hosts.stream().map(HollowHost::count).toList());
         sim.run(WINDOW);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
@@ -15,8 +15,8 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 
 /** Points and their lines, drawn by XChart: one picture a mechanism. */
 final class Plot {
@@ -61,8 +61,7 @@
         try {
             ImageIO.write(sheet, "png", folder.resolve(name + ".png").toFile());
         } catch (IOException e) {
-            throw new ServiceException(
-                    ErrorKind.UNAVAILABLE, "Cannot write the plot " + name + " into " + folder + ".");
+            throw new UnavailableException("Cannot write the plot " + name + " into " + folder + ".");
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
 
 /** What the command line asks for, checked before anything is started. design 10.1 */
 final class Wanted {
@@ -97,7 +97,7 @@
     }
 
     private static ServiceException bad(String why) {
-        return new ServiceException(ErrorKind.BAD_REQUEST, why);
+        return new InvalidRequestException(why);
     }
 
     private static List<String> list(String commas) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
@@ -9,12 +9,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.rpc.TcpRpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.SystemTimers;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -54,7 +54,7 @@
         try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + serverSocket.getLocalPort();
         } catch (IOException e) {
-            throw new ServiceException(ErrorKind.UNAVAILABLE, "No free port on loopback.");
+            throw new UnavailableException("No free port on loopback.");
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletionException;
 import org.woadvale.client.ApiException;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.capacity.CapacityCommand;
 import org.woadvale.testkit.explore.ExploreCommand;
 import org.woadvale.testkit.simulation.SeededPlatformDays;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.explore.history.Operation;
 import org.woadvale.testkit.explore.history.OperationRecorder;
 import org.woadvale.testkit.explore.history.RegisterInput;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.LogEntry;
 import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 
 /** All that any replica has ever held for committed, and the groups that these entries set. */
 final class CommittedLog {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.LogEntry;
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.WalRecord;
 
 /** Which entries have ever been synced, and under which identity. */
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.runtime.ServiceException;
 
 /** The shipped replication engine on a few nodes; every step is an explicit action, so equal actions give equal runs. */
 final class ModelCluster {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.ReplicationRequest;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
@@ -65,7 +65,7 @@
     private void timedOut(Call call) {
         if (call.open) {
             call.open = false;
-            call.sink.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time"));
+            call.sink.error(new OutcomeUnknownException("no answer in time"));
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.LongSupplier;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.replication.ReplicationRequest;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** A machine with the shipped replica on it; it can be frozen and started again. */
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
@@ -1,7 +1,7 @@
 package org.woadvale.testkit.explore;
 
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.StateMachine;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Engines whose state machines break their contract. */
 final class StateMutants {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ErrorKind;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.Role;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Measures how long the core takes to make a new machine a voter everywhere after a member is gone. design 6.10 */
 public final class CoreExchange {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
@@ -1,6 +1,6 @@
 package org.woadvale.testkit.simulation;
 
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** One failure of a faultStorm. */
 interface FaultInjection {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** One seeded run with random failures, alone and together; a last one right at the end; then every message asked for. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Random;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
-import org.woadvale.common.runtime.ServiceException;
 
 /** What fails of the system itself: machines, disks, links. */
 final class MachineFaults {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -13,13 +13,14 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.runtime.Clock;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.Disk;
 import org.woadvale.dataplane.delivery.DeliveryClient;
 import org.woadvale.dataplane.queue.MessageCommands;
@@ -104,7 +105,7 @@
                         return rpc.call(to, body, answer, limit)
                                 .onErrorMap(e -> body instanceof MessageCommands.AcceptRequest
                                                 && ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
-                                        ? new ServiceException(ErrorKind.UNREACHABLE, "no answer")
+                                        ? new UnreachableException("no answer")
                                         : e);
                     }
                 }));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -10,6 +10,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.woadvale.common.config.Settings;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.CoreClient;
@@ -21,8 +23,6 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WriteAheadLog;
@@ -51,8 +51,7 @@
     private final Map<String, DataPlaneNode> pilots = new HashMap<>();
     private final Map<String, Function<Request, Mono<Response>>> doors = new HashMap<>();
     private final Seams seams;
-    private Function<String, Mono<byte[]>> pages =
-            path -> Mono.error(new ServiceException(ErrorKind.UNAVAILABLE, "no list yet"));
+    private Function<String, Mono<byte[]>> pages = path -> Mono.error(new UnavailableException("no list yet"));
 
     public NetworkSimulation(long seed, int fronts, int storeCount, Seams seams) throws ServiceException {
         super(new Sim(seed), ZONES);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.concurrent.atomic.AtomicReference;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 
 /** Each never-line's scenario twice: as shipped, and with one mechanism left out. design 12.3 */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.ObservationLog;
 
 /** The failures that {@link PlatformScenarios} brings about, each played on a simulated platform that is under way. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 import org.woadvale.testkit.stub.Rules;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -8,8 +8,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.UnavailableException;
 import reactor.core.publisher.Mono;
 
 /** The platform's list of processors: it lags, comes in pages, and takes only so many calls a second. docs/platform.md 6 */
@@ -70,8 +69,7 @@
                 .count();
         if (down || lately > ratePerS) {
             refused++;
-            return Mono.error(
-                    new ServiceException(ErrorKind.UNAVAILABLE, down ? "no answer" : "the list answered 429"));
+            return Mono.error(new UnavailableException(down ? "no answer" : "the list answered 429"));
         }
         int from = path.contains("pageToken=p-") ? Integer.parseInt(path.replaceAll(".*pageToken=p-", "")) : 0;
         List<Map<String, Object>> all = new ArrayList<>();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.delivery.DeliveryClient;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -66,9 +66,7 @@
     DeliveryClient from(Host host) {
         return call -> Mono.defer(() -> {
             Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
-            host.after(
-                    call.timeout(),
-                    () -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time")));
+            host.after(call.timeout(), () -> sink.tryEmitError(new OutcomeUnknownException("no answer in time")));
             String rest = call.url().substring("http://".length());
             String address = rest.substring(0, rest.indexOf('/'));
             Request request =
@@ -77,7 +75,7 @@
                     network.net.delay().plus(slowStreams.getOrDefault(address, Duration.ZERO)),
                     () -> host.soon(() -> {
                         if (!at.containsKey(address) || !call.stillPermitted().getAsBoolean()) {
-                            sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "refused"));
+                            sink.tryEmitError(new UnreachableException("refused"));
                             return;
                         }
                         network.sim.after(network.net.delay(), () -> arrive(host, address, request, sink));
@@ -95,7 +93,7 @@
     private void arrive(Host host, String address, Request request, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
         Optional<Function<Request, Mono<Response>>> p = Optional.ofNullable(at.get(address));
         if (p.isEmpty()) {
-            host.soon(() -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "reset")));
+            host.soon(() -> sink.tryEmitError(new OutcomeUnknownException("reset")));
             return;
         }
         p.get()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.List;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Rules;
 
 /** A rule, the failure that may break it, and the mechanism that keeps it: played as shipped and without the mechanism. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.function.BiConsumer;
 import java.util.stream.LongStream;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ObservationLog;
 
 /** A seeded day on the platform's stand-in: planned work and unplanned trouble under traffic, then every message asked for. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -8,12 +8,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.Frame;
 import org.woadvale.common.rpc.PendingCalls;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
@@ -144,9 +146,7 @@
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
                         TimerHandle late = self.after(
-                                limit,
-                                () -> sink.tryEmitError(
-                                        new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "No answer in time.")));
+                                limit, () -> sink.tryEmitError(new OutcomeUnknownException("No answer in time.")));
                         Frame ask = new Frame(1, Frame.Kind.REQUEST, body);
                         byte[] bytes = codec.write(ask);
                         sent(self.address, to, ask, bytes);
@@ -163,7 +163,7 @@
         }
 
         private ServiceException fault(Frame.ErrorResponse error) {
-            return new ServiceException(ErrorKind.valueOf(error.kind()), error.message(), error.details());
+            return ServiceException.of(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
         private void deliver(String to, byte[] bytes, Sinks.One<Frame> sink, long life) {
@@ -174,10 +174,7 @@
             }
             travel(self.address, to, bytes.length, () -> {
                 if (target.isEmpty() || !target.get().alive()) {
-                    back(
-                            life,
-                            () -> sink.tryEmitError(
-                                    new ServiceException(ErrorKind.UNREACHABLE, "No stream to " + to + ".")));
+                    back(life, () -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
                     return;
                 }
                 target.get()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimPost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimPost.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.runtime.Clock;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 import org.woadvale.dataplane.delivery.DeliveryClient;
@@ -86,9 +86,7 @@
     DeliveryClient from(Host host) {
         return call -> Mono.defer(() -> {
             Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
-            host.after(
-                    call.timeout(),
-                    () -> sink.tryEmitError(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "no answer in time")));
+            host.after(call.timeout(), () -> sink.tryEmitError(new OutcomeUnknownException("no answer in time")));
             String rest = call.url().substring("http://".length());
             String address = rest.substring(0, rest.indexOf('/'));
             String id = names.getOrDefault(address, "");
@@ -109,7 +107,7 @@
                         if (b.isEmpty()
                                 || down.contains(id)
                                 || !call.stillPermitted().getAsBoolean()) {
-                            sink.tryEmitError(new ServiceException(ErrorKind.UNREACHABLE, "refused"));
+                            sink.tryEmitError(new UnreachableException("refused"));
                             return;
                         }
                         fleet.sim.after(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Simulated fleets that are played to see what they answer and store, in the ordinary course and under faults. */
 public final class SimulatedFleets {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.Role;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** How evenly owners and holders lie over the nodes, and how often parts change processors; on the fake clock. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.runtime.ServiceException;
 
 /**
  * Simulated days on which one store is replaced, or loses its disk, and the next tolerated loss follows as soon as the
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 import java.time.Duration;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** {@code trace [SEEDS]}: digests of seeded simulations, to hold a build without change of behaviour against another. */
 public final class TraceCommand {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** What the frames between zones weigh, by what they say: see docs/measurements.md. */
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -9,12 +9,13 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.runtime.Clock;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.runtime.Timers;
 import reactor.core.publisher.Mono;
 
@@ -152,7 +153,7 @@
 
     private synchronized Mono<Response> worked(String handle, int attempt, Manner now, int begunIn) {
         if (begunIn != life) {
-            return Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "the processor died"));
+            return Mono.error(new OutcomeUnknownException("the processor died"));
         }
         running.merge(handle, -1, (a, b) -> a + b == 0 ? null : a + b);
         if (luck(now.refuse())) {
@@ -167,7 +168,7 @@
                 observations.answered,
                 new Observations.Answered(handle, attempt, id, times.monotonicTime(), true, receipt));
         if (luck(now.loseAnswer())) {
-            return Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "the answer is lost"));
+            return Mono.error(new OutcomeUnknownException("the answer is lost"));
         }
         if (luck(now.breakAnswer())) {
             return Mono.just(Response.json(luck(0.5) ? 500 : 502, Map.of("error", "something broke after the work")));
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -18,7 +18,7 @@
 import org.woadvale.client.model.Message;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.controlplane.ControlPlaneProgram;
 import org.woadvale.testkit.cluster.ClientLoad;
 import org.woadvale.testkit.cluster.Fleet;
--- a/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
+++ b/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.locks.LockSupport;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.cluster.StubEnvironment;
 
 /** Runs the shipped runbooks against a test fleet, and does by program what they ask the operator to do by hand. */
--- a/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
@@ -15,7 +15,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ErrorKind;
+import org.woadvale.common.error.ErrorKind;
 import org.woadvale.testkit.cluster.TestkitProgram;
 
 /** The replicated log of the brief names only what there is. */
--- a/testkit/src/test/java/org/woadvale/testkit/capacity/CapacityTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/capacity/CapacityTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The line through measured points, the command line's refusals, and that a hollow fleet serves. */
 class CapacityTest {
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.simulation.SimulatedFleets;
 
 /**
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.simulation.SimulatedFleets;
 
 /** Frames, data folders and HTTP exchanges have the form that an earlier build gave them, whatever the code is named. */
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** Three replicas, and disks among them that take no more bytes. */
 class FullDiskGroupTest {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/KeeperReturnTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/KeeperReturnTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The former owner need not wait for its own lease, and nobody else may take that way. design 5.3 */
 class KeeperReturnTest {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.replication.LogEntry;
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.RouteTerms;
 
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.ReplicationMessages;
 import org.woadvale.common.replication.Role;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
 
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.Role;
 import org.woadvale.common.replication.SnapshotMessages;
-import org.woadvale.common.runtime.ServiceException;
 
 /** A member that needs a snapshot while changes go on. design 5.8 */
 class SnapshotTransferTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** Bad input gets a definite kind, and nothing is stored. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /** The operator's configurations through the doors: design 6.8, docs/platform.md 3. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.Role;
-import org.woadvale.common.runtime.ServiceException;
 
 /** A control machine that is gone for good is exchanged by the core itself, before the next loss may come. design 6.10 */
 class CoreReplacementTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The operators' stream of changes; more than the history keeps, so that old request ids are tried too. */
 class DayTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /**
  * Seeds that failed in a sweep stay here, with their cause. A fault storm's course changes with the code and with the set
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** Processors that fetch: lost answers, crashes. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -9,6 +9,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.OutcomeUnknownException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
@@ -17,8 +19,6 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ErrorKind;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import reactor.core.publisher.Mono;
 
@@ -57,7 +57,7 @@
                     return Mono.just(a);
                 }
                 lost = true;
-                return Mono.error(new ServiceException(ErrorKind.UNKNOWN_OUTCOME, "The answer was lost."));
+                return Mono.error(new OutcomeUnknownException("The answer was lost."));
             });
         }
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.replication.Role;
-import org.woadvale.common.runtime.ServiceException;
 
 /** A control machine that is cut off from the others for twenty seconds, with orders to it all the while. design 6.12 */
 class IsolatedCoreTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.runtime.ServiceException;
 
 /** A stream that stalls delivers its frames late, all at once, long after those who sent them have given up. */
 class LateFramesTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Fetched work is held by a lease: design 9.10. */
 class LeasesTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -12,9 +12,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /** Hundreds of changes, and large ones: acknowledged in time, caught up with, and bounded in bytes. design 6.11 */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** The steps of the features, on a simulated fleet with a fixed seed. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The operators' history of seeded days is in order, and is not where a rule of 6.11 is left out. */
 class OrderHistoryTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -13,9 +13,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /** An order that was taken is never refused when it comes again, and one that was refused never comes into force. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** Each never-line fails without the mechanism that keeps it, and holds with it. */
 class PairsTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** As shipped nothing is broken; without the one mechanism that keeps it, the rule is. */
 class PlatformScenariosTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The whole stand-in of the platform around a fleet, without trouble. */
 class PlatformSimulationTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -6,9 +6,9 @@
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** One control node reads the list for all: design 6.7. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Edit;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** What is lost for good is replaced, with traffic going on. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import reactor.core.publisher.Mono;
 
 /** Attempts without an answer are sent again: design 9.11. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** A few seeded days with trouble; `trials platform --seeds A..B` plays more. */
 class SeededPlatformDaysTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.cli.CoreMembersFile;
 import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.common.runtime.ServiceException;
 
 /** The seeds are needed at the first start only. */
 class SeedsTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 import reactor.core.publisher.Mono;
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 
 /** The next tolerated loss may come as soon as the first store's successor counts as back. design 6.9 */
 class StoreReplacementTest {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.config.Configuration;
-import org.woadvale.common.runtime.ServiceException;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.TestConfiguration;
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
-import org.woadvale.common.runtime.ServiceException;
 
 /** Fetches wait at one store at a time: design 9.10. */
 class WaitingPullsTest {
