--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -29,6 +29,7 @@
 import org.woadvale.common.runtime.SystemTimers;
 import org.woadvale.common.wal.FolderDisk;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.controlplane.registry.ProcessorRegistry;
@@ -75,8 +76,8 @@
                 schedules,
                 onGivenUp,
                 Optional.empty(),
-                handler -> List.of(
-                        new HttpGateway(settings.http(), OperatorHttpHandler.MAX_CONFIGURATION, handler::handle)));
+                handler -> List.of(new HttpGateway(
+                        settings.http(), OperatorHttpHandler.MAX_CONFIGURATION_BYTES, handler::handle)));
     }
 
     /** The tree with other doors for operators, and with a registry that has the processors. design 1 */
@@ -87,7 +88,7 @@
             Optional<ProcessorSource> registry,
             Function<OperatorHttpHandler, List<Component>> doors)
             throws ServiceException {
-        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
+        Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
         RpcRouter router = new RpcRouter();
         TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, schedules);
         RingWriteAheadLog book;
--- /dev/null
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/CoreHttpHandler.java
@@ -0,0 +1,68 @@
+package org.woadvale.controlplane.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import org.woadvale.common.config.Configurations;
+import org.woadvale.common.error.ConflictException;
+import org.woadvale.common.error.ErrorKind;
+import org.woadvale.common.error.InvalidRequestException;
+import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.error.UnavailableException;
+import org.woadvale.common.http.HttpRouter;
+import org.woadvale.common.http.Request;
+import org.woadvale.common.http.Response;
+import org.woadvale.common.membership.ControlMessages;
+import org.woadvale.common.membership.ServiceNames;
+import org.woadvale.controlplane.node.ControlNode;
+import reactor.core.publisher.Mono;
+
+/** HTTP for the members of the core: {@code PUT v1/core} exchanges one of them by hand. */
+final class CoreHttpHandler {
+    private static final int OK = 200;
+    private static final String ADDRESS = "[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}";
+    private static final int MEMBERS = 3;
+    private static final String PARTITION = ServiceNames.controlPart(ServiceNames.CORE);
+    /** The field of the body that lists the members. */
+    private static final String FIELD = "lighthouses";
+
+    private final ControlNode node;
+
+    CoreHttpHandler(ControlNode node) {
+        this.node = node;
+    }
+
+    void route(HttpRouter router) {
+        router.on("PUT v1/core/**", (request, path) -> put(request));
+    }
+
+    private Mono<Response> put(Request request) throws ServiceException {
+        List<String> members = members(request);
+        if (node.replica(PARTITION).members().isEmpty()) {
+            throw new UnavailableException("This control node has not joined yet; ask another.");
+        }
+        List<String> present = node.controlNodes();
+        if (members.stream().filter(present::contains).count() < MEMBERS - 1) {
+            throw new ConflictException("Only one control node may be exchanged at a time; the present ones are "
+                    + String.join(", ", present) + ".");
+        }
+        return node.call(PARTITION, new ControlMessages.PutCore(members, present), ControlMessages.UpdateResult.class)
+                .flatMap(result -> result.accepted()
+                        ? Mono.just(Response.json(OK, Map.of(FIELD, members)))
+                        : Mono.error(new ConflictException("Another exchange is under way; look at GET /v1/status.")));
+    }
+
+    private static List<String> members(Request request) throws ServiceException {
+        List<String> members = new ArrayList<>();
+        Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST)
+                .path(FIELD)
+                .forEach(member -> members.add(member.asText()));
+        boolean addresses = members.stream().allMatch(member -> member.matches(ADDRESS));
+        if (members.size() != MEMBERS || new HashSet<>(members).size() != MEMBERS || !addresses) {
+            throw new InvalidRequestException(FIELD + " must be three different internal addresses.");
+        }
+        return members;
+    }
+}
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -1,7 +1,6 @@
 package org.woadvale.controlplane.registry;
 
 import java.time.Duration;
-import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -11,7 +10,6 @@
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 import org.woadvale.common.error.ServiceException;
-import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ControlMessages.ControlCommand;
 import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.membership.Processor;
@@ -20,7 +18,7 @@
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.TimerHandle;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ProcessorListService;
 import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
@@ -30,6 +28,7 @@
     private static final Logger LOG = LogManager.getLogger(ProcessorRegistry.class);
     private final NodeEnvironment environment;
     private final ControlNode node;
+    private final ProcessorListService lists;
     private final ProcessorSource source;
     private final Duration period;
     private final AtomicBoolean reading = new AtomicBoolean();
@@ -39,6 +38,7 @@
     public ProcessorRegistry(NodeEnvironment environment, ControlNode node, ProcessorSource registry, Duration period) {
         this.environment = environment;
         this.node = node;
+        this.lists = new ProcessorListService(node);
         this.source = registry;
         this.period = period;
     }
@@ -113,23 +113,9 @@
     /** Of two readings the later is written last: one is under way at a time, and by the owner of c0 only. */
     private Mono<Boolean> take(String service, Map<String, Processor> list) {
         String key = ServiceNames.processors(service);
-        return node.call(
-                        ServiceNames.controlPart(key),
-                        new OperatorHttpHandler.GetProcessorsRequest(key),
-                        OperatorHttpHandler.ProcessorsResponse.class)
-                .flatMap(response -> {
-                    if (response.processors().equals(list) || !isLeader()) {
-                        return Mono.just(true);
-                    }
-                    return node.call(
-                                    ServiceNames.controlPart(key),
-                                    new ControlMessages.PutProcessors(
-                                            key,
-                                            new HashMap<>(list),
-                                            response.version() + 1,
-                                            ControlMessages.newRequestId()),
-                                    ControlMessages.UpdateResult.class)
-                            .map(ControlMessages.UpdateResult::accepted);
-                });
+        return lists.get(key)
+                .flatMap(read -> read.processors().equals(list) || !isLeader()
+                        ? Mono.just(true)
+                        : lists.replace(key, read, list));
     }
 }
--- a/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
@@ -10,11 +10,11 @@
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 
 /** Internal commands that were sent again have the outcome of their first copy, and no effect of their own. */
 class RepeatedCommandsTest {
-    private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
+    private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
     private static final String LIST = "processors/book";
     private static final ControlMessages.UpdateResult YES = new ControlMessages.UpdateResult(true);
     private static final ControlMessages.UpdateResult NO = new ControlMessages.UpdateResult(false);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -19,6 +19,7 @@
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.dataplane.queue.MessageCommands;
@@ -38,7 +39,7 @@
     final Sim sim = new Sim(1);
     private final HollowNet net = new HollowNet(sim);
     private final Shape shape;
-    private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types());
+    private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
     private final Codec pilotCodec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private final List<String> seeds = List.of("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1");
     private final Map<String, HollowHost> controlNodes = new LinkedHashMap<>();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
@@ -5,7 +5,7 @@
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** Changes the configuration and the list of processors of a {@link HollowFleet}; a change that fails is not repeated. */
@@ -42,7 +42,7 @@
                 new ControlMessages.PutConfiguration("change" + changes++, configurationVersion, json, "capacity");
         core.ask(
                         ServiceNames.controlPart(ServiceNames.CONFIGURATION),
-                        new OperatorHttpHandler.PutConfigurationRequest(put),
+                        new ControlApiMessages.PutConfigurationRequest(put),
                         ControlMessages.ConfigurationAccepted.class)
                 .subscribe(taken -> configurationVersion = taken.version(), error -> {});
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import reactor.core.publisher.Mono;
 
 /** Control nodes with one rule of 6.11 left out, to show that the checks of the operators' history find its absence. */
@@ -38,15 +38,15 @@
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 return forward(
                         to,
-                        body instanceof OperatorHttpHandler.PutConfigurationRequest request ? renamed(request) : body,
+                        body instanceof ControlApiMessages.PutConfigurationRequest request ? renamed(request) : body,
                         answer,
                         limit);
             }
 
-            private OperatorHttpHandler.PutConfigurationRequest renamed(
-                    OperatorHttpHandler.PutConfigurationRequest carried) {
+            private ControlApiMessages.PutConfigurationRequest renamed(
+                    ControlApiMessages.PutConfigurationRequest carried) {
                 ControlMessages.PutConfiguration put = carried.put();
-                return new OperatorHttpHandler.PutConfigurationRequest(new ControlMessages.PutConfiguration(
+                return new ControlApiMessages.PutConfigurationRequest(new ControlMessages.PutConfiguration(
                         "sending-" + names.incrementAndGet(),
                         put.base(),
                         put.configuration(),
@@ -63,7 +63,7 @@
         return Seams.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-                if (!(body instanceof OperatorHttpHandler.GetConfigurationRequest)) {
+                if (!(body instanceof ControlApiMessages.GetConfigurationRequest)) {
                     return forward(to, body, answer, limit);
                 }
                 return seen.containsKey(address)
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -26,6 +26,7 @@
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WriteAheadLog;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.controlplane.registry.ProcessorRegistry;
@@ -95,7 +96,7 @@
         boolean store = stores.contains(address);
         RpcRouter router = new RpcRouter();
         Codec codec = controlNode
-                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())
+                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())
                 : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         host.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -25,6 +25,7 @@
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WriteAheadLog;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.dataplane.DataPlaneNode;
@@ -128,7 +129,7 @@
         boolean store = stores.contains(address);
         RpcRouter router = new RpcRouter();
         Codec codec = controlNode
-                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())
+                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())
                 : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         host.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
--- a/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
@@ -19,7 +19,7 @@
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.rpc.AtMostOnceRequest;
 import org.woadvale.common.rpc.RpcRequest;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.dataplane.queue.MessageCommands;
 
 /** docs/calls.md has a row for each call, says of it what its type says, and names only tests that there are. */
@@ -49,7 +49,7 @@
         out.addAll(ControlMessages.later());
         out.addAll(TokenMessages.types());
         out.addAll(MessageCommands.types());
-        out.addAll(OperatorHttpHandler.types());
+        out.addAll(ControlApiMessages.types());
         out.removeIf(c -> !RpcRequest.class.isAssignableFrom(c));
         return out;
     }
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.dataplane.queue.MessageCommands;
 
 /** One line for each registered type: its number, the bytes of a sample, the first format's order of components. */
@@ -41,7 +41,7 @@
 
     static List<Program> programs() {
         return List.of(
-                new Program("control", RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types()),
+                new Program("control", RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types()),
                 new Program("data", RpcTypeNumbers.DATA_PLANE, MessageCommands.types()));
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -19,7 +19,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.RpcClient;
-import org.woadvale.controlplane.api.OperatorHttpHandler;
+import org.woadvale.controlplane.api.ControlApiMessages;
 import reactor.core.publisher.Mono;
 
 /** A caller inside the fleet whose first answer is lost does not take its own success for a refusal: design 6.11. */
@@ -64,7 +64,7 @@
 
     private <T> T ask(String service, RepeatableRequest body, Class<T> type) {
         RpcClient lossy = new FirstAnswerLost(shore.r.net.rpc(
-                shore.r.host(caller), RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, OperatorHttpHandler.types())));
+                shore.r.host(caller), RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
         CoreClient core = new CoreClient(lossy, () -> 1L, shore.r.lighthouses, CoreMembers.unknown(), members -> {});
         AtomicReference<T> out = new AtomicReference<>();
         core.ask(ServiceNames.controlPart(service), body, type).subscribe(out::set, e -> {
@@ -102,8 +102,8 @@
     @Test
     void writtenListIsAYes() {
         Processor processor = new Processor("http://10.9.9.9:1", false);
-        OperatorHttpHandler.ProcessorsResponse now = ask(
-                LIST, new OperatorHttpHandler.GetProcessorsRequest(LIST), OperatorHttpHandler.ProcessorsResponse.class);
+        ControlApiMessages.ProcessorsResponse now = ask(
+                LIST, new ControlApiMessages.GetProcessorsRequest(LIST), ControlApiMessages.ProcessorsResponse.class);
         ControlMessages.UpdateResult done = ask(
                 LIST,
                 new ControlMessages.PutProcessors(LIST, Map.of("p", processor), now.version() + 1, 9),
