--- a/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
+++ b/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class AggregateBucketTest {
-    private static final RateLimit limit = new RateLimit(10, 20);
+    private static final RateLimit LIMIT = new RateLimit(10, 20);
 
     private static final Duration FAR = Duration.ofDays(1);
 
@@ -26,7 +26,7 @@
 
     @Test
     void repeatedAskIsTheSameGrant() {
-        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         assertEquals(10, bucket.grant("x", ask(1, 10), FAR, ms(1)).granted());
         assertEquals(10, bucket.grant("x", ask(1, 10), FAR, ms(2)).granted());
         assertEquals(10, bucket.outstanding());
@@ -34,7 +34,7 @@
 
     @Test
     void grantsNeverExceedTheAggregateAndRestOnlyReturnsAfterTheirLife() {
-        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         assertEquals(20, bucket.grant("x", ask(1, 50), FAR, ms(0)).granted());
         assertEquals(0, bucket.grant("y", ask(1, 1), FAR, ms(900)).granted(), "all are out: nothing may be filled");
         assertTrue(bucket.grant("y", ask(2, 1), FAR, ms(1300)).granted() > 0, "dead passes make room");
@@ -43,14 +43,14 @@
     /** Before: 17, since the time in which all were out was counted as time of filling once they were dead. */
     @Test
     void nothingIsFilledForTheTimeInWhichAllWasOut() {
-        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         assertEquals(20, bucket.grant("x", ask(1, 20), FAR, ms(0)).granted());
         assertEquals(6, bucket.grant("y", ask(1, 20), FAR, ms(1700)).granted(), "x may have spent its last at 0.999 s");
     }
 
     @Test
     void givenBackPassesAreGrantedAgainButOnlyOnce() {
-        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         bucket.grant("x", ask(1, 20), FAR, ms(0));
         TokenMessages.UsageReport back = new TokenMessages.UsageReport(1, 5, true);
         assertEquals(
@@ -62,7 +62,7 @@
 
     @Test
     void laterTermStartsEmptyAndFillsOnlyOnceOldPassesAreDead() {
-        AggregateBucket bucket = new AggregateBucket(2, 0, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(2, 0, false, LIMIT, ms(0));
         assertEquals(0, bucket.grant("x", ask(1, 1), FAR, ms(1000)).granted());
         assertEquals(6, bucket.grant("x", ask(2, 9), FAR, ms(1700)).granted(), "0.6 s of filling");
     }
@@ -93,7 +93,7 @@
 
     /** A holder that is there, gone until its lease has lapsed, or moved in order. */
     private static final class Chain {
-        AggregateBucket h = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket h = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         long leaseEnd;
         long goneUntil = -1;
         int lapses;
@@ -102,14 +102,14 @@
         void look(long t, Random random) {
             if (goneUntil >= 0) {
                 if (t >= goneUntil) {
-                    h = new AggregateBucket(h.term() + 1, 0, true, limit, ms(t));
+                    h = new AggregateBucket(h.term() + 1, 0, true, LIMIT, ms(t));
                     goneUntil = -1;
                 }
             } else if (random.nextInt(800) == 0) {
                 goneUntil = leaseEnd + 100;
                 lapses++;
             } else if (random.nextInt(800) == 0) {
-                h = new AggregateBucket(h.term() + 1, h.level(ms(t)), false, limit, ms(t));
+                h = new AggregateBucket(h.term() + 1, h.level(ms(t)), false, LIMIT, ms(t));
                 moves++;
             }
             if (goneUntil < 0 && t % 250 == 0) {
@@ -165,7 +165,7 @@
             for (int j = i; j < accepted.size(); j++) {
                 double window = (accepted.get(j) - accepted.get(i)) / 1000.0;
                 assertTrue(
-                        j - i + 1 <= limit.burst() + limit.ratePerS() * window + 1,
+                        j - i + 1 <= LIMIT.burst() + LIMIT.ratePerS() * window + 1,
                         "window " + window + ": " + (j - i + 1));
             }
         }
@@ -174,7 +174,7 @@
     /** Else the next term would have to wait for them to die before it fills. */
     @Test
     void noPassOutlivesItsHoldersClaim() {
-        AggregateBucket bucket = new AggregateBucket(1, -1, false, limit, ms(0));
+        AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         assertEquals(ms(300), bucket.grant("x", ask(1, 5), ms(300), ms(0)).lifetime());
         assertEquals(ms(200), bucket.grant("x", ask(1, 5), ms(300), ms(100)).lifetime(), "nor by asking again");
         assertEquals(
@@ -184,9 +184,9 @@
 
     @Test
     void termAfterALapseFillsAtOnceAndAMoveKeepsItsLevel() {
-        AggregateBucket lapsed = new AggregateBucket(2, 0, true, limit, ms(0));
+        AggregateBucket lapsed = new AggregateBucket(2, 0, true, LIMIT, ms(0));
         assertEquals(5, lapsed.grant("x", ask(1, 9), FAR, ms(500)).granted());
-        AggregateBucket moved = new AggregateBucket(2, 8, false, limit, ms(0));
+        AggregateBucket moved = new AggregateBucket(2, 8, false, LIMIT, ms(0));
         assertEquals(8, moved.grant("x", ask(1, 20), FAR, ms(0)).granted());
         assertEquals(
                 0, moved.grant("y", ask(1, 20), FAR, ms(1000)).granted(), "12 of earlier terms and 8 of this are out");
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -39,91 +39,105 @@
 public final class ControlPlaneProgram {
     private static final AtomicReference<Runnable> DRAIN = new AtomicReference<>(() -> {});
 
-    private static final Duration DRAIN_LOOK = Duration.ofMillis(50);
+    private static final Duration DRAIN_CHECK_INTERVAL = Duration.ofMillis(50);
     /** Three seconds at most: a successor that is there counts everywhere by then, and the grace period is longer. */
-    private static final int DRAIN_LOOKS = 60;
+    private static final int MAX_DRAIN_CHECKS = 60;
 
-    private static final Duration ROLL = Duration.ofMillis(700);
+    private static final int MEBIBYTE_SHIFT = 20;
+    private static final Duration REGISTRY_PERIOD = Duration.ofMillis(700);
 
     private ControlPlaneProgram() {}
 
+    /** Runs the program; see {@code --help}. */
     public static void main(String[] args) {
-        System.exit(new Program("lighthouse", ControlPlaneProgram::check, ControlPlaneProgram::grow, DRAIN::get)
+        System.exit(new Program("control plane", ControlPlaneProgram::check, ControlPlaneProgram::build, DRAIN::get)
                 .main(args));
     }
 
-    /** The running node's orderly way out; nothing before it runs. */
+    /** Lets the running node stop in order; nothing before it runs. */
     public static void drain() {
         DRAIN.get().run();
     }
 
+    /**
+     * Checks settings beyond what their fields say by themselves.
+     *
+     * @throws ServiceException INVALID settings, with the field that is wrong
+     */
     public static void check(Settings settings) throws ServiceException {
         if (settings.data().isEmpty()) {
-            throw new InvalidRequestException("The boot file is invalid at data: a lighthouse needs a data folder.");
+            throw new InvalidRequestException("The boot file is invalid at data: a control node needs a data folder.");
         }
         if (!settings.join() && !settings.seeds().contains(settings.address())) {
             throw new InvalidRequestException(
-                    "The boot file is invalid at seeds: the first lighthouses name themselves; set join for a later one.");
+                    "The boot file is invalid at seeds: the first control nodes name themselves; set join for a later one.");
         }
         if (!settings.roles().isEmpty()) {
-            throw new InvalidRequestException("The boot file is invalid at roles: a lighthouse has none.");
+            throw new InvalidRequestException("The boot file is invalid at roles: a control node has none.");
         }
     }
 
-    static Supervisor grow(Settings settings, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
-        return grow(
+    static Supervisor build(Settings settings, SystemTimers timers, Runnable onGiveUp) throws ServiceException {
+        return build(
                 settings,
-                schedules,
-                onGivenUp,
+                timers,
+                onGiveUp,
                 Optional.empty(),
                 handler -> List.of(new HttpGateway(
                         settings.http(), OperatorHttpHandler.MAX_CONFIGURATION_BYTES, handler::handle)));
     }
 
-    /** The tree with other doors for operators, and with a registry that has the processors. design 1 */
-    public static Supervisor grow(
+    /**
+     * The components of a control node, not started yet.
+     *
+     * @param processors a source that knows all processors, if there is one
+     * @param gateways makes the HTTP servers from the handler of operators' requests
+     * @throws ServiceException if the data folder cannot be opened
+     */
+    public static Supervisor build(
             Settings settings,
-            SystemTimers schedules,
-            Runnable onGivenUp,
-            Optional<ProcessorSource> registry,
-            Function<OperatorHttpHandler, List<Component>> doors)
+            SystemTimers timers,
+            Runnable onGiveUp,
+            Optional<ProcessorSource> processors,
+            Function<OperatorHttpHandler, List<Component>> gateways)
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, schedules);
-        RingWriteAheadLog book;
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, timers);
+        RingWriteAheadLog wal;
         try {
-            book = RingWriteAheadLog.open(
+            wal = RingWriteAheadLog.open(
                     new FolderDisk(Path.of(settings.data(), "ring")),
-                    schedules,
+                    timers,
                     settings.ringFiles(),
-                    settings.ringFileMb() << 20);
+                    settings.ringFileMb() << MEBIBYTE_SHIFT);
         } catch (IOException e) {
             throw new UnavailableException("Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
-        book.onFailure(why -> onGivenUp.run());
+        wal.onFailure(why -> onGiveUp.run());
         SecureRandom random = new SecureRandom();
-        CoreMembersFile known = new CoreMembersFile(settings.data());
+        CoreMembersFile membersFile = new CoreMembersFile(settings.data());
         NodeEnvironment environment = new NodeEnvironment(
-                new SystemClock(), schedules, rpc, codec, book, random::nextLong, ReplicationTiming.partitions());
-        CoreClient core = new CoreClient(rpc, random::nextLong, settings.seeds(), known.read(), known::write);
+                new SystemClock(), timers, rpc, codec, wal, random::nextLong, ReplicationTiming.partitions());
+        CoreClient core =
+                new CoreClient(rpc, random::nextLong, settings.seeds(), membersFile.read(), membersFile::write);
         ControlNode node =
                 new ControlNode(environment, core, settings.join() ? List.of() : settings.seeds(), settings.zone());
         node.route(router);
         OperatorHttpHandler operators = new OperatorHttpHandler(node, settings.operatorKeySha256());
         operators.route(router);
         DRAIN.set(() -> drain(node));
-        Supervisor tree =
-                new Supervisor("lighthouse", schedules, onGivenUp).with(rpc).with(node);
-        registry.ifPresent(
-                processorSource -> tree.with(new ProcessorRegistry(environment, node, processorSource, ROLL)));
-        doors.apply(operators).forEach(tree::with);
-        return tree;
+        Supervisor supervisor =
+                new Supervisor("control plane", timers, onGiveUp).with(rpc).with(node);
+        processors.ifPresent(processorSource ->
+                supervisor.with(new ProcessorRegistry(environment, node, processorSource, REGISTRY_PERIOD)));
+        gateways.apply(operators).forEach(supervisor::with);
+        return supervisor;
     }
 
     private static void drain(ControlNode node) {
-        for (int i = 0; i < DRAIN_LOOKS && !node.drain(); i++) {
-            LockSupport.parkNanos(DRAIN_LOOK.toNanos());
+        for (int i = 0; i < MAX_DRAIN_CHECKS && !node.drain(); i++) {
+            LockSupport.parkNanos(DRAIN_CHECK_INTERVAL.toNanos());
         }
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -20,8 +20,11 @@
  * answer that it had. All three are bounded: the oldest go first.
  */
 public final class ConfigurationLog {
+    /** So many revisions are kept at the most. */
     static final int MAX_REVISIONS = 256;
+    /** So many accepted updates are remembered. */
     public static final int MAX_ACCEPTED = 4096;
+    /** So many rejected updates are remembered. */
     public static final int MAX_REJECTED = 256;
 
     /** One accepted configuration; the original is what the operator sent, where that was translated. */
@@ -44,22 +47,27 @@
     private final Set<RejectedUpdate> rejectedUpdates = new LinkedHashSet<>();
     private long bytes;
 
-    public ConfigurationLog(int mostBytes) {
-        this.maxHistoryBytes = mostBytes;
+    /** Without any revision; the revisions that are kept have so many bytes at the most. */
+    public ConfigurationLog(int maxHistoryBytes) {
+        this.maxHistoryBytes = maxHistoryBytes;
     }
 
+    /** The version of the newest revision; 0 if there is none. */
     public long version() {
         return revisions.isEmpty() ? 0 : revisions.get(revisions.size() - 1).version();
     }
 
+    /** The revisions that are kept, the oldest first. */
     public List<ConfigurationRevision> revisions() {
         return new ArrayList<>(revisions);
     }
 
+    /** The accepted updates that are remembered, the oldest first. */
     public List<AcceptedUpdate> acceptedUpdates() {
         return new ArrayList<>(acceptedUpdates.values());
     }
 
+    /** The rejected updates that are remembered, the oldest first. */
     public List<RejectedUpdate> rejectedUpdates() {
         return new ArrayList<>(rejectedUpdates);
     }
--- /dev/null
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/package-info.java
@@ -0,0 +1,2 @@
+/** Leases of nodes and of singletons, on the leader of a control partition. */
+package org.woadvale.controlplane.lease;
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
@@ -24,7 +24,7 @@
     /** Whether each of the partitions had a leader within the grace period before {@code now}. */
     public boolean allRecent(Collection<String> partitions, Duration now) {
         Duration oldest = now.minus(TRANSFER_GRACE);
-        return partitions.stream().allMatch(p -> seenAfter(p, oldest));
+        return partitions.stream().allMatch(partition -> seenAfter(partition, oldest));
     }
 
     private boolean seenAfter(String partition, Duration oldest) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -10,11 +10,11 @@
 import org.woadvale.common.replication.Role;
 
 /**
- * Whether this control machine is in contact with a majority of the core: as the leader of part c0 with its voters, as
- * a member with that leader, as a standby machine by the answers to its announcements. Costs no messages. design 6.12
+ * Whether this control machine is in contact with a majority of the core: as the leader of partition c0 with its voters, as
+ * a member with that leader, as a standby machine by the answers to its announcements. Costs no messages.
  */
 public final class MajorityContact {
-    /** Renewals and announcements come at least every 300 ms; two that are missing mean no contact. */
+    /** Heartbeats and announcements come at least every 300 ms; two that are missing mean no contact. */
     private static final Duration REQUESTS = Duration.ofMillis(600);
     /** The platform asks once a second; a change of leader is no reason to leave the list. */
     private static final Duration READINESS = Duration.ofMillis(1800);
@@ -24,6 +24,11 @@
     private final Replica<ControlCommand, ControlResult> c0;
     private final Supplier<Duration> announcementAnsweredAt;
 
+    /**
+     * Contact of one control node.
+     *
+     * @param announcementAnsweredAt when the latest announcement was sent that was answered; zero if none was
+     */
     public MajorityContact(
             NodeEnvironment environment,
             CoreClient core,
@@ -35,14 +40,14 @@
         this.announcementAnsweredAt = announcementAnsweredAt;
     }
 
-    /** Recent enough to take requests. */
-    public boolean now() {
+    /** Whether contact is recent enough to accept requests. */
+    public boolean isInContact() {
         return within(REQUESTS);
     }
 
-    /** Recent enough to be ready; a member also needs a leader of each partition. */
-    public boolean ready(boolean partitionsLed) {
-        return within(READINESS) && (partitionsLed || !member());
+    /** Whether contact is recent enough to be ready; a member also needs a leader of each partition. */
+    public boolean isReady(boolean partitionsLed) {
+        return within(READINESS) && (partitionsLed || !isMember());
     }
 
     private boolean within(Duration limit) {
@@ -51,15 +56,15 @@
 
     private boolean memberContact(Duration limit) {
         boolean led = c0.leaderId().isPresent() && (c0.role() != Role.LEADER || c0.isActiveLeader());
-        return led && member() && age(c0.lastMajorityContact()).compareTo(limit) < 0;
+        return led && isMember() && age(c0.lastMajorityContact()).compareTo(limit) < 0;
     }
 
     private boolean standbyContact(Duration limit) {
         Duration at = announcementAnsweredAt.get();
-        return !member() && !at.isZero() && age(at).compareTo(limit) < 0;
+        return !isMember() && !at.isZero() && age(at).compareTo(limit) < 0;
     }
 
-    private boolean member() {
+    private boolean isMember() {
         return core.controlNodes().contains(environment.self());
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -16,18 +16,18 @@
 /**
  * Sends operators' requests to the leader of a control partition and repeats them for a while when no leader answers.
  * They are repeatable by their type, so one whose outcome is unknown is repeated for its definite answer. A machine
- * without contact to a majority of the core sends nothing and says so at once. design 6.4, 6.12
+ * without contact to a majority of the core sends nothing and says so at once.
  */
 public final class RetryingCoreClient {
     /** An operator goes on to another machine after a second of silence. */
     private static final Duration CONTACT_LIMIT = Duration.ofMillis(900);
-    /** Contact may come back, by the election of a leader or by a late renewal. */
+    /** Contact may come back, by the election of a leader or by a late heartbeat. */
     private static final Duration NO_CONTACT_LIMIT = Duration.ofMillis(150);
 
     private static final Duration CONTACT_CHECK = Duration.ofMillis(50);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(150);
 
-    /** One request on its way; a try that is open, or whose outcome is unknown, may have been applied. */
+    /** One request on its way; an attempt that is open, or whose outcome is unknown, may have been applied. */
     private static final class Progress {
         volatile boolean maybeApplied;
     }
@@ -35,9 +35,14 @@
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final BooleanSupplier inContact;
-    /** What leaves here may not arrive although renewals still come in: a link that is cut one way. */
+    /** What leaves here may not arrive although heartbeats still come in: a link that is partitioned one way. */
     private volatile boolean unanswered;
 
+    /**
+     * Requests from one control node.
+     *
+     * @param inContact whether this node is in contact with a majority of the core
+     */
     public RetryingCoreClient(NodeEnvironment environment, CoreClient core, BooleanSupplier inContact) {
         this.environment = environment;
         this.core = core;
@@ -47,9 +52,9 @@
     /**
      * Answers as the partition's leader does, and never later than a second after the call. Fails with {@link
      * ErrorKind#UNAVAILABLE} if nothing was sent for lack of contact, with {@link ErrorKind#UNKNOWN_OUTCOME} if any of
-     * the tries may have been applied and none gave a definite answer in time, else with the error of the last try.
+     * the attempts may have been applied and none gave a definite answer in time, else with the error of the last attempt.
      */
-    public <T> Mono<T> ask(String partition, RepeatableRequest request, Class<T> responseType) {
+    public <T> Mono<T> call(String partition, RepeatableRequest request, Class<T> responseType) {
         return Mono.defer(() -> {
             Duration arrived = now();
             Duration until = arrived.plus(unanswered ? NO_CONTACT_LIMIT : CONTACT_LIMIT);
@@ -117,7 +122,7 @@
     }
 
     private static ServiceException noLeader() {
-        return new UnavailableException("No leader of the part could be reached.");
+        return new UnavailableException("No leader of the partition could be reached.");
     }
 
     private static ServiceException unknownOutcome() {
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import org.woadvale.common.discovery.ViewCompression;
 import org.woadvale.common.error.NotFoundException;
@@ -13,6 +14,7 @@
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ControlMessages.ControlCommand;
 import org.woadvale.common.membership.ControlMessages.ControlResult;
+import org.woadvale.common.membership.ControlMessages.UpdateResult;
 import org.woadvale.common.membership.CoreClient;
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.membership.ServiceNames;
@@ -24,6 +26,7 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.TimerHandle;
+import org.woadvale.common.wal.WalRecord;
 import org.woadvale.controlplane.lease.LeaseManager;
 import org.woadvale.controlplane.membership.CoreMembership;
 import org.woadvale.controlplane.membership.LeaderSightings;
@@ -34,12 +37,23 @@
 import org.woadvale.controlplane.state.ServiceViewQuery;
 import reactor.core.publisher.Mono;
 
-/** A control node: one replica of every control part, and what it answers as their owner. */
+/**
+ * A control node: one replica of every control partition, and what it answers as their leader. Leaders are spread over the
+ * nodes: each partition prefers another one.
+ */
 public final class ControlNode implements Component {
+    private static final int MAX_HISTORY_BYTES = 512 << 10;
+    /** A snapshot with the history, beside the rest of the state, must fit into one record of the log. */
+    private static final int HISTORY_FRACTION = 4;
+
+    private static final Duration TICK = Duration.ofMillis(250);
+    private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(2);
+
     private record ControlPartition(
             Replica<ControlCommand, ControlResult> replica, ControlStateMachine stateMachine, LeaseManager leases) {}
 
-    private static final int HISTORY_BYTES = 512 << 10;
+    /** A partition in the answer to {@code GET v1/status}; the names are those of its JSON. */
+    private record PartitionStatus(Role phase, long term, String owner, Set<String> group) {}
 
     private final NodeEnvironment environment;
     private final CoreClient core;
@@ -54,72 +68,84 @@
     private TimerHandle refreshing = () -> {};
     private volatile boolean draining;
 
-    /** A control node that joins a running core is voting by the owners once {@code wantedCore} names it. */
-    public ControlNode(NodeEnvironment environment, CoreClient core, List<String> wantedCore, String zone) {
+    /**
+     * A node that does nothing before {@link #start}.
+     *
+     * @param desiredMembers the first members of the core; empty for a node that joins a running core, which votes once
+     *     the leaders have made it a member
+     */
+    public ControlNode(NodeEnvironment environment, CoreClient core, List<String> desiredMembers, String zone) {
         this.environment = environment;
         this.core = core;
-        for (String p : ServiceNames.controlParts()) {
-            ControlStateMachine stateMachine = new ControlStateMachine(
-                    environment.codec(),
-                    Math.min(HISTORY_BYTES, environment.wal().largestRecordBytes() / 4));
-            Replica<ControlCommand, ControlResult> replica =
-                    new Replica<>(p, rotated(wantedCore, p), stateMachine, environment);
-            partitions.put(
-                    p,
-                    new ControlPartition(replica, stateMachine, new LeaseManager(replica, stateMachine, environment)));
+        for (String id : ServiceNames.controlParts()) {
+            partitions.put(id, newPartition(id, desiredMembers));
         }
         ControlPartition c0 = partitions.get(ServiceNames.controlPart(ServiceNames.CORE));
         this.membership = new CoreMembership(environment, core, zone, c0.replica(), c0.stateMachine(), this::replicas);
         ControlPartition stores = partitions.get(ServiceNames.controlPart(ServiceNames.STORES));
         this.placement = new PlacementDriver(environment, stores.replica(), stores.stateMachine());
-        this.contact = new MajorityContact(environment, core, c0.replica(), membership::answeredAt);
-        this.retryingClient = new RetryingCoreClient(environment, core, contact::now);
+        this.contact = new MajorityContact(environment, core, c0.replica(), membership::announcementAnsweredAt);
+        this.retryingClient = new RetryingCoreClient(environment, core, contact::isInContact);
+    }
+
+    private ControlPartition newPartition(String id, List<String> desiredMembers) {
+        int historyBytes = Math.min(MAX_HISTORY_BYTES, environment.wal().largestRecordBytes() / HISTORY_FRACTION);
+        ControlStateMachine stateMachine = new ControlStateMachine(environment.codec(), historyBytes);
+        Replica<ControlCommand, ControlResult> replica =
+                new Replica<>(id, preferredOrder(desiredMembers, id), stateMachine, environment);
+        return new ControlPartition(replica, stateMachine, new LeaseManager(replica, stateMachine, environment));
     }
 
-    /** Each part has another first control node, so owners are spread. */
-    static List<String> rotated(List<String> core, String part) {
-        List<String> sorted = new ArrayList<>(new TreeSet<>(core));
-        Collections.rotate(sorted, Integer.parseInt(part.substring(1)));
+    /** Each partition has another preferred leader, so that leaders are spread. */
+    private static List<String> preferredOrder(List<String> members, String partition) {
+        List<String> sorted = new ArrayList<>(new TreeSet<>(members));
+        Collections.rotate(sorted, Integer.parseInt(partition.substring(1)));
         return sorted;
     }
 
     @Override
     public String name() {
-        return "lamp";
+        return "control node";
     }
 
+    /** What this node answers to other nodes. */
     public void route(RpcRouter router) {
-        ReplicationMessages.route(router, id -> partition(id).map(ControlPartition::replica))
-                .on(
+        ReplicationMessages.route(router, id -> partition(id).map(ControlPartition::replica));
+        routeLeases(router);
+        routeUpdates(router);
+        router.on(
+                        ControlMessages.ServiceViewRequest.class,
+                        (from, request) -> changedViews(request).map(response -> compression.pack(request, response)))
+                .on(ControlMessages.CoreMembersRequest.class, (from, request) -> Mono.just(core.membersResponse()))
+                .on(ControlMessages.AnnounceStandbyRequest.class, (from, request) -> membership.onAnnouncement(request))
+                .on(ControlMessages.LeaveCoreRequest.class, (from, request) -> membership.onLeaveRequest(request));
+    }
+
+    private void routeLeases(RpcRouter router) {
+        router.on(
                         ControlMessages.RenewLeaseRequest.class,
-                        (f, request) -> partitionOf(request.service())
-                                .flatMap(partition -> partition.leases().lease(request))
-                                .doOnNext(done -> onLeaseRenewed(request.service())))
+                        (from, request) -> leases(request.service())
+                                .flatMap(leases -> leases.renew(request))
+                                .doOnNext(result -> onLeaseRenewed(request.service())))
                 .on(
                         ControlMessages.LeaveRequest.class,
-                        (f, request) -> partitionOf(request.service())
-                                .flatMap(partition -> partition.leases().leave(request)))
+                        (from, request) -> leases(request.service()).flatMap(leases -> leases.leave(request)))
                 .on(
                         ControlMessages.SingletonLeaseRequest.class,
-                        (f, request) -> partitionOf(request.service())
-                                .flatMap(partition -> partition.leases().acquireSingleton(request)))
+                        (from, request) -> leases(request.service()).flatMap(leases -> leases.renewOrAcquire(request)))
                 .on(
                         ControlMessages.ReleaseSingletonRequest.class,
-                        (f, request) -> partitionOf(request.service())
-                                .flatMap(partition -> partition.leases().release(request)))
-                .on(
-                        ControlMessages.ServiceViewRequest.class,
-                        (f, request) -> changedViews(request).map(response -> compression.pack(request, response)))
-                .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()))
-                .on(ControlMessages.AnnounceStandbyRequest.class, (f, request) -> membership.onAnnouncement(request))
-                .on(ControlMessages.LeaveCoreRequest.class, (f, request) -> membership.onLeaveRequest(request))
-                .on(ControlMessages.PutCore.class, (f, put) -> change(ServiceNames.CORE, put))
-                .on(ControlMessages.PutProcessor.class, (f, put) -> change(put.service(), put))
-                .on(ControlMessages.DropProcessor.class, (f, drop) -> change(drop.service(), drop))
-                .on(ControlMessages.PutProcessors.class, (f, put) -> change(put.service(), put));
+                        (from, request) -> leases(request.service()).flatMap(leases -> leases.release(request)));
+    }
+
+    private void routeUpdates(RpcRouter router) {
+        router.on(ControlMessages.PutCore.class, (from, put) -> update(ServiceNames.CORE, put))
+                .on(ControlMessages.PutProcessor.class, (from, put) -> update(put.service(), put))
+                .on(ControlMessages.DropProcessor.class, (from, drop) -> update(drop.service(), drop))
+                .on(ControlMessages.PutProcessors.class, (from, put) -> update(put.service(), put));
     }
 
-    /** The boot values changed while we run. */
+    /** The settings changed while the node runs. */
     public void reseed(List<String> seeds) {
         core.reseed(seeds);
     }
@@ -132,38 +158,37 @@
 
     private Mono<ControlPartition> partition(String id) {
         return Mono.justOrEmpty(partitions.get(id))
-                .switchIfEmpty(Mono.error(new NotFoundException("No control part " + id + ".")));
+                .switchIfEmpty(Mono.error(new NotFoundException("No control partition " + id + ".")));
     }
 
-    private Mono<ControlPartition> partitionOf(String service) {
-        return partition(ServiceNames.controlPart(service));
+    private Mono<LeaseManager> leases(String service) {
+        return partition(ServiceNames.controlPart(service)).map(ControlPartition::leases);
     }
 
-    private Mono<ControlMessages.UpdateResult> change(String service, ControlCommand command) {
-        return partitionOf(service)
-                .flatMap(partition -> partition.replica().propose(command, ControlMessages.UpdateResult.class));
+    private Mono<UpdateResult> update(String service, ControlCommand command) {
+        return partition(ServiceNames.controlPart(service))
+                .flatMap(partition -> partition.replica().propose(command, UpdateResult.class));
     }
 
-    /** Every service asked for is of one part; the age is nothing, since the lease was checked just now. */
-    private Mono<ControlMessages.ServiceViewResponse> changedViews(ControlMessages.ServiceViewRequest ask) {
+    /** Every service asked for is of one partition; the age is nothing, since the lease was checked just now. */
+    private Mono<ControlMessages.ServiceViewResponse> changedViews(ControlMessages.ServiceViewRequest request) {
         String id = ServiceNames.controlPart(
-                ask.knownVersions().keySet().stream().findFirst().orElse(ServiceNames.CONFIGURATION));
+                request.knownVersions().keySet().stream().findFirst().orElse(ServiceNames.CONFIGURATION));
         return partition(id)
                 .flatMap(partition -> partition
                         .replica()
-                        .read(i -> ServiceViewQuery.changed(
+                        .read(index -> ServiceViewQuery.changed(
                                 id,
                                 partition.stateMachine(),
-                                ask,
+                                request,
                                 core.members().epoch())));
     }
 
+    /** The members of all control partitions' groups, or as told by others while this node is in none. */
     public List<String> controlNodes() {
-        TreeSet<String> all = new TreeSet<>();
-        partitions
-                .values()
-                .forEach(partition -> all.addAll(partition.replica().members().keySet()));
-        return all.isEmpty() ? core.controlNodes() : new ArrayList<>(all);
+        TreeSet<String> nodes = new TreeSet<>();
+        replicas().forEach(replica -> nodes.addAll(replica.members().keySet()));
+        return nodes.isEmpty() ? core.controlNodes() : new ArrayList<>(nodes);
     }
 
     /** The newest committed list of the core's members that is known here. */
@@ -173,11 +198,12 @@
 
     @Override
     public void start() throws ServiceException {
-        for (Map.Entry<String, ControlPartition> entry : partitions.entrySet()) {
-            entry.getValue().replica().start(environment.wal().recovered().getOrDefault(entry.getKey(), List.of()));
+        Map<String, List<WalRecord>> recovered = environment.wal().recovered();
+        for (Map.Entry<String, ControlPartition> partition : partitions.entrySet()) {
+            partition.getValue().replica().start(recovered.getOrDefault(partition.getKey(), List.of()));
         }
-        ticking = environment.timers().every(Duration.ofMillis(250), this::onTick);
-        refreshing = environment.timers().every(Duration.ofSeconds(2), core::refreshMembers);
+        ticking = environment.timers().every(TICK, this::onTick);
+        refreshing = environment.timers().every(REFRESH_INTERVAL, core::refreshMembers);
         membership.onTick();
     }
 
@@ -185,12 +211,13 @@
         return partitions.values().stream().map(ControlPartition::replica).toList();
     }
 
-    /** Who the members of the core should be, as far as part c0 is known here. */
+    /** Who the members of the core should be, as far as partition c0 is known here. */
     private void followCoreMembers() {
-        CoreMembers wanted = membership.committed();
-        core.adopt(wanted);
-        if (!wanted.members().isEmpty()) {
-            partitions.forEach((id, partition) -> partition.replica().setDesiredMembers(rotated(wanted.members(), id)));
+        CoreMembers desired = membership.committed();
+        core.adopt(desired);
+        if (!desired.members().isEmpty()) {
+            partitions.forEach(
+                    (id, partition) -> partition.replica().setDesiredMembers(preferredOrder(desired.members(), id)));
         }
     }
 
@@ -198,7 +225,7 @@
         membership.onTick();
         followCoreMembers();
         observeLeaders();
-        partitions.values().forEach(partition -> partition.leases().expireLapsed());
+        partitions.values().forEach(partition -> partition.leases().dropExpired());
         placement.onTick();
         if (draining) {
             transferLeadership();
@@ -207,80 +234,81 @@
         }
     }
 
-    /** The first control node of a part's list owns it once it is back and up to date; one move at a look. */
+    /** The preferred leader of a partition leads it once it is back and up to date; one transfer with a tick. */
     private void balanceLeaders() {
-        for (Map.Entry<String, ControlPartition> entry : partitions.entrySet()) {
-            Replica<ControlCommand, ControlResult> replica = entry.getValue().replica();
-            String first = rotated(core.controlNodes(), entry.getKey()).get(0);
-            if (replica.successor().filter(first::equals).isPresent() && replica.transferLeadership(first)) {
+        for (Map.Entry<String, ControlPartition> partition : partitions.entrySet()) {
+            Replica<ControlCommand, ControlResult> replica =
+                    partition.getValue().replica();
+            String preferred =
+                    preferredOrder(core.controlNodes(), partition.getKey()).get(0);
+            if (replica.successor().filter(preferred::equals).isPresent() && replica.transferLeadership(preferred)) {
                 return;
             }
         }
     }
 
-    /** Owners hand over before they stop. */
+    /** Transfers all leaderships before the node stops; true once nothing keeps it any more. */
     public boolean drain() {
         draining = true;
-        partitions.values().forEach(partition -> partition.replica().declineLeadership());
+        replicas().forEach(Replica::declineLeadership);
         transferLeadership();
-        boolean exchanging = membership.leave();
-        return !exchanging
-                && partitions.values().stream()
-                        .noneMatch(partition -> partition.replica().role() == Role.LEADER);
+        boolean awaitsSuccessor = membership.leave();
+        return !awaitsSuccessor && replicas().stream().noneMatch(replica -> replica.role() == Role.LEADER);
     }
 
     private void transferLeadership() {
-        partitions
-                .values()
-                .forEach(partition ->
-                        partition.replica().successor().ifPresent(partition.replica()::transferLeadership));
+        replicas().forEach(replica -> replica.successor().ifPresent(replica::transferLeadership));
     }
 
     @Override
     public void stop() {
         ticking.cancel();
         refreshing.cancel();
-        partitions.values().forEach(partition -> partition.replica().stop());
+        replicas().forEach(Replica::stop);
     }
 
     private void observeLeaders() {
-        partitions.forEach((id, partition) ->
-                leaders.observe(id, partition.replica(), environment.clock().monotonicTime()));
+        Duration now = environment.clock().monotonicTime();
+        partitions.forEach((id, partition) -> leaders.observe(id, partition.replica(), now));
     }
 
-    /** A part that changes hands in order is without an owner for a moment; that is no reason to turn operators away. */
+    /**
+     * Whether operators and processors may be sent here. A partition that changes its leader in order is without one for a
+     * moment; that is no reason to turn them away.
+     */
     public boolean ready() {
         observeLeaders();
-        return contact.ready(
-                leaders.allRecent(partitions.keySet(), environment.clock().monotonicTime()));
+        Duration now = environment.clock().monotonicTime();
+        return contact.isReady(leaders.allRecent(partitions.keySet(), now));
     }
 
-    /** An operator's request, repeated while the part has no leader. */
-    public <T> Mono<T> call(String part, RepeatableRequest request, Class<T> type) {
-        return retryingClient.ask(part, request, type);
+    /** A request to the leader of a partition, repeated while there is none; see {@link RetryingCoreClient#call}. */
+    public <T> Mono<T> call(String partition, RepeatableRequest request, Class<T> responseType) {
+        return retryingClient.call(partition, request, responseType);
     }
 
-    public Replica<ControlCommand, ControlResult> replica(String part) {
-        return partitions.get(part).replica();
+    /** The replica of a partition on this node. */
+    public Replica<ControlCommand, ControlResult> replica(String partition) {
+        return partitions.get(partition).replica();
     }
 
-    public ControlStateMachine machine(String part) {
-        return partitions.get(part).stateMachine();
+    /** The state of a partition on this node; to be used within {@link Replica#read} or {@link Replica#inspect}. */
+    public ControlStateMachine machine(String partition) {
+        return partitions.get(partition).stateMachine();
     }
 
+    /** Each partition as this node knows it, for people. */
     public Map<String, Object> status() {
-        Map<String, Object> out = new LinkedHashMap<>();
-        partitions.forEach((id, partition) -> out.put(
-                id,
-                Map.of(
-                        "phase",
-                        partition.replica().role(),
-                        "term",
-                        partition.replica().term(),
-                        "owner",
-                        partition.replica().leaderId().orElse(""),
-                        "group",
-                        partition.replica().members().keySet())));
-        return out;
+        Map<String, Object> status = new LinkedHashMap<>();
+        partitions.forEach((id, partition) -> status.put(id, status(partition.replica())));
+        return status;
+    }
+
+    private static PartitionStatus status(Replica<ControlCommand, ControlResult> replica) {
+        return new PartitionStatus(
+                replica.role(),
+                replica.term(),
+                replica.leaderId().orElse(""),
+                replica.members().keySet());
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
@@ -11,46 +11,50 @@
 import org.woadvale.common.replication.Replica;
 import org.woadvale.controlplane.state.ControlStateMachine;
 
-/** Writes the placement of the message partitions and tells the stores of it, while this node leads it. design 6.9 */
+/** Writes the placement of the message partitions and tells the stores of it, while this node leads it. */
 public final class PlacementDriver {
     private final NodeEnvironment environment;
     private final Replica<ControlCommand, ControlResult> replica;
-    private final ControlStateMachine machine;
+    private final ControlStateMachine stateMachine;
     private final ReplicaPlacement placement = new ReplicaPlacement();
-    private long looked = -1;
+    private long tickedVersion = -1;
 
+    /** Placement as decided by the replica of the partition that holds it. */
     public PlacementDriver(
-            NodeEnvironment environment, Replica<ControlCommand, ControlResult> replica, ControlStateMachine machine) {
+            NodeEnvironment environment,
+            Replica<ControlCommand, ControlResult> replica,
+            ControlStateMachine stateMachine) {
         this.environment = environment;
         this.replica = replica;
-        this.machine = machine;
+        this.stateMachine = stateMachine;
     }
 
-    /** A store said something: if it was new, the placement is looked at now and not at the next tick. */
+    /** A store renewed its lease: if that changed anything, the placement is checked now and not with the next tick. */
     public synchronized void onStoreHeartbeat() {
-        if (replica.inspect(index -> machine.service(ServiceNames.STORES)).version() != looked) {
+        if (replica.inspect(index -> stateMachine.service(ServiceNames.STORES)).version() != tickedVersion) {
             onTick();
         }
     }
 
+    /** Called often: on the leader, writes the placement that should be. */
     public synchronized void onTick() {
         if (!replica.isActiveLeader()) {
             return;
         }
-        ServiceView stores = replica.inspect(index -> machine.service(ServiceNames.STORES));
-        looked = stores.version();
+        ServiceView stores = replica.inspect(index -> stateMachine.service(ServiceNames.STORES));
+        tickedVersion = stores.version();
         Map<String, List<String>> next =
                 placement.next(stores, environment.clock().monotonicTime());
         if (!next.equals(stores.placement())) {
             replica.propose(
                             new ControlMessages.PutPlacement(next, stores.version()),
                             ControlMessages.UpdateResult.class)
-                    .subscribe(done -> notifyStores(), e -> {});
+                    .subscribe(result -> notifyStores(), e -> {});
         }
     }
 
     private void notifyStores() {
-        ServiceView stores = replica.inspect(index -> machine.service(ServiceNames.STORES));
+        ServiceView stores = replica.inspect(index -> stateMachine.service(ServiceNames.STORES));
         ControlMessages.PlacementChanged notice = new ControlMessages.PlacementChanged(stores.version());
         stores.members()
                 .keySet()
@@ -61,6 +65,6 @@
                                 notice,
                                 ControlMessages.UpdateResult.class,
                                 environment.timing().requestTimeout())
-                        .subscribe(done -> {}, e -> {}));
+                        .subscribe(result -> {}, e -> {}));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -5,7 +5,6 @@
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -13,12 +12,15 @@
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceView;
 
-/** Gives a store that joined its share, one change at a time, and only while nobody comes or goes. design 6.5 */
+/** Gives a store that joined its share, one change at a time, and only while nobody comes or goes. */
 final class ReplicaBalancer {
     private static final Duration STABLE_PERIOD = Duration.ofSeconds(15);
     private static final Duration PAUSE_BETWEEN_CHANGES = Duration.ofSeconds(3);
 
-    /** New copies of a part; the store that is to receive it, or none where only the order changes. */
+    /** Less than this is balanced enough. */
+    private static final int MIN_DIFFERENCE = 2;
+
+    /** New replicas of a partition; the store that is to join, or none where only the order changes. */
     record Change(String partition, List<String> replicas, Optional<String> to) {}
 
     private Set<String> members = Set.of();
@@ -39,20 +41,20 @@
                 || now.minus(lastChange).compareTo(PAUSE_BETWEEN_CHANGES) < 0) {
             return Optional.empty();
         }
-        Optional<Change> c = copy(view).or(() -> first(view));
-        c.ifPresent(change -> lastChange = now);
-        return c;
+        Optional<Change> change = moveReplica(view).or(() -> reorder(view));
+        change.ifPresent(found -> lastChange = now);
+        return change;
     }
 
-    /** A copy goes from a fuller store to the emptiest while they differ by two, and no part gets into fewer zones. */
-    private Optional<Change> copy(ServiceView view) {
+    /** A replica goes from a fuller store to the emptiest while they differ by two; no partition gets into fewer zones. */
+    private Optional<Change> moveReplica(ServiceView view) {
         Map<String, Integer> load = load(view.placement());
-        Comparator<String> byLoad =
-                Comparator.<String>comparingInt(n -> load.getOrDefault(n, 0)).thenComparing(n -> n);
+        Comparator<String> byLoad = Comparator.<String>comparingInt(store -> load.getOrDefault(store, 0))
+                .thenComparing(store -> store);
         String least = Collections.min(members, byLoad);
         return members.stream()
                 .sorted(byLoad.reversed())
-                .filter(n -> load.getOrDefault(n, 0) - load.getOrDefault(least, 0) >= 2)
+                .filter(store -> load.getOrDefault(store, 0) - load.getOrDefault(least, 0) >= MIN_DIFFERENCE)
                 .flatMap(fuller -> view.placement().entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
                         .filter(entry -> entry.getValue().contains(fuller)
@@ -64,43 +66,49 @@
                 .findFirst();
     }
 
-    private static List<String> replaced(List<String> copies, String one, String by) {
-        List<String> out = new ArrayList<>(copies);
-        Collections.replaceAll(out, one, by);
-        return List.copyOf(out);
+    private static List<String> replaced(List<String> replicas, String former, String next) {
+        List<String> changed = new ArrayList<>(replicas);
+        Collections.replaceAll(changed, former, next);
+        return List.copyOf(changed);
     }
 
-    private static long zones(Map<String, MemberLease> members, List<String> copies) {
-        return new HashSet<>(copies.stream().map(c -> members.get(c).zone()).toList()).size();
+    private static long zones(Map<String, MemberLease> members, List<String> replicas) {
+        return replicas.stream()
+                .map(store -> members.get(store).zone())
+                .distinct()
+                .count();
     }
 
-    /** The first of a part's list owns it: those are spread in the same way, by order alone. */
-    private Optional<Change> first(ServiceView view) {
-        Map<String, Integer> firsts = firsts(view.placement());
+    /** The first replica of a partition is its preferred leader: those are spread in the same way, by order alone. */
+    private Optional<Change> reorder(ServiceView view) {
+        Map<String, Integer> preferred = preferredLeaders(view.placement());
         return view.placement().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .flatMap(entry -> {
-                    List<String> copies = entry.getValue();
-                    return copies.stream()
-                            .filter(c -> firsts.getOrDefault(copies.get(0), 0) - firsts.getOrDefault(c, 0) >= 2)
-                            .map(c -> {
-                                List<String> out = new ArrayList<>(copies);
-                                Collections.swap(out, 0, out.indexOf(c));
-                                return new Change(entry.getKey(), List.copyOf(out), Optional.empty());
+                    List<String> replicas = entry.getValue();
+                    int most = preferred.getOrDefault(replicas.get(0), 0);
+                    return replicas.stream()
+                            .filter(store -> most - preferred.getOrDefault(store, 0) >= MIN_DIFFERENCE)
+                            .map(store -> {
+                                List<String> reordered = new ArrayList<>(replicas);
+                                Collections.swap(reordered, 0, reordered.indexOf(store));
+                                return new Change(entry.getKey(), List.copyOf(reordered), Optional.empty());
                             });
                 })
                 .findFirst();
     }
 
+    /** How many replicas each store has. */
     static Map<String, Integer> load(Map<String, List<String>> placement) {
-        Map<String, Integer> out = new HashMap<>();
-        placement.values().forEach(c -> c.forEach(n -> out.merge(n, 1, Integer::sum)));
-        return out;
+        Map<String, Integer> load = new HashMap<>();
+        placement.values().forEach(replicas -> replicas.forEach(store -> load.merge(store, 1, Integer::sum)));
+        return load;
     }
 
-    static Map<String, Integer> firsts(Map<String, List<String>> placement) {
-        Map<String, Integer> out = new HashMap<>();
-        placement.values().forEach(c -> out.merge(c.get(0), 1, Integer::sum));
-        return out;
+    /** Of how many partitions each store is the preferred leader. */
+    static Map<String, Integer> preferredLeaders(Map<String, List<String>> placement) {
+        Map<String, Integer> preferred = new HashMap<>();
+        placement.values().forEach(replicas -> preferred.merge(replicas.get(0), 1, Integer::sum));
+        return preferred;
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -15,14 +15,21 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
 
-/** Draws three stores in different zones for each message partition, and replaces those that go. design 6.5, 6.9 */
+/**
+ * Chooses three stores in different zones for each message partition, and replaces those that are gone. Holds only what the
+ * leader has seen; a new leader begins anew.
+ */
 final class ReplicaPlacement {
     static final int REPLICAS = 3;
     /** Without a newcomer a store is replaced only after it has been away for so long. */
     static final Duration GIVE_UP_AFTER = Duration.ofSeconds(10);
 
+    /** A move that takes longer is given up. */
     private static final Duration MOVE_LIMIT = Duration.ofSeconds(60);
 
+    /** After the third store has come, for stores that start with them. */
+    private static final Duration FIRST_PLACEMENT_DELAY = Duration.ofSeconds(2);
+
     private record Move(String to, Duration since) {}
 
     private final Map<String, Duration> lastSeen = new HashMap<>();
@@ -35,7 +42,7 @@
 
     /** The placement that should be; the present one where nothing is to be done. */
     Map<String, List<String>> next(ServiceView view, Duration now) {
-        view.members().keySet().forEach(n -> lastSeen.put(n, now));
+        view.members().keySet().forEach(store -> lastSeen.put(store, now));
         Map<String, List<String>> present = view.placement();
         if (present.isEmpty()) {
             return first(view.members(), now);
@@ -43,37 +50,37 @@
         moving.entrySet().removeIf(entry -> ended(view, entry.getKey(), entry.getValue(), now));
         balancer.observe(view.members().keySet(), now);
         noteSucceeded(view);
-        Map<String, List<String>> out = new TreeMap<>(present);
-        for (String part : ServiceNames.messageParts()) {
-            if (!moving.containsKey(part)) {
-                repaired(view, part, out, now).ifPresent(change -> begin(change, out, now));
+        Map<String, List<String>> next = new TreeMap<>(present);
+        for (String partition : ServiceNames.messageParts()) {
+            if (!moving.containsKey(partition)) {
+                repaired(view, partition, next, now).ifPresent(change -> begin(change, next, now));
             }
         }
         if (moving.isEmpty() && view.members().values().stream().noneMatch(MemberLease::leaving)) {
-            balancer.next(view, now).ifPresent(change -> begin(change, out, now));
+            balancer.next(view, now).ifPresent(change -> begin(change, next, now));
         }
-        return out;
+        return next;
     }
 
-    private void begin(ReplicaBalancer.Change change, Map<String, List<String>> out, Duration now) {
+    private void begin(ReplicaBalancer.Change change, Map<String, List<String>> next, Duration now) {
         change.to().ifPresent(to -> moving.put(change.partition(), new Move(to, now)));
-        out.put(change.partition(), change.replicas());
+        next.put(change.partition(), change.replicas());
     }
 
     /** The newcomer counts in the group; or the move was not written; or the newcomer is gone, or never arrived. */
-    private static boolean ended(ServiceView view, String part, Move move, Duration now) {
-        return !view.placement().getOrDefault(part, List.of()).contains(move.to())
+    private static boolean ended(ServiceView view, String partition, Move move, Duration now) {
+        return !view.placement().getOrDefault(partition, List.of()).contains(move.to())
                 || !view.members().containsKey(move.to())
                 || now.minus(move.since()).compareTo(MOVE_LIMIT) > 0
-                || group(view, part)
+                || group(view, partition)
                         .map(ledGroup -> ledGroup.members().contains(move.to()))
                         .orElse(false);
     }
 
     /** The group of a partition by the report of the highest term. */
-    private static Optional<LedGroup> group(ServiceView view, String part) {
+    private static Optional<LedGroup> group(ServiceView view, String partition) {
         return view.members().values().stream()
-                .flatMap(lease -> Optional.ofNullable(lease.groups().get(part)).stream())
+                .flatMap(lease -> Optional.ofNullable(lease.groups().get(partition)).stream())
                 .max(Comparator.comparingLong(LedGroup::term));
     }
 
@@ -94,25 +101,25 @@
                 .isPresent();
     }
 
-    private boolean gone(String store, Duration now) {
+    private boolean isGone(String store, Duration now) {
         lastSeen.putIfAbsent(store, now);
         return succeeded.contains(store) || now.minus(lastSeen.get(store)).compareTo(GIVE_UP_AFTER) > 0;
     }
 
     private Optional<ReplicaBalancer.Change> repaired(
-            ServiceView view, String part, Map<String, List<String>> out, Duration now) {
-        List<String> copies = new ArrayList<>(out.get(part));
-        for (int i = 0; i < copies.size(); i++) {
-            if (gone(copies.get(i), now)) {
-                List<String> rest = new ArrayList<>(copies);
+            ServiceView view, String partition, Map<String, List<String>> next, Duration now) {
+        List<String> replicas = new ArrayList<>(next.get(partition));
+        for (int i = 0; i < replicas.size(); i++) {
+            if (isGone(replicas.get(i), now)) {
+                List<String> rest = new ArrayList<>(replicas);
                 rest.remove(i);
-                List<String> spare = candidates(view.members(), rest, out).stream()
-                        .filter(store -> serves(view, store) && !copies.contains(store))
+                List<String> spare = candidates(view.members(), rest, next).stream()
+                        .filter(store -> serves(view, store) && !replicas.contains(store))
                         .toList();
                 if (!spare.isEmpty()) {
-                    copies.set(i, spare.get(0));
+                    replicas.set(i, spare.get(0));
                     return Optional.of(
-                            new ReplicaBalancer.Change(part, List.copyOf(copies), Optional.of(spare.get(0))));
+                            new ReplicaBalancer.Change(partition, List.copyOf(replicas), Optional.of(spare.get(0))));
                 }
             }
         }
@@ -123,43 +130,44 @@
         if (members.size() < REPLICAS) {
             return Map.of();
         }
-        // design 6.5: wait a moment after the third store, so that a fourth that starts with them gets its share
+        // a moment after the third store, so that a fourth that starts with them gets its share
         allPlacedSince = allPlacedSince.isZero() ? now : allPlacedSince;
-        if (now.minus(allPlacedSince).compareTo(Duration.ofSeconds(2)) < 0) {
+        if (now.minus(allPlacedSince).compareTo(FIRST_PLACEMENT_DELAY) < 0) {
             return Map.of();
         }
-        Map<String, List<String>> out = new TreeMap<>();
-        for (String part : ServiceNames.messageParts()) {
-            List<String> copies = new ArrayList<>();
-            while (copies.size() < REPLICAS) {
-                copies.add(candidates(members, copies, out).get(0));
+        Map<String, List<String>> placement = new TreeMap<>();
+        for (String partition : ServiceNames.messageParts()) {
+            List<String> replicas = new ArrayList<>();
+            while (replicas.size() < REPLICAS) {
+                replicas.add(candidates(members, replicas, placement).get(0));
             }
-            out.put(part, firstByTurn(copies, out));
+            placement.put(partition, leadersSpread(replicas, placement));
         }
-        return out;
+        return placement;
     }
 
-    /** The first of the list founds and is drawn as owner first: spread that evenly. */
-    private static List<String> firstByTurn(List<String> copies, Map<String, List<String>> out) {
-        Map<String, Integer> firsts = ReplicaBalancer.firsts(out);
-        List<String> sorted = new ArrayList<>(copies);
-        sorted.sort(
-                Comparator.<String>comparingInt(n -> firsts.getOrDefault(n, 0)).thenComparing(n -> n));
+    /** The first of the list is the preferred leader: that is spread evenly. */
+    private static List<String> leadersSpread(List<String> replicas, Map<String, List<String>> placement) {
+        Map<String, Integer> preferred = ReplicaBalancer.preferredLeaders(placement);
+        List<String> sorted = new ArrayList<>(replicas);
+        sorted.sort(Comparator.<String>comparingInt(store -> preferred.getOrDefault(store, 0))
+                .thenComparing(store -> store));
         return List.copyOf(sorted);
     }
 
     /** Those not yet used, other zones first, then the least loaded. */
     private static List<String> candidates(
-            Map<String, MemberLease> members, List<String> used, Map<String, List<String>> out) {
+            Map<String, MemberLease> members, List<String> used, Map<String, List<String>> placement) {
         Set<String> zones = new HashSet<>();
-        used.forEach(u -> zones.add(members.containsKey(u) ? members.get(u).zone() : "?"));
-        Map<String, Integer> load = ReplicaBalancer.load(out);
+        used.forEach(store ->
+                zones.add(members.containsKey(store) ? members.get(store).zone() : "?"));
+        Map<String, Integer> load = ReplicaBalancer.load(placement);
         return members.keySet().stream()
-                .filter(n -> !used.contains(n))
+                .filter(store -> !used.contains(store))
                 .sorted(Comparator.<String>comparingInt(
-                                n -> zones.contains(members.get(n).zone()) ? 1 : 0)
-                        .thenComparingInt(n -> load.getOrDefault(n, 0))
-                        .thenComparing(n -> n))
+                                store -> zones.contains(members.get(store).zone()) ? 1 : 0)
+                        .thenComparingInt(store -> load.getOrDefault(store, 0))
+                        .thenComparing(store -> store))
                 .toList();
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -23,7 +23,10 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** The owner of part c0 reads the registry for all; whole lists are written, and only where they differ. design 6.7 */
+/**
+ * Takes over the lists of processors from a source that has them all. The leader of partition c0 reads for all; whole lists
+ * are written, and only where they differ.
+ */
 public final class ProcessorRegistry implements Component {
     private static final Logger LOG = LogManager.getLogger(ProcessorRegistry.class);
     private final NodeEnvironment environment;
@@ -35,6 +38,11 @@
     private TimerHandle ticking = () -> {};
     private boolean failing;
 
+    /**
+     * Reads through one control node.
+     *
+     * @param period between two readings
+     */
     public ProcessorRegistry(NodeEnvironment environment, ControlNode node, ProcessorSource registry, Duration period) {
         this.environment = environment;
         this.node = node;
@@ -45,7 +53,7 @@
 
     @Override
     public String name() {
-        return "roll";
+        return "processor registry";
     }
 
     @Override
@@ -63,31 +71,31 @@
         return replica.isActiveLeader();
     }
 
-    /** Services that have a list; none as long as no configuration was taken. */
-    private Set<String> onListed() {
+    /** Services that have a list; none as long as no configuration was accepted. */
+    private Set<String> listedServices() {
         byte[] json = node.replica("c0")
                 .inspect(i -> node.machine("c0").service(ServiceNames.CONFIGURATION))
                 .configuration();
-        Set<String> out = new TreeSet<>();
+        Set<String> names = new TreeSet<>();
         if (json.length > 0) {
             try {
-                Configurations.taken(json).services().forEach((n, service) -> {
+                Configurations.taken(json).services().forEach((name, service) -> {
                     if (service.kind() == Configuration.Kind.PROCESSORS) {
-                        out.add(n);
+                        names.add(name);
                     }
                 });
             } catch (ServiceException failure) {
                 LOG.error("The configuration is unreadable here: {}", failure.details());
             }
         }
-        return out;
+        return names;
     }
 
     private void onTick() {
         if (!isLeader() || !reading.compareAndSet(false, true)) {
             return;
         }
-        Set<String> services = onListed();
+        Set<String> services = listedServices();
         if (services.isEmpty()) {
             reading.set(false);
             return;
@@ -95,7 +103,8 @@
         source.list()
                 .flatMapMany(all -> {
                     failing = false;
-                    return Flux.fromIterable(services).flatMap(s -> take(s, all.getOrDefault(s, Map.of())));
+                    return Flux.fromIterable(services)
+                            .flatMap(service -> update(service, all.getOrDefault(service, Map.of())));
                 })
                 .doFinally(signal -> reading.set(false))
                 .subscribe(ok -> {}, this::onFailure);
@@ -110,8 +119,8 @@
         failing = true;
     }
 
-    /** Of two readings the later is written last: one is under way at a time, and by the owner of c0 only. */
-    private Mono<Boolean> take(String service, Map<String, Processor> list) {
+    /** Of two readings the later is written last: one is under way at a time, and by the leader of c0 only. */
+    private Mono<Boolean> update(String service, Map<String, Processor> list) {
         String key = ServiceNames.processors(service);
         return lists.get(key)
                 .flatMap(read -> read.processors().equals(list) || !isLeader()
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
@@ -4,8 +4,9 @@
 import org.woadvale.common.membership.Processor;
 import reactor.core.publisher.Mono;
 
-/** Seam to whoever knows all processors: whole lists by service and id, or a fault. design 6.7 */
+/** Knows all processors: the platform, or a fake in tests. */
 @FunctionalInterface
 public interface ProcessorSource {
+    /** The whole lists, by service and id; fails where the source cannot be read. */
     Mono<Map<String, Map<String, Processor>>> list();
 }
--- /dev/null
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/package-info.java
@@ -0,0 +1,2 @@
+/** Takes over the lists of processors from whoever knows them all. */
+package org.woadvale.controlplane.registry;
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/AppliedRequests.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/AppliedRequests.java
@@ -9,12 +9,13 @@
 
 /**
  * Outcomes of the latest identified commands of one control partition, so that a command that was sent again has the
- * outcome of its first application. Bounded; commands without an id (0) are not remembered. design 6.11
+ * outcome of its first application. Bounded; commands without an id (0) are not remembered.
  */
 public final class AppliedRequests {
+    /** So many outcomes are kept. */
     public static final int CAPACITY = 256;
 
-    /** What the first application of a command came to; the term of a duty that it took, or 0. */
+    /** What the first application of a command came to; the term of a singleton lease that it acquired, or 0. */
     public record Outcome(
             long requestId,
             boolean accepted,
@@ -26,7 +27,7 @@
         return Optional.ofNullable(outcomes.get(requestId));
     }
 
-    /** The term of the duty that the command took; 0 if it took none or is not remembered. */
+    /** The term of the singleton lease that the command acquired; 0 if it acquired none or is not remembered. */
     public long singletonTerm(long requestId) {
         return outcome(requestId).map(Outcome::singletonTerm).orElse(0L);
     }
@@ -41,6 +42,7 @@
         }
     }
 
+    /** The outcomes that are kept, the oldest first. */
     public List<Outcome> all() {
         return new ArrayList<>(outcomes.values());
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -24,9 +24,9 @@
 import org.woadvale.common.rpc.Since;
 import org.woadvale.controlplane.configuration.ConfigurationLog;
 
-/** The state of one control part: services by name, and in part 0 the configuration. design 6 */
+/** The state of one control partition: services by name, and in partition c0 the configuration. */
 public final class ControlStateMachine implements StateMachine<ControlCommand, ControlResult> {
-    /** All of the machine, for views. */
+    /** All of the state, for snapshots. */
     public record State(
             Map<String, ServiceView> services,
             @FirstFormatName("steps") List<ConfigurationLog.ConfigurationRevision> revisions,
@@ -39,24 +39,28 @@
     private final ConfigurationLog configurations;
     private final AppliedRequests appliedRequests = new AppliedRequests();
 
-    /** The history of configurations has so many bytes at the most: a whole view must fit into a ring file. */
+    /** Without any service; the history of configurations has so many bytes at the most. */
     public ControlStateMachine(Codec codec, int historyBytes) {
         this.codec = codec;
         this.configurations = new ConfigurationLog(historyBytes);
     }
 
+    /** A service by its internal name; one without members or processors if it is not known. */
     public ServiceView service(String name) {
         return services.getOrDefault(name, ServiceView.blank(name));
     }
 
+    /** All services by their internal names. */
     public Map<String, ServiceView> services() {
         return new TreeMap<>(services);
     }
 
+    /** The revisions of the configuration; used in partition c0 only. */
     public ConfigurationLog configurations() {
         return configurations;
     }
 
+    /** The outcomes of the latest identified commands. */
     public AppliedRequests appliedRequests() {
         return appliedRequests;
     }
@@ -237,15 +241,15 @@
     }
 
     @Override
-    public void restore(byte[] view) {
+    public void restore(byte[] snapshot) {
         try {
-            State state = codec.read(view, State.class);
+            State state = codec.read(snapshot, State.class);
             services.clear();
             services.putAll(state.services());
             configurations.restore(state.revisions(), state.acceptedUpdates(), state.rejectedUpdates());
             appliedRequests.restore(state.applied());
         } catch (ServiceException failure) {
-            throw new IllegalStateException("unreadable view", failure);
+            throw new IllegalStateException("unreadable snapshot", failure);
         }
     }
 }
--- /dev/null
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/package-info.java
@@ -0,0 +1,2 @@
+/** The replicated state of a control partition. */
+package org.woadvale.controlplane.state;
