--- a/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
+++ b/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
@@ -18,6 +18,7 @@
     private static final String EPOCH = "epoch ";
     private final Path file;
 
+    /** The list that is kept in a data folder. */
     public CoreMembersFile(String folder) {
         this.file = Path.of(folder, "neighbours");
     }
@@ -39,7 +40,8 @@
                 .max()
                 .orElse(0);
         return new CoreMembers(
-                epoch, lines.stream().filter(l -> l.matches("[0-9.]+:[0-9]+")).toList());
+                epoch,
+                lines.stream().filter(line -> line.matches("[0-9.]+:[0-9]+")).toList());
     }
 
     /** Replaces the list as a whole; the epoch has a line of its own that builds without epochs pass over. */
@@ -50,8 +52,8 @@
             List<String> lines = new ArrayList<>(known.members());
             lines.add(EPOCH + known.epoch());
             Files.write(next, lines);
-            try (var ch = FileChannel.open(next, StandardOpenOption.WRITE)) {
-                ch.force(true);
+            try (var channel = FileChannel.open(next, StandardOpenOption.WRITE)) {
+                channel.force(true);
             }
             Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -19,25 +19,31 @@
 
 /** The command line of a daemon: run, check-boot, --help, --version. design 10.1 */
 public final class Program {
+    /** The version of all programs. */
     public static final String VERSION = "0.1.0";
+
     private static final Logger LOG = LogManager.getLogger(Program.class);
+    private static final int STOP_TIMEOUT_S = 10;
     private static final int THREADS = 4;
 
     /** Builds the supervisor tree of the program. */
     @FunctionalInterface
     public interface Tree {
-        Supervisor grow(Settings boot, SystemTimers schedules, Runnable onGivenUp) throws ServiceException;
+        /** The components of the program, in the order of their start; none is started yet. */
+        Supervisor grow(Settings boot, SystemTimers timers, Runnable onGivenUp) throws ServiceException;
     }
 
     /** Refuses a boot file that this program cannot use. */
     @FunctionalInterface
     public interface Check {
+        /** Refuses settings that this program cannot run with. */
         void check(Settings boot) throws ServiceException;
     }
 
     /** Where the boot values come from; the command line and its file unless told otherwise. */
     @FunctionalInterface
     public interface Source {
+        /** The settings that the command line names. */
         Settings boot(String[] args) throws ServiceException;
     }
 
@@ -47,6 +53,7 @@
     private final Supplier<Runnable> onStop;
     private Source source = args -> options(args).boot();
 
+    /** A program that reads its settings itself. */
     public Program(String name, Check check, Tree tree, Supplier<Runnable> onStop) {
         this.name = name;
         this.check = check;
@@ -65,6 +72,7 @@
         onStop.get().run();
     }
 
+    /** Runs the command line and answers with the exit code. */
     public int main(String[] args) {
         String verb = args.length == 0 ? "--help" : args[0];
         String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
@@ -112,7 +120,7 @@
     }
 
     private boolean help(String[] rest) throws ServiceException {
-        boolean wanted = Arrays.stream(rest).anyMatch(a -> a.equals("-h") || a.equals("--help"));
+        boolean wanted = Arrays.stream(rest).anyMatch(argument -> argument.equals("-h") || argument.equals("--help"));
         if (wanted) {
             usage();
         }
@@ -121,10 +129,10 @@
 
     private int run(Settings boot) throws ServiceException {
         check.check(boot);
-        SystemTimers schedules = new SystemTimers(THREADS);
+        SystemTimers timers = new SystemTimers(THREADS);
         CountDownLatch end = new CountDownLatch(1);
         boolean[] failed = {false};
-        Supervisor root = tree.grow(boot, schedules, () -> {
+        Supervisor root = tree.grow(boot, timers, () -> {
             failed[0] = true;
             end.countDown();
         });
@@ -132,7 +140,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             end.countDown();
             try {
-                stopped.await(10, TimeUnit.SECONDS);
+                stopped.await(STOP_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -147,7 +155,7 @@
             Thread.currentThread().interrupt();
         } finally {
             root.stop();
-            schedules.close();
+            timers.close();
             stopped.countDown();
         }
         return failed[0] ? 1 : 0;
--- a/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
+++ b/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
@@ -26,10 +26,12 @@
             description = "Shows this help")
     private boolean help;
 
+    /** The settings from the file and the flags; flags go first. */
     public Settings boot() throws ServiceException {
         return Settings.read(boot).with(address, http, zone, data);
     }
 
+    /** Whether help was asked for. */
     public boolean help() {
         return help;
     }
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The operator's whole configuration: design 6.1. */
+/** All that operators configure; its JSON has the names of the components. */
 public record Configuration(
         @NotNull @Size(max = 1000) Map<@Pattern(regexp = NAME) String, @NotNull @Valid Tenant> tenants,
         @NotNull @Size(max = 1000) Map<@Pattern(regexp = NAME) String, @NotNull @Valid Service> services,
@@ -25,6 +25,7 @@
 
     static final String NAME = "[a-z0-9][a-z0-9_-]{0,62}";
 
+    /** Absent parts are empty. */
     public Configuration {
         tenants = orEmpty(tenants);
         services = orEmpty(services);
@@ -32,8 +33,8 @@
         keys = orEmpty(keys);
     }
 
-    private static <V> Map<String, V> orEmpty(Map<String, V> m) {
-        return m == null ? Map.of() : Collections.unmodifiableMap(new TreeMap<>(m));
+    private static <V> Map<String, V> orEmpty(Map<String, V> map) {
+        return map == null ? Map.of() : Collections.unmodifiableMap(new TreeMap<>(map));
     }
 
     /** How many messages a tenant may processor in each second, and how large a burst. */
@@ -46,8 +47,11 @@
 
     /** Fetchers are on no list: they fetch, and hold what they have got by a lease. design 9.10 */
     public enum Kind {
+        /** Processors that the platform lists; messages are pushed to them. */
         PROCESSORS,
+        /** One address outside, with a rate of its own. */
         ENDPOINT,
+        /** Processors that pull. */
         FETCHERS
     }
 
@@ -64,24 +68,32 @@
             @DecimalMin("0") @DecimalMax("100000") double ratePerS,
             @Min(0) @Max(100000) int streams,
             boolean dedupes) {
+        /** An absent address is empty. */
         public Service {
             address = address == null ? "" : address;
         }
 
+        /** A service without limits beyond its rate. */
         public Service(Kind kind, String address, double ratePerS) {
             this(kind, address, ratePerS, 0, false);
         }
     }
 
+    /** In which order messages of a lane run. */
     public enum Ordering {
+        /** Messages run in any order. */
         NONE,
+        /** Messages with the same ordering key run one after the other, in the order of acceptance. */
         KEY
     }
 
     /** What becomes of a message when nobody can say whether its run was done: design 9.3; resend: design 9.11. */
     public enum IfUnclear {
+        /** It ends as failed, with a reason of its own. */
         FAIL,
+        /** It runs again. */
         RERUN,
+        /** It is sent again under the same attempt, which the processor recognises. */
         RESEND
     }
 
@@ -105,6 +117,7 @@
             boolean keyless) {
         private static final long USUAL_ATTEMPT_MS = 5000;
 
+        /** Absent prefixes are none. */
         public Lane {
             attemptMs = attemptMs == 0 ? USUAL_ATTEMPT_MS : attemptMs;
             ordering = ordering == null ? Ordering.NONE : ordering;
@@ -112,6 +125,7 @@
             doors = doors == null ? List.of() : List.copyOf(doors);
         }
 
+        /** A lane that callers with a key use by its name. */
         public Lane(
                 String service,
                 Ordering ordering,
@@ -122,19 +136,24 @@
             this(service, ordering, timeLimitMs, attempts, attemptMs, ifUnclear, List.of(), false);
         }
 
+        /** From acceptance to the end. */
         @JsonIgnore
         public Duration timeLimit() {
             return Duration.ofMillis(timeLimitMs);
         }
 
+        /** From the sending of an attempt to its answer. */
         @JsonIgnore
         public Duration attemptLimit() {
             return Duration.ofMillis(attemptMs);
         }
     }
 
+    /** What a key allows. */
     public enum Role {
+        /** Submits messages of one tenant and asks for them. */
         CALLER,
+        /** Pulls messages of one service and reports their outcome. */
         PROCESSOR
     }
 
@@ -144,12 +163,14 @@
             String tenant,
             String service,
             @NotNull @Pattern(regexp = "[0-9a-f]{64}") String sha256) {
+        /** Absent names are empty. */
         public Key {
             tenant = tenant == null ? "" : tenant;
             service = service == null ? "" : service;
         }
     }
 
+    /** The configuration before the first one was accepted. */
     public static Configuration empty() {
         return new Configuration(Map.of(), Map.of(), Map.of(), Map.of());
     }
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -28,11 +28,13 @@
 
 /** Reading and checking of JSON that people write: design 6.1. */
 public final class Configurations {
+    /** Reads and writes all JSON of the product. */
     public static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
             .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
             .build();
+
     private static final Validator VALIDATOR = Validation.byDefaultProvider()
             .configure()
             .messageInterpolator(new ParameterMessageInterpolator())
@@ -41,6 +43,7 @@
 
     private Configurations() {}
 
+    /** A configuration that keeps all rules; fails with every fault by its path. */
     public static Configuration configuration(byte[] json) throws ServiceException {
         Configuration configuration = read(json, Configuration.class, ErrorKind.INVALID_LAYOUT);
         List<String> faults = new ArrayList<>(faults(configuration));
@@ -64,13 +67,14 @@
         }
     }
 
+    /** A document of a type; fails with the kind given, and each fault by its path. */
     public static <T> T read(byte[] json, Class<T> type, ErrorKind kind) throws ServiceException {
         try {
-            T t = JSON.readValue(json, type);
-            if (t == null) {
+            T value = JSON.readValue(json, type);
+            if (value == null) {
                 throw ServiceException.of(kind, "The JSON document is empty.", List.of());
             }
-            return t;
+            return value;
         } catch (JsonMappingException e) {
             throw ServiceException.of(kind, "The document does not fit.", List.of(fault(e)));
         } catch (IOException e) {
@@ -82,83 +86,101 @@
     public static String fault(IOException e) {
         StringBuilder path = new StringBuilder();
         String why = String.valueOf(e.getMessage());
-        if (e instanceof JsonMappingException m) {
-            m.getPath()
+        if (e instanceof JsonMappingException mapping) {
+            mapping.getPath()
                     .forEach(r -> path.append(
                             r.getFieldName() == null
                                     ? "[" + r.getIndex() + "]"
                                     : (path.length() == 0 ? "" : ".") + r.getFieldName()));
-            why = String.valueOf(m.getOriginalMessage());
+            why = String.valueOf(mapping.getOriginalMessage());
         }
         return (path.length() == 0 ? "" : path + ": ") + why.lines().findFirst().orElse("");
     }
 
     /** Every fault of the annotations, by path. */
-    public static List<String> faults(Object o) {
-        return VALIDATOR.validate(o).stream()
-                .map(v -> v.getPropertyPath() + ": " + v.getMessage())
+    public static List<String> faults(Object value) {
+        return VALIDATOR.validate(value).stream()
+                .map(violation -> violation.getPropertyPath() + ": " + violation.getMessage())
                 .sorted()
                 .toList();
     }
 
     private static List<String> crossFaults(Configuration configuration) {
-        List<String> out = new ArrayList<>();
-        Map<String, String> addresses = new HashMap<>();
-        configuration.services().forEach((n, service) -> {
-            if (!service.address().isEmpty()) {
-                Optional.ofNullable(addresses.putIfAbsent(service.address().replaceAll("/+$", ""), n))
+        List<String> faults = new ArrayList<>();
+        serviceFaults(configuration, faults);
+        laneFaults(configuration, faults);
+        keyFaults(configuration, faults);
+        return faults;
+    }
+
+    private static void serviceFaults(Configuration configuration, List<String> faults) {
+        Map<String, String> byAddress = new HashMap<>();
+        configuration.services().forEach((name, service) -> {
+            String path = "services." + name;
+            boolean hasAddress = !service.address().isEmpty();
+            if (hasAddress) {
+                Optional.ofNullable(byAddress.putIfAbsent(service.address().replaceAll("/+$", ""), name))
                         .ifPresent(other ->
-                                out.add("services." + n + ".address: is " + other + "'s too; it would get both rates"));
+                                faults.add(path + ".address: is " + other + "'s too; it would get both rates"));
             }
             boolean endpoint = service.kind() == Configuration.Kind.ENDPOINT;
-            if (endpoint && service.address().isEmpty()) {
-                out.add("services." + n + ".address: an endpoint needs one");
+            if (endpoint && !hasAddress) {
+                faults.add(path + ".address: an endpoint needs one");
             }
             if (endpoint && service.ratePerS() < 1) {
-                out.add("services." + n + ".ratePerS: an endpoint needs a rate of at least 1");
+                faults.add(path + ".ratePerS: an endpoint needs a rate of at least 1");
             }
-            if (!endpoint && !service.address().isEmpty()) {
-                out.add("services." + n + ".address: processors are listed by the platform");
+            if (!endpoint && hasAddress) {
+                faults.add(path + ".address: processors are listed by the platform");
             }
         });
-        Map<Configuration.Door, String> doors = new HashMap<>();
-        configuration.lanes().forEach((n, lane) -> {
+    }
+
+    private static void laneFaults(Configuration configuration, List<String> faults) {
+        Map<Configuration.Door, String> byDoor = new HashMap<>();
+        configuration.lanes().forEach((name, lane) -> {
+            String path = "lanes." + name;
             lane.doors()
-                    .forEach(door -> Optional.ofNullable(doors.putIfAbsent(door, n))
-                            .ifPresent(other -> out.add("lanes." + n + ".doors: " + door.host() + door.prefix() + " is "
-                                    + other + "'s too")));
+                    .forEach(door -> Optional.ofNullable(byDoor.putIfAbsent(door, name))
+                            .ifPresent(other -> faults.add(
+                                    path + ".doors: " + door.host() + door.prefix() + " is " + other + "'s too")));
             if (!configuration.services().containsKey(lane.service())) {
-                out.add("lanes." + n + ".service: no service " + lane.service());
+                faults.add(path + ".service: no service " + lane.service());
             }
             if (lane.attemptMs() > lane.timeLimitMs()) {
-                out.add("lanes." + n + ".attemptMs: longer than timeLimitMs");
+                faults.add(path + ".attemptMs: longer than timeLimitMs");
             }
         });
+    }
+
+    private static void keyFaults(Configuration configuration, List<String> faults) {
         Set<String> hashes = new HashSet<>();
-        configuration.keys().forEach((n, key) -> {
+        configuration.keys().forEach((name, key) -> {
+            String path = "keys." + name;
             if (key.role() == Configuration.Role.CALLER
                     && !configuration.tenants().containsKey(key.tenant())) {
-                out.add("keys." + n + ".tenant: no tenant " + key.tenant());
+                faults.add(path + ".tenant: no tenant " + key.tenant());
             }
             if (key.role() == Configuration.Role.PROCESSOR
                     && !configuration.services().containsKey(key.service())) {
-                out.add("keys." + n + ".service: no service " + key.service());
+                faults.add(path + ".service: no service " + key.service());
             }
             if (!hashes.add(key.sha256())) {
-                out.add("keys." + n + ".sha256: used by two keys");
+                faults.add(path + ".sha256: used by two keys");
             }
         });
-        return out;
     }
 
-    public static byte[] write(Object o) {
+    /** The JSON of a value. */
+    public static byte[] write(Object value) {
         try {
-            return JSON.writeValueAsBytes(o);
+            return JSON.writeValueAsBytes(value);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
+    /** The SHA-256 of a text in hexadecimal. */
     public static String sha256(String secret) {
         return sha256(secret.getBytes(StandardCharsets.UTF_8));
     }
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -52,6 +52,11 @@
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]{1,2})";
     private static final String PORT = "(6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5]?[0-9]{1,4})";
     static final String ADDRESS = OCTET + "(\\." + OCTET + "){3}:" + PORT;
+    private static final int FEWEST_FILES = 4;
+    private static final int MEBIBYTE_SHIFT = 20;
+    /** A replica keeps this part of a file of its log in memory. */
+    private static final int COMPACTION_FRACTION = 4;
+
     private static final int USUAL_FILES = 16;
     private static final int USUAL_MB = 16;
     private static final int USUAL_PART_MB = 8;
@@ -61,6 +66,7 @@
     /** Messages in memory, a view of them being written, and one on its way. */
     private static final double HEAP_PER_MB = 2.5;
 
+    /** Absent values have their usual ones. */
     public Settings {
         roles = roles == null ? Set.of() : Set.copyOf(roles);
         data = data == null ? "" : data;
@@ -73,6 +79,7 @@
         keepEndedS = keepEndedS == 0 ? USUAL_KEEP_ENDED_S : keepEndedS;
     }
 
+    /** Settings with the usual lease, retention and linger times. */
     public Settings(
             String address,
             String http,
@@ -104,6 +111,7 @@
                 0);
     }
 
+    /** The settings in a file; fails with each fault by its field. */
     public static Settings read(String file) throws ServiceException {
         try {
             return checked(
@@ -118,9 +126,10 @@
         }
     }
 
+    /** The same settings, if their values fit one another and this machine. */
     public static Settings checked(Settings settings) throws ServiceException {
         List<String> faults = new ArrayList<>(Configurations.faults(settings));
-        if (faults.isEmpty() && settings.ringFiles() < 4) {
+        if (faults.isEmpty() && settings.ringFiles() < FEWEST_FILES) {
             faults.add("ringFiles: must be at least 4");
         }
         if (faults.isEmpty()
@@ -129,7 +138,7 @@
             faults.add("data: a store needs a data folder");
         }
         if (faults.isEmpty() && settings.roles().contains("store")) {
-            sizes(settings, Runtime.getRuntime().maxMemory() >> 20).ifPresent(faults::add);
+            sizes(settings, Runtime.getRuntime().maxMemory() >> MEBIBYTE_SHIFT).ifPresent(faults::add);
         }
         if (!faults.isEmpty()) {
             throw new InvalidRequestException("invalid", faults);
@@ -145,7 +154,9 @@
                     + 2 * settings.partMb());
         }
         // of each part an old base, a new one and the log between them, and the file that is being written
-        int ring = parts * (2 * settings.partMb() + Math.min(LOG_MB, Math.max(1, settings.ringFileMb() / 4)))
+        int ring = parts
+                        * (2 * settings.partMb()
+                                + Math.min(LOG_MB, Math.max(1, settings.ringFileMb() / COMPACTION_FRACTION)))
                 + settings.ringFileMb();
         if (ring > settings.ringFiles() * settings.ringFileMb()) {
             return Optional.of("partMb: " + parts + " parts of " + settings.partMb() + " MB need a ring of " + ring
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -19,7 +19,9 @@
 
 /** A node's views of services, each with the proven age of its confirmation: design 7. */
 public final class ViewSubscriptions {
+    /** A view whose confirmation is older than this is not acted on. */
     public static final Duration MAX_AGE = Duration.ofSeconds(2);
+
     private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
     private static final Duration INTEREST_TTL = Duration.ofSeconds(5);
     private static final Duration HOME_REQUEST_TIMEOUT = Duration.ofMillis(300);
@@ -35,12 +37,14 @@
     private final List<BiConsumer<String, ServiceView>> listeners = new ArrayList<>();
     private TimerHandle polling = () -> {};
 
+    /** Subscriptions of one node. */
     public ViewSubscriptions(NodeEnvironment environment, CoreClient core, String zone) {
         this.environment = environment;
         this.core = core;
         this.zone = zone;
     }
 
+    /** Polls until {@link #stop}. */
     public void start() {
         List.of(ServiceNames.CONFIGURATION, ServiceNames.INTAKES, ServiceNames.STORES)
                 .forEach(this::subscribe);
@@ -48,14 +52,17 @@
         polling = environment.timers().every(POLL_INTERVAL, this::poll);
     }
 
+    /** Polls no more; views age from now on. */
     public void stop() {
         polling.cancel();
     }
 
-    public void onView(BiConsumer<String, ServiceView> l) {
-        listeners.add(l);
+    /** The listener runs for each view that is new here, with the name of its service. */
+    public void onView(BiConsumer<String, ServiceView> listener) {
+        listeners.add(listener);
     }
 
+    /** Keeps the view of a service from now on. */
     public void subscribe(String service) {
         shard.run(() -> subscriptions.computeIfAbsent(service, SubscribedView::new).permanent = true);
     }
@@ -134,56 +141,66 @@
                 .orElse(Map.of());
     }
 
+    /** Versions that are known here, by whom they are asked of. */
+    private record Polls(Map<String, Map<String, Long>> byHome, Map<String, Map<String, Long>> byPartition) {}
+
     private void poll() {
-        Map<String, Map<String, Long>> byHome = new HashMap<>();
-        Map<String, Map<String, Long>> byPart = new HashMap<>();
-        shard.run(() -> {
-            subscriptions
-                    .values()
-                    .removeIf(subscribedView ->
-                            !subscribedView.permanent && now().compareTo(subscribedView.interestUntil) > 0);
-            subscriptions.forEach((s, subscribedView) -> {
-                Optional<String> home = homeNode(s);
-                // the first view after a start comes from the core: a home may know less than we knew before. design
-                // 7.1
-                boolean direct = !subscribedView.received
-                        || home.isEmpty()
-                        || home.get().equals(environment.self())
-                        || now().compareTo(subscribedView.bypassHomeUntil) < 0;
-                (direct
-                                ? byPart.computeIfAbsent(ServiceNames.controlPart(s), k -> new HashMap<>())
-                                : byHome.computeIfAbsent(home.get(), k -> new HashMap<>()))
-                        .put(s, subscribedView.received ? subscribedView.view.version() : -1L);
-            });
-        });
-        byPart.forEach((part, known) -> {
-            Duration sent = now();
-            pollCore(part, known)
-                    .subscribe(
-                            response -> {
-                                adopt(response, sent);
-                                core.onEpochSeen(response.coreEpoch(), core.likelyLeader(part));
-                            },
-                            e -> {});
-        });
-        byHome.forEach((home, known) -> {
-            Duration sent = now();
-            environment
-                    .rpc()
-                    .call(
-                            home,
-                            new ControlMessages.ServiceViewRequest(known),
-                            ControlMessages.ServiceViewResponse.class,
-                            HOME_REQUEST_TIMEOUT)
-                    .flatMap(ViewSubscriptions::unpacked)
-                    .subscribe(
-                            response -> {
-                                adopt(response, sent);
-                                core.onEpochSeen(response.coreEpoch(), home);
-                                bypassHome(known, response);
-                            },
-                            e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
+        Polls polls = shard.get(this::duePolls);
+        polls.byPartition().forEach(this::pollLeader);
+        polls.byHome().forEach(this::pollHome);
+    }
+
+    private Polls duePolls() {
+        subscriptions
+                .values()
+                .removeIf(subscription -> !subscription.permanent && now().compareTo(subscription.interestUntil) > 0);
+        Polls polls = new Polls(new HashMap<>(), new HashMap<>());
+        subscriptions.forEach((service, subscription) -> {
+            Optional<String> home = homeNode(service);
+            Map<String, Long> known = isPolledDirectly(subscription, home)
+                    ? polls.byPartition().computeIfAbsent(ServiceNames.controlPart(service), k -> new HashMap<>())
+                    : polls.byHome().computeIfAbsent(home.orElseThrow(), k -> new HashMap<>());
+            known.put(service, subscription.received ? subscription.view.version() : -1L);
         });
+        return polls;
+    }
+
+    /** The first view after a start comes from the core: a home may know less than this node knew before. */
+    private boolean isPolledDirectly(SubscribedView subscription, Optional<String> home) {
+        return !subscription.received
+                || home.isEmpty()
+                || home.get().equals(environment.self())
+                || now().compareTo(subscription.bypassHomeUntil) < 0;
+    }
+
+    private void pollLeader(String partition, Map<String, Long> known) {
+        Duration sentAt = now();
+        pollCore(partition, known)
+                .subscribe(
+                        response -> {
+                            adopt(response, sentAt);
+                            core.onEpochSeen(response.coreEpoch(), core.likelyLeader(partition));
+                        },
+                        e -> {});
+    }
+
+    private void pollHome(String home, Map<String, Long> known) {
+        Duration sentAt = now();
+        environment
+                .rpc()
+                .call(
+                        home,
+                        new ControlMessages.ServiceViewRequest(known),
+                        ControlMessages.ServiceViewResponse.class,
+                        HOME_REQUEST_TIMEOUT)
+                .flatMap(ViewSubscriptions::unpacked)
+                .subscribe(
+                        response -> {
+                            adopt(response, sentAt);
+                            core.onEpochSeen(response.coreEpoch(), home);
+                            bypassHome(known, response);
+                        },
+                        e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
     }
 
     private Mono<ControlMessages.ServiceViewResponse> pollCore(String part, Map<String, Long> known) {
@@ -197,9 +214,9 @@
 
     /** A home that does not serve, or serves old subscriptions, is passed over for a while. */
     private void bypassHome(Map<String, Long> asked, ControlMessages.ServiceViewResponse response) {
-        shard.run(() -> asked.keySet().forEach(s -> {
-            Duration age = response.ages().getOrDefault(s, MAX_AGE);
-            Optional.ofNullable(subscriptions.get(s)).ifPresent(subscribedView -> {
+        shard.run(() -> asked.keySet().forEach(service -> {
+            Duration age = response.ages().getOrDefault(service, MAX_AGE);
+            Optional.ofNullable(subscriptions.get(service)).ifPresent(subscribedView -> {
                 if (age.compareTo(MAX_AGE.dividedBy(2)) > 0) {
                     subscribedView.bypassHomeUntil = now().plus(HOME_BYPASS);
                 }
@@ -212,24 +229,25 @@
         response.views().forEach(view -> views.put(view.service(), view));
         List<ServiceView> changed = new ArrayList<>();
         shard.run(() -> response.ages()
-                .forEach((s, age) -> Optional.ofNullable(subscriptions.get(s)).ifPresent(subscribedView -> {
-                    ServiceView view = views.getOrDefault(s, subscribedView.view);
-                    if (subscribedView.received && view.version() < subscribedView.view.version()) {
-                        return;
-                    }
-                    if (!subscribedView.received && !views.containsKey(s)) {
-                        return;
-                    }
-                    if (!subscribedView.received || view.version() > subscribedView.view.version()) {
-                        subscribedView.view = view;
-                        subscribedView.received = true;
-                        changed.add(view);
-                    }
-                    Duration at = sent.minus(age);
-                    subscribedView.confirmed =
-                            at.compareTo(subscribedView.confirmed) > 0 ? at : subscribedView.confirmed;
-                })));
-        changed.forEach(view -> listeners.forEach(l -> l.accept(view.service(), view)));
+                .forEach((service, age) -> Optional.ofNullable(subscriptions.get(service))
+                        .ifPresent(subscribedView -> {
+                            ServiceView view = views.getOrDefault(service, subscribedView.view);
+                            if (subscribedView.received && view.version() < subscribedView.view.version()) {
+                                return;
+                            }
+                            if (!subscribedView.received && !views.containsKey(service)) {
+                                return;
+                            }
+                            if (!subscribedView.received || view.version() > subscribedView.view.version()) {
+                                subscribedView.view = view;
+                                subscribedView.received = true;
+                                changed.add(view);
+                            }
+                            Duration at = sent.minus(age);
+                            subscribedView.confirmed =
+                                    at.compareTo(subscribedView.confirmed) > 0 ? at : subscribedView.confirmed;
+                        })));
+        changed.forEach(view -> listeners.forEach(listener -> listener.accept(view.service(), view)));
     }
 
     /** As a home node: what is held, with its age; what is not held yet is followed from now on. */
@@ -241,10 +259,10 @@
         return shard.get(() -> {
             List<ServiceView> views = new ArrayList<>();
             Map<String, Duration> ages = new HashMap<>();
-            ask.knownVersions().forEach((s, version) -> {
-                SubscribedView subscribedView = touch(s);
+            ask.knownVersions().forEach((service, version) -> {
+                SubscribedView subscribedView = touch(service);
                 if (subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0) {
-                    ages.put(s, age(subscribedView));
+                    ages.put(service, age(subscribedView));
                     if (subscribedView.view.version() != version) {
                         views.add(subscribedView.view);
                     }
--- a/common/src/main/java/org/woadvale/common/error/NotLeaderException.java
+++ b/common/src/main/java/org/woadvale/common/error/NotLeaderException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Another node leads the partition, or none does; the leader is told if it is known. */
+/** Another node leads the partition, or none does; carries the leader if it is known. */
 public final class NotLeaderException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
--- a/common/src/main/java/org/woadvale/common/error/ThrottledException.java
+++ b/common/src/main/java/org/woadvale/common/error/ThrottledException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A rate limit is reached; the caller may come back after the time told. */
+/** A rate limit is reached; the caller may come back after the time that it carries. */
 public final class ThrottledException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -42,6 +42,7 @@
     private volatile boolean closing;
     private DisposableServer server;
 
+    /** A server that is not started yet, for requests with bodies of so many bytes at the most. */
     public HttpGateway(String address, int maxBody, Function<Request, Mono<Response>> app) {
         this.address = address;
         this.maxBody = maxBody;
@@ -50,7 +51,7 @@
 
     @Override
     public String name() {
-        return "gate";
+        return "HTTP gateway";
     }
 
     @Override
@@ -73,7 +74,7 @@
     }
 
     private Mono<Void> serve(HttpServerRequest in, HttpServerResponse out) {
-        return body(in).flatMap(b -> app.apply(new Request(in.method().name(), in.uri(), headers(in), b)))
+        return body(in).flatMap(buffer -> app.apply(new Request(in.method().name(), in.uri(), headers(in), buffer)))
                 .switchIfEmpty(Mono.error(new InternalErrorException("No answer was made.")))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
@@ -105,27 +106,27 @@
         }
         return in.receive()
                 .map(HttpGateway::bytes)
-                .reduceWith(() -> new byte[0], (a, b) -> {
-                    if (a.length + b.length > maxBody) {
+                .reduceWith(() -> new byte[0], (a, buffer) -> {
+                    if (a.length + buffer.length > maxBody) {
                         throw Exceptions.propagate(tooLarge());
                     }
-                    byte[] all = Arrays.copyOf(a, a.length + b.length);
-                    System.arraycopy(b, 0, all, a.length, b.length);
+                    byte[] all = Arrays.copyOf(a, a.length + buffer.length);
+                    System.arraycopy(buffer, 0, all, a.length, buffer.length);
                     return all;
                 })
                 .onErrorMap(Exceptions::unwrap)
-                .flatMap(b -> MalformedRequestHandler.is(in)
+                .flatMap(buffer -> MalformedRequestHandler.is(in)
                         ? Mono.error(new InvalidRequestException("The request cannot be read whole."))
-                        : Mono.just(b));
+                        : Mono.just(buffer));
     }
 
     private ServiceException tooLarge() {
         return new RequestTooLargeException("The body is over " + maxBody + " bytes.");
     }
 
-    private static byte[] bytes(ByteBuf b) {
-        byte[] out = new byte[b.readableBytes()];
-        b.readBytes(out);
+    private static byte[] bytes(ByteBuf buffer) {
+        byte[] out = new byte[buffer.readableBytes()];
+        buffer.readBytes(out);
         return out;
     }
 
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -22,13 +22,13 @@
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext c, Object message) {
-        boolean undecoded =
-                message instanceof DecoderResultProvider p && p.decoderResult().isFailure();
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        boolean undecoded = message instanceof DecoderResultProvider decoded
+                && decoded.decoderResult().isFailure();
         if (undecoded || message instanceof HttpRequest request && ambiguous(request)) {
-            c.channel().attr(KEY).set(true);
+            context.channel().attr(KEY).set(true);
         }
-        c.fireChannelRead(message);
+        context.fireChannelRead(message);
     }
 
     /** Where one reader may see another end of the body, or another host, than the next one does. */
--- a/common/src/main/java/org/woadvale/common/http/Request.java
+++ b/common/src/main/java/org/woadvale/common/http/Request.java
@@ -7,10 +7,14 @@
 
 /** An HTTP request, free of any HTTP library; header names are in lower case. */
 public record Request(String method, String path, Map<String, String> headers, byte[] body) {
+    private static final String BEARER = "Bearer ";
+
+    /** The segments of the path, without the query. */
     public List<String> segments() {
         return List.of(path.replaceAll("\\?.*", "").replaceAll("^/+", "").split("/"));
     }
 
+    /** A header by its name in any case; blank ones count as absent. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(headers.get(name.toLowerCase(Locale.ROOT))).filter(s -> !s.isBlank());
     }
@@ -18,7 +22,7 @@
     /** The secret of a bearer key. */
     public Optional<String> secret() {
         return header("authorization")
-                .filter(a -> a.startsWith("Bearer "))
-                .map(a -> a.substring(7).trim());
+                .filter(value -> value.startsWith(BEARER))
+                .map(value -> value.substring(BEARER.length()).trim());
     }
 }
--- a/common/src/main/java/org/woadvale/common/http/Response.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -11,14 +11,16 @@
 public record Response(int status, Map<String, String> headers, byte[] body) {
     private static final String DEFAULT_RETRY_AFTER_SECONDS = "1";
 
+    /** A JSON document. */
     public static Response json(int status, Object body) {
         return new Response(status, Map.of("Content-Type", "application/json"), Configurations.write(body));
     }
 
+    /** The same response with one more header. */
     public Response with(String header, String value) {
-        Map<String, String> h = new LinkedHashMap<>(headers);
-        h.put(header, value);
-        return new Response(status, h, body);
+        Map<String, String> copy = new LinkedHashMap<>(headers);
+        copy.put(header, value);
+        return new Response(status, copy, body);
     }
 
     /** The table from kind to answer is ErrorKind itself. */
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -27,6 +27,7 @@
     private final Map<String, String> leaderHints = new ConcurrentHashMap<>();
     private final AtomicReference<CoreMembers> members;
 
+    /** A client that knows the seeds, and the members that were stored last. */
     public CoreClient(
             RpcClient rpc, LongSupplier random, List<String> seeds, CoreMembers known, Consumer<CoreMembers> remember) {
         this.rpc = rpc;
@@ -36,6 +37,7 @@
         this.members = new AtomicReference<>(known.members().isEmpty() ? new CoreMembers(0, seeds) : known);
     }
 
+    /** The control nodes to ask, the newest list that is known. */
     public List<String> controlNodes() {
         return members.get().members();
     }
@@ -68,9 +70,9 @@
     public void refreshMembers() {
         List<String> from = new ArrayList<>(new TreeSet<>(controlNodes()));
         from.addAll(seeds);
-        String n = from.get((int) Math.floorMod(random.getAsLong(), (long) from.size()));
-        if (!n.equals(rpc.self())) {
-            refreshMembersFrom(n);
+        String node = from.get((int) Math.floorMod(random.getAsLong(), (long) from.size()));
+        if (!node.equals(rpc.self())) {
+            refreshMembersFrom(node);
         }
     }
 
@@ -90,6 +92,7 @@
                 .subscribe(response -> adopt(new CoreMembers(response.epoch(), response.members())), e -> {});
     }
 
+    /** Where a request to a partition goes first: the leader that answered last, or any control node. */
     public String likelyLeader(String part) {
         List<String> all = controlNodes();
         return leaderHints.getOrDefault(part, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
--- a/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
@@ -10,11 +10,12 @@
  * @param members addresses, each once
  */
 public record CoreMembers(long epoch, List<String> members) {
+    /** Keeps a copy of the list. */
     public CoreMembers {
         members = List.copyOf(members);
     }
 
-    /** What a process knows that was never told. */
+    /** What a node knows that has heard of no member yet. */
     public static CoreMembers unknown() {
         return new CoreMembers(0, List.of());
     }
--- a/common/src/main/java/org/woadvale/common/membership/MemberLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/MemberLease.java
@@ -9,7 +9,7 @@
  * What a member says of itself with each renewal of its lease; a role is a service too.
  *
  * @param notVoting message partitions that the placement gives to this store and in which it does not count yet
- * @param leaving the store was told to stop, and serves on for as long as its grace lasts
+ * @param leaving the store is draining, and serves on for as long as its grace period lasts
  * @param newcomer the store began with an empty disk a short while ago, and the placement did not name it
  * @param groups the groups of the message partitions that this store leads, by partition
  */
--- a/common/src/main/java/org/woadvale/common/membership/Processor.java
+++ b/common/src/main/java/org/woadvale/common/membership/Processor.java
@@ -12,6 +12,7 @@
         boolean leaving,
         @Since(3) int slots,
         @JsonProperty("hall") @Since(3) String zone) {
+    /** A processor without a number of slots and without a zone. */
     public Processor(String address, boolean leaving) {
         this(address, leaving, 0, "");
     }
--- a/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
+++ b/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
@@ -8,15 +8,19 @@
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.rpc.Codec;
 
-/** The numbers of the types on inner streams; in each list, only ever add at the end. design 3.2 */
+/** The numbers of the types between nodes and on disk; in each list, only ever add at the end. */
 public final class RpcTypeNumbers {
+    /** The first number of the types that only control nodes have. */
     public static final int CONTROL_PLANE = 300;
+    /** The first number of the types that only data plane nodes have. */
     public static final int DATA_PLANE = 400;
+
     private static final int SHARED = 100;
     private static final int SNAPSHOTS = 250;
 
     private RpcTypeNumbers() {}
 
+    /** The codec of a program, with its own types from a number on. */
     public static Codec codec(int ownFirst, List<Class<?>> own) {
         return new Codec(numbers(ownFirst, own));
     }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -8,17 +8,32 @@
 
 /** Names of services and parts, and the draws by hash that everyone makes alike: design 6.2. */
 public final class ServiceNames {
+    /** The service whose view holds the configuration. */
     public static final String CONFIGURATION = "layout";
     /** Who the control nodes should be; kept with the configuration. */
     public static final String CORE = "core";
 
+    /** The service whose members are the intakes. */
     public static final String INTAKES = "role/intake";
+    /** The service whose members are the stores, and whose view holds the placement. */
     public static final String STORES = "role/store";
+    /** Control partitions beside c0. */
     public static final int CONTROL_PARTS = 8;
+    /** Message partitions. */
     public static final int MESSAGE_PARTS = 8;
 
+    // constants of well-known hash functions; a change would move every partition
+    private static final long HASH_SEED = 1125899906842597L;
+    private static final int HASH_FACTOR = 31;
+    private static final int FINAL_SHIFT = 33;
+    private static final long FIRST_MULTIPLIER = 0xff51afd7ed558ccdL;
+    private static final long SECOND_MULTIPLIER = 0xc4ceb9fe1a85ec53L;
+    private static final int GOLDEN_RATIO = 0x9E3779B9;
+    private static final int MIX_SHIFT = 15;
+
     private ServiceNames() {}
 
+    /** The singleton lease of the bucket that limits a tenant. */
     public static String tenantBucket(String tenant) {
         return "tenant/" + tenant;
     }
@@ -28,24 +43,29 @@
         return "endpoint/" + address.replaceAll("/+$", "");
     }
 
+    /** The service whose view holds the processors of a configured service. */
     public static String processors(String service) {
         return "service/" + service;
     }
 
+    /** The control partition that a service is in. */
     public static String controlPart(String service) {
         return service.equals(CONFIGURATION) || service.equals(CORE)
                 ? "c0"
                 : "c" + (1 + Math.floorMod(mix(service.hashCode()), CONTROL_PARTS));
     }
 
+    /** All control partitions. */
     public static List<String> controlParts() {
         return IntStream.rangeClosed(0, CONTROL_PARTS).mapToObj(i -> "c" + i).toList();
     }
 
+    /** The message partition of a lane and an ordering key, or a message id. */
     public static String messagePart(String lane, String key) {
         return "m" + Math.floorMod(mix((lane + "/" + key).hashCode()), MESSAGE_PARTS);
     }
 
+    /** All message partitions. */
     public static List<String> messageParts() {
         return IntStream.range(0, MESSAGE_PARTS).mapToObj(i -> "m" + i).toList();
     }
@@ -53,27 +73,28 @@
     /** Rendezvous draw: losing a node moves only what it had. */
     public static Optional<String> rendezvousOwner(String what, Collection<String> nodes) {
         return nodes.stream()
-                .max(Comparator.<String>comparingLong(n -> mix64(what, n)).thenComparing(n -> n));
+                .max(Comparator.<String>comparingLong(node -> mix64(what, node)).thenComparing(node -> node));
     }
 
-    public static long mix64(String a, String b) {
-        long h = 1125899906842597L;
-        for (int i = 0; i < a.length(); i++) {
-            h = 31 * h + a.charAt(i);
+    /** A well-mixed hash of two texts, the same in every process and build. */
+    public static long mix64(String first, String second) {
+        long hash = HASH_SEED;
+        for (int i = 0; i < first.length(); i++) {
+            hash = HASH_FACTOR * hash + first.charAt(i);
         }
-        h = 31 * h + '|';
-        for (int i = 0; i < b.length(); i++) {
-            h = 31 * h + b.charAt(i);
+        hash = HASH_FACTOR * hash + '|';
+        for (int i = 0; i < second.length(); i++) {
+            hash = HASH_FACTOR * hash + second.charAt(i);
         }
-        h ^= h >>> 33;
-        h *= 0xff51afd7ed558ccdL;
-        h ^= h >>> 33;
-        h *= 0xc4ceb9fe1a85ec53L;
-        return h ^ (h >>> 33);
+        hash ^= hash >>> FINAL_SHIFT;
+        hash *= FIRST_MULTIPLIER;
+        hash ^= hash >>> FINAL_SHIFT;
+        hash *= SECOND_MULTIPLIER;
+        return hash ^ (hash >>> FINAL_SHIFT);
     }
 
-    private static int mix(int h) {
-        int x = h * 0x9E3779B9;
-        return x ^ (x >>> 15);
+    private static int mix(int hash) {
+        int mixed = hash * GOLDEN_RATIO;
+        return mixed ^ (mixed >>> MIX_SHIFT);
     }
 }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceView.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceView.java
@@ -14,30 +14,36 @@
         Map<String, List<String>> placement,
         @FirstFormatName("layout") byte[] configuration,
         @FirstFormatName("layoutVersion") long configurationVersion) {
+    /** A service that nothing is known of. */
     public static ServiceView blank(String service) {
         return new ServiceView(service, 0, Map.of(), Map.of(), SingletonLease.none(), Map.of(), new byte[0], 0);
     }
 
+    /** The same view with other members. */
     public ServiceView withMembers(long newVersion, Map<String, MemberLease> newMembers) {
         return new ServiceView(
                 service, newVersion, newMembers, processors, singleton, placement, configuration, configurationVersion);
     }
 
+    /** The same view with other processors. */
     public ServiceView withProcessors(long newVersion, Map<String, Processor> newProcessors) {
         return new ServiceView(
                 service, newVersion, members, newProcessors, singleton, placement, configuration, configurationVersion);
     }
 
+    /** The same view with another singleton lease. */
     public ServiceView withSingleton(long newVersion, SingletonLease newDuty) {
         return new ServiceView(
                 service, newVersion, members, processors, newDuty, placement, configuration, configurationVersion);
     }
 
+    /** The same view with another placement. */
     public ServiceView withPlacement(long newVersion, Map<String, List<String>> newPlacement) {
         return new ServiceView(
                 service, newVersion, members, processors, singleton, newPlacement, configuration, configurationVersion);
     }
 
+    /** The same view with another configuration. */
     public ServiceView withConfiguration(long newVersion, byte[] newConfiguration, long newConfigurationVersion) {
         return new ServiceView(
                 service,
--- a/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
@@ -4,7 +4,7 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * A one-node duty; the holder is empty while it is vacant. A term of zero: never held. Clear: it was taken when all
+ * A lease that one node holds at a time; the owner is empty while it is vacant. A term of zero: never owned. Clear: it was taken when all
  * that earlier terms gave out had lapsed.
  */
 public record SingletonLease(
@@ -12,10 +12,12 @@
         long term,
         double level,
         @Since(2) boolean clear) {
+    /** A lease that nobody ever owned. */
     public static SingletonLease none() {
         return new SingletonLease("", 0, -1, false);
     }
 
+    /** Whether nobody owns it. */
     public boolean vacant() {
         return owner.isEmpty();
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -67,23 +67,28 @@
         bucket.fill(to, outstanding + formerOutstanding);
     }
 
+    /** The term of the singleton lease under which this bucket grants. */
     public long term() {
         return term;
     }
 
+    /** The tokens that are left. */
     public double level(Duration now) {
         expireGrants(now);
         return bucket.level();
     }
 
+    /** Granted tokens that may still be spent. */
     public int outstanding() {
         return outstanding;
     }
 
+    /** The nodes that have asked lately. */
     public int active() {
         return Math.max(1, requesters.size());
     }
 
+    /** Another limit applies from now on. */
     public void change(RateLimit limit, Duration now) {
         expireGrants(now);
         bucket.change(limit);
@@ -122,13 +127,13 @@
         request.reports().forEach(report -> report(asker, report));
         fill(now);
         Duration left = leaseEnd.minus(now);
-        Duration life = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
+        Duration lifetime = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
         Grant known = byId.get(asker + "/" + request.grant());
         if (known != null) {
-            return new TokenMessages.TokenResponse(request.grant(), known.granted, Duration.ZERO, term, life);
+            return new TokenMessages.TokenResponse(request.grant(), known.granted, Duration.ZERO, term, lifetime);
         }
         if (request.grant() == TokenMessages.NO_GRANT) {
-            return new TokenMessages.TokenResponse(request.grant(), 0, Duration.ZERO, term, life);
+            return new TokenMessages.TokenResponse(request.grant(), 0, Duration.ZERO, term, lifetime);
         }
         int most = Optional.ofNullable(requesters.get(asker))
                 .map(Requester::largestRequest)
@@ -138,18 +143,18 @@
         RateLimit mine = bucket.limit();
         int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / active());
         int want = Math.max(Math.min(batch, most), request.minimum());
-        int n = (int) Math.min(want, Math.floor(bucket.level() + 1e-9));
-        if (n <= 0 || !bucket.take(n)) {
-            return new TokenMessages.TokenResponse(request.grant(), 0, bucket.until(1), term, life);
+        int tokens = (int) Math.min(want, Math.floor(bucket.level() + Bucket.ROUNDING));
+        if (tokens <= 0 || !bucket.take(tokens)) {
+            return new TokenMessages.TokenResponse(request.grant(), 0, bucket.until(1), term, lifetime);
         }
         Grant grant = new Grant(
                 asker,
                 request.grant(),
-                n,
+                tokens,
                 now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
         byId.put(asker + "/" + request.grant(), grant);
         byEnd.add(grant);
-        outstanding += n;
-        return new TokenMessages.TokenResponse(request.grant(), n, Duration.ZERO, term, life);
+        outstanding += tokens;
+        return new TokenMessages.TokenResponse(request.grant(), tokens, Duration.ZERO, term, lifetime);
     }
 }
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
@@ -10,8 +10,10 @@
 
 /** The local bucket of one node for one shared bucket: drawn without a call. design 8.3 */
 public final class LocalBucket {
+    private static final int TENTHS = 10;
+    private static final int RETURN_AFTER_TENTHS = 7;
     private static final Duration RETURN_BEFORE_EXPIRY =
-            TokenMessages.TOKEN_LIFETIME.multipliedBy(7).dividedBy(10);
+            TokenMessages.TOKEN_LIFETIME.multipliedBy(RETURN_AFTER_TENTHS).dividedBy(TENTHS);
 
     /** One drawn pass; dead after its end. */
     public record AdmissionToken(long grant, Duration until) {}
@@ -21,7 +23,7 @@
         final Duration until;
         final int granted;
         int drawn;
-        int settled;
+        int spent;
         boolean closed;
         boolean reported;
 
@@ -39,10 +41,12 @@
     private final Deque<TokenBatch> batches = new ArrayDeque<>();
     private int lastBatch;
 
+    /** Tokens that may be taken right now. */
     public int left(Duration now) {
         return batches.stream().mapToInt(batch -> batch.left(now)).sum();
     }
 
+    /** One token, if there is any. */
     public Optional<AdmissionToken> take(Duration now) {
         for (TokenBatch batch : batches) {
             if (batch.left(now) > 0) {
@@ -55,7 +59,7 @@
 
     private Optional<TokenBatch> inUse(AdmissionToken token) {
         return batches.stream()
-                .filter(batch -> batch.grant == token.grant() && !batch.closed && batch.drawn > batch.settled)
+                .filter(batch -> batch.grant == token.grant() && !batch.closed && batch.drawn > batch.spent)
                 .findFirst();
     }
 
@@ -67,17 +71,17 @@
     /** Only now is the pass reported as spent; a report can so never be taken back. */
     public void markSpent(AdmissionToken token) {
         inUse(token).ifPresent(batch -> {
-            batch.settled++;
+            batch.spent++;
             batch.reported = false;
         });
     }
 
     /** Life counts from when the pass was first asked for. */
-    public void onGranted(long grant, int n, Duration asked, Duration life, Duration now) {
-        lastBatch = n;
-        Duration until = asked.plus(life);
-        if (n > 0 && until.compareTo(now) > 0) {
-            batches.add(new TokenBatch(grant, n, until));
+    public void onGranted(long grant, int tokens, Duration asked, Duration lifetime, Duration now) {
+        lastBatch = tokens;
+        Duration until = asked.plus(lifetime);
+        if (tokens > 0 && until.compareTo(now) > 0) {
+            batches.add(new TokenBatch(grant, tokens, until));
         }
     }
 
@@ -87,11 +91,12 @@
         return left == 0 || (lastBatch >= 2 && left * 2 <= lastBatch);
     }
 
-    /** Something was spent that the holder still counts as out. */
+    /** Something was spent that the owner still counts as outstanding. */
     public boolean hasUnreportedUsage() {
-        return batches.stream().anyMatch(batch -> !batch.reported && batch.settled > 0);
+        return batches.stream().anyMatch(batch -> !batch.reported && batch.spent > 0);
     }
 
+    /** Whether batches are so small that each token counts. */
     public boolean isTiny() {
         return lastBatch < 2;
     }
@@ -99,21 +104,21 @@
     /** Old lots are closed here first, then reported as given back: they can never be spent in both places. */
     public List<TokenMessages.UsageReport> reports(Duration now) {
         List<TokenMessages.UsageReport> out = new ArrayList<>();
-        for (Iterator<TokenBatch> i = batches.iterator(); i.hasNext(); ) {
-            TokenBatch batch = i.next();
+        for (Iterator<TokenBatch> iterator = batches.iterator(); iterator.hasNext(); ) {
+            TokenBatch batch = iterator.next();
             if (now.compareTo(batch.until) >= 0) {
-                i.remove();
+                iterator.remove();
                 continue;
             }
             boolean old = now.compareTo(
                             batch.until.minus(TokenMessages.TOKEN_LIFETIME).plus(RETURN_BEFORE_EXPIRY))
                     >= 0;
-            if (old || batch.settled == batch.granted) {
+            if (old || batch.spent == batch.granted) {
                 batch.closed = true;
             }
             if (!batch.reported || batch.closed) {
                 out.add(new TokenMessages.UsageReport(
-                        batch.grant, batch.closed ? batch.drawn : batch.settled, batch.closed));
+                        batch.grant, batch.closed ? batch.drawn : batch.spent, batch.closed));
                 batch.reported = true;
             }
         }
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -17,7 +17,14 @@
 
 /** All local buckets of a node: asks ahead, and lets a few wait shortly on an empty one. design 8.3 */
 public final class LocalBuckets {
+    private static final Duration TICK = Duration.ofMillis(25);
+    private static final long MILLIS_PER_SECOND = 1000;
+    /** Ids of grants begin at random and have room to rise. */
+    private static final int GRANT_ID_SHIFT = 8;
+
+    /** A request waits no longer for a token. */
     public static final Duration MAX_WAIT = Duration.ofMillis(250);
+
     private static final Duration IDLE_AFTER = Duration.ofSeconds(2);
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(200);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(30);
@@ -55,16 +62,19 @@
     private long throttled;
     private long requests;
 
+    /** Buckets of one node. */
     public LocalBuckets(NodeEnvironment environment, ViewSubscriptions subscriptions) {
         this.environment = environment;
         this.subscriptions = subscriptions;
-        this.nextGrant = environment.random().getAsLong() >>> 8;
+        this.nextGrant = environment.random().getAsLong() >>> GRANT_ID_SHIFT;
     }
 
+    /** Asks ahead and reports until {@link #stop}. */
     public void start() {
-        ticking = environment.timers().every(Duration.ofMillis(25), this::onTick);
+        ticking = environment.timers().every(TICK, this::onTick);
     }
 
+    /** Asks no more. */
     public void stop() {
         ticking.cancel();
     }
@@ -76,7 +86,7 @@
     /** At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one and by WAIT. */
     public Mono<LocalBucket.AdmissionToken> take(String bucket, Duration wait) {
         return Mono.defer(() -> shard.get(() -> {
-            BucketState bucketState = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            BucketState bucketState = buckets.computeIfAbsent(bucket, bucketName -> new BucketState());
             bucketState.lastUsed = now();
             Optional<LocalBucket.AdmissionToken> token =
                     bucketState.waiting.isEmpty() ? bucketState.localBucket.take(now()) : Optional.empty();
@@ -101,7 +111,7 @@
     /** Without any wait; for the leaving direction, where the next look tries again. */
     public Optional<LocalBucket.AdmissionToken> tryTake(String bucket) {
         return shard.get(() -> {
-            BucketState bucketState = buckets.computeIfAbsent(bucket, b -> new BucketState());
+            BucketState bucketState = buckets.computeIfAbsent(bucket, bucketName -> new BucketState());
             bucketState.lastUsed = now();
             Optional<LocalBucket.AdmissionToken> optional = bucketState.localBucket.take(now());
             optional.ifPresent(token -> atOnce++);
@@ -111,27 +121,30 @@
         });
     }
 
+    /** Whether a token may still be spent. */
     public boolean isValid(LocalBucket.AdmissionToken token) {
         return now().compareTo(token.until()) < 0;
     }
 
+    /** A token that was not spent after all. */
     public void returnToken(String bucket, LocalBucket.AdmissionToken token) {
         shard.run(() -> Optional.ofNullable(buckets.get(bucket))
                 .ifPresent(bucketState -> bucketState.localBucket.returnToken(token)));
     }
 
+    /** A token that was spent, or that may have been. */
     public void markSpent(String bucket, LocalBucket.AdmissionToken token) {
         shard.run(() -> Optional.ofNullable(buckets.get(bucket))
                 .ifPresent(bucketState -> bucketState.localBucket.markSpent(token)));
     }
 
     private ServiceException throttled(BucketState bucket) {
-        long s = Math.max(1, (bucket.retry.toMillis() + 999) / 1000);
-        return new ThrottledException("The rate limit is reached for now.", s);
+        long retryAfterSeconds = Math.max(1, (bucket.retry.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
+        return new ThrottledException("The rate limit is reached for now.", retryAfterSeconds);
     }
 
     private void onTick() {
-        shard.run(() -> buckets.forEach((b, bucket) -> {
+        shard.run(() -> buckets.forEach((bucketName, bucket) -> {
             servePending(bucket);
             while (!bucket.waiting.isEmpty()
                     && now().compareTo(bucket.waiting.peek().until()) >= 0) {
@@ -141,8 +154,8 @@
                 shard.afterUnlock(() -> pending.sink().tryEmitError(failure));
             }
             if (now().minus(bucket.lastUsed).compareTo(IDLE_AFTER) < 0) {
-                refill(b, bucket);
-                report(b, bucket);
+                refill(bucketName, bucket);
+                report(bucketName, bucket);
             }
         }));
     }
@@ -166,9 +179,9 @@
         if (!need || bucketState.requestInFlight || now().compareTo(bucketState.notBefore) < 0) {
             return;
         }
-        Optional<String> holder =
+        Optional<String> owner =
                 Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
-        if (holder.isEmpty()) {
+        if (owner.isEmpty()) {
             bucketState.notBefore = now().plus(RETRY_PAUSE);
             shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
             return;
@@ -189,23 +202,23 @@
                 bucketState.localBucket.reports(now()));
         shard.afterUnlock(() -> environment
                 .rpc()
-                .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
+                .call(owner.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(
                         response -> shard.run(() -> onGranted(bucket, bucketState, response, since)),
                         e -> shard.run(() -> {
                             bucketState.requestInFlight = false;
                             bucketState.notBefore = now().plus(RETRY_PAUSE);
-                            // the holder may be another by now: design 8.4
+                            // the owner may be another by now
                             shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
                         })));
     }
 
-    /** What is spent is told soon: the holder fills only what is not out. */
+    /** What was spent is reported soon: the owner fills up only what is not outstanding. */
     private void report(String bucket, BucketState bucketState) {
-        Optional<String> holder =
+        Optional<String> owner =
                 Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
         if (bucketState.requestInFlight
-                || holder.isEmpty()
+                || owner.isEmpty()
                 || !bucketState.localBucket.hasUnreportedUsage()
                 || now().minus(bucketState.lastReport).compareTo(REPORT_INTERVAL) < 0) {
             return;
@@ -216,7 +229,7 @@
                 bucket, TokenMessages.NO_GRANT, 0, bucketState.localBucket.reports(now()));
         shard.afterUnlock(() -> environment
                 .rpc()
-                .call(holder.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
+                .call(owner.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(response -> {}, e -> {}));
     }
 
@@ -235,6 +248,7 @@
         refill(bucket, bucketState);
     }
 
+    /** What came of the requests so far. */
     public Counts counts() {
         return shard.get(() -> new Counts(atOnce, waited, throttled, requests));
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -27,6 +27,8 @@
 
 /** The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. design 8.4 */
 public final class TokenGranters {
+    private static final Duration TICK = Duration.ofMillis(200);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(250);
     private static final Logger LOG = LogManager.getLogger(TokenGranters.class);
     private static final Duration STABLE_AFTER = Duration.ofSeconds(3);
 
@@ -50,6 +52,7 @@
     private long granted;
     private long requests;
 
+    /** Aggregate buckets of one node; the functions tell which buckets there are and their limits. */
     public TokenGranters(
             NodeEnvironment environment,
             CoreClient core,
@@ -63,10 +66,12 @@
         this.buckets = buckets;
     }
 
+    /** Acquires and releases leases until {@link #stop}. */
     public void start() {
-        ticking = environment.timers().every(Duration.ofMillis(200), this::onTick);
+        ticking = environment.timers().every(TICK, this::onTick);
     }
 
+    /** Grants no more. */
     public void stop() {
         ticking.cancel();
     }
@@ -77,71 +82,71 @@
 
     private void onTick() {
         Set<String> ring = subscriptions.latest(ServiceNames.INTAKES).members().keySet();
-        for (String b : buckets.get()) {
-            boolean mine = ServiceNames.rendezvousOwner(b, ring)
+        for (String bucketName : buckets.get()) {
+            boolean mine = ServiceNames.rendezvousOwner(bucketName, ring)
                     .filter(environment.self()::equals)
                     .isPresent();
-            boolean deputy = !mine && preferredOwner(b, ring);
-            shard.run(() -> acquireOrRelease(b, mine, deputy));
+            boolean deputy = !mine && preferredOwner(bucketName, ring);
+            shard.run(() -> acquireOrRelease(bucketName, mine, deputy));
         }
         shard.run(() -> List.copyOf(owned.keySet()).stream()
-                .filter(b -> !buckets.get().contains(b))
+                .filter(bucketName -> !buckets.get().contains(bucketName))
                 .forEach(this::release));
     }
 
     /** Stands once the first of the ring has let its lease lapse; the ring itself is told of that later. design 8.4 */
-    private boolean preferredOwner(String b, Set<String> ring) {
-        SingletonLease singleton = subscriptions.latest(b).singleton();
-        Optional<String> first = ServiceNames.rendezvousOwner(b, ring);
+    private boolean preferredOwner(String bucketName, Set<String> ring) {
+        SingletonLease singleton = subscriptions.latest(bucketName).singleton();
+        Optional<String> first = ServiceNames.rendezvousOwner(bucketName, ring);
         Set<String> rest = new TreeSet<>(ring);
         first.ifPresent(rest::remove);
         return first.filter(singleton.owner()::equals).isPresent()
-                && ServiceNames.rendezvousOwner(b, rest)
+                && ServiceNames.rendezvousOwner(bucketName, rest)
                         .filter(environment.self()::equals)
                         .isPresent();
     }
 
-    private void acquireOrRelease(String b, boolean mine, boolean deputy) {
-        Optional<OwnedBucket> h = Optional.ofNullable(owned.get(b));
-        if (h.isPresent()) {
-            OwnedBucket owned = h.get();
+    private void acquireOrRelease(String bucketName, boolean mine, boolean deputy) {
+        Optional<OwnedBucket> ownedBucket = Optional.ofNullable(owned.get(bucketName));
+        if (ownedBucket.isPresent()) {
+            OwnedBucket owned = ownedBucket.get();
             owned.notPreferredSince =
                     mine ? Duration.ZERO : owned.notPreferredSince.isZero() ? now() : owned.notPreferredSince;
             if (draining || (!mine && now().minus(owned.notPreferredSince).compareTo(STABLE_AFTER) > 0)) {
-                release(b);
+                release(bucketName);
             } else {
-                requestLease(b, owned.bucket.term());
+                requestLease(bucketName, owned.bucket.term());
             }
         } else if ((mine || deputy) && !draining) {
-            requestLease(b, 0);
+            requestLease(bucketName, 0);
         }
     }
 
-    private void requestLease(String b, long term) {
-        if (!requesting.add(b)) {
+    private void requestLease(String bucketName, long term) {
+        if (!requesting.add(bucketName)) {
             return;
         }
         Duration sent = now();
         shard.afterUnlock(() -> core.ask(
-                        ServiceNames.controlPart(b),
+                        ServiceNames.controlPart(bucketName),
                         new ControlMessages.SingletonLeaseRequest(
-                                b, environment.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
+                                bucketName, environment.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
                         ControlMessages.SingletonLeaseResponse.class)
                 .doFinally(signal ->
-                        environment.timers().after(Duration.ofMillis(250), () -> shard.run(() -> requesting.remove(b))))
-                .subscribe(response -> shard.run(() -> onLeaseResponse(b, response, sent)), e -> {}));
+                        environment.timers().after(RETRY_PAUSE, () -> shard.run(() -> requesting.remove(bucketName))))
+                .subscribe(response -> shard.run(() -> onLeaseResponse(bucketName, response, sent)), e -> {}));
     }
 
-    private void onLeaseResponse(String b, ControlMessages.SingletonLeaseResponse response, Duration sent) {
+    private void onLeaseResponse(String bucketName, ControlMessages.SingletonLeaseResponse response, Duration sent) {
         if (!response.granted() || draining) {
-            owned.remove(b);
+            owned.remove(bucketName);
             return;
         }
         Duration end = sent.plus(ReplicationTiming.defaults().leaderLease());
-        OwnedBucket ownedBucket = owned.get(b);
+        OwnedBucket ownedBucket = owned.get(bucketName);
         if (ownedBucket == null || ownedBucket.bucket.term() != response.lease().term()) {
-            Optional<RateLimit> a = limits.apply(b);
-            if (a.isEmpty()) {
+            Optional<RateLimit> limit = limits.apply(bucketName);
+            if (limit.isEmpty()) {
                 return;
             }
             ownedBucket = new OwnedBucket();
@@ -149,27 +154,29 @@
                     response.lease().term(),
                     response.lease().level(),
                     response.lease().clear(),
-                    a.get(),
+                    limit.get(),
                     now());
-            owned.put(b, ownedBucket);
-            LOG.info("Acquired {} in term {}.", b, response.lease().term());
+            owned.put(bucketName, ownedBucket);
+            LOG.info("Acquired {} in term {}.", bucketName, response.lease().term());
         }
         ownedBucket.leaseEnd = end;
     }
 
-    /** The old holder stops first; then the level goes to the core for the next one. */
-    private void release(String b) {
-        OwnedBucket ownedBucket = owned.remove(b);
+    /** The former owner stops first; then the level goes to the core for the next one. */
+    private void release(String bucketName) {
+        OwnedBucket ownedBucket = owned.remove(bucketName);
         if (ownedBucket == null || ownedBucket.leaseEnd.compareTo(now()) <= 0) {
             return;
         }
         ControlMessages.ReleaseSingletonRequest request = new ControlMessages.ReleaseSingletonRequest(
-                b, environment.self(), ownedBucket.bucket.term(), ownedBucket.bucket.level(now()));
-        LOG.info("Released {} with {} tokens left.", b, request.level());
-        shard.afterUnlock(() -> core.ask(ServiceNames.controlPart(b), request, ControlMessages.UpdateResult.class)
-                .subscribe(result -> {}, e -> {}));
+                bucketName, environment.self(), ownedBucket.bucket.term(), ownedBucket.bucket.level(now()));
+        LOG.info("Released {} with {} tokens left.", bucketName, request.level());
+        shard.afterUnlock(
+                () -> core.ask(ServiceNames.controlPart(bucketName), request, ControlMessages.UpdateResult.class)
+                        .subscribe(result -> {}, e -> {}));
     }
 
+    /** Releases all leases, so that other nodes grant at once. */
     public void drain() {
         shard.run(() -> {
             draining = true;
@@ -177,6 +184,7 @@
         });
     }
 
+    /** Grants tokens of a bucket that this node owns; fails with NOT_OWNER for others. */
     public Mono<TokenMessages.TokenResponse> onTokenRequest(String asker, TokenMessages.TokenRequest request) {
         Optional<RateLimit> allowance = limits.apply(request.bucket());
         return Mono.defer(() -> shard.get(() -> {
@@ -196,14 +204,17 @@
         }));
     }
 
-    public List<String> ownedCount() {
+    /** The buckets that this node owns. */
+    public List<String> ownedBuckets() {
         return shard.get(() -> new ArrayList<>(owned.keySet()));
     }
 
+    /** Requests that were answered so far. */
     public long requestCount() {
         return shard.get(() -> requests);
     }
 
+    /** Tokens that were granted so far. */
     public long grantedCount() {
         return shard.get(() -> granted);
     }
--- a/common/src/main/java/org/woadvale/common/replication/AppendEntriesHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/AppendEntriesHandler.java
@@ -64,11 +64,11 @@
         for (LogEntry entry : request.entries()) {
             index++;
             boolean compacted = index <= log.baseIndex();
-            boolean held = missing.isEmpty() && index <= log.lastIndex();
-            if (compacted || held && log.termAt(index) == entry.term()) {
+            boolean present = missing.isEmpty() && index <= log.lastIndex();
+            if (compacted || present && log.termAt(index) == entry.term()) {
                 continue;
             }
-            if (held) {
+            if (present) {
                 storage.truncateFrom(index);
             }
             missing.add(entry);
--- a/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
+++ b/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
@@ -84,16 +84,16 @@
         return lost || response.identity().equals(revokedIdentity) ? Finding.LOST_ACKNOWLEDGED : Finding.CURRENT;
     }
 
-    /** From now on the identity counts for nothing; true if that is news. */
+    /** From now on the identity counts for nothing; true if it counted until now. */
     boolean revoke(String reportedIdentity) {
-        boolean news = !reportedIdentity.equals(revokedIdentity);
+        boolean changed = !reportedIdentity.equals(revokedIdentity);
         revokedIdentity = reportedIdentity;
         identity = "";
         matchIndex = 0;
-        return news;
+        return changed;
     }
 
-    /** The commit index that the request told which was answered last. */
+    /** The commit index in the request that was answered last. */
     void onCommitIndexTold(long commitIndex) {
         commitIndexAtResponse = commitIndex;
     }
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -66,9 +66,9 @@
     }
 
     private static boolean hasMajority(Map<String, String> members, Map<String, String> agreeing) {
-        long n = members.entrySet().stream()
+        long agreeingMembers = members.entrySet().stream()
                 .filter(entry -> entry.getValue().equals(agreeing.get(entry.getKey())))
                 .count();
-        return !members.isEmpty() && n * 2 > members.size();
+        return !members.isEmpty() && agreeingMembers * 2 > members.size();
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -17,15 +17,15 @@
         if (record.format() > FIRST_FORMAT) {
             return record;
         }
-        Object o = codec.readFirst(record.bytes(), Object.class);
-        if (o instanceof LogEntry logEntry) {
-            o = upgraded(logEntry, codec);
-        } else if (o instanceof ReplicationMessages.ReplicaSnapshot snapshot) {
+        Object value = codec.readFirst(record.bytes(), Object.class);
+        if (value instanceof LogEntry logEntry) {
+            value = upgraded(logEntry, codec);
+        } else if (value instanceof ReplicationMessages.ReplicaSnapshot snapshot) {
             List<LogEntry> tail = new ArrayList<>();
             for (LogEntry entry : snapshot.entries()) {
                 tail.add(upgraded(entry, codec));
             }
-            o = new ReplicationMessages.ReplicaSnapshot(
+            value = new ReplicationMessages.ReplicaSnapshot(
                     snapshot.identity(),
                     snapshot.term(),
                     snapshot.votedFor(),
@@ -36,7 +36,7 @@
                     codec.upgrade(snapshot.state()),
                     tail);
         }
-        return new WalRecord(record.partition(), record.kind(), record.index(), record.term(), codec.write(o));
+        return new WalRecord(record.partition(), record.kind(), record.index(), record.term(), codec.write(value));
     }
 
     private static LogEntry upgraded(LogEntry entry, Codec codec) throws ServiceException {
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -16,14 +16,14 @@
 
 /** Brings one follower up to the leader's log in one term: entries, heartbeats and snapshots, one request at a time. */
 final class LogAppender {
-    /** Is told when a follower has acknowledged more of the log. */
+    /** Is notified when a follower has acknowledged more of the log. */
     interface ProgressListener {
         void onProgress();
     }
 
     private static final Logger LOG = LogManager.getLogger(LogAppender.class);
 
-    /** After so many chunks in a row without an answer the whole snapshot is tried once. */
+    /** After so many chunks in a row without an answer the snapshot is tried once in a single request. */
     private static final int LOST_CHUNKS_BEFORE_WHOLE = 6;
 
     /** So long a node that is to join is asked often, since it opens its replica at any moment. */
@@ -46,7 +46,7 @@
     private boolean unresponsive;
     /** Bytes of entries in one request: fewer after a request without an answer. */
     private int batchBytes = ReplicatedLog.BATCH_BYTES;
-    /** It told of entries that it holds and has not synced. */
+    /** Its latest response named entries that it has and has not synced. */
     private boolean holdsUnsynced;
 
     private Optional<SnapshotSender> snapshotSender = Optional.empty();
--- a/common/src/main/java/org/woadvale/common/replication/LogEntry.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogEntry.java
@@ -9,8 +9,11 @@
 public record LogEntry(long term, Kind kind, byte[] bytes) {
     /** What the bytes are. Stored by ordinal: only ever add at the end. */
     public enum Kind {
+        /** A command of the state machine. */
         COMMAND,
+        /** The members of the group from this entry on. */
         MEMBERSHIP,
+        /** Nothing; begins a term. */
         NO_OP
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -14,13 +14,13 @@
 record MembershipChange(String joining, Map<String, String> members) {
     /** A lost disk's new identity, or a wanted member for one not wanted; empty if there is nothing to change. */
     static Optional<MembershipChange> next(
-            Map<String, String> members, List<String> wanted, Map<String, FollowerProgress> followers) {
+            Map<String, String> members, List<String> desired, Map<String, FollowerProgress> followers) {
         return followers.entrySet().stream()
                 .filter(follower -> follower.getValue().caughtUp())
                 .flatMap(follower ->
                         joining(
                                 members,
-                                wanted,
+                                desired,
                                 follower.getKey(),
                                 follower.getValue().identity())
                                 .stream())
@@ -28,16 +28,17 @@
     }
 
     private static Optional<MembershipChange> joining(
-            Map<String, String> members, List<String> wanted, String node, String identity) {
+            Map<String, String> members, List<String> desired, String node, String identity) {
         if (identity.equals(members.get(node))) {
             return Optional.empty();
         }
         Map<String, String> next = new TreeMap<>(members);
         if (!members.containsKey(node)) {
-            Optional<String> leaving =
-                    members.keySet().stream().filter(m -> !wanted.contains(m)).findFirst();
-            boolean grows = members.size() < wanted.size();
-            if (!wanted.contains(node) || leaving.isEmpty() && !grows) {
+            Optional<String> leaving = members.keySet().stream()
+                    .filter(member -> !desired.contains(member))
+                    .findFirst();
+            boolean grows = members.size() < desired.size();
+            if (!desired.contains(node) || leaving.isEmpty() && !grows) {
                 return Optional.empty();
             }
             leaving.ifPresent(next::remove);
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -255,8 +255,8 @@
             return election.onStartElection(from, start);
         } else if (request instanceof SnapshotMessages.SnapshotChunkRequest chunk) {
             return snapshotHandler.onChunk(from, chunk);
-        } else if (request instanceof ReplicationMessages.InstallSnapshotRequest whole) {
-            return snapshotHandler.onWholeSnapshot(from, whole);
+        } else if (request instanceof ReplicationMessages.InstallSnapshotRequest install) {
+            return snapshotHandler.onWholeSnapshot(from, install);
         } else if (request instanceof SnapshotMessages.RevokeIdentityRequest revoke) {
             return revocationHandler.onRevokeIdentity(from, revoke);
         } else if (request instanceof ReplicationMessages.BootstrapRequest found) {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -15,7 +15,7 @@
  * on nothing else of the engine; used on the replica's shard only.
  */
 final class ReplicaState {
-    /** Is told of each change of role, after it. */
+    /** Is notified after each change of role. */
     interface RoleListener {
         void onRoleChange(Role before, Role now);
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -6,6 +6,9 @@
 /** The log of a partition in memory, from the end of a snapshot on. */
 final class ReplicatedLog {
     static final int BATCH_BYTES = 512 << 10;
+    /** What an entry takes in a request beside its bytes. */
+    private static final int ENTRY_OVERHEAD_BYTES = 32;
+
     static final int SMALLEST_BATCH = 16 << 10;
     private long baseIndex;
     private long baseTerm;
@@ -77,9 +80,9 @@
 
     private void discardTo(long index) {
         baseTerm = termAt(index);
-        int n = (int) (index - baseIndex);
-        items.subList(0, n).forEach(entry -> bytes -= entry.bytes().length);
-        items.subList(0, n).clear();
+        int count = (int) (index - baseIndex);
+        items.subList(0, count).forEach(entry -> bytes -= entry.bytes().length);
+        items.subList(0, count).clear();
         baseIndex = index;
     }
 
@@ -99,7 +102,7 @@
         long size = 0;
         for (long i = index + 1; i <= lastIndex() && size < enoughBytes; i++) {
             out.add(get(i));
-            size += get(i).bytes().length + 32;
+            size += get(i).bytes().length + ENTRY_OVERHEAD_BYTES;
         }
         return out;
     }
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
@@ -57,12 +57,12 @@
     }
 
     private ReceivedChunk finish(SnapshotId id) {
-        byte[] whole = bytes;
+        byte[] complete = bytes;
         clear();
-        if (SnapshotContent.checksum(whole, whole.length) != id.checksum()) {
+        if (SnapshotContent.checksum(complete, complete.length) != id.checksum()) {
             return ReceivedChunk.incomplete(ChunkStatus.CORRUPT, 0);
         }
-        SnapshotContent content = new SnapshotContent(id.index(), id.indexTerm(), whole, id.checksum());
+        SnapshotContent content = new SnapshotContent(id.index(), id.indexTerm(), complete, id.checksum());
         return new ReceivedChunk(ChunkStatus.ACCEPTED, id.totalBytes(), Optional.of(content));
     }
 
--- a/common/src/main/java/org/woadvale/common/rpc/BoundedSerializers.java
+++ b/common/src/main/java/org/woadvale/common/rpc/BoundedSerializers.java
@@ -24,9 +24,12 @@
 
     /** Registers arrays and mutable collections under their fixed numbers. */
     static void registerMutable(Kryo kryo) {
-        kryo.register(byte[].class, new SizePrefixed<>(new DefaultArraySerializers.ByteArraySerializer(), false), 20);
-        kryo.register(ArrayList.class, new ListSerializer(), 21);
-        kryo.register(HashMap.class, new HashMapSerializer(), 22);
+        kryo.register(
+                byte[].class,
+                new SizePrefixed<>(new DefaultArraySerializers.ByteArraySerializer(), false),
+                KryoTypeIds.BYTE_ARRAY);
+        kryo.register(ArrayList.class, new ListSerializer(), KryoTypeIds.ARRAY_LIST);
+        kryo.register(HashMap.class, new HashMapSerializer(), KryoTypeIds.HASH_MAP);
     }
 
     /** Registers immutable collections under the next free numbers, as the library does. */
@@ -35,10 +38,10 @@
         for (Object sample : List.of(
                 List.of(),
                 List.of(1),
-                List.of(1, 2, 3),
+                List.of(1, 1, 1),
                 Set.of(),
                 Set.of(1),
-                Set.of(1, 2, 3),
+                Set.of("a", "b", "c"),
                 Map.of(),
                 Map.of(1, 1))) {
             bound(kryo, sample.getClass());
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -19,8 +19,12 @@
     /** Range of inner protocol versions that this build speaks. */
     public static final int OLDEST_VERSION = 2;
 
+    /** The newest version that this build speaks. */
     public static final int NEWEST_VERSION = 2;
+    /** No frame is larger. */
     public static final int MAX_FRAME_BYTES = 24 << 20;
+
+    private static final int FIRST_BUFFER_BYTES = 512;
     /** Objects within each other; the deepest message of ours has less than ten. */
     private static final int MAX_DEPTH = 64;
 
@@ -39,15 +43,15 @@
         kryo.setReferences(false);
         kryo.setMaxDepth(MAX_DEPTH);
         BoundedSerializers.registerMutable(kryo);
-        kryo.register(TreeMap.class, 23);
-        kryo.register(Duration.class, 24);
-        kryo.register(Instant.class, 25);
-        kryo.register(Optional.class, 26);
-        register(kryo, Frame.class, 27, first);
-        kryo.register(Frame.Kind.class, 28);
-        register(kryo, Frame.ErrorResponse.class, 29, first);
-        kryo.register(LinkedHashMap.class, 30);
-        kryo.register(TreeSet.class, 31);
+        kryo.register(TreeMap.class, KryoTypeIds.TREE_MAP);
+        kryo.register(Duration.class, KryoTypeIds.DURATION);
+        kryo.register(Instant.class, KryoTypeIds.INSTANT);
+        kryo.register(Optional.class, KryoTypeIds.OPTIONAL);
+        register(kryo, Frame.class, KryoTypeIds.FRAME, first);
+        kryo.register(Frame.Kind.class, KryoTypeIds.FRAME_KIND);
+        register(kryo, Frame.ErrorResponse.class, KryoTypeIds.ERROR_RESPONSE, first);
+        kryo.register(LinkedHashMap.class, KryoTypeIds.LINKED_HASH_MAP);
+        kryo.register(TreeSet.class, KryoTypeIds.TREE_SET);
         BoundedSerializers.registerImmutable(kryo);
         types.forEach((from, list) -> {
             for (int i = 0; i < list.size(); i++) {
@@ -65,12 +69,14 @@
         }
     }
 
-    public byte[] write(Object o) {
-        Output out = new Output(512, MAX_FRAME_BYTES);
-        kryos.get().writeClassAndObject(out, o);
+    /** The bytes of a value with its type number. */
+    public byte[] write(Object value) {
+        Output out = new Output(FIRST_BUFFER_BYTES, MAX_FRAME_BYTES);
+        kryos.get().writeClassAndObject(out, value);
         return out.toBytes();
     }
 
+    /** The value in bytes that this or another build wrote; fails with BAD_REQUEST if they are unreadable. */
     public <T> T read(byte[] bytes, Class<T> type) throws ServiceException {
         return read(kryos.get(), bytes, type);
     }
@@ -80,6 +86,7 @@
         return firstFormatBytes.length == 0 ? firstFormatBytes : write(readFirst(firstFormatBytes, Object.class));
     }
 
+    /** The value in bytes of the first format. */
     public <T> T readFirst(byte[] firstFormatBytes, Class<T> type) throws ServiceException {
         return read(firstFormat.get(), firstFormatBytes, type);
     }
@@ -87,11 +94,11 @@
     /** Foreign bytes may fail anywhere in any reader of a type: whatever it throws, the frame is unreadable. */
     private static <T> T read(Kryo kryo, byte[] bytes, Class<T> type) throws ServiceException {
         try {
-            Object o = kryo.readClassAndObject(new Input(bytes));
-            if (!type.isInstance(o)) {
+            Object value = kryo.readClassAndObject(new Input(bytes));
+            if (!type.isInstance(value)) {
                 throw new InvalidRequestException("Expected " + type.getSimpleName() + " in a frame.");
             }
-            return type.cast(o);
+            return type.cast(value);
         } catch (RuntimeException e) {
             throw new InvalidRequestException(
                     "Unreadable frame: " + e.getClass().getSimpleName() + ".");
--- a/common/src/main/java/org/woadvale/common/rpc/FirstFormatName.java
+++ b/common/src/main/java/org/woadvale/common/rpc/FirstFormatName.java
@@ -12,5 +12,6 @@
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface FirstFormatName {
+    /** The former name. */
     String value();
 }
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -24,10 +24,12 @@
     private final Timers timers;
     private volatile boolean closed;
 
-    public PendingCalls(Timers schedules) {
-        this.timers = schedules;
+    /** Without any call. */
+    public PendingCalls(Timers timers) {
+        this.timers = timers;
     }
 
+    /** Sends a request and waits for its response; fails as {@link RpcClient#call} does. */
     public Mono<Object> call(Object body, Duration limit, Consumer<Frame> send) {
         return Mono.defer(() -> {
             if (closed) {
@@ -91,7 +93,7 @@
     /** Runs the handler and turns its result into the frame to send back. */
     public static Mono<Frame> serve(RpcRouter router, String from, Frame ask) {
         return Mono.<Object>from(router.handle(from, ask.body()))
-                .map(o -> new Frame(ask.id(), Frame.Kind.RESPONSE, o))
+                .map(result -> new Frame(ask.id(), Frame.Kind.RESPONSE, result))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
                     return Mono.just(new Frame(
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -61,14 +61,14 @@
     }
 
     @Override
-    public void write(Kryo kryo, Output out, Object o) {
+    public void write(Kryo kryo, Output out, Object value) {
         if (firstFormat) {
             throw new IllegalStateException("the first format is only read");
         }
         out.writeVarInt(components.length, true);
         try {
             for (RecordComponent component : components) {
-                kryo.writeClassAndObject(out, component.getAccessor().invoke(o));
+                kryo.writeClassAndObject(out, component.getAccessor().invoke(value));
             }
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
@@ -83,11 +83,11 @@
         if (firstFormat) {
             readFirst(kryo, in, args);
         } else {
-            int n = in.readVarInt(true);
-            for (int i = 0; i < n; i++) {
-                Object o = kryo.readClassAndObject(in);
-                if (i < args.length) {
-                    args[i] = o;
+            int count = in.readVarInt(true);
+            for (int index = 0; index < count; index++) {
+                Object value = kryo.readClassAndObject(in);
+                if (index < args.length) {
+                    args[index] = value;
                 }
             }
         }
@@ -101,15 +101,15 @@
     private void readFirst(Kryo kryo, Input in, Object[] args) {
         int[] order = IntStream.range(0, components.length)
                 .boxed()
-                .filter(i -> !components[i].isAnnotationPresent(Since.class))
-                .sorted(Comparator.comparing(i -> firstFormatName(components[i])))
+                .filter(index -> !components[index].isAnnotationPresent(Since.class))
+                .sorted(Comparator.comparing(index -> firstFormatName(components[index])))
                 .mapToInt(Integer::intValue)
                 .toArray();
-        for (int i : order) {
-            Class<?> c = components[i].getType();
-            args[i] = c.isPrimitive()
-                    ? kryo.readObject(in, c)
-                    : kryo.isFinal(c) ? kryo.readObjectOrNull(in, c) : kryo.readClassAndObject(in);
+        for (int index : order) {
+            Class<?> type = components[index].getType();
+            args[index] = type.isPrimitive()
+                    ? kryo.readObject(in, type)
+                    : kryo.isFinal(type) ? kryo.readObjectOrNull(in, type) : kryo.readClassAndObject(in);
         }
     }
 
@@ -120,10 +120,10 @@
     }
 
     /** What a component is that the writer did not know yet. */
-    private static Object defaultValue(Class<?> c) {
-        if (c.isEnum()) {
-            return c.getEnumConstants()[0];
+    private static Object defaultValue(Class<?> type) {
+        if (type.isEnum()) {
+            return type.getEnumConstants()[0];
         }
-        return Optional.ofNullable(DEFAULTS.get(c)).orElse(Optional.empty());
+        return Optional.ofNullable(DEFAULTS.get(type)).orElse(Optional.empty());
     }
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
@@ -5,6 +5,7 @@
 
 /** ControlMessages peers; a node's name is its internal address "ip:port": design 3.1. */
 public interface RpcClient {
+    /** The name of this node. */
     String self();
 
     /**
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -24,6 +24,10 @@
 final class RpcConnection {
     private static final Logger LOG = LogManager.getLogger(RpcConnection.class);
     private static final String NAME = "[!-~]{1,64}";
+    private static final int LENGTH_BYTES = Integer.BYTES;
+    /** The magic number and two versions; the name of the peer follows. */
+    private static final int HANDSHAKE_BYTES = Integer.BYTES + 2 * Short.BYTES;
+
     private static final int MAGIC = 0x574F4144;
     private static final Duration HANDSHAKE = Duration.ofSeconds(2);
 
@@ -51,22 +55,23 @@
             String self,
             Codec codec,
             RpcRouter router,
-            Timers schedules,
+            Timers timers,
             AtomicLong framesSent,
             Optional<String> called) {
         this.connection = connection;
         this.self = self;
         this.codec = codec;
         this.router = router;
-        this.timers = schedules;
+        this.timers = timers;
         this.framesSent = framesSent;
         this.expectedPeer = called;
-        this.pendingCalls = new PendingCalls(schedules);
+        this.pendingCalls = new PendingCalls(timers);
     }
 
     void open() {
-        connection.addHandlerLast("length", new LengthFieldBasedFrameDecoder(Codec.MAX_FRAME_BYTES, 0, 4, 0, 4));
-        connection.addHandlerLast("prepend", new LengthFieldPrepender(4));
+        connection.addHandlerLast(
+                "length", new LengthFieldBasedFrameDecoder(Codec.MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+        connection.addHandlerLast("prepend", new LengthFieldPrepender(LENGTH_BYTES));
         connection.addHandlerLast("frames", new SimpleChannelInboundHandler<ByteBuf>() {
             @Override
             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf in) {
@@ -108,7 +113,7 @@
     }
 
     private void onHandshake(ByteBuf in) {
-        if (in.readableBytes() < 8 || in.readInt() != MAGIC) {
+        if (in.readableBytes() < HANDSHAKE_BYTES || in.readInt() != MAGIC) {
             refuse("foreign handshake");
             return;
         }
--- a/common/src/main/java/org/woadvale/common/rpc/Since.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Since.java
@@ -9,5 +9,6 @@
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Since {
+    /** The number of the format. */
     int value();
 }
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -25,6 +25,8 @@
 /** Frames over Reactor Netty TCP: one stream to each peer we ask. */
 public final class TcpRpcClient implements RpcClient, Component {
     private static final Logger LOG = LogManager.getLogger(TcpRpcClient.class);
+    private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(100);
     private static final Duration CONNECT = Duration.ofMillis(500);
 
     private final String self;
@@ -37,17 +39,18 @@
     private final AtomicLong framesSent = new AtomicLong();
     private DisposableServer server;
 
-    public TcpRpcClient(String self, Codec codec, RpcRouter router, Timers schedules) {
-        this(self, self, codec, router, schedules);
+    /** A client that listens at the address that it is known by. */
+    public TcpRpcClient(String self, Codec codec, RpcRouter router, Timers timers) {
+        this(self, self, codec, router, timers);
     }
 
     /** Known by one address, listening at another, as behind a relay. */
-    public TcpRpcClient(String self, String listen, Codec codec, RpcRouter router, Timers schedules) {
+    public TcpRpcClient(String self, String listen, Codec codec, RpcRouter router, Timers timers) {
         this.self = self;
         this.listen = listen;
         this.codec = codec;
         this.router = router;
-        this.timers = schedules;
+        this.timers = timers;
     }
 
     @Override
@@ -60,6 +63,7 @@
         return self;
     }
 
+    /** Frames sent so far. */
     public long framesSent() {
         return framesSent.get();
     }
@@ -74,7 +78,7 @@
                     .host(ip)
                     .port(port)
                     .doOnConnection(this::accept)
-                    .bindNow(Duration.ofSeconds(5));
+                    .bindNow(BIND_TIMEOUT);
         } catch (RuntimeException e) {
             throw new UnavailableException("Cannot listen on " + listen + ": " + e.getMessage());
         }
@@ -92,10 +96,10 @@
         Mono<Object> got = self.equals(to)
                 ? local(body, limit)
                 : connections.computeIfAbsent(to, this::connect).flatMap(connection -> connection.call(body, limit));
-        return got.flatMap(o -> answer.isInstance(o)
-                ? Mono.just(answer.cast(o))
+        return got.flatMap(object -> answer.isInstance(object)
+                ? Mono.just(answer.cast(object))
                 : Mono.error(new InternalErrorException(
-                        "Unexpected answer " + o.getClass().getSimpleName() + ".")));
+                        "Unexpected answer " + object.getClass().getSimpleName() + ".")));
     }
 
     private Mono<Object> local(Object body, Duration limit) {
@@ -113,10 +117,10 @@
                 .port(Integer.parseInt(to.substring(colon + 1)))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
                 .connect()
-                .map(c -> {
+                .map(channel -> {
                     RpcConnection connection =
-                            new RpcConnection(c, self, codec, router, timers, framesSent, Optional.of(to));
-                    c.onDispose(() -> {
+                            new RpcConnection(channel, self, codec, router, timers, framesSent, Optional.of(to));
+                    channel.onDispose(() -> {
                         connections.remove(to);
                         connection.onClosed();
                     });
@@ -124,7 +128,7 @@
                     return connection;
                 })
                 .onErrorMap(e -> new UnreachableException("No stream to " + to + "."))
-                .doOnError(e -> timers.after(Duration.ofMillis(100), () -> connections.remove(to)))
+                .doOnError(e -> timers.after(RECONNECT_PAUSE, () -> connections.remove(to)))
                 .cast(RpcConnection.class)
                 .cache();
     }
@@ -137,7 +141,7 @@
     @Override
     public void stop() {
         incoming.keySet().forEach(RpcConnection::close);
-        connections.values().forEach(m -> m.subscribe(RpcConnection::close, e -> {}));
+        connections.values().forEach(opening -> opening.subscribe(RpcConnection::close, e -> {}));
         if (server != null) {
             server.disposeNow(Duration.ofSeconds(2));
         }
--- a/common/src/main/java/org/woadvale/common/runtime/Delays.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Delays.java
@@ -10,21 +10,22 @@
     private Delays() {}
 
     /** Fails with the fault after the limit, unless the work has ended. */
-    public static <T> Mono<T> limit(Timers sch, Mono<T> work, Duration limit, ServiceException fault) {
+    public static <T> Mono<T> limit(Timers timers, Mono<T> work, Duration limit, ServiceException fault) {
         return Mono.create(sink -> {
-            TimerHandle timer = sch.after(limit, () -> sink.error(fault));
-            Disposable d =
+            TimerHandle timer = timers.after(limit, () -> sink.error(fault));
+            Disposable delay =
                     work.doFinally(signal -> timer.cancel()).subscribe(sink::success, sink::error, sink::success);
             sink.onCancel(() -> {
                 timer.cancel();
-                d.dispose();
+                delay.dispose();
             });
         });
     }
 
-    public static Mono<Boolean> pause(Timers sch, Duration d) {
+    /** Completes after the time. */
+    public static Mono<Boolean> pause(Timers timers, Duration delay) {
         return Mono.create(sink -> {
-            TimerHandle timer = sch.after(d, () -> sink.success(Boolean.TRUE));
+            TimerHandle timer = timers.after(delay, () -> sink.success(Boolean.TRUE));
             sink.onCancel(timer::cancel);
         });
     }
--- a/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
+++ b/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
@@ -10,6 +10,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Deque<Runnable> deferred = new ArrayDeque<>();
 
+    /** Runs the body alone. */
     public void run(Runnable body) {
         get(() -> {
             body.run();
@@ -17,6 +18,7 @@
         });
     }
 
+    /** Runs the body alone and answers with its result. */
     public <T> T get(Supplier<T> body) {
         lock.lock();
         try {
--- a/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
+++ b/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
@@ -14,8 +14,8 @@
     private Optional<TimerHandle> next = Optional.empty();
     private boolean cancelled;
 
-    RepeatingTimer(Timers schedules, Duration period, Runnable task) {
-        this.timers = schedules;
+    RepeatingTimer(Timers timers, Duration period, Runnable task) {
+        this.timers = timers;
         this.period = period;
         this.task = task;
     }
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -21,6 +21,7 @@
     private final AtomicLong refused = new AtomicLong();
     private int running;
 
+    /** Work of which so many run at once and so many wait. */
     public Stage(String name, int depth, int width, Function<I, Mono<O>> work) {
         this.name = name;
         this.depth = depth;
@@ -68,10 +69,12 @@
                         () -> waiting.out().tryEmitEmpty());
     }
 
+    /** How many wait now. */
     public int waiting() {
         return shard.get(queue::size);
     }
 
+    /** How many were refused so far. */
     public long refused() {
         return refused.get();
     }
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -27,12 +27,14 @@
     private boolean running;
     private boolean gaveUp;
 
-    public Supervisor(String name, Timers schedules, Runnable onGivenUp) {
+    /** Without components; the task runs if one cannot be kept running. */
+    public Supervisor(String name, Timers timers, Runnable onGivenUp) {
         this.name = name;
-        this.timers = schedules;
+        this.timers = timers;
         this.onGiveUp = onGivenUp;
     }
 
+    /** Adds a component; it starts after those added before. */
     public synchronized Supervisor with(Component component) {
         children.add(component);
         return this;
@@ -62,16 +64,16 @@
     }
 
     private void restart(Component component) {
-        int n = restarts.merge(component, 1, Integer::sum);
-        if (n > MAX_RESTARTS) {
-            LOG.error("{} failed {} times, giving up.", component.name(), n);
+        int restartCount = restarts.merge(component, 1, Integer::sum);
+        if (restartCount > MAX_RESTARTS) {
+            LOG.error("{} failed {} times, giving up.", component.name(), restartCount);
             gaveUp = true;
             onGiveUp.run();
             return;
         }
         LOG.warn("{} failed, restarting it.", component.name());
         pending.add(component);
-        timers.after(CHECK_INTERVAL.multipliedBy(1L << n), () -> restartNow(component));
+        timers.after(CHECK_INTERVAL.multipliedBy(1L << restartCount), () -> restartNow(component));
     }
 
     private synchronized void restartNow(Component component) {
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -16,6 +16,7 @@
     private final ScheduledThreadPoolExecutor pool;
     private final ExecutorService disk;
 
+    /** Timers that run on so many threads. */
     public SystemTimers(int threads) {
         pool = new ScheduledThreadPoolExecutor(threads, task -> daemon(task, "work"));
         pool.setRemoveOnCancelPolicy(true);
@@ -66,6 +67,7 @@
         };
     }
 
+    /** Drops what has not run yet. */
     public void close() {
         pool.shutdownNow();
         disk.shutdown();
--- a/common/src/main/java/org/woadvale/common/runtime/Timers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Timers.java
@@ -4,6 +4,7 @@
 
 /** Seam for everything that happens later: design 2.1. */
 public interface Timers {
+    /** Runs a task once after a delay. */
     TimerHandle after(Duration delay, Runnable task);
 
     /** As soon as a thread is free. */
--- a/common/src/main/java/org/woadvale/common/wal/Disk.java
+++ b/common/src/main/java/org/woadvale/common/wal/Disk.java
@@ -8,7 +8,9 @@
     /** No caller needs more at once than this, or than one record. */
     int CHUNK = 64 << 10;
 
+    /** One file of the folder. */
     interface DiskFile {
+        /** Its bytes. */
         int size() throws IOException;
 
         /** Takes all the space of the file, so that later writes need none. Must run before the first write. */
@@ -20,9 +22,11 @@
         /** Fills the first so many of the bytes; what lies beyond the end of the file is zero. */
         void read(long pos, byte[] into, int length) throws IOException;
 
+        /** All bytes written so far last from now on. */
         void sync() throws IOException;
     }
 
+    /** The names of the files. */
     List<String> list() throws IOException;
 
     /** A file of at least this size; a new one is all zeros. Takes no space before it is allocated. */
--- a/common/src/main/java/org/woadvale/common/wal/DiskFullException.java
+++ b/common/src/main/java/org/woadvale/common/wal/DiskFullException.java
@@ -6,6 +6,7 @@
 public final class DiskFullException extends IOException {
     private static final long serialVersionUID = 1L;
 
+    /** With what the system said. */
     public DiskFullException(String message) {
         super(message);
     }
--- a/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
@@ -16,6 +16,7 @@
     private static final String SET_ASIDE = "set-aside-";
     private final Path folder;
 
+    /** The files of a folder, which is made if need be. */
     public FolderDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -7,12 +7,19 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-/** The bytes of a record: length, checksum, segment number, batch number, body. design 4.2 */
+/** The bytes of a record: length, checksum, segment number, batch number, body. */
 final class RecordFormat {
     static final int HEADER_BYTES = 4 + 4;
     /** Format of this build's records; readers accept every format up to it. */
     static final byte FORMAT = WalRecord.FORMAT;
 
+    /** Format, segment, batch and kind. */
+    static final int PREFIX_BYTES = 1 + Long.BYTES + Long.BYTES + 1;
+
+    /** Index, term and number of bytes, after the name of the partition. */
+    private static final int SUFFIX_BYTES = Long.BYTES + Long.BYTES + Integer.BYTES;
+
+    private static final int CHECKSUM_OFFSET = Integer.BYTES;
     private static final byte END_OF_SEGMENT = 9;
 
     /** A sound record that this build cannot read: nothing may be cut or set aside for it. */
@@ -38,7 +45,7 @@
 
     static byte[] endOfSegment(long segment, long batch) {
         return withChecksum(
-                ByteBuffer.allocate(HEADER_BYTES + 18)
+                ByteBuffer.allocate(HEADER_BYTES + PREFIX_BYTES)
                         .position(HEADER_BYTES)
                         .put(FORMAT)
                         .putLong(segment)
@@ -67,10 +74,10 @@
 
     static int size(WalRecord record) {
         return HEADER_BYTES
-                + 18
+                + PREFIX_BYTES
                 + 2
                 + record.partition().getBytes(StandardCharsets.UTF_8).length
-                + 20
+                + SUFFIX_BYTES
                 + record.bytes().length;
     }
 
@@ -78,23 +85,23 @@
         CRC32C crc = new CRC32C();
         crc.update(buffer.array(), HEADER_BYTES, buffer.capacity() - HEADER_BYTES);
         crc.update(follow);
-        buffer.putInt(0, buffer.capacity() + follow.length).putInt(4, (int) crc.getValue());
+        buffer.putInt(0, buffer.capacity() + follow.length).putInt(CHECKSUM_OFFSET, (int) crc.getValue());
         return buffer.array();
     }
 
     /** Empty where no whole, sound record stands at the place. */
     static Optional<DecodedRecord> read(ReadWindow file, int at) throws NewerFormatException, IOException {
-        if (at + HEADER_BYTES + 18 > file.size()) {
+        if (at + HEADER_BYTES + PREFIX_BYTES > file.size()) {
             return Optional.empty();
         }
         int len = file.look(at, HEADER_BYTES).getInt();
-        if (len < HEADER_BYTES + 18 || len > file.size() - at) {
+        if (len < HEADER_BYTES + PREFIX_BYTES || len > file.size() - at) {
             return Optional.empty();
         }
         ByteBuffer buffer = file.look(at, len);
         CRC32C crc = new CRC32C();
         crc.update(buffer.slice(HEADER_BYTES, len - HEADER_BYTES));
-        if ((int) crc.getValue() != buffer.getInt(4)) {
+        if ((int) crc.getValue() != buffer.getInt(CHECKSUM_OFFSET)) {
             return Optional.empty();
         }
         byte format = buffer.get(HEADER_BYTES);
--- a/common/src/main/java/org/woadvale/common/wal/Recovery.java
+++ b/common/src/main/java/org/woadvale/common/wal/Recovery.java
@@ -32,33 +32,37 @@
         Recovery recovery = new Recovery();
         long newest = -1;
         long oldest = Long.MAX_VALUE;
-        int n = files.size();
-        for (int i = 0; i < n; i++) {
+        int index = files.size();
+        for (int i = 0; i < index; i++) {
             Optional<RecordFormat.DecodedRecord> first = RecordFormat.read(new ReadWindow(files.get(i)), 0);
             if (first.isPresent()) {
-                long s = first.get().segment();
-                if (s % n != i) {
-                    throw new DamagedLogException("file " + i + " holds segment " + s);
+                long segment = first.get().segment();
+                if (segment % index != i) {
+                    throw new DamagedLogException("file " + i + " holds segment " + segment);
                 }
-                newest = Math.max(newest, s);
-                oldest = Math.min(oldest, s);
+                newest = Math.max(newest, segment);
+                oldest = Math.min(oldest, segment);
             }
         }
         if (newest < 0) {
-            for (int i = 1; i < n; i++) {
+            for (int i = 1; i < index; i++) {
                 mustBeUnused(new ReadWindow(files.get(i)), i);
             }
             recovery.checkTail(new ReadWindow(files.get(0)), 0, 0);
             return recovery;
         }
-        boolean wrapped = newest - oldest + 1 == n;
-        for (long s = oldest; s <= newest; s++) {
-            recovery.segment(new ReadWindow(files.get((int) (s % n))), s, s == newest, wrapped && s == oldest);
+        boolean wrapped = newest - oldest + 1 == index;
+        for (long segment = oldest; segment <= newest; segment++) {
+            recovery.segment(
+                    new ReadWindow(files.get((int) (segment % index))),
+                    segment,
+                    segment == newest,
+                    wrapped && segment == oldest);
         }
         boolean rolled = recovery.segment == newest + 1;
-        recovery.checkOldest(oldest, Math.max(0, newest - n + 1), rolled && newest + 1 >= n);
+        recovery.checkOldest(oldest, Math.max(0, newest - index + 1), rolled && newest + 1 >= index);
         if (!wrapped || rolled) {
-            recovery.checkTail(new ReadWindow(files.get((int) ((newest + 1) % n))), newest + 1, 0);
+            recovery.checkTail(new ReadWindow(files.get((int) ((newest + 1) % index))), newest + 1, 0);
         }
         return recovery;
     }
@@ -123,28 +127,29 @@
         }
     }
 
-    private void accept(WalRecord record, long s) {
+    private void accept(WalRecord record, long segment) {
         if (record.kind() == WalRecord.Kind.SNAPSHOT) {
             recordsByPartition.put(record.partition(), new ArrayList<>());
-            oldestNeeded.put(record.partition(), s);
+            oldestNeeded.put(record.partition(), segment);
         }
         recordsByPartition
                 .computeIfAbsent(record.partition(), p -> new ArrayList<>())
                 .add(record);
-        oldestNeeded.putIfAbsent(record.partition(), s);
+        oldestNeeded.putIfAbsent(record.partition(), segment);
     }
 
     /** A sound record of a later batch beyond the break proves that synced bytes were lost. */
-    private void checkTail(ReadWindow file, long s, int from)
+    private void checkTail(ReadWindow file, long segment, int from)
             throws DamagedLogException, RecordFormat.NewerFormatException, IOException {
-        for (int at = from; at + RecordFormat.HEADER_BYTES + 18 <= file.size(); at++) {
+        for (int at = from; at + RecordFormat.HEADER_BYTES + RecordFormat.PREFIX_BYTES <= file.size(); at++) {
             if (file.at(at + RecordFormat.HEADER_BYTES) < 1
-                    || file.look(at + RecordFormat.HEADER_BYTES + 1, 8).getLong() != s) {
+                    || file.look(at + RecordFormat.HEADER_BYTES + 1, Long.BYTES).getLong() != segment) {
                 continue;
             }
             Optional<RecordFormat.DecodedRecord> decoded = RecordFormat.read(file, at);
             if (decoded.isPresent() && decoded.get().batch() > batch + 1) {
-                throw new DamagedLogException("segment " + s + " is damaged at " + from + ", before synced records");
+                throw new DamagedLogException(
+                        "segment " + segment + " is damaged at " + from + ", before synced records");
             }
         }
     }
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -13,15 +13,20 @@
 import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.runtime.Timers;
 
-/** One ring of preallocated files; one sync serves everything that waited: design 4. */
+/** A ring of preallocated files; one sync serves everything that waited. Why it loses nothing: docs/design.md, section 4. */
 public final class RingWriteAheadLog implements WriteAheadLog {
     private static final Logger LOG = LogManager.getLogger(RingWriteAheadLog.class);
     /** How long after a write that found the disk full it is tried again. */
     private static final Duration FULL_DISK_RETRY = Duration.ofMillis(100);
+    /** When fewer than this part of the files is free, the ring is nearly full. */
+    private static final int SPARE_FRACTION = 8;
+    /** What a record and the end of a segment take beside the bytes of the record. */
+    private static final int RECORD_OVERHEAD_BYTES = 256;
+
     /** New work is refused while so many bytes of log entries wait for the disk. */
     private static final long MAX_WAITING_BYTES = 2L << 20;
 
-    private final Timers schedules;
+    private final Timers timers;
     private final int fileSize;
     private final int files;
     private final Map<String, List<WalRecord>> recovered;
@@ -35,9 +40,9 @@
     private long bytesBeingWritten;
     private volatile boolean ringNearlyFull;
 
-    private RingWriteAheadLog(Disk disk, Timers schedules, int files, int fileSize)
+    private RingWriteAheadLog(Disk disk, Timers timers, int files, int fileSize)
             throws IOException, RecordFormat.NewerFormatException {
-        this.schedules = schedules;
+        this.timers = timers;
         this.files = files;
         this.fileSize = fileSize;
         List<Disk.DiskFile> leaves = openAll(disk);
@@ -71,9 +76,10 @@
         return opened;
     }
 
-    public static RingWriteAheadLog open(Disk disk, Timers schedules, int files, int size) throws ServiceException {
+    /** Opens the ring of a folder, and recovers what it holds; a damaged one is set aside. */
+    public static RingWriteAheadLog open(Disk disk, Timers timers, int files, int size) throws ServiceException {
         try {
-            return new RingWriteAheadLog(disk, schedules, files, size);
+            return new RingWriteAheadLog(disk, timers, files, size);
         } catch (RecordFormat.NewerFormatException e) {
             throw new UnavailableException("The data folder was " + e.getMessage() + ".");
         } catch (IOException e) {
@@ -94,7 +100,7 @@
         pending.add(new PendingWrites.PendingAppend(entries, done));
         if (!flushing) {
             flushing = true;
-            schedules.onDisk(this::flush);
+            timers.onDisk(this::flush);
         }
     }
 
@@ -117,7 +123,7 @@
             fail(e.getMessage());
             return;
         }
-        batch.forEach(group -> schedules.soon(group.done()));
+        batch.forEach(group -> timers.soon(group.done()));
         written();
         requestSnapshots();
     }
@@ -128,7 +134,7 @@
             LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", why);
         }
         diskFull = true;
-        schedules.after(FULL_DISK_RETRY, () -> schedules.onDisk(() -> write(batch)));
+        timers.after(FULL_DISK_RETRY, () -> timers.onDisk(() -> write(batch)));
     }
 
     private synchronized void written() {
@@ -140,7 +146,7 @@
         if (pending.isEmpty()) {
             flushing = false;
         } else {
-            schedules.onDisk(this::flush);
+            timers.onDisk(this::flush);
         }
     }
 
@@ -153,11 +159,11 @@
     /** Asks the parts that hold back the oldest files for new snapshots. */
     private void requestSnapshots() {
         long used = writer.segmentsInUse();
-        ringNearlyFull = used >= files - Math.max(1, files / 8);
+        ringNearlyFull = used >= files - Math.max(1, files / SPARE_FRACTION);
         if (used > files / 2) {
             writer.retention()
                     .partitionsToSnapshot(writer.segment())
-                    .forEach(part -> schedules.soon(pressure.getOrDefault(part, () -> {})));
+                    .forEach(part -> timers.soon(pressure.getOrDefault(part, () -> {})));
         }
     }
 
@@ -192,6 +198,6 @@
 
     @Override
     public int largestRecordBytes() {
-        return fileSize - 256;
+        return fileSize - RECORD_OVERHEAD_BYTES;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/WalRecord.java
+++ b/common/src/main/java/org/woadvale/common/wal/WalRecord.java
@@ -5,13 +5,18 @@
     /** The format in which this build writes the bytes. */
     public static final byte FORMAT = 3;
 
+    /** A record in the format of this build. */
     public WalRecord(String part, Kind kind, long index, long term, byte[] bytes) {
         this(part, kind, index, term, bytes, FORMAT);
     }
 
+    /** What the bytes are. Stored by ordinal: only ever add at the end. */
     public enum Kind {
+        /** Replaces every earlier record of its partition. */
         SNAPSHOT,
+        /** An entry of the replicated log. */
         ENTRY,
+        /** The vote of a replica in its term. */
         VOTE
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -21,6 +21,7 @@
     /** Called once when the disk fails; the process must stop. */
     void onFailure(Consumer<String> why);
 
+    /** Syncs so far. */
     long syncs();
 
     /** Since the folder was made; more than there are files once the ring has wrapped. */
--- a/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
+++ b/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
@@ -133,15 +133,8 @@
             int n = random.nextInt(3);
             LocalBucket bucket = localBuckets.get(n);
             if (random.nextInt(4) == 0 && chain.goneUntil < 0) {
-                TokenMessages.TokenRequest request =
-                        new TokenMessages.TokenRequest("b", ++id, 1, bucket.reports(ms(t)));
-                int fate = random.nextInt(10);
-                if (fate > 0) {
-                    TokenMessages.TokenResponse response = chain.h.grant("n" + n, request, ms(chain.leaseEnd), ms(t));
-                    if (fate > 1) {
-                        bucket.onGranted(response.grant(), response.granted(), ms(t), response.lifetime(), ms(t));
-                    }
-                }
+                id++;
+                askForTokens(chain, bucket, "n" + n, id, random.nextInt(10), t);
             }
             long now = t;
             // long pauses, so that passes are hoarded and the last moment of their life is tried
@@ -161,6 +154,21 @@
         }
         assertTrue(accepted.size() > 100, "only " + accepted.size());
         assertTrue(chain.lapses + chain.moves > 3, "the holder must change");
+        assertNeverAboveTheLimit(accepted);
+    }
+
+    /** A fate of 0 loses the request, one of 1 the response. */
+    private static void askForTokens(Chain chain, LocalBucket bucket, String node, long id, int fate, long t) {
+        TokenMessages.TokenRequest request = new TokenMessages.TokenRequest("b", id, 1, bucket.reports(ms(t)));
+        if (fate > 0) {
+            TokenMessages.TokenResponse response = chain.h.grant(node, request, ms(chain.leaseEnd), ms(t));
+            if (fate > 1) {
+                bucket.onGranted(response.grant(), response.granted(), ms(t), response.lifetime(), ms(t));
+            }
+        }
+    }
+
+    private static void assertNeverAboveTheLimit(List<Long> accepted) {
         for (int i = 0; i < accepted.size(); i++) {
             for (int j = i; j < accepted.size(); j++) {
                 double window = (accepted.get(j) - accepted.get(i)) / 1000.0;
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -178,7 +178,7 @@
 
     /** The shared buckets that this node holds. */
     public List<String> ownedBuckets() {
-        return granters.map(TokenGranters::ownedCount).orElse(List.of());
+        return granters.map(TokenGranters::ownedBuckets).orElse(List.of());
     }
 
     public LocalBuckets.Counts tokenCounts() {
@@ -224,7 +224,7 @@
                 "holds",
                 Map.of(
                         "buckets",
-                        granters.ownedCount(),
+                        granters.ownedBuckets(),
                         "asks",
                         granters.requestCount(),
                         "granted",
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -67,10 +67,10 @@
         }
     }
 
-    static Supervisor grow(Settings settings, SystemTimers schedules, Runnable onGivenUp) throws ServiceException {
+    static Supervisor grow(Settings settings, SystemTimers timers, Runnable onGivenUp) throws ServiceException {
         return grow(
                 settings,
-                schedules,
+                timers,
                 onGivenUp,
                 new NativeDeliveryProtocol(),
                 node -> List.of(new HttpGateway(settings.http(), IngressNode.MAX_BODY, node::handle)));
@@ -79,25 +79,25 @@
     /** The tree with other doors, and another way of speaking to back ends. design 1 */
     public static Supervisor grow(
             Settings settings,
-            SystemTimers schedules,
+            SystemTimers timers,
             Runnable onGivenUp,
             DeliveryProtocol protocol,
             Function<DataPlaneNode, List<Component>> doors)
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, schedules);
-        WriteAheadLog book = wal(settings, schedules);
-        book.onFailure(why -> onGivenUp.run());
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, timers);
+        WriteAheadLog wal = wal(settings, timers);
+        wal.onFailure(why -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
         Optional<CoreMembersFile> known =
                 settings.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(settings.data()));
         NodeEnvironment environment = new NodeEnvironment(
                 new SystemClock(),
-                schedules,
+                timers,
                 rpc,
                 codec,
-                book,
+                wal,
                 random::nextLong,
                 settings.roles().contains("store") ? ReplicationTiming.partitions() : ReplicationTiming.defaults());
         CoreClient core = new CoreClient(
@@ -108,22 +108,21 @@
                 members -> known.ifPresent(coreMembersFile -> coreMembersFile.write(members)));
         DataPlaneNode node = new DataPlaneNode(environment, settings, core, new HttpDeliveryClient(), protocol);
         node.route(router);
-        Supervisor tree =
-                new Supervisor("pilot", schedules, onGivenUp).with(rpc).with(node);
+        Supervisor tree = new Supervisor("pilot", timers, onGivenUp).with(rpc).with(node);
         List<Component> gates = doors.apply(node);
         gates.forEach(tree::with);
         DRAIN.set(() -> drain(node, gates, Duration.ofMillis(settings.lingerMs())));
         return tree;
     }
 
-    private static WriteAheadLog wal(Settings settings, SystemTimers schedules) throws ServiceException {
+    private static WriteAheadLog wal(Settings settings, SystemTimers timers) throws ServiceException {
         if (!settings.roles().contains("store")) {
             return new DisabledWriteAheadLog();
         }
         try {
             return RingWriteAheadLog.open(
                     new FolderDisk(Path.of(settings.data(), "ring")),
-                    schedules,
+                    timers,
                     settings.ringFiles(),
                     settings.ringFileMb() << 20);
         } catch (IOException e) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -91,10 +91,10 @@
         RpcRouter router = new RpcRouter();
         host.serve(router);
         RpcClient rpc = net.rpc(host, controlCodec);
-        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
-        book.onFailure(why -> host.kill());
+        RingWriteAheadLog wal = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
+        wal.onFailure(why -> host.kill());
         NodeEnvironment environment = new NodeEnvironment(
-                host, host, rpc, controlCodec, book, sim.random()::nextLong, ReplicationTiming.partitions());
+                host, host, rpc, controlCodec, wal, sim.random()::nextLong, ReplicationTiming.partitions());
         ControlNode node = new ControlNode(
                 environment,
                 new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {}),
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -114,7 +114,7 @@
     }
 
     int holds() {
-        return holders.map(granters -> granters.ownedCount().size()).orElse(0);
+        return holders.map(granters -> granters.ownedBuckets().size()).orElse(0);
     }
 
     ServiceView latest(String service) {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -93,9 +93,9 @@
     private static Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>> store(
             HollowHost host, HollowNet net, Sim sim, int parts) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        RingWriteAheadLog book = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
+        RingWriteAheadLog wal = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
         NodeEnvironment environment = new NodeEnvironment(
-                host, host, net.rpc(host, codec), codec, book, sim.random()::nextLong, ReplicationTiming.defaults());
+                host, host, net.rpc(host, codec), codec, wal, sim.random()::nextLong, ReplicationTiming.defaults());
         Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>> mine = new HashMap<>();
         for (int i = 0; i < parts; i++) {
             List<String> copies = new ArrayList<>(STORES);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
@@ -64,14 +64,14 @@
 
     @Override
     public Map<String, Double> measure(int size) throws ServiceException {
-        SystemTimers schedules = new SystemTimers(2);
+        SystemTimers timers = new SystemTimers(2);
         RpcRouter router = new RpcRouter();
         router.on(
                 ControlMessages.LeaveRequest.class, (f, request) -> Mono.just(new ControlMessages.UpdateResult(true)));
         TcpRpcClient here = new TcpRpcClient(
-                free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), schedules);
+                free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), timers);
         TcpRpcClient there =
-                new TcpRpcClient(free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), router, schedules);
+                new TcpRpcClient(free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), router, timers);
         try {
             there.start();
             ask(here, there.self(), WARM_UP);
@@ -83,7 +83,7 @@
         } finally {
             here.stop();
             there.stop();
-            schedules.close();
+            timers.close();
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -33,7 +33,7 @@
     public final Shape shape;
     public final Map<String, Backend> backends = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final SystemTimers schedules = new SystemTimers(4);
+    private final SystemTimers timers = new SystemTimers(4);
     private final List<HttpGateway> gates = new ArrayList<>();
     private final Fleet fleet;
     private long present;
@@ -53,7 +53,7 @@
     }
 
     private void backend(String id, String service, boolean paced) throws IOException, ServiceException {
-        Backend backend = new Backend(id, service, paced, seen, times, schedules, new SecureRandom()::nextLong);
+        Backend backend = new Backend(id, service, paced, seen, times, timers, new SecureRandom()::nextLong);
         String address = Fleet.free();
         HttpGateway httpGateway = new HttpGateway(address, 64 << 10, backend::answer);
         httpGateway.start();
@@ -185,6 +185,6 @@
     @Override
     public void close() {
         gates.forEach(HttpGateway::stop);
-        schedules.close();
+        timers.close();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -100,16 +100,16 @@
                 : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         host.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
-        WriteAheadLog book = controlNode || store
+        WriteAheadLog wal = controlNode || store
                 ? RingWriteAheadLog.open(seams.disk().apply(address, host.disk), host, RING_FILES, World.LARGE_RING)
                 : new DisabledWriteAheadLog();
-        book.onFailure(why -> host.kill());
+        wal.onFailure(why -> host.kill());
         NodeEnvironment environment = new NodeEnvironment(
                 seams.times().apply(address, host),
                 host,
                 rpc,
                 codec,
-                book,
+                wal,
                 sim.random()::nextLong,
                 seams.timing().apply(controlNode ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
         CoreClient core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -133,16 +133,16 @@
                 : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         host.boot(router);
         RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
-        WriteAheadLog book = controlNode || store
+        WriteAheadLog wal = controlNode || store
                 ? RingWriteAheadLog.open(seams.disk().apply(address, host.disk), host, RING_FILES, ringBytes)
                 : new DisabledWriteAheadLog();
-        book.onFailure(why -> host.kill());
+        wal.onFailure(why -> host.kill());
         NodeEnvironment environment = new NodeEnvironment(
                 seams.times().apply(address, host),
                 host,
                 rpc,
                 codec,
-                book,
+                wal,
                 sim.random()::nextLong,
                 seams.timing()
                         .apply(controlNode || store ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -43,8 +43,8 @@
     private final String service;
     private final boolean paced;
     private final Observations observations;
-    private final Clock times;
-    private final Timers schedules;
+    private final Clock clock;
+    private final Timers timers;
     private final LongSupplier random;
     private final Map<String, Done> done = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
@@ -60,15 +60,15 @@
             String service,
             boolean paced,
             Observations observations,
-            Clock times,
-            Timers schedules,
+            Clock clock,
+            Timers timers,
             LongSupplier random) {
         this.id = id;
         this.service = service;
         this.paced = paced;
         this.observations = observations;
-        this.times = times;
-        this.schedules = schedules;
+        this.clock = clock;
+        this.timers = timers;
         this.random = random;
     }
 
@@ -89,7 +89,7 @@
         life++;
         running.forEach((handle, n) -> {
             for (int i = 0; i < n; i++) {
-                observations.saw(observations.died, new Observations.Died(handle, times.monotonicTime()));
+                observations.saw(observations.died, new Observations.Died(handle, clock.monotonicTime()));
             }
         });
         running.clear();
@@ -106,7 +106,7 @@
         return Mono.defer(() -> {
             if (paced) {
                 observations.saw(
-                        observations.endpoints, new Observations.RequestAtEndpoint(service, times.monotonicTime()));
+                        observations.endpoints, new Observations.RequestAtEndpoint(service, clock.monotonicTime()));
             }
             try {
                 return request.method().equals("POST")
@@ -126,7 +126,7 @@
         Manner now = manner.towards(node.path("tenant").asText());
         if (luck(now.later()) || fenced.contains(handle + "/" + attempt)) {
             observations.saw(
-                    observations.turnedAway, new Observations.TurnedAway(handle, attempt, times.monotonicTime()));
+                    observations.turnedAway, new Observations.TurnedAway(handle, attempt, clock.monotonicTime()));
             return Mono.just(Response.json(503, Map.of("error", "later")));
         }
         observations.saw(
@@ -140,10 +140,10 @@
                         attempt,
                         id,
                         service,
-                        times.monotonicTime()));
+                        clock.monotonicTime()));
         running.merge(handle, 1, Integer::sum);
         int begunIn = life;
-        Mono<Response> answer = Delays.pause(schedules, now.work())
+        Mono<Response> answer = Delays.pause(timers, now.work())
                 .flatMap(x -> worked(handle, attempt, now, begunIn))
                 .cache();
         // once begun, the work goes on though whoever asked for it has gone
@@ -159,14 +159,14 @@
         if (luck(now.refuse())) {
             observations.saw(
                     observations.answered,
-                    new Observations.Answered(handle, attempt, id, times.monotonicTime(), false, ""));
+                    new Observations.Answered(handle, attempt, id, clock.monotonicTime(), false, ""));
             return Mono.just(Response.json(422, Map.of("error", "refused")));
         }
         String receipt = id + ":" + handle + ":" + attempt;
         done.put(handle, new Done(attempt, receipt));
         observations.saw(
                 observations.answered,
-                new Observations.Answered(handle, attempt, id, times.monotonicTime(), true, receipt));
+                new Observations.Answered(handle, attempt, id, clock.monotonicTime(), true, receipt));
         if (luck(now.loseAnswer())) {
             return Mono.error(new OutcomeUnknownException("the answer is lost"));
         }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -139,11 +139,11 @@
         replicas.hosts.get("b:1").disk().wipe();
         if (naive) {
             replicas.hosts.get("b:1").boot(new RpcRouter());
-            RingWriteAheadLog book = RingWriteAheadLog.open(
+            RingWriteAheadLog wal = RingWriteAheadLog.open(
                     replicas.hosts.get("b:1").disk(), replicas.hosts.get("b:1").host(), 4, 512 << 10);
             ReplicationMessages.ReplicaSnapshot base =
                     new ReplicationMessages.ReplicaSnapshot(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
-            book.append(
+            wal.append(
                     List.of(new WalRecord(Trio.PART, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
                     () -> {});
             replicas.sim.run(Duration.ofMillis(100));
--- a/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
@@ -93,14 +93,14 @@
         Harness harness = hosts.get(n);
         RpcRouter router = new RpcRouter();
         harness.boot(router);
-        RingWriteAheadLog book = RingWriteAheadLog.open(harness.disk(), harness.host(), 4, ringFileSize);
-        book.onFailure(why -> harness.kill());
+        RingWriteAheadLog wal = RingWriteAheadLog.open(harness.disk(), harness.host(), 4, ringFileSize);
+        wal.onFailure(why -> harness.kill());
         NodeEnvironment environment = new NodeEnvironment(
                 harness.host(),
                 harness.host(),
                 harness.rpc(codec),
                 codec,
-                book,
+                wal,
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
         Words m = new Words(codec);
@@ -108,7 +108,7 @@
         ReplicationMessages.route(router, part -> Mono.just(replica));
         words.put(n, m);
         replicas.put(n, replica);
-        replica.start(book.recovered().getOrDefault(PART, List.of()));
+        replica.start(wal.recovered().getOrDefault(PART, List.of()));
     }
 
     void want(List<String> members) {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -90,8 +90,8 @@
         boolean[] failed = {false};
         log.onFailure(why -> failed[0] = true);
         long[] index = {0};
-        RingWriteAheadLog book = log;
-        log.onSpaceNeeded("m1", () -> book.append(List.of(base("m1", index[0])), () -> {}));
+        RingWriteAheadLog wal = log;
+        log.onSpaceNeeded("m1", () -> wal.append(List.of(base("m1", index[0])), () -> {}));
         for (int i = 0; i < 300; i++) {
             log.append(List.of(entry("m1", ++index[0], 200)), () -> {});
             sim.run(Duration.ofMillis(20));
