--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -8,14 +8,19 @@
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
+import org.woadvale.dataplane.queue.MessageCommands.AttemptOutcome;
 import reactor.core.publisher.Mono;
 
-/** One attempt at one message, from its committed start to its committed end: design 9.3. */
+/**
+ * One attempt at one message, from its committed start to its committed end. What may have been done is not begun again
+ * before it is known that it was not.
+ */
 final class DeliveryAttempt {
     private static final Logger LOG = LogManager.getLogger(DeliveryAttempt.class);
     private static final Duration INQUIRY_INTERVAL = Duration.ofMillis(500);
     private static final Duration INQUIRY_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration GRACE_AFTER_DEADLINE = Duration.ofMillis(250);
+    private static final Duration SHORTEST_TIMEOUT = Duration.ofMillis(1);
     private static final Duration ADOPTION_DELAY = Duration.ofMillis(300);
 
     private final Dispatcher dispatcher;
@@ -32,79 +37,71 @@
         return dispatcher.context().environment().clock().wallTime();
     }
 
-    /** Lease, list and pass are looked at when the stream is open; only then the work may happen. */
+    /** Lease, processors and permit are checked when the connection is open; only then the message may leave. */
     Mono<Boolean> push(DeliveryPermit permit) {
-        Duration begun = dispatcher.context().environment().clock().monotonicTime();
-        // the calendar may have jumped since the attempt was committed
-        Duration left = Duration.between(wallTime(), message.deadline());
-        Duration most = Duration.ofMillis(dispatcher.policy().terms(message).attemptMs());
-        Duration limit = left.isNegative() ? Duration.ofMillis(1) : left.compareTo(most) > 0 ? most : left;
+        DispatchContext context = dispatcher.context();
+        Duration begun = context.environment().clock().monotonicTime();
         SendGuard sendGuard = new SendGuard();
-        return dispatcher
-                .context()
-                .deliveryClient()
-                .send(dispatcher
-                        .context()
-                        .protocol()
-                        .push(
-                                message,
-                                target,
-                                limit,
-                                () -> sendGuard.leave(() -> dispatcher.isLeader()
-                                        && ProcessorSelector.targets(
-                                                        dispatcher,
-                                                        dispatcher
-                                                                .policy()
-                                                                .terms(message)
-                                                                .service())
-                                                .contains(target)
-                                        && permit.spend())))
-                .map(deliveryResponse -> dispatcher.context().protocol().read(message, deliveryResponse))
+        DeliveryClient.DeliveryRequest request = context.protocol()
+                .push(message, target, timeout(), () -> sendGuard.leave(() -> mayStillSend() && permit.spend()));
+        return context.deliveryClient()
+                .send(request)
+                .map(response -> context.protocol().read(message, response))
                 .onErrorResume(
                         e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, String.valueOf(e.getMessage()))))
                 .flatMap(verdict -> {
-                    boolean answered = verdict.kind() != Verdict.Kind.OUTCOME_UNKNOWN
-                            && verdict.kind() != Verdict.Kind.UNKNOWN_MESSAGE;
-                    dispatcher
-                            .context()
-                            .targets()
-                            .ended(
-                                    target,
-                                    answered && verdict.kind() != Verdict.Kind.RETRY,
-                                    dispatcher
-                                            .context()
-                                            .environment()
-                                            .clock()
-                                            .monotonicTime()
-                                            .minus(begun));
-                    if (sendGuard.close()) {
-                        permit.release();
-                        return recordEnd(
-                                MessageCommands.AttemptOutcome.NOT_SENT,
-                                "not sent: " + verdict.reason(),
-                                wallTime().plus(dispatcher.policy().retrySoon()));
-                    }
-                    return commitOutcome(verdict);
+                    Duration took =
+                            context.environment().clock().monotonicTime().minus(begun);
+                    context.targets().ended(target, answeredWell(verdict), took);
+                    return sendGuard.close() ? notSent(permit, verdict) : commitOutcome(verdict);
                 });
     }
 
+    /** What is left of the attempt; the wall clock may have jumped since it was committed. */
+    private Duration timeout() {
+        Duration left = Duration.between(wallTime(), message.deadline());
+        Duration most = Duration.ofMillis(dispatcher.policy().terms(message).attemptMs());
+        if (left.isNegative()) {
+            return SHORTEST_TIMEOUT;
+        }
+        return left.compareTo(most) > 0 ? most : left;
+    }
+
+    private boolean mayStillSend() {
+        String service = dispatcher.policy().terms(message).service();
+        return dispatcher.isLeader()
+                && ProcessorSelector.targets(dispatcher, service).contains(target);
+    }
+
+    private static boolean answeredWell(Verdict verdict) {
+        return switch (verdict.kind()) {
+            case OUTCOME_UNKNOWN, UNKNOWN_MESSAGE, RETRY -> false;
+            default -> true;
+        };
+    }
+
+    private Mono<Boolean> notSent(DeliveryPermit permit, Verdict verdict) {
+        permit.release();
+        return recordEnd(
+                AttemptOutcome.NOT_SENT,
+                "not sent: " + verdict.reason(),
+                wallTime().plus(dispatcher.policy().retrySoon()));
+    }
+
     private Mono<Boolean> commitOutcome(Verdict verdict) {
         return switch (verdict.kind()) {
-            case DONE -> recordEnd(MessageCommands.AttemptOutcome.SUCCEEDED, verdict.reason(), wallTime());
-            case REJECTED -> recordEnd(MessageCommands.AttemptOutcome.FAILED, verdict.reason(), wallTime());
+            case DONE -> recordEnd(AttemptOutcome.SUCCEEDED, verdict.reason(), wallTime());
+            case REJECTED -> recordEnd(AttemptOutcome.FAILED, verdict.reason(), wallTime());
             case RETRY ->
                 dispatcher.policy().attemptsLeft(message)
                         ? recordEnd(
-                                MessageCommands.AttemptOutcome.RETRY,
+                                AttemptOutcome.RETRY,
                                 verdict.reason(),
                                 wallTime().plus(dispatcher.policy().backoff(message.attemptsMade())))
-                        : recordEnd(
-                                MessageCommands.AttemptOutcome.FAILED,
-                                "attempts used up; last: " + verdict.reason(),
-                                wallTime());
+                        : recordEnd(AttemptOutcome.FAILED, "attempts used up; last: " + verdict.reason(), wallTime());
             case UNKNOWN_MESSAGE ->
                 recordEnd(
-                        MessageCommands.AttemptOutcome.NOT_SENT,
+                        AttemptOutcome.NOT_SENT,
                         verdict.reason(),
                         wallTime().plus(dispatcher.policy().backoff(1)));
             case OUTCOME_UNKNOWN, RUNNING ->
@@ -112,32 +109,32 @@
         };
     }
 
-    Mono<Boolean> recordEnd(MessageCommands.AttemptOutcome ending, String word, Instant due) {
+    Mono<Boolean> recordEnd(AttemptOutcome outcome, String proof, Instant due) {
         MessageCommands.End end =
-                new MessageCommands.End(message.handle(), message.attempt(), ending, word, due, wallTime());
+                new MessageCommands.End(message.handle(), message.attempt(), outcome, proof, due, wallTime());
         return dispatcher.context().recorder().record(dispatcher.partitionId(), end, message.processor());
     }
 
     /**
      * No back end can be asked: it is sent again once the attempt can do nothing more, or at once to a service that
-     * gives a repeat its first success again. design 9.11
+     * gives a repeat its first success again.
      */
-    Mono<Boolean> resend(String why) {
+    Mono<Boolean> resend(String reason) {
         Duration wait = dispatcher.policy().deduplicates(message)
                 ? dispatcher.policy().retrySoon()
                 : Duration.between(wallTime(), message.deadline()).plus(GRACE_AFTER_DEADLINE);
         return Delays.pause(dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
                 .then(Mono.defer(() -> recordEnd(
-                        MessageCommands.AttemptOutcome.OUTCOME_UNKNOWN,
-                        "sent again: " + why,
+                        AttemptOutcome.OUTCOME_UNKNOWN,
+                        "sent again: " + reason,
                         wallTime().plus(dispatcher.policy().retrySoon()))));
     }
 
-    /** Running by the log, but begun by an earlier owner, which may still hand over the answer that it got. */
+    /** Running by the log, but begun by an earlier leader, which may still forward the answer that it got. */
     Mono<Boolean> resumeAfterAdoption() {
         return dispatcher.policy().resends(message)
                 ? Delays.pause(dispatcher.context().environment().timers(), ADOPTION_DELAY)
-                        .then(Mono.defer(() -> resend("the owner changed")))
+                        .then(Mono.defer(() -> resend("the leader changed")))
                 : inquire();
     }
 
@@ -146,72 +143,70 @@
                 .then(Mono.defer(this::inquire));
     }
 
-    /** Never run again while the processor may still know: ask it by message id. */
+    /** Never run again while the processor may still know of it: asks by message id. */
     Mono<Boolean> inquire() {
         if (!dispatcher.isLeader()) {
             return Mono.just(false);
         }
         boolean late = wallTime().isAfter(message.deadline());
-        ProcessorStatus where = dispatcher.processorStatus(message);
-        if (late && where.kind() == ProcessorStatus.Kind.GONE) {
+        ProcessorStatus processor = dispatcher.processorStatus(message);
+        if (late && processor.kind() == ProcessorStatus.Kind.GONE) {
             return outcomeUnknown("the processor is gone");
         }
-        if (late
-                && where.kind() == ProcessorStatus.Kind.PULLS
-                && dispatcher.policy().terms(message).rerun()) {
+        boolean mayRerun = dispatcher.policy().terms(message).rerun();
+        if (late && processor.kind() == ProcessorStatus.Kind.PULLS && mayRerun) {
             return outcomeUnknown("no outcome before the deadline");
         }
-        if (wallTime().isAfter(dispatcher.policy().expiry(message)) && mayEndUnproven(where)) {
-            return recordEnd(
-                    MessageCommands.AttemptOutcome.FAILED,
-                    Message.OUTCOME_UNKNOWN_PROOF + "time limit reached",
-                    wallTime());
-        }
-        Optional<DeliveryPermit> permit = where.canBeAsked() ? dispatcher.mayInquire(message) : Optional.empty();
-        if (permit.isEmpty()) {
-            return inquireLater();
+        if (wallTime().isAfter(dispatcher.policy().expiry(message)) && mayEndUnproven(processor)) {
+            return recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + "time limit reached", wallTime());
         }
+        Optional<DeliveryPermit> permit = processor.canBeAsked() ? dispatcher.mayInquire(message) : Optional.empty();
+        return permit.isPresent() ? inquire(processor, permit.get(), late) : inquireLater();
+    }
+
+    private Mono<Boolean> inquire(ProcessorStatus processor, DeliveryPermit permit, boolean late) {
+        DeliveryClient.DeliveryRequest request = new DeliveryClient.DeliveryRequest(
+                "GET",
+                processor.address() + "/runs/" + message.handle() + "?attempt=" + message.attempt(),
+                new byte[0],
+                INQUIRY_TIMEOUT,
+                () -> dispatcher.isLeader() && permit.spend());
         return dispatcher
                 .context()
                 .deliveryClient()
-                .send(new DeliveryClient.DeliveryRequest(
-                        "GET",
-                        where.address() + "/runs/" + message.handle() + "?attempt=" + message.attempt(),
-                        new byte[0],
-                        INQUIRY_TIMEOUT,
-                        () -> dispatcher.isLeader() && permit.get().spend()))
-                .map(deliveryResponse -> Verdict.ofInquiry(deliveryResponse, message.handle()))
+                .send(request)
+                .map(response -> Verdict.ofInquiry(response, message.handle()))
                 .onErrorResume(e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, "no answer")))
                 .flatMap(verdict -> {
                     if (verdict.kind() == Verdict.Kind.UNKNOWN_MESSAGE) {
-                        // a push still under way may arrive until the deadline: design 9.3
+                        // a push still under way may arrive until the deadline
                         return late ? retry(verdict.reason()) : inquireLater();
                     }
                     return commitOutcome(verdict);
                 });
     }
 
-    /** The next of a key must not start while a listed processor may still run this one: design 9.3. */
-    private boolean mayEndUnproven(ProcessorStatus where) {
+    /** The next of a key must not start while a listed processor may still run this one. */
+    private boolean mayEndUnproven(ProcessorStatus processor) {
         return !message.ordered()
-                || where.kind() == ProcessorStatus.Kind.PULLS
-                || where.kind() == ProcessorStatus.Kind.GONE;
+                || processor.kind() == ProcessorStatus.Kind.PULLS
+                || processor.kind() == ProcessorStatus.Kind.GONE;
     }
 
     /** Nobody can say any more whether it was done: the lane's operator has said what then. */
-    private Mono<Boolean> outcomeUnknown(String why) {
-        LOG.warn("The outcome of {} stays unknown: {}.", message.handle(), why);
+    private Mono<Boolean> outcomeUnknown(String reason) {
+        LOG.warn("The outcome of {} stays unknown: {}.", message.handle(), reason);
         return dispatcher.policy().terms(message).rerun()
-                ? retry(why)
-                : recordEnd(MessageCommands.AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + why, wallTime());
+                ? retry(reason)
+                : recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + reason, wallTime());
     }
 
-    private Mono<Boolean> retry(String word) {
+    private Mono<Boolean> retry(String reason) {
         return dispatcher.policy().attemptsLeft(message)
                 ? recordEnd(
-                        MessageCommands.AttemptOutcome.RETRY,
-                        word,
+                        AttemptOutcome.RETRY,
+                        reason,
                         wallTime().plus(dispatcher.policy().backoff(1)))
-                : recordEnd(MessageCommands.AttemptOutcome.FAILED, "attempts used up; last: " + word, wallTime());
+                : recordEnd(AttemptOutcome.FAILED, "attempts used up; last: " + reason, wallTime());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -17,11 +17,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Leases of one part, in its owner's memory: when the last word on each came. A new owner knows none, so it counts from
- * when it took over, which is later than any word that its predecessor answered. design 9.10
+ * Leases of the messages of one partition that processors have pulled, in its leader's memory. A new leader knows none, so it
+ * counts from when it took over, which is later than any renewal that its predecessor answered.
  */
 final class DeliveryLeases {
-    /** For words that were answered while the clock was read. */
+    /** For renewals that were answered while the clock was read. */
     private static final Duration MARGIN = Duration.ofMillis(100);
 
     private record HeldLease(int attempt, Duration lastRenewal, boolean expiring) {}
@@ -45,7 +45,7 @@
         return context.environment().clock().wallTime();
     }
 
-    /** Due messages of a service here, for those that fetch it; the first place among tenants goes round. */
+    /** Due messages of a service here, for those that pull it; the first place among tenants goes round. */
     List<Message> due(String service, int most, int turn) {
         Instant now = wallTime();
         return partition.replica().inspect(i -> {
@@ -63,14 +63,12 @@
         });
     }
 
-    /** The attempt is committed, then all is looked at again; empty where it was not handed out. */
+    /** The attempt is committed, then all is checked again; empty where it was not handed out. */
     Mono<Message> begin(Message message, String processor) {
-        String service = dispatcher.policy().terms(message).service();
-        if (wallTime().isAfter(dispatcher.policy().expiry(message))
-                || context.configurations().fresh().isEmpty()
-                || message.attemptsMade() > 0 && !dispatcher.retryAllowed(message.lane() + "/" + message.tenant())) {
+        if (!mayBegin(message)) {
             return Mono.empty();
         }
+        String service = dispatcher.policy().terms(message).service();
         Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, message, service);
         if (permit.isEmpty()) {
             return Mono.empty();
@@ -86,33 +84,40 @@
                 .replica()
                 .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> permit.get().release())
-                .flatMap(result -> {
-                    if (result.applied()
-                            && dispatcher.isLeader()
-                            && context.configurations().fresh().isPresent()
-                            && permit.get().spend()) {
-                        renew(message.handle(), result.message().attempt());
-                        return Mono.just(result.message());
-                    }
-                    permit.get().release();
-                    return result.applied()
-                            ? context.recorder()
-                                    .record(
-                                            partition.id(),
-                                            new MessageCommands.End(
-                                                    message.handle(),
-                                                    message.attempt() + 1,
-                                                    MessageCommands.AttemptOutcome.NOT_SENT,
-                                                    "not handed out",
-                                                    wallTime(),
-                                                    wallTime()),
-                                            processor)
-                                    .then(Mono.<Message>empty())
-                            : Mono.empty();
-                });
+                .flatMap(result -> handOut(message, processor, permit.get(), result));
+    }
+
+    private boolean mayBegin(Message message) {
+        return !wallTime().isAfter(dispatcher.policy().expiry(message))
+                && context.configurations().fresh().isPresent()
+                && (message.attemptsMade() == 0 || dispatcher.retryAllowed(message.lane() + "/" + message.tenant()));
+    }
+
+    private Mono<Message> handOut(
+            Message message, String processor, DeliveryPermit permit, MessageCommands.TransitionResult started) {
+        boolean allowed = started.applied()
+                && dispatcher.isLeader()
+                && context.configurations().fresh().isPresent()
+                && permit.spend();
+        if (allowed) {
+            renew(message.handle(), started.message().attempt());
+            return Mono.just(started.message());
+        }
+        permit.release();
+        if (!started.applied()) {
+            return Mono.empty();
+        }
+        MessageCommands.End end = new MessageCommands.End(
+                message.handle(),
+                message.attempt() + 1,
+                MessageCommands.AttemptOutcome.NOT_SENT,
+                "not handed out",
+                wallTime(),
+                wallTime());
+        return context.recorder().record(partition.id(), end, processor).then(Mono.empty());
     }
 
-    /** Not the owner any more. */
+    /** Not the leader any more. */
     synchronized void clear() {
         leases.clear();
     }
@@ -121,7 +126,7 @@
         leases.remove(handle);
     }
 
-    /** A running message that is leased: it lapses once the time since the last word is over. */
+    /** A running message that is leased: its lease expires once the time since the last renewal is over. */
     void onTick(Message message) {
         if (expire(message)) {
             MessageCommands.End end = new MessageCommands.End(
@@ -134,11 +139,11 @@
             partition
                     .replica()
                     .propose(end, MessageCommands.TransitionResult.class)
-                    .subscribe(result -> forget(message.handle()), x -> forget(message.handle()));
+                    .subscribe(result -> forget(message.handle()), e -> forget(message.handle()));
         }
     }
 
-    /** From the moment this is true no word is taken any more, so nothing is handed out too soon after one. */
+    /** From the moment this is true no renewal is accepted, so nothing is handed out too soon after one. */
     private synchronized boolean expire(Message message) {
         HeldLease lease = leases.get(message.handle());
         if (lease == null || lease.attempt() != message.attempt()) {
@@ -200,7 +205,7 @@
                     }
                     return partition
                             .replica()
-                            .propose(settled(end, message.get()), MessageCommands.TransitionResult.class)
+                            .propose(withLeaderTime(end, message.get()), MessageCommands.TransitionResult.class)
                             .flatMap(result -> {
                                 forget(end.handle());
                                 return result.applied() || result.message().hasRecordedEnd(end.attempt())
@@ -210,8 +215,8 @@
                 });
     }
 
-    /** Clock and attempts are the owner's to count. */
-    private MessageCommands.End settled(MessageCommands.End end, Message message) {
+    /** Clock and attempts are the leader's to count. */
+    private MessageCommands.End withLeaderTime(MessageCommands.End end, Message message) {
         boolean over = end.outcome() == MessageCommands.AttemptOutcome.RETRY
                 && !dispatcher.policy().attemptsLeft(message);
         Instant due = end.outcome() == MessageCommands.AttemptOutcome.RETRY
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -1,6 +1,7 @@
 package org.woadvale.dataplane.delivery;
 
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -128,7 +129,7 @@
 
     /** What this very fetch was given, for a processor that did not get the answer: the same attempts. */
     private List<Message> deliveredBefore(MessagePartition partition, MessageCommands.FetchRequest request) {
-        var now = context.environment().clock().wallTime();
+        Instant now = context.environment().clock().wallTime();
         return partition
                 .replica()
                 .inspect(i -> partition.stateMachine().running().stream()
@@ -147,7 +148,7 @@
 
     private List<Message> candidates(MessagePartition partition, String service) {
         int turn = turns.incrementAndGet();
-        var now = context.environment().clock().wallTime();
+        Instant now = context.environment().clock().wallTime();
         List<Message> out = new ArrayList<>();
         partition.replica().inspect(i -> {
             partition
@@ -177,9 +178,9 @@
                 .orElse(message.terms());
     }
 
-    /** The attempt is committed before the answer; all is checked again at processor-out. */
+    /** The attempt is committed before the answer; all is checked again when it is handed out. */
     private Mono<Message> start(MessagePartition partition, Message message, MessageCommands.FetchRequest request) {
-        var now = context.environment().clock().wallTime();
+        Instant now = context.environment().clock().wallTime();
         if (now.isAfter(message.from().plusMillis(terms(message).timeLimitMs()))
                 || context.configurations().fresh().isEmpty()) {
             return Mono.empty();
@@ -200,27 +201,32 @@
                 .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> permit.get().release())
                 .onErrorResume(e -> Mono.empty())
-                .flatMap(result -> {
-                    if (!result.applied()) {
-                        permit.get().release();
-                        return Mono.empty();
-                    }
-                    if (!mayReceive(request)
-                            || !partition.replica().isActiveLeader()
-                            || !permit.get().spend()) {
-                        permit.get().release();
-                        MessageCommands.End end = new MessageCommands.End(
-                                message.handle(),
-                                message.attempt() + 1,
-                                MessageCommands.AttemptOutcome.NOT_SENT,
-                                "not sent",
-                                now,
-                                now);
-                        return context.recorder()
-                                .record(partition.id(), end, request.processor())
-                                .then(Mono.<Message>empty());
-                    }
-                    return Mono.just(result.message());
-                });
+                .flatMap(result -> handOut(partition, request, permit.get(), result, now));
+    }
+
+    private Mono<Message> handOut(
+            MessagePartition partition,
+            MessageCommands.FetchRequest request,
+            DeliveryPermit permit,
+            MessageCommands.TransitionResult started,
+            Instant now) {
+        if (!started.applied()) {
+            permit.release();
+            return Mono.empty();
+        }
+        if (mayReceive(request) && partition.replica().isActiveLeader() && permit.spend()) {
+            return Mono.just(started.message());
+        }
+        permit.release();
+        MessageCommands.End end = new MessageCommands.End(
+                started.message().handle(),
+                started.message().attempt(),
+                MessageCommands.AttemptOutcome.NOT_SENT,
+                "not sent",
+                now,
+                now);
+        return context.recorder()
+                .record(partition.id(), end, request.processor())
+                .then(Mono.empty());
     }
 }
