--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -30,6 +30,7 @@
             Map<String, Configuration.Key> keysByHash,
             Map<String, RateLimit> allowances,
             Map<String, TreeMap<String, String>> doors) {
+        /** The key with a secret, if the configuration has it. */
         public Optional<Configuration.Key> key(String secret) {
             return Optional.ofNullable(keysByHash.get(Configurations.sha256(secret)));
         }
@@ -47,6 +48,7 @@
     private final ViewSubscriptions subscriptions;
     private volatile Known known = read(0, new byte[0]);
 
+    /** The configuration as the subscription of this node has it. */
     public ConfigurationView(ViewSubscriptions subscriptions) {
         this.subscriptions = subscriptions;
         subscriptions.onView((service, view) -> {
@@ -94,12 +96,14 @@
         return new Known(version, configuration, keys, allowances, doors);
     }
 
+    /** The configuration in force; empty while what is known here is too old. */
     public Optional<Known> fresh() {
         return subscriptions
                 .fresh(ServiceNames.CONFIGURATION)
                 .map(view -> view.configurationVersion() == known.version() ? known : onView(view));
     }
 
+    /** The configuration in force; fails with STALE_VIEW while what is known here is too old. */
     public Known require() throws ServiceException {
         return fresh().orElseThrow(() -> new StaleViewException("This node is not in touch with the core."));
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -51,10 +51,12 @@
     private TimerHandle refreshing = () -> {};
     private volatile boolean draining;
 
+    /** A node that delivers by the product's own protocol. */
     public DataPlaneNode(NodeEnvironment environment, Settings boot, CoreClient core, DeliveryClient post) {
         this(environment, boot, core, post, new NativeDeliveryProtocol());
     }
 
+    /** A node that is not started yet. */
     public DataPlaneNode(
             NodeEnvironment environment,
             Settings boot,
@@ -91,6 +93,7 @@
         return "pilot";
     }
 
+    /** What this node answers to other nodes. */
     public void route(RpcRouter router) {
         router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
                 .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()));
@@ -141,6 +144,7 @@
         core.reseed(seeds);
     }
 
+    /** Whether callers and processors may be sent here. */
     public boolean ready() {
         return !draining
                 && configurations.fresh().isPresent()
@@ -148,10 +152,12 @@
                 && store.map(StoreRole::ready).orElse(true);
     }
 
+    /** The members of each message partition's group that this store knows. */
     public Map<String, Set<String>> groups() {
         return members.groups();
     }
 
+    /** How many replicas of this store do not vote although the placement names them. */
     public int notVotingCount() {
         return members.notVoting().size();
     }
@@ -181,10 +187,12 @@
         return granters.map(TokenGranters::ownedBuckets).orElse(List.of());
     }
 
+    /** What came of the requests for tokens. */
     public LocalBuckets.Counts tokenCounts() {
         return localBuckets.counts();
     }
 
+    /** The configuration in force. */
     public ConfigurationView configurations() {
         return configurations;
     }
@@ -194,22 +202,27 @@
         return intake;
     }
 
+    /** Pulls of processors by way of this node. */
     public PullService fetches() {
         return fetches;
     }
 
+    /** Queries for messages by way of this node. */
     public MessageQueries queries() {
         return queries;
     }
 
+    /** Whether this node was asked to drain. */
     public boolean draining() {
         return draining;
     }
 
+    /** Answers an HTTP request. */
     public Mono<Response> handle(Request request) {
         return ingress.handle(request);
     }
 
+    /** What this node knows of itself, for people. */
     public Map<String, Object> status() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("address", environment.self());
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -45,10 +45,13 @@
 
     private static final Duration MOVES = Duration.ofMillis(3500);
     private static final Duration RUNS = Duration.ofMillis(1500);
+    private static final int MEBIBYTE_SHIFT = 20;
+    private static final Duration SHORTEST_LINGER = Duration.ofMillis(100);
     private static final Duration STEP = Duration.ofMillis(50);
 
     private DataPlaneProgram() {}
 
+    /** Runs the program; see {@code --help}. */
     public static void main(String[] args) {
         System.exit(new Program("pilot", DataPlaneProgram::check, DataPlaneProgram::grow, DRAIN::get).main(args));
     }
@@ -58,6 +61,7 @@
         DRAIN.get().run();
     }
 
+    /** Checks settings beyond what their fields say by themselves. */
     public static void check(Settings settings) throws ServiceException {
         if (settings.roles().isEmpty()) {
             throw new InvalidRequestException("The boot file is invalid at roles: name intake, store or both.");
@@ -124,7 +128,7 @@
                     new FolderDisk(Path.of(settings.data(), "ring")),
                     timers,
                     settings.ringFiles(),
-                    settings.ringFileMb() << 20);
+                    settings.ringFileMb() << MEBIBYTE_SHIFT);
         } catch (IOException e) {
             throw new UnavailableException("Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
@@ -137,7 +141,7 @@
                 .forEach(component -> ((HttpGateway) component).closeSoon());
         await(MOVES, node::drain);
         await(RUNS, node::idle);
-        pause(linger.isZero() ? Duration.ofMillis(100) : linger);
+        pause(linger.isZero() ? SHORTEST_LINGER : linger);
     }
 
     private static void await(Duration most, BooleanSupplier done) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
@@ -10,6 +10,7 @@
 public interface DeliveryClient {
     /** Header names are in lower case. */
     record DeliveryResponse(int status, Map<String, String> headers, byte[] body) {
+        /** A response without headers. */
         public DeliveryResponse(int status, byte[] body) {
             this(status, Map.of(), body);
         }
@@ -27,10 +28,12 @@
             Duration timeout,
             BooleanSupplier stillPermitted,
             Map<String, String> expectedEcho) {
+        /** A request without headers, whose response repeats none. */
         public DeliveryRequest(String method, String url, byte[] body, Duration limit, BooleanSupplier still) {
             this(method, url, Map.of("Content-Type", "application/json"), body, limit, still, Map.of());
         }
     }
 
+    /** Sends a request; fails if there was no complete response in time. */
     Mono<DeliveryResponse> send(DeliveryRequest call);
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -10,6 +10,7 @@
     DeliveryClient.DeliveryRequest push(
             Message message, DeliveryTargets.Target to, Duration limit, BooleanSupplier still);
 
+    /** What the response to a push means. */
     Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse);
 
     /** Whether a back end can be asked what became of an attempt. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -17,6 +17,10 @@
     /** Work goes to another zone only where that pays: bytes between zones are dear. */
     private static final double FAR = 2;
 
+    /** Of the newest time in the average. */
+    private static final double NEWEST_WEIGHT = 0.2;
+
+    private static final int MAX_DOUBLINGS = 6;
     private static final Duration FIRST_PAUSE = Duration.ofMillis(250);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
 
@@ -34,6 +38,7 @@
     private final LockedShard shard = new LockedShard();
     private final Map<String, Liveness> all = new HashMap<>();
 
+    /** Without any target. */
     public DeliveryTargets(NodeEnvironment environment) {
         this.environment = environment;
     }
@@ -64,6 +69,7 @@
                 && now().compareTo(liveness.notBefore) >= 0;
     }
 
+    /** A delivery to the target is over. */
     public void ended(Target target, boolean answered, Duration took) {
         shard.run(() -> {
             Liveness liveness = of(target);
@@ -71,11 +77,12 @@
             if (answered) {
                 liveness.failures = 0;
                 liveness.notBefore = Duration.ZERO;
-                liveness.slowMs = liveness.slowMs * 0.8 + took.toMillis() * 0.2;
+                liveness.slowMs = liveness.slowMs * (1 - NEWEST_WEIGHT) + took.toMillis() * NEWEST_WEIGHT;
             } else {
                 liveness.failures++;
                 if (liveness.failures >= FAILING) {
-                    Duration pause = FIRST_PAUSE.multipliedBy(1L << Math.min(6, liveness.failures - FAILING));
+                    Duration pause =
+                            FIRST_PAUSE.multipliedBy(1L << Math.min(MAX_DOUBLINGS, liveness.failures - FAILING));
                     liveness.notBefore = now().plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
                 }
             }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -33,6 +33,7 @@
     private final DeliveryLeases leases;
     private int turn;
 
+    /** The dispatcher of one partition. */
     public Dispatcher(DispatchContext context, MessagePartition partition) {
         this.context = context;
         this.partition = partition;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -30,16 +30,19 @@
     private final AtomicInteger turns = new AtomicInteger();
     private final Map<String, Dispatcher> dispatchersByPartition = new ConcurrentHashMap<>();
 
+    /** Without any partition. */
     public Dispatchers(DispatchContext context) {
         this.context = context;
         this.waitingPulls = new WaitingPulls(context, dispatchersByPartition);
     }
 
+    /** A partition was opened on this store. */
     public void opened(MessagePartition partition) {
         Dispatcher dispatcher = new Dispatcher(context, partition);
         dispatchersByPartition.put(partition.id(), dispatcher);
     }
 
+    /** Dispatches until {@link #stop}. */
     public void start() {
         ticking = context.environment().timers().every(TICK, () -> {
             waitingPulls.onTick();
@@ -47,14 +50,17 @@
         });
     }
 
+    /** Whether no delivery is in flight. */
     public boolean idle() {
         return dispatchersByPartition.values().stream().allMatch(Dispatcher::idle);
     }
 
+    /** Begins no delivery any more. */
     public void stop() {
         ticking.cancel();
     }
 
+    /** What a store answers to intakes and other stores about deliveries. */
     public void route(RpcRouter router) {
         waitingPulls.route(router);
         router.on(
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -28,27 +28,33 @@
 
 /** HTTP/1.1 to back ends by Reactor Netty; it never sends a request twice by itself. */
 public final class HttpDeliveryClient implements DeliveryClient {
+    private static final int MAX_CONNECTIONS = 64;
+    private static final int MAX_PENDING = 256;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    /** Beyond the time-out of a request, for a response that is being read. */
+    private static final Duration RESPONSE_GRACE = Duration.ofMillis(200);
+
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
-    /** How long a stream may rest, unless the back end says less. */
-    private static final Duration CONNECTION_BACKOFF = Duration.ofSeconds(20);
+    /** How long a connection may be idle, unless the processor says less. */
+    private static final Duration DEFAULT_IDLE_LIMIT = Duration.ofSeconds(20);
 
     private static final Pattern KEEP_ALIVE = Pattern.compile("timeout=([0-9]{1,6})");
 
-    private final Map<SocketAddress, Duration> backoffUntil = new ConcurrentHashMap<>();
-    private final HttpClient client = HttpClient.create(ConnectionProvider.builder("launch")
-                    .maxConnections(64)
-                    .pendingAcquireMaxCount(256)
+    private final Map<SocketAddress, Duration> idleLimits = new ConcurrentHashMap<>();
+    private final HttpClient client = HttpClient.create(ConnectionProvider.builder("delivery")
+                    .maxConnections(MAX_CONNECTIONS)
+                    .pendingAcquireMaxCount(MAX_PENDING)
                     .pendingAcquireTimeout(Duration.ofSeconds(2))
                     .lifo()
                     .evictionPredicate(
                             (connection, meta) -> !connection.channel().isActive()
                                     || meta.idleTime()
-                                            > backoffUntil
+                                            > idleLimits
                                                     .getOrDefault(
-                                                            connection.channel().remoteAddress(), CONNECTION_BACKOFF)
+                                                            connection.channel().remoteAddress(), DEFAULT_IDLE_LIMIT)
                                                     .toMillis())
                     .build())
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .disableRetry(true);
 
     /**
@@ -74,7 +80,7 @@
                         .map(b -> reply(deliveryRequest, response, stream, b))
                         .publishOn(Schedulers.fromExecutor(stream.channel().eventLoop())))
                 .next()
-                .timeout(deliveryRequest.timeout().plusMillis(200))
+                .timeout(deliveryRequest.timeout().plus(RESPONSE_GRACE))
                 .onErrorMap(HttpDeliveryClient::failure);
     }
 
@@ -97,8 +103,10 @@
         Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
         if (matcher.find()) {
             // a margin, so that a stream is not used while the other side closes it
-            long ms = Long.parseLong(matcher.group(1)) * 1000;
-            backoffUntil.put(stream.channel().remoteAddress(), Duration.ofMillis(Math.max(ms / 2, ms - 1000)));
+            Duration told = Duration.ofSeconds(Long.parseLong(matcher.group(1)));
+            Duration half = told.dividedBy(2);
+            Duration oneLess = told.minusSeconds(1);
+            idleLimits.put(stream.channel().remoteAddress(), half.compareTo(oneLess) > 0 ? half : oneLess);
         }
         return new DeliveryResponse(response.status().code(), headers, body);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -19,11 +19,13 @@
     private final NodeEnvironment environment;
     private final SubmitForwarder forwarder;
 
+    /** Records by way of the leaders of partitions. */
     public OutcomeRecorder(NodeEnvironment environment, SubmitForwarder forwarder) {
         this.environment = environment;
         this.forwarder = forwarder;
     }
 
+    /** Records the end of an attempt with whoever leads the partition by now. */
     public Mono<Boolean> record(String part, MessageCommands.End end, String processor) {
         return record(part, end, processor, environment.clock().monotonicTime().plus(GIVE_UP_AFTER));
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -35,6 +35,7 @@
     private final StoreHealth health;
     private final StoreClocks clocks;
 
+    /** Forwards from one node, by preference within its zone. */
     public SubmitForwarder(NodeEnvironment environment, ViewSubscriptions subscriptions, String zone) {
         this.zone = zone;
         this.environment = environment;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -8,24 +8,42 @@
 
 /** What a back end's answer means. Only an echo with a receipt is proof: design 9.3. */
 public record Verdict(Kind kind, String reason) {
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int REQUEST_TIMEOUT = 408;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVER_ERRORS = 500;
+    private static final int UNAVAILABLE = 503;
+    private static final int LONGEST_RECEIPT = 256;
+
+    /** What a response proves. */
     public enum Kind {
+        /** The message was executed. */
         DONE,
+        /** The processor will never execute it. */
         REJECTED,
+        /** It was not executed, and may be later. */
         RETRY,
+        /** Nothing is proven. */
         OUTCOME_UNKNOWN,
+        /** The processor is executing it. */
         RUNNING,
+        /** The processor does not know it. */
         UNKNOWN_MESSAGE
     }
 
     /** Only 429 and 503 say that nothing was done; other 5xx and 408 may come after the work. */
     public static Verdict ofPush(DeliveryClient.DeliveryResponse deliveryResponse, String handle, int attempt) {
-        if (deliveryResponse.status() == 200) {
+        if (deliveryResponse.status() == OK) {
             return proof(deliveryResponse, handle, attempt);
         }
-        if (deliveryResponse.status() == 429 || deliveryResponse.status() == 503) {
+        if (deliveryResponse.status() == TOO_MANY_REQUESTS || deliveryResponse.status() == UNAVAILABLE) {
             return new Verdict(Kind.RETRY, "answer " + deliveryResponse.status());
         }
-        return deliveryResponse.status() >= 400 && deliveryResponse.status() < 500 && deliveryResponse.status() != 408
+        return deliveryResponse.status() >= BAD_REQUEST
+                        && deliveryResponse.status() < SERVER_ERRORS
+                        && deliveryResponse.status() != REQUEST_TIMEOUT
                 ? new Verdict(Kind.REJECTED, "answer " + deliveryResponse.status())
                 : new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + deliveryResponse.status());
     }
@@ -35,7 +53,7 @@
         String receipt = node.path("receipt").asText("");
         boolean echo = node.path("messageId").asText("").equals(handle)
                 && node.path("attempt").asInt(-1) == attempt;
-        return echo && !receipt.isEmpty() && receipt.length() <= 256
+        return echo && !receipt.isEmpty() && receipt.length() <= LONGEST_RECEIPT
                 ? new Verdict(Kind.DONE, receipt)
                 : new Verdict(Kind.OUTCOME_UNKNOWN, "an answer without proof");
     }
@@ -45,11 +63,10 @@
         JsonNode node = json(deliveryResponse.body());
         String state = node.path("state").asText("");
         String receipt = node.path("receipt").asText("");
-        if (deliveryResponse.status() == 404 || state.equals("unknown")) {
+        if (deliveryResponse.status() == NOT_FOUND || state.equals("unknown")) {
             return new Verdict(Kind.UNKNOWN_MESSAGE, "not known to the processor");
         }
-        if (deliveryResponse.status() == 200
-                && node.path("messageId").asText("").equals(handle)) {
+        if (deliveryResponse.status() == OK && node.path("messageId").asText("").equals(handle)) {
             if (state.equals("done") && !receipt.isEmpty()) {
                 return new Verdict(Kind.DONE, receipt);
             }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -14,6 +14,7 @@
 import org.woadvale.common.error.InvalidRequestException;
 import org.woadvale.common.error.NotFoundException;
 import org.woadvale.common.error.ServiceException;
+import org.woadvale.common.http.HttpRouter;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.ServiceNames;
@@ -28,10 +29,15 @@
 
 /** The HTTP interface of an ingress: submissions, queries, pulls and outcomes. design 9.6 */
 public final class IngressNode {
+    /** The longest body of a request, in bytes. */
     public static final int MAX_BODY = SubmitApi.MAX_BODY;
     /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
     private static final Duration LIMIT = Duration.ofSeconds(2);
 
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+    private static final int MOST_LISTED = 100;
+
     private final NodeEnvironment environment;
     private final RouteMatcher doors;
     private final SubmitForwarder forwarder;
@@ -41,7 +47,9 @@
     private final Supplier<Map<String, Object>> status;
     private final Supplier<Boolean> ready;
     private final Supplier<Boolean> drain;
+    private final HttpRouter router;
 
+    /** The interface of one node; the suppliers tell of the whole node. */
     public IngressNode(
             NodeEnvironment environment,
             ConfigurationView configurations,
@@ -60,8 +68,10 @@
         this.status = status;
         this.ready = ready;
         this.drain = drain;
+        this.router = routes();
     }
 
+    /** Answers a request; a failure is an answer too. */
     public Mono<Response> handle(Request request) {
         return Mono.defer(() -> {
                     try {
@@ -73,45 +83,41 @@
                 .onErrorResume(e -> Mono.just(Response.of(ServiceException.of(e))));
     }
 
+    private HttpRouter routes() {
+        return new HttpRouter()
+                .on("GET v1/liveness", (request, path) -> json(OK, Map.of("alive", true)))
+                .on("GET v1/readiness", (request, path) -> readiness())
+                .on("GET v1/status", (request, path) -> json(OK, status.get()))
+                .on("POST v1/drain", (request, path) -> json(OK, Map.of("drained", drain.get())))
+                .on("POST v1/lanes/{lane}/messages", (request, path) -> submitApi.submit(request, path.get("lane")))
+                .on("GET v1/messages/{handle}", (request, path) -> getMessage(request, path.get("handle")))
+                .on("GET v1/messages", (request, path) -> listMessages(request))
+                .on(
+                        "POST v1/services/{service}/fetch",
+                        (request, path) -> processorApi.pull(request, path.get("service")))
+                .on(
+                        "POST v1/messages/{handle}/outcome",
+                        (request, path) -> processorApi.outcome(request, path.get("handle")));
+    }
+
     private Mono<Response> route(Request request) throws ServiceException {
-        List<String> s = request.segments();
-        String op = request.method() + " " + String.join("/", s.subList(0, Math.min(2, s.size()))) + " " + s.size();
-        switch (op) {
-            case "GET v1/liveness 2":
-                return Mono.just(Response.json(200, Map.of("alive", true)));
-            case "GET v1/readiness 2":
-                return Mono.just(Response.json(ready.get() ? 200 : 503, Map.of("ready", ready.get())));
-            case "GET v1/status 2":
-                return Mono.just(Response.json(200, status.get()));
-            case "POST v1/drain 2":
-                return Mono.just(Response.json(200, Map.of("drained", drain.get())));
-            case "POST v1/lanes 4":
-                if (s.get(3).equals("messages")) {
-                    return submitApi.submit(request, s.get(2));
-                }
-                break;
-            case "GET v1/messages 3":
-                return getMessage(request, s.get(2));
-            case "GET v1/messages 2":
-                return listMessages(request);
-            case "POST v1/services 4":
-                if (s.get(3).equals("fetch")) {
-                    return processorApi.pull(request, s.get(2));
-                }
-                break;
-            case "POST v1/messages 4":
-                if (s.get(3).equals("outcome")) {
-                    return processorApi.outcome(request, s.get(2));
-                }
-                break;
-            default:
-        }
-        throw new NotFoundException("No such place: " + request.method() + " " + request.path() + ".");
+        return router.route(request)
+                .orElseThrow(
+                        () -> new NotFoundException("No such place: " + request.method() + " " + request.path() + "."));
+    }
+
+    private static Mono<Response> json(int code, Object body) {
+        return Mono.just(Response.json(code, body));
+    }
+
+    private Mono<Response> readiness() {
+        boolean isReady = ready.get();
+        return json(isReady ? OK : UNAVAILABLE, Map.of("ready", isReady));
     }
 
     private Mono<Response> getMessage(Request request, String handle) {
         return queries.message(request.secret().orElse(""), handle)
-                .map(message -> Response.json(200, messageJson(message)));
+                .map(message -> Response.json(OK, messageJson(message)));
     }
 
     private Map<String, Object> messageJson(Message message) {
@@ -147,7 +153,7 @@
         return Flux.fromIterable(ServiceNames.messageParts())
                 .flatMap(p -> forwarder.call(
                         p,
-                        new MessageCommands.ListRequest(p, key.tenant(), state, 100),
+                        new MessageCommands.ListRequest(p, key.tenant(), state, MOST_LISTED),
                         MessageCommands.ListResponse.class,
                         LIMIT))
                 .collectList()
@@ -156,7 +162,7 @@
                     lists.forEach(listResponse -> listResponse.messages().stream()
                             .filter(message -> message.proof().startsWith(reason))
                             .forEach(message -> rows.add(messageJson(message))));
-                    return Response.json(200, Map.of("messages", rows));
+                    return Response.json(OK, Map.of("messages", rows));
                 });
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -43,6 +43,7 @@
     private final Stage<CheckedSubmission, AdmittedSubmission> admission;
     private final Stage<AdmittedSubmission, MessageCommands.Accepted> forwarding;
 
+    /** The intake of one node. */
     public Intake(
             NodeEnvironment environment,
             ConfigurationView configurations,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -19,6 +19,7 @@
     private final ConfigurationView configurations;
     private final SubmitForwarder forwarder;
 
+    /** Queries by way of one node. */
     public MessageQueries(ConfigurationView configurations, SubmitForwarder forwarder) {
         this.configurations = configurations;
         this.forwarder = forwarder;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/OutcomeRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/OutcomeRequest.java
@@ -11,6 +11,7 @@
         @Min(1) int attempt,
         @NotNull @Pattern(regexp = "done|failed|retry") String outcome,
         @Size(max = 256) String receipt) {
+    /** Absent texts are empty. */
     public OutcomeRequest {
         receipt = receipt == null ? "" : receipt;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
@@ -14,6 +14,7 @@
         boolean again) {
     static final String ID = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
+    /** Absent values have their usual ones. */
     public PullRequest {
         most = most == 0 ? 1 : most;
         fetch = fetch == null ? "" : fetch;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -26,6 +26,7 @@
 
 /** Fetches by processors that are on no list: work is handed out with a lease. design 9.10 */
 public final class PullService {
+    private static final int RANDOM_RANGE = 1 << 16;
     private static final Duration LIMIT = Duration.ofSeconds(2);
     /** A fetch waits at one store for so long, then at the next. */
     private static final Duration TURN = Duration.ofMillis(100);
@@ -36,10 +37,12 @@
 
     /** What a processor says of its lease: the handle, and the attempt that it has. */
     public record LeaseId(String handle, int attempt) {
+        /** The lease of a message that was handed out. */
         public static LeaseId of(Message message) {
             return new LeaseId(message.handle(), message.attempt());
         }
 
+        /** The text that a processor is given. */
         public String word() {
             return handle + "." + attempt;
         }
@@ -67,6 +70,7 @@
     private final String zone;
     private final BooleanSupplier draining;
 
+    /** Pulls by way of one node. */
     public PullService(
             NodeEnvironment environment,
             ViewSubscriptions subscriptions,
@@ -88,7 +92,7 @@
             AtomicBoolean gone = new AtomicBoolean();
             sink.onCancel(() -> gone.set(true));
             Duration until = environment.clock().monotonicTime().plus(wait);
-            int first = (int) Math.floorMod(environment.random().getAsLong(), 1 << 16);
+            int first = (int) Math.floorMod(environment.random().getAsLong(), RANDOM_RANGE);
             pullRound(service, processor, until, first, first, gone)
                     .subscribe(
                             message -> {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitRequest.java
@@ -15,6 +15,7 @@
         @Size(max = 128) String orderingKey,
         @Min(0) @Max(86400000) long delayMs,
         @NotNull JsonNode body) {
+    /** Absent texts are empty. */
     public SubmitRequest {
         orderingKey = orderingKey == null ? "" : orderingKey;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -33,6 +33,10 @@
         @Since(3) Map<String, String> envelope,
         @Since(3) long ends) {
 
+    /** What a message weighs beside its body. */
+    private static final int OVERHEAD_BYTES = 200;
+
+    /** The processor of a message that no processor has had. */
     public static final String NO_PROCESSOR = "";
     /** Every reason of an end that nobody could prove starts like this. */
     public static final String OUTCOME_UNKNOWN_PROOF = "unclear: ";
@@ -138,6 +142,7 @@
         return of >= 1 && of <= MAX_RECORDED_ENDS && (ends & 1L << of) != 0;
     }
 
+    /** Whether a processor has it under a lease. */
     public boolean leased() {
         return destination.startsWith(LEASED);
     }
@@ -147,6 +152,7 @@
         return state == MessageState.FAILED && proof.startsWith(OUTCOME_UNKNOWN_PROOF);
     }
 
+    /** Whether it has an ordering key. */
     public boolean ordered() {
         return !orderKey.isEmpty();
     }
@@ -159,7 +165,8 @@
         return tenant + "\n" + lane + "\n" + id;
     }
 
+    /** What it weighs, in bytes. */
     public int size() {
-        return body.length + 200;
+        return body.length + OVERHEAD_BYTES;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -21,13 +21,19 @@
 
     /** Lapsed: nobody knows, it may run again, and it counts as no attempt. design 9.11 */
     public enum AttemptOutcome {
+        /** It was executed, with proof. */
         SUCCEEDED,
+        /** It will not be executed any more. */
         FAILED,
+        /** It was not executed, and counts as an attempt. */
         RETRY,
+        /** It never left, and counts as no attempt. */
         NOT_SENT,
+        /** Nobody knows; it may run again and counts as no attempt. */
         OUTCOME_UNKNOWN
     }
 
+    /** A message is accepted. */
     public record Accept(
             String tenant,
             String lane,
@@ -40,6 +46,7 @@
             Instant at,
             @Since(3) Map<String, String> envelope)
             implements MessageCommand {
+        /** A message without an envelope. */
         public Accept(
                 String tenant,
                 String lane,
@@ -76,33 +83,43 @@
     /** Ends that nobody could prove are kept longer, for those who must find out: design 9.3. */
     public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) implements MessageCommand {}
 
+    /** The message that an Accept has become, or that it repeats. */
     public record Accepted(String handle, String state, boolean repeated) implements MessageResult {}
 
+    /** Whether a transition was made, and the message as it stands. */
     public record TransitionResult(boolean applied, Message message) implements MessageResult {}
 
+    /** How many ended messages were dropped. */
     public record ExpiredCount(int count) implements MessageResult {}
 
     // asks between data plane nodes
     /** By the clock of the asked process in this life of it: what comes later is refused. design 9.7 */
     public record RemoteDeadline(String incarnation, Duration at) {}
 
+    /** Asks a store for its clock. */
     public record ClockRequest(boolean any) implements RepeatableRequest {}
 
+    /** The monotonic clock of one incarnation of a store. */
     public record ClockResponse(
             @FirstFormatName("life") String incarnation,
             @FirstFormatName("at") Duration time) {}
 
+    /** An intake hands a message to the leader of its partition, before a deadline. */
     public record AcceptRequest(
             @FirstFormatName("part") String partition,
             Accept accept,
             @FirstFormatName("until") RemoteDeadline deadline) implements RepeatableRequest {}
 
+    /** Asks for one message of a tenant. */
     public record StatusRequest(String partition, String handle, String tenant) implements RepeatableRequest {}
 
+    /** Asks for messages of a tenant in one state. */
     public record ListRequest(String partition, String tenant, String state, int limit) implements RepeatableRequest {}
 
+    /** The messages that were asked for, the newest first. */
     public record ListResponse(List<Message> messages) {}
 
+    /** A processor asks for messages of a service from one partition. */
     public record FetchRequest(
             @FirstFormatName("part") String partition,
             String service,
@@ -113,6 +130,7 @@
             @FirstFormatName("again") boolean repeated)
             implements AtMostOnceRequest {}
 
+    /** The messages that were handed out. */
     public record FetchResponse(List<Message> messages) {}
 
     /** Also how a deposed owner gives an answer to the new one. */
@@ -137,10 +155,12 @@
     /** The end of a lease; said again it has the same answer. */
     public record EndLeaseRequest(String partition, End end) implements RepeatableRequest {}
 
+    /** All of the state, for snapshots. */
     public record State(
             Map<String, Message> messages,
             @FirstFormatName("seq") long lastSequence) {}
 
+    /** All types by their numbers on the wire and on disk: only ever add at the end. */
     public static List<Class<?>> types() {
         return List.of(
                 AttemptOutcome.class,
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -33,6 +33,8 @@
 /** The message parts of a store, opened as the placement says: design 9.1. */
 public final class MessagePartitions {
     private static final Logger LOG = LogManager.getLogger(MessagePartitions.class);
+    private static final int UNIT_BYTES = 1024;
+    private static final Duration TICK = Duration.ofMillis(200);
     private static final Duration OUTCOME_UNKNOWN_RETENTION = Duration.ofDays(1);
     private static final int MAX_EXPIRY_LAG_S = 5;
 
@@ -72,10 +74,12 @@
         this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
+    /** The listener runs for each partition that is opened. */
     public void onOpen(Consumer<MessagePartition> consumer) {
         onOpen = consumer;
     }
 
+    /** What this store answers as a replica, and as the leader of a partition. */
     public void route(RpcRouter router) {
         ReplicationMessages.route(router, part -> partition(part).map(MessagePartition::replica))
                 .on(
@@ -103,6 +107,7 @@
                                                         request.limit())))));
     }
 
+    /** A partition that is open here; fails with NOT_OWNER for others. */
     public Mono<MessagePartition> partition(String part) {
         return Mono.justOrEmpty(partitions.get(part))
                 .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
@@ -118,7 +123,7 @@
 
     /** Node and part buckets in size units first, then the commit. All refusals here are definite. */
     private Mono<MessageCommands.Accepted> accept(MessagePartition partition, MessageCommands.Accept accept) {
-        int units = Math.max(1, (accept.body().length + 1023) / 1024);
+        int units = Math.max(1, (accept.body().length + UNIT_BYTES - 1) / UNIT_BYTES);
         boolean room = partition.replica().inspect(i -> partition.stateMachine().storedBytes())
                         < Math.min(maxPartitionBytes, environment.wal().largestRecordBytes() / 2)
                 && !environment.wal().nearlyFull();
@@ -176,6 +181,7 @@
                                 "No such message is known; it may have been forgotten after its end."))));
     }
 
+    /** Opens the partitions that are on disk, and those that the placement names from now on. */
     public void start() throws ServiceException {
         for (String part : environment.wal().recovered().keySet()) {
             if (part.startsWith("m")) {
@@ -187,7 +193,7 @@
                 onTick();
             }
         });
-        ticking = environment.timers().every(Duration.ofMillis(200), this::onTick);
+        ticking = environment.timers().every(TICK, this::onTick);
     }
 
     private void open(String part, List<String> wanted) throws ServiceException {
@@ -258,6 +264,7 @@
                 });
     }
 
+    /** Transfers all leaderships; true once this store leads nothing. */
     public boolean drain() {
         draining = true;
         partitions.values().forEach(partition -> partition.replica().declineLeadership());
@@ -266,10 +273,12 @@
                 .noneMatch(partition -> partition.replica().role() == Role.LEADER);
     }
 
+    /** The open partitions by id. */
     public Map<String, MessagePartition> all() {
         return partitions;
     }
 
+    /** Stops all replicas. */
     public void stop() {
         ticking.cancel();
         partitions.values().forEach(partition -> partition.replica().stop());
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
@@ -5,11 +5,16 @@
 
 /** Ready is a waiting message that is due and first of its key; it is shown, not stored. design 9.2 */
 public enum MessageState {
+    /** Not running; due now or later. */
     WAITING,
+    /** An attempt is under way. */
     RUNNING,
+    /** Executed, with proof. */
     DONE,
+    /** Given up. */
     FAILED;
 
+    /** The states that may follow. */
     public Set<MessageState> next() {
         return switch (this) {
             case WAITING -> EnumSet.of(RUNNING, FAILED, DONE);
@@ -18,6 +23,7 @@
         };
     }
 
+    /** Whether no other state follows. */
     public boolean ended() {
         return this == DONE || this == FAILED;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -21,15 +21,18 @@
     private final MessageIndex index = new MessageIndex();
     private long lastSequence;
 
+    /** Without any message. */
     public MessageStateMachine(String part, Codec codec) {
         this.partition = part;
         this.codec = codec;
     }
 
+    /** A message by its handle. */
     public Optional<Message> get(String handle) {
         return index.find(handle);
     }
 
+    /** What the messages weigh that have not ended, in bytes. */
     public long liveBytes() {
         return index.liveBytes();
     }
@@ -39,18 +42,22 @@
         return index.liveBytes() + index.endedBytes();
     }
 
+    /** The messages that are kept, ended ones included. */
     public int count() {
         return index.all().size();
     }
 
+    /** The messages of which an attempt is under way. */
     public List<Message> running() {
         return index.running();
     }
 
+    /** The messages that may start once they are due. */
     public ReadyQueue ready() {
         return index.ready();
     }
 
+    /** Messages of a tenant in one state, the newest first. */
     public List<Message> list(String tenant, MessageState state, int most) {
         return index.all().stream()
                 .filter(message -> message.tenant().equals(tenant) && message.state() == state)
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
@@ -38,6 +38,7 @@
         lanes.clear();
     }
 
+    /** The lanes that have messages here. */
     public List<String> lanes() {
         return List.copyOf(lanes.keySet());
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
@@ -11,10 +11,12 @@
         long attemptMs,
         @Since(2) boolean rerun,
         @Since(3) boolean resend) {
+    /** Terms of a lane whose messages are not sent again. */
     public RouteTerms(String service, long timeLimitMs, int attempts, long attemptMs, boolean rerun) {
         this(service, timeLimitMs, attempts, attemptMs, rerun, false);
     }
 
+    /** The terms of a lane as configured. */
     public static RouteTerms of(Configuration.Lane lane) {
         return new RouteTerms(
                 lane.service(),
