--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -17,7 +17,7 @@
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.common.runtime.SystemTimers;
 
-/** The command line of a daemon: run, check-boot, --help, --version. design 10.1 */
+/** The command line of a daemon: run, check-boot, --help, --version. (docs/design.md, section 10.1) */
 public final class Program {
     /** The version of all programs. */
     public static final String VERSION = "0.1.0";
@@ -67,7 +67,7 @@
         return this;
     }
 
-    /** What is done between SIGTERM and the stop. design 10.2 */
+    /** What is done between SIGTERM and the stop. (docs/design.md, section 10.2) */
     public void drain() {
         onStop.get().run();
     }
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -45,7 +45,7 @@
             @JsonProperty(required = true) @Min(1) @Max(1000000)
             int burstSize) {}
 
-    /** Fetchers are on no list: they fetch, and hold what they have got by a lease. design 9.10 */
+    /** Fetchers are on no list: they fetch, and hold what they have got by a lease. (docs/design.md, section 9.10) */
     public enum Kind {
         /** Processors that the platform lists; messages are pushed to them. */
         PROCESSORS,
@@ -87,7 +87,10 @@
         KEY
     }
 
-    /** What becomes of a message when nobody can say whether its run was done: design 9.3; resend: design 9.11. */
+    /**
+     * What becomes of a message when nobody can say whether its run was done: design 9.3; resend (docs/design.md,
+     * section 9.11).
+     */
     public enum IfUnclear {
         /** It ends as failed, with a reason of its own. */
         FAIL,
@@ -97,7 +100,9 @@
         RESEND
     }
 
-    /** A host and the beginning of a path by which a lane is addressed, besides its name. design 9.12 */
+    /**
+     * A host and the beginning of a path by which a lane is addressed, besides its name. (docs/design.md, section 9.12)
+     */
     public record Door(
             @NotNull @Pattern(regexp = "[!-~]{1,255}") String host,
             @NotNull @Pattern(regexp = "/[!-~]{0,1023}") String prefix) {}
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -26,7 +26,7 @@
 import org.woadvale.common.error.InvalidConfigurationException;
 import org.woadvale.common.error.ServiceException;
 
-/** Reading and checking of JSON that people write: design 6.1. */
+/** Reading and checking of JSON that people write (docs/design.md, section 6.1). */
 public final class Configurations {
     /** Reads and writes all JSON of the product. */
     public static final ObjectMapper JSON = JsonMapper.builder()
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -18,7 +18,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 
-/** What a process learns of its place: design 10.1. */
+/** What a process learns of its place (docs/design.md, section 10.1). */
 public record Settings(
         @NotNull @Pattern(regexp = ADDRESS, message = "must be IP:port")
         String address,
@@ -146,7 +146,7 @@
         return settings;
     }
 
-    /** Whole parts must fit into ring files, into the ring twice, and into the heap: design 9.8. */
+    /** Whole parts must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
     static Optional<String> sizes(Settings settings, long heapMb) {
         int parts = ServiceNames.MESSAGE_PARTS;
         if (settings.partMb() * 2 > settings.ringFileMb()) {
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -15,7 +15,7 @@
 
 /**
  * Configurations travel deflated in view replies to nodes that say that they can inflate them. A version is deflated
- * once, however many nodes ask for it. Thread-safe. design 7.3
+ * once, however many nodes ask for it. Thread-safe. (docs/design.md, section 7.3)
  */
 public final class ViewCompression {
     static final int WORTHWHILE_BYTES = 512;
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -17,7 +17,7 @@
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 
-/** A node's views of services, each with the proven age of its confirmation: design 7. */
+/** A node's views of services, each with the proven age of its confirmation (docs/design.md, section 7). */
 public final class ViewSubscriptions {
     /** A view whose confirmation is older than this is not acted on. */
     public static final Duration MAX_AGE = Duration.ofSeconds(2);
--- a/common/src/main/java/org/woadvale/common/error/ErrorKind.java
+++ b/common/src/main/java/org/woadvale/common/error/ErrorKind.java
@@ -3,7 +3,10 @@
 import java.util.Locale;
 import org.apache.logging.log4j.Level;
 
-/** The one closed list of error kinds, with the table from kind to HTTP answer. Names are sent between nodes and to callers. */
+/**
+ * The one closed list of error kinds, with the table from kind to HTTP answer. Names are sent between nodes and to
+ * callers.
+ */
 public enum ErrorKind {
     /** The request cannot be read or has a value that is not allowed. */
     BAD_REQUEST(400, true, false, Level.INFO),
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -136,7 +136,7 @@
         return out;
     }
 
-    /** From now on every answer is the last of its stream: callers go elsewhere. design 10.2 */
+    /** From now on every answer is the last of its stream: callers go elsewhere. (docs/design.md, section 10.2) */
     public void closeSoon() {
         closing = true;
     }
--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -26,7 +26,8 @@
     public record LeaveRequest(String service, String node) implements RepeatableRequest {}
 
     /**
-     * Renews a singleton lease in its term, and does nothing if another term is the present one. A term of 0 asks to acquire
+     * Renews a singleton lease in its term, and does nothing if another term is the present one. A term of 0 asks to
+     * acquire
      * the lease; sent again as it was, it has the outcome of its first copy, which is known by the request id.
      */
     public record SingletonLeaseRequest(
@@ -89,7 +90,10 @@
     /** Ends the membership of one incarnation of a node. */
     public record DropMember(String service, String node, String incarnation) implements ControlCommand {}
 
-    /** Accepted only while the list has the version that was read, plus one; an expected version of 0 is always accepted. */
+    /**
+     * Accepted only while the list has the version that was read, plus one; an expected version of 0 is always
+     * accepted.
+     */
     public record PutProcessor(
             String service,
             String id,
@@ -118,7 +122,9 @@
     /** Replaces the placement, if its version is still the expected one. */
     public record PutPlacement(Map<String, List<String>> placement, long expectedVersion) implements ControlCommand {}
 
-    /** An update of the configuration. A revision, if not 0, becomes the version; the original is kept and given back. */
+    /**
+     * An update of the configuration. A revision, if not 0, becomes the version; the original is kept and given back.
+     */
     public record PutConfiguration(
             String requestId,
             long base,
@@ -156,7 +162,9 @@
     /** Tells a store that the placement has a newer version, which it need not find out by its next poll. */
     public record PlacementChanged(long version) implements RepeatableRequest {}
 
-    /** A control machine tells the leader of the core's list that it runs, so that it may take a lost member's place. */
+    /**
+     * A control machine tells the leader of the core's list that it runs, so that it may take a lost member's place.
+     */
     public record AnnounceStandbyRequest(String node, String zone) implements RepeatableRequest {}
 
     /** A member is about to stop; the answer says whether it should stay until its successor counts everywhere. */
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -53,7 +53,10 @@
         return new ControlMessages.CoreMembersResponse(known.members(), known.epoch());
     }
 
-    /** Takes a list that is newer than the known one; an older one, or one by hearsay, changes nothing. design 6.10 */
+    /**
+     * Takes a list that is newer than the known one; an older one, or one by hearsay, changes nothing. (docs/design.md,
+     * section 6.10)
+     */
     public void adopt(CoreMembers heard) {
         CoreMembers before = members.getAndUpdate(now -> now.later(heard));
         if (before.later(heard) != before) {
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Names of services and parts, and the draws by hash that everyone makes alike: design 6.2. */
+/** Names of services and parts, and the draws by hash that everyone makes alike (docs/design.md, section 6.2). */
 public final class ServiceNames {
     /** The service whose view holds the configuration. */
     public static final String CONFIGURATION = "layout";
@@ -38,7 +38,10 @@
         return "tenant/" + tenant;
     }
 
-    /** The bucket of an outside endpoint goes by its address, whatever the service is called. design 8.6 */
+    /**
+     * The bucket of an outside endpoint goes by its address, whatever the service is called. (docs/design.md, section
+     * 8.6)
+     */
     public static String endpointBucket(String address) {
         return "endpoint/" + address.replaceAll("/+$", "");
     }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceView.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceView.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.woadvale.common.rpc.FirstFormatName;
 
-/** All that the core knows of one service; applied only forward by version. design 7.1 */
+/** All that the core knows of one service; applied only forward by version. (docs/design.md, section 7.1) */
 public record ServiceView(
         String service,
         long version,
--- a/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
@@ -4,7 +4,8 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * A lease that one node holds at a time; the owner is empty while it is vacant. A term of zero: never owned. Clear: it was taken when all
+ * A lease that one node holds at a time; the owner is empty while it is vacant. A term of zero: never owned. Clear: it
+ * was taken when all
  * that earlier terms gave out had lapsed.
  */
 public record SingletonLease(
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The aggregate bucket of one duty term: design 8.2. */
+/** The aggregate bucket of one duty term (docs/design.md, section 8.2). */
 public final class AggregateBucket {
     private static final int MAX_GRANTS = 1 << 20;
     private static final Duration ACTIVE_WINDOW = Duration.ofSeconds(3);
@@ -48,7 +48,7 @@
 
     /**
      * A first term starts full; a later one at the level handed over. Unless the passes of earlier terms are dead,
-     * as many as the bucket holds above that level may still be out. design 8.4
+     * as many as the bucket holds above that level may still be out. (docs/design.md, section 8.4)
      */
     public AggregateBucket(long term, double handedLevel, boolean clear, RateLimit limit, Duration now) {
         this.term = term;
@@ -139,7 +139,8 @@
                 .map(Requester::largestRequest)
                 .orElse(1);
         requesters.put(asker, new Requester(now, Math.min(most * 2, MAX_GRANTS)));
-        // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted. design 8.3
+        // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted.
+        // (docs/design.md, section 8.3)
         RateLimit mine = bucket.limit();
         int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / active());
         int want = Math.max(Math.min(batch, most), request.minimum());
--- a/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** A plain token bucket on a given clock; the base of every other bucket here. design 8.1 */
+/** A plain token bucket on a given clock; the base of every other bucket here. (docs/design.md, section 8.1) */
 public final class Bucket {
     /** A level that is short of a whole number by less than this counts as that number. */
     static final double ROUNDING = 1e-9;
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The local bucket of one node for one shared bucket: drawn without a call. design 8.3 */
+/** The local bucket of one node for one shared bucket: drawn without a call. (docs/design.md, section 8.3) */
 public final class LocalBucket {
     private static final int TENTHS = 10;
     private static final int RETURN_AFTER_TENTHS = 7;
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -15,7 +15,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** All local buckets of a node: asks ahead, and lets a few wait shortly on an empty one. design 8.3 */
+/**
+ * All local buckets of a node: asks ahead, and lets a few wait shortly on an empty one. (docs/design.md, section 8.3)
+ */
 public final class LocalBuckets {
     private static final Duration TICK = Duration.ofMillis(25);
     private static final long MILLIS_PER_SECOND = 1000;
@@ -83,7 +85,10 @@
         return environment.clock().monotonicTime();
     }
 
-    /** At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one and by WAIT. */
+    /**
+     * At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one
+     * and by WAIT.
+     */
     public Mono<LocalBucket.AdmissionToken> take(String bucket, Duration wait) {
         return Mono.defer(() -> shard.get(() -> {
             BucketState bucketState = buckets.computeIfAbsent(bucket, bucketName -> new BucketState());
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -25,7 +25,10 @@
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 
-/** The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. design 8.4 */
+/**
+ * The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. (docs/design.md,
+ * section 8.4)
+ */
 public final class TokenGranters {
     private static final Duration TICK = Duration.ofMillis(200);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(250);
@@ -94,7 +97,10 @@
                 .forEach(this::release));
     }
 
-    /** Stands once the first of the ring has let its lease lapse; the ring itself is told of that later. design 8.4 */
+    /**
+     * Stands once the first of the ring has let its lease lapse; the ring itself is told of that later.
+     * (docs/design.md, section 8.4)
+     */
     private boolean preferredOwner(String bucketName, Set<String> ring) {
         SingletonLease singleton = subscriptions.latest(bucketName).singleton();
         Optional<String> first = ServiceNames.rendezvousOwner(bucketName, ring);
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenMessages.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenMessages.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.woadvale.common.rpc.RepeatableRequest;
 
-/** What local buckets and holders say to each other: design 8.3. */
+/** What local buckets and holders say to each other (docs/design.md, section 8.3). */
 public final class TokenMessages {
     /** Tokens die this long after they were asked for, by the asker's clock. */
     public static final Duration TOKEN_LIFETIME = Duration.ofSeconds(1);
@@ -23,7 +23,10 @@
     public record TokenRequest(String bucket, long grant, int minimum, List<UsageReport> reports)
             implements RepeatableRequest {}
 
-    /** Granted may be zero; then retry tells when to come back. AdmissionTokens live so long, from when they were asked for. */
+    /**
+     * Granted may be zero; then retry tells when to come back. AdmissionTokens live so long, from when they were asked
+     * for.
+     */
     public record TokenResponse(long grant, int granted, Duration retryAfter, long term, Duration lifetime) {}
 
     /** All types by their numbers on the wire: only ever add at the end. */
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -7,7 +7,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The members of a group, node to identity. While a change is not committed, a majority is one of the former members and one of the new ones. */
+/**
+ * The members of a group, node to identity. While a change is not committed, a majority is one of the former members
+ * and one of the new ones.
+ */
 final class GroupMembership {
     private record Change(long index, Map<String, String> members) {}
 
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -12,7 +12,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The leader's work in one term. Entered by {@link #onElected} and left by {@link #onDeposed}; in between it appends and
+ * The leader's work in one term. Entered by {@link #onElected} and left by {@link #onDeposed}; in between it appends
+ * and
  * replicates entries, advances the commit index, renews its lease and changes the members of the group.
  */
 final class Leader implements ReplicaStorage.LogRetention {
@@ -159,7 +160,9 @@
                 .isPresent();
     }
 
-    /** Sends heartbeats, and leaves the role if the replica is no member or has been without a majority for too long. */
+    /**
+     * Sends heartbeats, and leaves the role if the replica is no member or has been without a majority for too long.
+     */
     void onTick() {
         Set<String> nodes = followerNodes();
         followers.retain(nodes);
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -55,7 +55,8 @@
     }
 
     /**
-     * After a restart: the lease that was confirmed here last was this node's own, and ended with its former incarnation,
+     * After a restart: the lease that was confirmed here last was this node's own, and ended with its former
+     * incarnation,
      * so nobody else can hold one.
      */
     private boolean wasLastLeader() {
--- a/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 
 /**
- * The lease under which a leader acts: as long as it runs, no other replica is elected. It is counted from the sending of
+ * The lease under which a leader acts: as long as it runs, no other replica is elected. It is counted from the sending
+ * of
  * the latest heartbeat that a majority has confirmed, and ends for the leader a little earlier than for the voters.
  */
 final class LeaderLease {
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -16,7 +16,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One replica of one partition. This class is what the rest of the program sees of the engine: it joins the engine's parts
+ * One replica of one partition. This class is what the rest of the program sees of the engine: it joins the engine's
+ * parts
  * and runs each call on the replica's shard.
  *
  * @param <C> the commands of the state machine
@@ -167,8 +168,10 @@
     }
 
     /**
-     * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can know without
-     * asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader was heard.
+     * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can know
+     * without
+     * asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader was
+     * heard.
      */
     public Duration lastMajorityContact() {
         return state.shard()
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
@@ -2,7 +2,10 @@
 
 import java.util.function.LongSupplier;
 
-/** The name of one incarnation of a disk: random, and with the node that created it, so that a disk that was copied from another member is noticed. */
+/**
+ * The name of one incarnation of a disk: random, and with the node that created it, so that a disk that was copied from
+ * another member is noticed.
+ */
 final class ReplicaIdentity {
     private static final String NODE_SEPARATOR = "@";
 
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -11,7 +11,8 @@
 import org.woadvale.common.runtime.LockedShard;
 
 /**
- * What all roles of a replica share: its role, term, vote, identity, log and members, and which leader it follows. Depends
+ * What all roles of a replica share: its role, term, vote, identity, log and members, and which leader it follows.
+ * Depends
  * on nothing else of the engine; used on the replica's shard only.
  */
 final class ReplicaState {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -6,7 +6,8 @@
 import org.woadvale.common.wal.WalRecord;
 
 /**
- * What a replica writes to the write-ahead log: entries, and snapshots that replace every earlier record of the partition.
+ * What a replica writes to the write-ahead log: entries, and snapshots that replace every earlier record of the
+ * partition.
  * Knows up to which index the log in memory is synced.
  */
 final class ReplicaStorage {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
@@ -21,7 +21,9 @@
 
     private ReplicationMessages() {}
 
-    /** A candidate asks for a vote. A pre-vote changes nothing; a transferred leadership may overrule a running lease. */
+    /**
+     * A candidate asks for a vote. A pre-vote changes nothing; a transferred leadership may overrule a running lease.
+     */
     public record VoteRequest(
             @FirstFormatName("part") String partition,
             long term,
@@ -60,7 +62,9 @@
     public record BootstrapStatusResponse(
             @FirstFormatName("blank") boolean uninitialized, String identity) {}
 
-    /** Makes the receiver a member of a new group; accepted only by the very identity that reported that it has nothing. */
+    /**
+     * Makes the receiver a member of a new group; accepted only by the very identity that reported that it has nothing.
+     */
     public record BootstrapRequest(
             @FirstFormatName("part") String partition,
             String identity,
--- a/common/src/main/java/org/woadvale/common/replication/StateMachine.java
+++ b/common/src/main/java/org/woadvale/common/replication/StateMachine.java
@@ -3,7 +3,8 @@
 import org.woadvale.common.error.ServiceException;
 
 /**
- * The state that a partition replicates. Must be deterministic: equal commands in equal order give equal states, results
+ * The state that a partition replicates. Must be deterministic: equal commands in equal order give equal states,
+ * results
  * and failures on every replica.
  *
  * @param <C> the commands that the log holds
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -14,7 +14,10 @@
 import org.woadvale.common.error.InvalidRequestException;
 import org.woadvale.common.error.ServiceException;
 
-/** Kryo with required registration and fixed numbers: no class name ever comes off the wire. design 3.2 */
+/**
+ * Kryo with required registration and fixed numbers: no class name ever comes off the wire. (docs/design.md, section
+ * 3.2)
+ */
 public final class Codec {
     /** Range of inner protocol versions that this build speaks. */
     public static final int OLDEST_VERSION = 2;
@@ -81,7 +84,7 @@
         return read(kryos.get(), bytes, type);
     }
 
-    /** What a build of the first format stored, said again in the present one. design 3.4 */
+    /** What a build of the first format stored, said again in the present one. (docs/design.md, section 3.4) */
     public byte[] upgrade(byte[] firstFormatBytes) throws ServiceException {
         return firstFormatBytes.length == 0 ? firstFormatBytes : write(readFirst(firstFormatBytes, Object.class));
     }
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -16,7 +16,10 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** A record with the count of its components: older readers drop what they do not know, newer ones fill in. design 3.4 */
+/**
+ * A record with the count of its components: older readers drop what they do not know, newer ones fill in.
+ * (docs/design.md, section 3.4)
+ */
 final class RecordSerializer extends Serializer<Object> {
     private static final Map<Class<?>, Object> DEFAULTS = Map.of(
             String.class,
--- a/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import reactor.core.publisher.Mono;
 
-/** ControlMessages peers; a node's name is its internal address "ip:port": design 3.1. */
+/** ControlMessages peers; a node's name is its internal address "ip:port" (docs/design.md, section 3.1). */
 public interface RpcClient {
     /** The name of this node. */
     String self();
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -20,7 +20,9 @@
 import reactor.core.publisher.Sinks;
 import reactor.netty.Connection;
 
-/** One TCP stream: handshake first, frames after; anything else closes it with a log line. design 3.3 */
+/**
+ * One TCP stream: handshake first, frames after; anything else closes it with a log line. (docs/design.md, section 3.3)
+ */
 final class RpcConnection {
     private static final Logger LOG = LogManager.getLogger(RpcConnection.class);
     private static final String NAME = "[!-~]{1,64}";
--- a/common/src/main/java/org/woadvale/common/rpc/Since.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Since.java
@@ -5,7 +5,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The format of stored and sent records that first had this component; always the last ones of a record. design 3.4 */
+/**
+ * The format of stored and sent records that first had this component; always the last ones of a record.
+ * (docs/design.md, section 3.4)
+ */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Since {
--- a/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
+++ b/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** A piece of state under its own lock; what leaves the shard runs after unlocking: design 2.3. */
+/** A piece of state under its own lock; what leaves the shard runs after unlocking (docs/design.md, section 2.3). */
 public final class LockedShard {
     private final ReentrantLock lock = new ReentrantLock();
     private final Deque<Runnable> deferred = new ArrayDeque<>();
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -11,7 +11,7 @@
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.error.ServiceException;
 
-/** Starts components in order, restarts dead ones with backoff, stops in reverse: design 2.4. */
+/** Starts components in order, restarts dead ones with backoff, stops in reverse (docs/design.md, section 2.4). */
 public final class Supervisor implements Component {
     private static final Logger LOG = LogManager.getLogger(Supervisor.class);
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
--- a/common/src/main/java/org/woadvale/common/runtime/Timers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Timers.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Seam for everything that happens later: design 2.1. */
+/** Seam for everything that happens later (docs/design.md, section 2.1). */
 public interface Timers {
     /** Runs a task once after a delay. */
     TimerHandle after(Duration delay, Runnable task);
--- a/common/src/main/java/org/woadvale/common/wal/Disk.java
+++ b/common/src/main/java/org/woadvale/common/wal/Disk.java
@@ -32,7 +32,9 @@
     /** A file of at least this size; a new one is all zeros. Takes no space before it is allocated. */
     DiskFile open(String name, int size) throws IOException;
 
-    /** Takes everything out of the way; a damaged folder is kept aside where the disk can, in place of any former one. */
+    /**
+     * Takes everything out of the way; a damaged folder is kept aside where the disk can, in place of any former one.
+     */
     void setAside() throws IOException;
 
     /** Frees the space of what was set aside; true if there was any. */
--- a/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
+++ b/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A moving piece of one file: recovery holds no more than the record it looks at. design 4.3 */
+/** A moving piece of one file: recovery holds no more than the record it looks at. (docs/design.md, section 4.3) */
 final class ReadWindow {
     private final Disk.DiskFile file;
     private final int size;
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** No leftover may ever be read as a record: design 4.3. What is zero already costs no write. */
+    /** No leftover may ever be read as a record (docs/design.md, section 4.3). What is zero already costs no write. */
     void blank(int start) throws IOException {
         byte[] zeros = new byte[Disk.CHUNK];
         for (int at = start; at < size; at += Disk.CHUNK) {
--- a/common/src/main/java/org/woadvale/common/wal/Recovery.java
+++ b/common/src/main/java/org/woadvale/common/wal/Recovery.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads a ring back, piece by piece. Torn tails are cut; damage before the tail condemns the folder: design 4.3. */
+/**
+ * Reads a ring back, piece by piece. Torn tails are cut; damage before the tail condemns the folder (docs/design.md,
+ * section 4.3).
+ */
 final class Recovery {
     /** The folder cannot be trusted; its parts must be treated as lost. */
     static final class DamagedLogException extends Exception {
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -13,7 +13,10 @@
 import org.woadvale.common.error.UnavailableException;
 import org.woadvale.common.runtime.Timers;
 
-/** A ring of preallocated files; one sync serves everything that waited. Why it loses nothing: docs/design.md, section 4. */
+/**
+ * A ring of preallocated files; one sync serves everything that waited. Why it loses nothing: docs/design.md, section
+ * 4.
+ */
 public final class RingWriteAheadLog implements WriteAheadLog {
     private static final Logger LOG = LogManager.getLogger(RingWriteAheadLog.class);
     /** How long after a write that found the disk full it is tried again. */
@@ -58,7 +61,8 @@
         recovered = found.recordsByPartition;
         writer = new RingWriter(disk, leaves, fileSize, found);
         if (writer.full()) {
-            // the file that comes next still holds what is needed: nothing may be written over it. design 4.1
+            // the file that comes next still holds what is needed: nothing may be written over it. (docs/design.md,
+            // section 4.1)
             throw new IOException("the ring is full, and no file can be freed; repair this copy from the others");
         }
     }
@@ -128,7 +132,10 @@
         requestSnapshots();
     }
 
-    /** A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. design 4.4 */
+    /**
+     * A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. (docs/design.md,
+     * section 4.4)
+     */
     private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String why) {
         if (!diskFull) {
             LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", why);
--- a/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
@@ -2,7 +2,10 @@
 
 import java.io.IOException;
 
-/** Puts small records together, so that a batch costs few writes and no memory of its own size. design 4.2 */
+/**
+ * Puts small records together, so that a batch costs few writes and no memory of its own size. (docs/design.md, section
+ * 4.2)
+ */
 final class WriteBatch {
     private final byte[] bytes = new byte[Disk.CHUNK];
     private int length;
--- a/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
@@ -22,7 +22,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Requests that are written oddly, byte for byte: a definite answer and the end of the stream, and nothing reaches the application. */
+/**
+ * Requests that are written oddly, byte for byte: a definite answer and the end of the stream, and nothing reaches the
+ * application.
+ */
 class GateEdgeTest {
     private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
     private HttpGateway gate;
--- a/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
@@ -25,7 +25,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** The rows of docs/calls.md for what we serve: each caller its own answer, and nothing in a request but the request. */
+/**
+ * The rows of docs/calls.md for what we serve: each caller its own answer, and nothing in a request but the request.
+ */
 class GatewayAnswersTest {
     private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
     private final Sinks.One<String> held = Sinks.one();
--- a/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
@@ -139,7 +139,10 @@
         assertEquals(expected, answers(requests(bodies), piece, expected.size()));
     }
 
-    /** An answer has the version of its request, also one that there is not. Whatever is damaged: only answers come, not more than there were requests and one refusal. */
+    /**
+     * An answer has the version of its request, also one that there is not. Whatever is damaged: only answers come, not
+     * more than there were requests and one refusal.
+     */
     @Property(tries = 150, seed = SEED)
     void damagedRequestsGetWholeAnswersOrNone(
             @ForAll @Size(min = 1, max = 4) List<@Size(max = 40) byte[]> bodies,
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
@@ -78,7 +78,9 @@
         return node.call(PARTITION, new PutConfigurationRequest(update), ConfigurationAccepted.class);
     }
 
-    /** A revision that is kept, by its version; the newest for a negative one. Never older than what was acknowledged. */
+    /**
+     * A revision that is kept, by its version; the newest for a negative one. Never older than what was acknowledged.
+     */
     public Mono<ConfigurationResponse> get(long version) {
         return node.call(PARTITION, new GetConfigurationRequest(version), ConfigurationResponse.class)
                 .onErrorMap(error -> asFailedRead(ServiceException.of(error)));
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -16,7 +16,8 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update has the
+ * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update
+ * has the
  * answer that it had. All three are bounded: the oldest go first.
  */
 public final class ConfigurationLog {
@@ -120,7 +121,8 @@
     /**
      * Decides an update; the same update again has the decision that it had.
      *
-     * @throws ServiceException STALE_BASE if it builds on another version than the present one, CONFLICT if its request id
+     * @throws ServiceException STALE_BASE if it builds on another version than the present one, CONFLICT if its request
+     * id
      *     stands for other content, INVALID_LAYOUT if its revision is not above the present one
      */
     public ControlMessages.ConfigurationAccepted put(ControlMessages.PutConfiguration update) throws ServiceException {
@@ -157,7 +159,9 @@
                 : Optional.ofNullable(acceptedUpdates.get(digest));
     }
 
-    /** The version that such an update builds on may still be reached; other rejected ones can never be accepted later. */
+    /**
+     * The version that such an update builds on may still be reached; other rejected ones can never be accepted later.
+     */
     private void rejectPermanently(RejectedUpdate identity) {
         rejectedUpdates.add(identity);
         if (rejectedUpdates.size() > MAX_REJECTED) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -11,7 +11,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The leases of one control partition, on its leader. Renewals are noted in memory; who holds a lease is committed. Every
+ * The leases of one control partition, on its leader. Renewals are noted in memory; who holds a lease is committed.
+ * Every
  * request fails with NOT_OWNER on a replica that does not lead.
  */
 public final class LeaseManager {
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -52,7 +52,8 @@
     /**
      * Answers as the partition's leader does, and never later than a second after the call. Fails with {@link
      * ErrorKind#UNAVAILABLE} if nothing was sent for lack of contact, with {@link ErrorKind#UNKNOWN_OUTCOME} if any of
-     * the attempts may have been applied and none gave a definite answer in time, else with the error of the last attempt.
+     * the attempts may have been applied and none gave a definite answer in time, else with the error of the last
+     * attempt.
      */
     public <T> Mono<T> call(String partition, RepeatableRequest request, Class<T> responseType) {
         return Mono.defer(() -> {
@@ -77,7 +78,9 @@
         });
     }
 
-    /** An answer counts only before its limit, also on a machine that was frozen since: the limit is looked at again. */
+    /**
+     * An answer counts only before its limit, also on a machine that was frozen since: the limit is looked at again.
+     */
     private <T> Mono<T> inTime(Mono<T> work, Duration until, Progress progress) {
         Mono<T> answered = work.flatMap(answer -> {
             boolean late = now().compareTo(until) >= 0;
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -38,7 +38,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A control node: one replica of every control partition, and what it answers as their leader. Leaders are spread over the
+ * A control node: one replica of every control partition, and what it answers as their leader. Leaders are spread over
+ * the
  * nodes: each partition prefers another one.
  */
 public final class ControlNode implements Component {
@@ -273,7 +274,8 @@
     }
 
     /**
-     * Whether operators and processors may be sent here. A partition that changes its leader in order is without one for a
+     * Whether operators and processors may be sent here. A partition that changes its leader in order is without one
+     * for a
      * moment; that is no reason to turn them away.
      */
     public boolean ready() {
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -46,7 +46,9 @@
         return change;
     }
 
-    /** A replica goes from a fuller store to the emptiest while they differ by two; no partition gets into fewer zones. */
+    /**
+     * A replica goes from a fuller store to the emptiest while they differ by two; no partition gets into fewer zones.
+     */
     private Optional<Change> moveReplica(ServiceView view) {
         Map<String, Integer> load = load(view.placement());
         Comparator<String> byLoad = Comparator.<String>comparingInt(store -> load.getOrDefault(store, 0))
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -16,7 +16,8 @@
 import org.woadvale.common.membership.ServiceView;
 
 /**
- * Chooses three stores in different zones for each message partition, and replaces those that are gone. Holds only what the
+ * Chooses three stores in different zones for each message partition, and replaces those that are gone. Holds only what
+ * the
  * leader has seen; a new leader begins anew.
  */
 final class ReplicaPlacement {
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -24,7 +24,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes over the lists of processors from a source that has them all. The leader of partition c0 reads for all; whole lists
+ * Takes over the lists of processors from a source that has them all. The leader of partition c0 reads for all; whole
+ * lists
  * are written, and only where they differ.
  */
 public final class ProcessorRegistry implements Component {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -17,10 +17,13 @@
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.ratelimit.RateLimit;
 
-/** The configuration as this node may use it: only while its age is proven. design 7.2 */
+/** The configuration as this node may use it: only while its age is proven. (docs/design.md, section 7.2) */
 public final class ConfigurationView {
     private static final Logger LOG = LogManager.getLogger(ConfigurationView.class);
-    /** A leaving bucket's burst, in seconds of its rate: any 5 s stay within a tenth of the rate. design 8.3 */
+    /**
+     * A leaving bucket's burst, in seconds of its rate: any 5 s stay within a tenth of the rate. (docs/design.md,
+     * section 8.3)
+     */
     private static final double DELIVERY_BURST_S = 0.4;
 
     /** A configuration, read once. */
@@ -35,7 +38,7 @@
             return Optional.ofNullable(keysByHash.get(Configurations.sha256(secret)));
         }
 
-        /** The lane whose door has the host and the longest beginning of the path. design 9.12 */
+        /** The lane whose door has the host and the longest beginning of the path. (docs/design.md, section 9.12) */
         public Optional<String> laneAt(String host, String path) {
             TreeMap<String, String> byPrefix = doors.getOrDefault(host, new TreeMap<>());
             return byPrefix.entrySet().stream()
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -32,7 +32,7 @@
 import org.woadvale.dataplane.ingress.PullService;
 import reactor.core.publisher.Mono;
 
-/** A pilot: intake, store or both, as its boot file says. design 1 */
+/** A pilot: intake, store or both, as its boot file says. (docs/design.md, section 1) */
 public final class DataPlaneNode implements Component {
     private final NodeEnvironment environment;
     private final Settings settings;
@@ -119,7 +119,7 @@
 
     /**
      * Duties and partitions are given away first; a store that has a successor also waits until its replicas there
-     * count. True once nothing is left here. design 6.9
+     * count. True once nothing is left here. (docs/design.md, section 6.9)
      */
     public boolean drain() {
         if (!draining) {
@@ -197,7 +197,7 @@
         return configurations;
     }
 
-    /** The way in for messages, for other doors than the ingress's. design 9.12 */
+    /** The way in for messages, for other doors than the ingress's. (docs/design.md, section 9.12) */
     public Intake intake() {
         return intake;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -80,13 +80,13 @@
                 node -> List.of(new HttpGateway(settings.http(), IngressNode.MAX_BODY, node::handle)));
     }
 
-    /** The tree with other doors, and another way of speaking to back ends. design 1 */
+    /** The tree with other doors, and another way of speaking to back ends. (docs/design.md, section 1) */
     public static Supervisor grow(
             Settings settings,
             SystemTimers timers,
             Runnable onGivenUp,
             DeliveryProtocol protocol,
-            Function<DataPlaneNode, List<Component>> doors)
+            Function<DataPlaneNode, List<Component>> function)
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
@@ -112,11 +112,12 @@
                 members -> known.ifPresent(coreMembersFile -> coreMembersFile.write(members)));
         DataPlaneNode node = new DataPlaneNode(environment, settings, core, new HttpDeliveryClient(), protocol);
         node.route(router);
-        Supervisor tree = new Supervisor("pilot", timers, onGivenUp).with(rpc).with(node);
-        List<Component> gates = doors.apply(node);
-        gates.forEach(tree::with);
-        DRAIN.set(() -> drain(node, gates, Duration.ofMillis(settings.lingerMs())));
-        return tree;
+        Supervisor supervisor =
+                new Supervisor("pilot", timers, onGivenUp).with(rpc).with(node);
+        List<Component> gateways = function.apply(node);
+        gateways.forEach(supervisor::with);
+        DRAIN.set(() -> drain(node, gateways, Duration.ofMillis(settings.lingerMs())));
+        return supervisor;
     }
 
     private static WriteAheadLog wal(Settings settings, SystemTimers timers) throws ServiceException {
@@ -134,9 +135,12 @@
         }
     }
 
-    /** Parts and duties move away before the stop, and what is under way ends; each wait is bounded. design 10.2 */
-    private static void drain(DataPlaneNode node, List<Component> gates, Duration linger) {
-        gates.stream()
+    /**
+     * Parts and duties move away before the stop, and what is under way ends; each wait is bounded. (docs/design.md,
+     * section 10.2)
+     */
+    private static void drain(DataPlaneNode node, List<Component> gateways, Duration linger) {
+        gateways.stream()
                 .filter(HttpGateway.class::isInstance)
                 .forEach(component -> ((HttpGateway) component).closeSoon());
         await(MOVES, node::drain);
@@ -150,7 +154,7 @@
         }
     }
 
-    private static void pause(Duration d) {
-        LockSupport.parkNanos(d.toNanos());
+    private static void pause(Duration duration) {
+        LockSupport.parkNanos(duration.toNanos());
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -15,7 +15,10 @@
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.runtime.TimerHandle;
 
-/** Keeps this node a member of its roles while it serves, and tells the core at once what changed. design 6.3, 6.9 */
+/**
+ * Keeps this node a member of its roles while it serves, and tells the core at once what changed. (docs/design.md,
+ * section 6.3, 6.9)
+ */
 final class LeaseRenewal {
     /** A store that began with an empty disk is taken for the successor of one that leaves for so long. */
     private static final Duration NEWCOMER = Duration.ofSeconds(60);
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -13,7 +13,10 @@
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.dataplane.queue.MessagePartitions;
 
-/** In which message parts this store counts, and which it owns: design 6.5. Empty on a node that is no store. */
+/**
+ * In which message parts this store counts, and which it owns (docs/design.md, section 6.5). Empty on a node that is no
+ * store.
+ */
 final class PartitionReplicas {
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -17,7 +17,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Leases of the messages of one partition that processors have pulled, in its leader's memory. A new leader knows none, so it
+ * Leases of the messages of one partition that processors have pulled, in its leader's memory. A new leader knows none,
+ * so it
  * counts from when it took over, which is later than any renewal that its predecessor answered.
  */
 final class DeliveryLeases {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -47,7 +47,10 @@
         return token.map(localBuckets::isValid).orElse(true);
     }
 
-    /** Spent only while it lives, and told as spent only then: what is out never exceeds the bucket. design 8.2 */
+    /**
+     * Spent only while it lives, and told as spent only then: what is out never exceeds the bucket. (docs/design.md,
+     * section 8.2)
+     */
     boolean spend() {
         boolean alive = isValid();
         if (alive) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
@@ -39,7 +39,9 @@
                 .orElse(message.terms());
     }
 
-    /** When the message fails unless delivered; counted from when it was first due, so that a delay asked for is extra. */
+    /**
+     * When the message fails unless delivered; counted from when it was first due, so that a delay asked for is extra.
+     */
     Instant expiry(Message message) {
         return message.from().plusMillis(terms(message).timeLimitMs());
     }
@@ -65,7 +67,9 @@
         return RETRY_SOON.plusNanos(Math.floorMod(context.environment().random().getAsLong(), RETRY_SOON.toNanos()));
     }
 
-    /** The delay after so many failed tries: exponential and bounded, with jitter between half and one and a half of it. */
+    /**
+     * The delay after so many failed tries: exponential and bounded, with jitter between half and one and a half of it.
+     */
     Duration backoff(int tries) {
         int quadruplings = Math.min(MAX_QUADRUPLINGS, Math.max(0, tries - 1));
         Duration exponential = FIRST_BACKOFF.multipliedBy(1L << 2 * quadruplings);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 import org.woadvale.dataplane.queue.Message;
 
-/** Seam: how a delivery is written for a back end, and what its answer means. design 9.3 */
+/** Seam: how a delivery is written for a back end, and what its answer means. (docs/design.md, section 9.3) */
 public interface DeliveryProtocol {
     /** The request for one attempt; limit is how long the attempt may take. */
     DeliveryClient.DeliveryRequest push(
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -10,7 +10,9 @@
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.LockedShard;
 
-/** Liveness of back ends by their results: slow ones get less, failing ones are probed. design 9.4 */
+/**
+ * Liveness of back ends by their results: slow ones get less, failing ones are probed. (docs/design.md, section 9.4)
+ */
 public final class DeliveryTargets {
     private static final int MAX_IN_FLIGHT = 16;
     private static final int FAILING = 3;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -19,7 +19,7 @@
 import org.woadvale.dataplane.queue.ReadyQueue;
 import reactor.core.publisher.Mono;
 
-/** Lets the messages of one part out, while this node owns it: design 9.3. */
+/** Lets the messages of one part out, while this node owns it (docs/design.md, section 9.3). */
 public final class Dispatcher {
     private static final int LOOK_AHEAD = 64;
     /** Retries of a tenant on a lane in a part: a flood that cannot succeed spends only these. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -20,7 +20,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** All dispatchersByPart of a store, and the fetching side of delivery: design 9.3 and 9.4. */
+/** All dispatchersByPart of a store, and the fetching side of delivery (docs/design.md, section 9.3 and 9.4). */
 public final class Dispatchers {
     private static final int MAX_SCANNED = 64;
     private final DispatchContext context;
@@ -146,10 +146,12 @@
     }
 
     private boolean mayReceive(MessageCommands.FetchRequest request) {
-        Optional<Processor> p = context.subscriptions()
+        Optional<Processor> processor = context.subscriptions()
                 .fresh(ServiceNames.processors(request.service()))
                 .map(view -> view.processors().get(request.processor()));
-        return p.isPresent() && !p.get().leaving() && p.get().address().isEmpty();
+        return processor.isPresent()
+                && !processor.get().leaving()
+                && processor.get().address().isEmpty();
     }
 
     private List<Message> candidates(MessagePartition partition, String service) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -67,7 +67,7 @@
                 .responseTimeout(deliveryRequest.timeout())
                 .request(HttpMethod.valueOf(deliveryRequest.method()))
                 .uri(deliveryRequest.url())
-                .send((q, out) -> deliveryRequest.stillPermitted().getAsBoolean()
+                .send((sent, out) -> deliveryRequest.stillPermitted().getAsBoolean()
                         ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(deliveryRequest.body())))
                         : Mono.error(new UnreachableException("It may not be sent any more.")))
                 .responseConnection((response, stream) -> stream.inbound()
@@ -75,9 +75,9 @@
                         .aggregate()
                         .asByteArray()
                         .defaultIfEmpty(new byte[0])
-                        .filter(b -> b.length <= MAX_RESPONSE_BYTES)
+                        .filter(bytes -> bytes.length <= MAX_RESPONSE_BYTES)
                         .defaultIfEmpty(new byte[0])
-                        .map(b -> reply(deliveryRequest, response, stream, b))
+                        .map(bytes -> reply(deliveryRequest, response, stream, bytes))
                         .publishOn(Schedulers.fromExecutor(stream.channel().eventLoop())))
                 .next()
                 .timeout(deliveryRequest.timeout().plus(RESPONSE_GRACE))
@@ -103,9 +103,9 @@
         Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
         if (matcher.find()) {
             // a margin, so that a stream is not used while the other side closes it
-            Duration told = Duration.ofSeconds(Long.parseLong(matcher.group(1)));
-            Duration half = told.dividedBy(2);
-            Duration oneLess = told.minusSeconds(1);
+            Duration idleLimit = Duration.ofSeconds(Long.parseLong(matcher.group(1)));
+            Duration half = idleLimit.dividedBy(2);
+            Duration oneLess = idleLimit.minusSeconds(1);
             idleLimits.put(stream.channel().remoteAddress(), half.compareTo(oneLess) > 0 ? half : oneLess);
         }
         return new DeliveryResponse(response.status().code(), headers, body);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -9,7 +9,10 @@
 import org.woadvale.common.config.Configurations;
 import org.woadvale.dataplane.queue.Message;
 
-/** The product's own way: JSON with message id and attempt, answered by an echo with a receipt. design 9.3 */
+/**
+ * The product's own way: JSON with message id and attempt, answered by an echo with a receipt. (docs/design.md, section
+ * 9.3)
+ */
 public final class NativeDeliveryProtocol implements DeliveryProtocol {
     @Override
     public DeliveryClient.DeliveryRequest push(
@@ -28,14 +31,14 @@
     }
 
     private static byte[] body(Message message) {
-        Map<String, Object> b = new LinkedHashMap<>();
-        b.put("messageId", message.handle());
-        b.put("attempt", message.attempt());
-        b.put("callerId", message.id());
-        b.put("tenant", message.tenant());
-        b.put("lane", message.lane());
-        b.put("orderingKey", message.orderKey());
-        b.put("body", new RawValue(new String(message.body(), StandardCharsets.UTF_8)));
-        return Configurations.write(b);
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("messageId", message.handle());
+        body.put("attempt", message.attempt());
+        body.put("callerId", message.id());
+        body.put("tenant", message.tenant());
+        body.put("lane", message.lane());
+        body.put("orderingKey", message.orderKey());
+        body.put("body", new RawValue(new String(message.body(), StandardCharsets.UTF_8)));
+        return Configurations.write(body);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -10,7 +10,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Records an ending with whichever store owns the part now, until it is committed: design 9.3. */
+/** Records an ending with whichever store owns the part now, until it is committed (docs/design.md, section 9.3). */
 public final class OutcomeRecorder {
     private static final Logger LOG = LogManager.getLogger(OutcomeRecorder.class);
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
@@ -9,7 +9,7 @@
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 
-/** Who may receive work of a service now, by views of proven age: design 7.2. */
+/** Who may receive work of a service now, by views of proven age (docs/design.md, section 7.2). */
 final class ProcessorSelector {
     static final String ENDPOINT = "endpoint";
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
@@ -2,7 +2,10 @@
 
 import org.woadvale.dataplane.queue.Message;
 
-/** Where the processor of an attempt can be asked; not knowing is not the same as its being gone. design 9.3 */
+/**
+ * Where the processor of an attempt can be asked; not knowing is not the same as its being gone. (docs/design.md,
+ * section 9.3)
+ */
 record ProcessorStatus(Kind kind, String address) {
     enum Kind {
         UNKNOWN,
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 
-/** The moment at which a request leaves: either it was sent, or it never will be. design 9.3 */
+/** The moment at which a request leaves: either it was sent, or it never will be. (docs/design.md, section 9.3) */
 final class SendGuard {
     private enum State {
         OPEN,
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
@@ -8,7 +8,9 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** What is known of the stores' clocks, so that an ask can say until when it may be taken. design 9.7 */
+/**
+ * What is known of the stores' clocks, so that an ask can say until when it may be taken. (docs/design.md, section 9.7)
+ */
 final class StoreClocks {
     private static final Duration MAX_AGE = Duration.ofSeconds(5);
     /** Two clocks may drift apart by one part in so many. */
@@ -28,7 +30,9 @@
         readings.remove(store);
     }
 
-    /** A time of our clock, said in the store's: never later than it, whatever the clocks' drift and the way's delay. */
+    /**
+     * A time of our clock, said in the store's: never later than it, whatever the clocks' drift and the way's delay.
+     */
     Mono<MessageCommands.RemoteDeadline> deadline(String store, Duration until, Duration limit) {
         return Mono.justOrEmpty(Optional.ofNullable(readings.get(store)))
                 .filter(known -> environment
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -10,7 +10,10 @@
 import org.woadvale.common.replication.NodeEnvironment;
 import reactor.core.publisher.Mono;
 
-/** What this node's own asks tell of stores and parts; only for draws, never for what is true. design 9.13 */
+/**
+ * What this node's own asks tell of stores and parts; only for draws, never for what is true. (docs/design.md, section
+ * 9.13)
+ */
 final class StoreHealth {
     private static final Duration FAILURE_MEMORY = Duration.ofMillis(1500);
     private static final Duration UNHEALTHY_AFTER = Duration.ofSeconds(1);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -46,7 +46,7 @@
 
     /**
      * A part for what any part may hold: among those whose owner is in touch, rather one of our own zone; drawn by the
-     * given id. design 9.13
+     * given id. (docs/design.md, section 9.13)
      */
     public String anyPartition(String id) {
         Map<String, List<String>> placement =
@@ -97,7 +97,9 @@
         return health.hasFailed(part);
     }
 
-    /** The same, but nothing that is held up on its way beyond the limit is taken then: design 9.7. */
+    /**
+     * The same, but nothing that is held up on its way beyond the limit is taken then (docs/design.md, section 9.7).
+     */
     public <T> Mono<T> callWithDeadline(
             String part,
             Function<MessageCommands.RemoteDeadline, RepeatableRequest> body,
@@ -193,7 +195,7 @@
                 });
     }
 
-    /** A definite refusal after an unknown try says nothing of that try: design 9.6. */
+    /** A definite refusal after an unknown try says nothing of that try (docs/design.md, section 9.6). */
     private static ServiceException onSettled(ServiceException last, boolean unknown) {
         if (unknown) {
             return new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.");
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -6,7 +6,7 @@
 import org.woadvale.common.error.ErrorKind;
 import org.woadvale.common.error.ServiceException;
 
-/** What a back end's answer means. Only an echo with a receipt is proof: design 9.3. */
+/** What a back end's answer means. Only an echo with a receipt is proof (docs/design.md, section 9.3). */
 public record Verdict(Kind kind, String reason) {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -21,7 +21,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Fetches that wait at this store until one of its parts has work of their service: design 9.10. */
+/** Fetches that wait at this store until one of its parts has work of their service (docs/design.md, section 9.10). */
 final class WaitingPulls {
     private static final int MAX_WAITING = 4096;
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -27,7 +27,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** The HTTP interface of an ingress: submissions, queries, pulls and outcomes. design 9.6 */
+/** The HTTP interface of an ingress: submissions, queries, pulls and outcomes. (docs/design.md, section 9.6) */
 public final class IngressNode {
     /** The longest body of a request, in bytes. */
     public static final int MAX_BODY = SubmitApi.MAX_BODY;
@@ -39,7 +39,7 @@
     private static final int MOST_LISTED = 100;
 
     private final NodeEnvironment environment;
-    private final RouteMatcher doors;
+    private final RouteMatcher routeMatcher;
     private final SubmitForwarder forwarder;
     private final SubmitApi submitApi;
     private final ProcessorApi processorApi;
@@ -60,10 +60,10 @@
             Supplier<Boolean> ready,
             Supplier<Boolean> drain) {
         this.environment = environment;
-        this.doors = new RouteMatcher(configurations);
+        this.routeMatcher = new RouteMatcher(configurations);
         this.forwarder = forwarder;
-        this.submitApi = new SubmitApi(doors, intake);
-        this.processorApi = new ProcessorApi(environment, doors, forwarder);
+        this.submitApi = new SubmitApi(routeMatcher, intake);
+        this.processorApi = new ProcessorApi(environment, routeMatcher, forwarder);
         this.queries = queries;
         this.status = status;
         this.ready = ready;
@@ -121,29 +121,29 @@
     }
 
     private Map<String, Object> messageJson(Message message) {
-        Map<String, Object> b = new LinkedHashMap<>();
+        Map<String, Object> json = new LinkedHashMap<>();
         boolean due = !message.due().isAfter(environment.clock().wallTime());
-        b.put("handle", message.handle());
-        b.put("id", message.id());
-        b.put("lane", message.lane());
-        b.put(
+        json.put("handle", message.handle());
+        json.put("id", message.id());
+        json.put("lane", message.lane());
+        json.put(
                 "state",
                 message.state() == MessageState.WAITING && due
                         ? "ready"
                         : message.state().name().toLowerCase(Locale.ROOT));
-        b.put("attempts", message.attempt());
-        b.put("processor", message.processor());
-        b.put(message.state() == MessageState.DONE ? "proof" : "note", message.proof());
-        b.put("accepted", message.accepted().toString());
+        json.put("attempts", message.attempt());
+        json.put("processor", message.processor());
+        json.put(message.state() == MessageState.DONE ? "proof" : "note", message.proof());
+        json.put("accepted", message.accepted().toString());
         if (message.state().ended()) {
-            b.put("ended", message.ended().toString());
+            json.put("ended", message.ended().toString());
         }
-        return b;
+        return json;
     }
 
     /** Messages of the key's tenant in one state, newest first: failed ones unless told otherwise. */
     private Mono<Response> listMessages(Request request) throws ServiceException {
-        Configuration.Key key = doors.key(request, Configuration.Role.CALLER);
+        Configuration.Key key = routeMatcher.key(request, Configuration.Role.CALLER);
         String state = query(request, "state").orElse("failed").toUpperCase(Locale.ROOT);
         String reason = query(request, "reason").orElse("");
         if (Arrays.stream(MessageState.values())
@@ -151,9 +151,9 @@
             throw new InvalidRequestException("state must be waiting, running, done or failed.");
         }
         return Flux.fromIterable(ServiceNames.messageParts())
-                .flatMap(p -> forwarder.call(
-                        p,
-                        new MessageCommands.ListRequest(p, key.tenant(), state, MOST_LISTED),
+                .flatMap(partition -> forwarder.call(
+                        partition,
+                        new MessageCommands.ListRequest(partition, key.tenant(), state, MOST_LISTED),
                         MessageCommands.ListResponse.class,
                         LIMIT))
                 .collectList()
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -19,7 +19,10 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Takes submissions in: checked, then given a rate limit token, then forwarded; stages with bounded queues. design 9.6 */
+/**
+ * Takes submissions in: checked, then given a rate limit token, then forwarded; stages with bounded queues.
+ * (docs/design.md, section 9.6)
+ */
 public final class Intake {
     /** How long a submission may take altogether. */
     static final Duration LIMIT = Duration.ofMillis(4000);
@@ -57,7 +60,7 @@
         this.forwarding = new Stage<>("hand-over", QUEUE_DEPTH, FORWARDED_AT_ONCE, this::forward);
     }
 
-    /** Accepted, or a fault whose kind says whether it may have been taken. design 9.6 */
+    /** Accepted, or a fault whose kind says whether it may have been taken. (docs/design.md, section 9.6) */
     public Mono<MessageCommands.Accepted> submit(Submission submission) {
         try {
             return admission
@@ -90,7 +93,7 @@
 
     /**
      * By the ordering key, or by the id, which every repeat has. Where a repeat is never handed in anew (lanes with
-     * doors) any part does: one whose owner is near and in touch. design 9.13
+     * doors) any part does: one whose owner is near and in touch. (docs/design.md, section 9.13)
      */
     private String partition(CheckedSubmission checked) {
         Submission submission = checked.submission();
@@ -106,7 +109,7 @@
         localBuckets.returnToken(admitted.bucket(), admitted.token());
     }
 
-    /** Key, lane and token are looked at once more, right before each try: design 9.7. */
+    /** Key, lane and token are looked at once more, right before each try (docs/design.md, section 9.7). */
     private Mono<MessageCommands.Accepted> forward(AdmittedSubmission admitted) {
         Duration until = environment
                 .clock()
@@ -123,7 +126,7 @@
 
     /**
      * A token covers an acceptance only while it lives: what is not decided by then is asked again, with the same
-     * message id, under a new token and by the configuration of that time. design 8.5
+     * message id, under a new token and by the configuration of that time. (docs/design.md, section 8.5)
      */
     private Mono<MessageCommands.Accepted> attempt(
             AdmittedSubmission admitted, Duration until, boolean outcomeUnknown) {
@@ -178,7 +181,10 @@
                 .onErrorMap(error -> definite(error, unknownByNow));
     }
 
-    /** A partition that may change leaders in order is waited for shortly; one in trouble is not. design 9.13 */
+    /**
+     * A partition that may change leaders in order is waited for shortly; one in trouble is not. (docs/design.md,
+     * section 9.13)
+     */
     private Duration leaderWait(AdmittedSubmission admitted, Duration tokenLife) {
         if (!admitted.checked().anyPartition()) {
             return tokenLife;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -12,7 +12,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** What became of a message, found by its handle alone from any intake. design 9.6 */
+/** What became of a message, found by its handle alone from any intake. (docs/design.md, section 9.6) */
 public final class MessageQueries {
     private static final Duration LIMIT = Duration.ofMillis(1800);
     private static final String HANDLE = "m[0-9]{1,4}-[0-9]{1,18}";
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -23,7 +23,9 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** The HTTP requests of processors: pulls of messages and reports of their outcomes. design 9.3, 9.6 */
+/**
+ * The HTTP requests of processors: pulls of messages and reports of their outcomes. (docs/design.md, section 9.3, 9.6)
+ */
 final class ProcessorApi {
     /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
     private static final Duration OUTCOME_LIMIT = Duration.ofSeconds(2);
@@ -46,7 +48,9 @@
         this.forwarder = forwarder;
     }
 
-    /** Messages for a processor, with an empty list once its wait is over; a repeated pull gets its first answer again. */
+    /**
+     * Messages for a processor, with an empty list once its wait is over; a repeated pull gets its first answer again.
+     */
     Mono<Response> pull(Request request, String service) throws ServiceException {
         checkKey(request, service);
         PullRequest terms = matcher.body(request, PullRequest.class);
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
@@ -5,7 +5,9 @@
 import jakarta.validation.constraints.NotNull;
 import jakarta.validation.constraints.Pattern;
 
-/** What a processor asks for; with the same fetch id, again, if it did not get the answer. design 9.3 */
+/**
+ * What a processor asks for; with the same fetch id, again, if it did not get the answer. (docs/design.md, section 9.3)
+ */
 public record PullRequest(
         @NotNull @Pattern(regexp = ID) String processor,
         @Min(0) @Max(10000) long waitMs,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -24,7 +24,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Fetches by processors that are on no list: work is handed out with a lease. design 9.10 */
+/** Fetches by processors that are on no list: work is handed out with a lease. (docs/design.md, section 9.10) */
 public final class PullService {
     private static final int RANDOM_RANGE = 1 << 16;
     private static final Duration LIMIT = Duration.ofSeconds(2);
@@ -142,8 +142,8 @@
                 .switchIfEmpty(next);
     }
 
-    private static Duration least(Duration a, Duration b) {
-        return a.compareTo(b) < 0 ? a : b;
+    private static Duration least(Duration first, Duration second) {
+        return first.compareTo(second) < 0 ? first : second;
     }
 
     private boolean near(String store) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.dataplane.ConfigurationView;
 
-/** Keys and inputs are checked on every request, on open streams too: design 7.2 and 9.6. */
+/** Keys and inputs are checked on every request, on open streams too (docs/design.md, section 7.2 and 9.6). */
 final class RouteMatcher {
     private final ConfigurationView configurations;
 
@@ -52,11 +52,11 @@
     }
 
     <T> T body(Request request, Class<T> type) throws ServiceException {
-        T t = Configurations.read(request.body(), type, ErrorKind.BAD_REQUEST);
-        List<String> faults = new ArrayList<>(Configurations.faults(t));
+        T body = Configurations.read(request.body(), type, ErrorKind.BAD_REQUEST);
+        List<String> faults = new ArrayList<>(Configurations.faults(body));
         if (!faults.isEmpty()) {
             throw new InvalidRequestException("The request has " + faults.size() + " faults.", faults);
         }
-        return t;
+        return body;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
@@ -8,7 +8,8 @@
 
 /**
  * A message as it is handed in, by whichever door. Secret: the caller's key in clear; id: the caller's, alike for every
- * repeat; delay in milliseconds from now; body and envelope are opaque; patience: how long the caller waits for an answer. design 9.12
+ * repeat; delay in milliseconds from now; body and envelope are opaque; patience: how long the caller waits for an
+ * answer. (docs/design.md, section 9.12)
  */
 public record Submission(
         String secret,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
@@ -6,7 +6,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.UnauthorizedException;
 
-/** Checks submissions against the configuration: key, tenant, lane and ordering key. design 9.7 */
+/** Checks submissions against the configuration: key, tenant, lane and ordering key. (docs/design.md, section 9.7) */
 final class SubmissionValidator {
     private final RouteMatcher matcher;
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
@@ -11,7 +11,10 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** The HTTP request that submits a message as JSON and is answered with the message's handle. design 9.6 */
+/**
+ * The HTTP request that submits a message as JSON and is answered with the message's handle. (docs/design.md, section
+ * 9.6)
+ */
 final class SubmitApi {
     /** Of a request's body, in bytes. */
     static final int MAX_BODY = 16 << 10;
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -6,7 +6,8 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * One message as its part knows it. Done ones keep no body. The envelope is opaque here: whoever processors in and whoever
+ * One message as its part knows it. Done ones keep no body. The envelope is opaque here: whoever processors in and
+ * whoever
  * delivers agree on it. Ends: a bit for each attempt whose end was taken, up to the 62nd.
  */
 public record Message(
@@ -40,7 +41,7 @@
     public static final String NO_PROCESSOR = "";
     /** Every reason of an end that nobody could prove starts like this. */
     public static final String OUTCOME_UNKNOWN_PROOF = "unclear: ";
-    /** An attempt that is held by a lease has this for where it went. design 9.10 */
+    /** An attempt that is held by a lease has this for where it went. (docs/design.md, section 9.10) */
     public static final String LEASED = "lease:";
 
     private static final int MAX_RECORDED_ENDS = 62;
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -19,7 +19,7 @@
     /** What applying a command to a message partition answers. */
     public sealed interface MessageResult {}
 
-    /** Lapsed: nobody knows, it may run again, and it counts as no attempt. design 9.11 */
+    /** Lapsed: nobody knows, it may run again, and it counts as no attempt. (docs/design.md, section 9.11) */
     public enum AttemptOutcome {
         /** It was executed, with proof. */
         SUCCEEDED,
@@ -80,7 +80,7 @@
             Instant at)
             implements MessageCommand {}
 
-    /** Ends that nobody could prove are kept longer, for those who must find out: design 9.3. */
+    /** Ends that nobody could prove are kept longer, for those who must find out (docs/design.md, section 9.3). */
     public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) implements MessageCommand {}
 
     /** The message that an Accept has become, or that it repeats. */
@@ -93,7 +93,9 @@
     public record ExpiredCount(int count) implements MessageResult {}
 
     // asks between data plane nodes
-    /** By the clock of the asked process in this life of it: what comes later is refused. design 9.7 */
+    /**
+     * By the clock of the asked process in this life of it: what comes later is refused. (docs/design.md, section 9.7)
+     */
     public record RemoteDeadline(String incarnation, Duration at) {}
 
     /** Asks a store for its clock. */
@@ -137,7 +139,10 @@
     public record OutcomeReport(String partition, End end, String processor, String service)
             implements RepeatableRequest {}
 
-    /** A fetch that waits at a store for work of a service, from any of the parts owned there. design 9.10 */
+    /**
+     * A fetch that waits at a store for work of a service, from any of the parts owned there. (docs/design.md, section
+     * 9.10)
+     */
     public record LongPullRequest(
             String service,
             String processor,
@@ -149,7 +154,9 @@
     /** One message that was started, or none. */
     public record LongPullResponse(List<Message> messages) {}
 
-    /** The processor needs longer: the last word of a lease, kept by the owner in memory. design 9.10 */
+    /**
+     * The processor needs longer: the last word of a lease, kept by the owner in memory. (docs/design.md, section 9.10)
+     */
     public record ExtendLeaseRequest(String partition, String handle, int attempt) implements RepeatableRequest {}
 
     /** The end of a lease; said again it has the same answer. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
@@ -143,7 +143,9 @@
                 || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN;
     }
 
-    /** Drops the messages that ended before the times given, and the oldest of too many unclear ones; returns how many. */
+    /**
+     * Drops the messages that ended before the times given, and the oldest of too many unclear ones; returns how many.
+     */
     int expireEnded(Instant endedBefore, Instant unclearBefore) {
         int forgotten = 0;
         while (anyEndedBefore(ended, endedBefore)) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -30,7 +30,7 @@
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 import reactor.core.publisher.Mono;
 
-/** The message parts of a store, opened as the placement says: design 9.1. */
+/** The message parts of a store, opened as the placement says (docs/design.md, section 9.1). */
 public final class MessagePartitions {
     private static final Logger LOG = LogManager.getLogger(MessagePartitions.class);
     private static final int UNIT_BYTES = 1024;
@@ -140,7 +140,7 @@
         return partition.replica().propose(withLeaderTime(accept), MessageCommands.Accepted.class);
     }
 
-    /** Clock are the owner's: the intake's calendar clock may be off. design 9.1 */
+    /** Clock are the owner's: the intake's calendar clock may be off. (docs/design.md, section 9.1) */
     private MessageCommands.Accept withLeaderTime(MessageCommands.Accept accept) {
         Instant now = environment.clock().wallTime();
         return new MessageCommands.Accept(
@@ -213,9 +213,9 @@
         Map<String, List<String>> placement =
                 new HashMap<>(subscriptions.latest(ServiceNames.STORES).placement());
         placement.forEach((part, copies) -> {
-            Optional<MessagePartition> b = Optional.ofNullable(partitions.get(part));
-            if (b.isPresent()) {
-                b.get().replica().setDesiredMembers(copies);
+            Optional<MessagePartition> open = Optional.ofNullable(partitions.get(part));
+            if (open.isPresent()) {
+                open.get().replica().setDesiredMembers(copies);
             } else if (copies.contains(environment.self())) {
                 try {
                     open(part, copies);
@@ -256,10 +256,10 @@
         partition
                 .replica()
                 .successor()
-                .filter(h -> draining || (!copies.isEmpty() && h.equals(copies.get(0))))
-                .ifPresent(h -> {
-                    if (partition.replica().transferLeadership(h)) {
-                        LOG.info("Transfers leadership of {} to {}.", partition.id(), h);
+                .filter(node -> draining || (!copies.isEmpty() && node.equals(copies.get(0))))
+                .ifPresent(node -> {
+                    if (partition.replica().transferLeadership(node)) {
+                        LOG.info("Transfers leadership of {} to {}.", partition.id(), node);
                     }
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
@@ -3,7 +3,9 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Ready is a waiting message that is due and first of its key; it is shown, not stored. design 9.2 */
+/**
+ * Ready is a waiting message that is due and first of its key; it is shown, not stored. (docs/design.md, section 9.2)
+ */
 public enum MessageState {
     /** Not running; due now or later. */
     WAITING,
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -14,7 +14,10 @@
 import org.woadvale.dataplane.queue.MessageCommands.MessageCommand;
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 
-/** Applies the commands on one partition's messages, in log order and alike on every replica. design 9 */
+/**
+ * Applies the commands on one partition's messages, in log order and alike on every replica. (docs/design.md, section
+ * 9)
+ */
 public final class MessageStateMachine implements StateMachine<MessageCommand, MessageResult> {
     private final String partition;
     private final Codec codec;
@@ -67,8 +70,8 @@
     }
 
     /** When ended messages before a time are to be forgotten: is there any? */
-    public boolean anyEndedBefore(Instant t, Instant unclearBefore) {
-        return index.hasExpired(t, unclearBefore);
+    public boolean anyEndedBefore(Instant before, Instant unclearBefore) {
+        return index.hasExpired(before, unclearBefore);
     }
 
     @Override
@@ -158,7 +161,9 @@
         return new MessageCommands.TransitionResult(true, recorded);
     }
 
-    /** The running attempt may end; so may an earlier one that has succeeded, and a waiting message whose time is over. */
+    /**
+     * The running attempt may end; so may an earlier one that has succeeded, and a waiting message whose time is over.
+     */
     private static boolean mayEnd(Message message, MessageCommands.End end) {
         boolean running = message.state() == MessageState.RUNNING && message.attempt() == end.attempt();
         boolean expired =
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Waiting messages that are first of their key: by lane, then tenant, then due time. design 9.4 */
+/** Waiting messages that are first of their key: by lane, then tenant, then due time. (docs/design.md, section 9.4) */
 public final class ReadyQueue {
     private static final Comparator<Message> BY_DUE =
             Comparator.comparing(Message::due).thenComparing(Message::seq);
     private final Map<String, Map<String, TreeSet<Message>>> lanes = new TreeMap<>();
 
     void add(Message message) {
-        lanes.computeIfAbsent(message.lane(), l -> new TreeMap<>())
+        lanes.computeIfAbsent(message.lane(), line -> new TreeMap<>())
                 .computeIfAbsent(message.tenant(), t -> new TreeSet<>(BY_DUE))
                 .add(message);
     }
@@ -58,9 +58,9 @@
         Collections.rotate(lines, turn);
         List<Message> out = new ArrayList<>();
         for (int i = 0; i < each; i++) {
-            for (List<Message> l : lines) {
-                if (i < l.size()) {
-                    out.add(l.get(i));
+            for (List<Message> line : lines) {
+                if (i < line.size()) {
+                    out.add(line.get(i));
                 }
             }
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
@@ -3,7 +3,10 @@
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.rpc.Since;
 
-/** The lane as it stood at acceptance; rules only once the configuration no longer has the lane. design 9.5 */
+/**
+ * The lane as it stood at acceptance; rules only once the configuration no longer has the lane. (docs/design.md,
+ * section 9.5)
+ */
 public record RouteTerms(
         String service,
         long timeLimitMs,
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -38,9 +38,9 @@
     public static final class ListRunbooks implements Command {
         @Override
         public int go(Consumer<String> out) throws ServiceException {
-            for (String n : Runbooks.SHIPPED) {
-                Runbook runbook = Runbooks.load(n);
-                out.accept(n + ": " + runbook.purpose() + " Needs: " + new TreeMap<>(runbook.needs()));
+            for (String name : Runbooks.SHIPPED) {
+                Runbook runbook = Runbooks.load(name);
+                out.accept(name + ": " + runbook.purpose() + " Needs: " + new TreeMap<>(runbook.needs()));
             }
             return 0;
         }
@@ -99,16 +99,18 @@
 
         private Map<String, String> values() throws ServiceException {
             Map<String, String> out = new HashMap<>();
-            for (String s : set) {
-                int i = s.indexOf('=');
+            for (String assignment : set) {
+                int i = assignment.indexOf('=');
                 if (i < 1) {
-                    throw new InvalidRequestException("--set takes NAME=VALUE, not " + s + ".");
+                    throw new InvalidRequestException("--set takes NAME=VALUE, not " + assignment + ".");
                 }
-                String v = s.substring(i + 1);
+                String value = assignment.substring(i + 1);
                 try {
-                    out.put(s.substring(0, i), v.startsWith("@") ? Files.readString(Path.of(v.substring(1))) : v);
+                    out.put(
+                            assignment.substring(0, i),
+                            value.startsWith("@") ? Files.readString(Path.of(value.substring(1))) : value);
                 } catch (IOException e) {
-                    throw new InvalidRequestException("Cannot read " + v.substring(1) + ".");
+                    throw new InvalidRequestException("Cannot read " + value.substring(1) + ".");
                 }
             }
             return out;
@@ -117,6 +119,7 @@
 
     /** The real wire. */
     private static final class Http {
+        private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(8);
         private final HttpClient client =
                 HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
 
@@ -124,13 +127,13 @@
                 throws IOException {
             try {
                 HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create(url))
-                        .timeout(Duration.ofSeconds(8))
+                        .timeout(REQUEST_TIMEOUT)
                         .method(method, HttpRequest.BodyPublishers.ofByteArray(body));
                 headers.forEach(builder::header);
                 HttpResponse<byte[]> response = client.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray());
-                Map<String, String> h = new HashMap<>();
-                response.headers().map().forEach((k, v) -> h.put(k.toLowerCase(Locale.ROOT), v.get(0)));
-                return new HttpTransport.HttpResult(response.statusCode(), h, response.body());
+                Map<String, String> map = new HashMap<>();
+                response.headers().map().forEach((k, value) -> map.put(k.toLowerCase(Locale.ROOT), value.get(0)));
+                return new HttpTransport.HttpResult(response.statusCode(), map, response.body());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted");
@@ -158,8 +161,8 @@
         }
 
         @Override
-        public void sleep(Duration d) {
-            LockSupport.parkNanos(d.toNanos());
+        public void sleep(Duration duration) {
+            LockSupport.parkNanos(duration.toNanos());
         }
     }
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorIo.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorIo.java
@@ -11,5 +11,5 @@
 
     Duration now();
 
-    void sleep(Duration d);
+    void sleep(Duration duration);
 }
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -20,23 +20,24 @@
 public final class OperatorProgram {
     private OperatorProgram() {}
 
+    /** Runs the command line; the exit code says whether all went well. */
     public static void main(String[] args) {
         System.exit(main(args, System.out::println));
     }
 
     static int main(String[] args, Consumer<String> out) {
         try {
-            Object c = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
-            if (c instanceof OperatorCommands.Command command) {
+            Object object = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
+            if (object instanceof OperatorCommands.Command command) {
                 return command.go(out);
             }
-            ((Runnable) c).run();
+            ((Runnable) object).run();
             return 0;
         } catch (ParseException e) {
             out.accept("tender: " + e.getMessage());
         } catch (ServiceException failure) {
             out.accept("tender: " + failure.getMessage());
-            failure.details().forEach(d -> out.accept("  " + d));
+            failure.details().forEach(detail -> out.accept("  " + detail));
         }
         return 2;
     }
--- a/operator/src/main/java/org/woadvale/operator/Runbook.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbook.java
@@ -8,8 +8,9 @@
 import jakarta.validation.constraints.Pattern;
 import java.util.List;
 import java.util.Map;
+import org.woadvale.common.http.Status;
 
-/** A runbook as it stands in its file: design 11.1. */
+/** A runbook as it stands in its file (docs/design.md, section 11.1). */
 public record Runbook(
         @NotNull @Pattern(regexp = "[a-z0-9-]{1,64}") String name,
         @NotNull String purpose,
@@ -17,6 +18,7 @@
         @NotEmpty List<@NotNull @Valid Step> steps) {
     static final String WORD = "[a-zA-Z][a-zA-Z0-9]{0,31}";
 
+    /** Absent parts are empty. */
     public Runbook {
         needs = needs == null ? Map.of() : needs;
         steps = steps == null ? List.of() : List.copyOf(steps);
@@ -24,22 +26,29 @@
 
     /** REQUIRE: must hold now. ASK: an action. WAIT: until it holds. REMOVE: edits a kept document. PERSON: by hand. */
     public enum Kind {
+        /** Must hold, or the runbook ends. */
         REQUIRE,
+        /** A request whose answer is expected. */
         ASK,
+        /** Is repeated until the answer is as expected. */
         WAIT,
+        /** Takes a value out of a document that was kept. */
         REMOVE,
+        /** Is done by a person. */
         PERSON
     }
 
     /** What an answer must show; an empty pointer looks at the status only. */
     public record Expect(@Min(0) @Max(599) int status, String pointer, String equals) {
+        /** Absent parts are not looked at; the status is 200 unless told otherwise. */
         public Expect {
-            status = status == 0 ? 200 : status;
+            status = status == 0 ? Status.OK : status;
             pointer = pointer == null ? "" : pointer;
             equals = equals == null ? "" : equals;
         }
     }
 
+    /** One step: what it asks, what it expects, and what it keeps of the answer for later steps. */
     public record Step(
             @NotNull String title,
             @NotNull Kind kind,
@@ -55,6 +64,7 @@
             String pointer) {
         private static final long USUAL_MS = 30000;
 
+        /** Absent parts are empty. */
         public Step {
             method = method == null ? "GET" : method;
             url = url == null ? "" : url;
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -19,9 +19,13 @@
 import org.woadvale.common.error.NotFoundException;
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.UnreachableException;
+import org.woadvale.common.http.Status;
 
-/** Runs a checked runbook step by step and stops at the first that fails: design 11.1. */
+/** Runs a checked runbook step by step and stops at the first that fails (docs/design.md, section 11.1). */
 final class RunbookRunner {
+    /** Begins the place of a header among what a step keeps. */
+    private static final String HEADER = "header:";
+
     private static final Duration AGAIN = Duration.ofMillis(300);
     private final HttpTransport wire;
     private final OperatorIo processors;
@@ -134,7 +138,7 @@
                         .at(variables.fill(step.expect().pointer()))
                         .asText("");
         if (result.status() != step.expect().status()) {
-            boolean later = result.status() == 429 || result.status() >= 500;
+            boolean later = result.status() == Status.TOO_MANY_REQUESTS || result.status() >= Status.INTERNAL_ERROR;
             throw ServiceException.of(
                     later ? ErrorKind.UNAVAILABLE : ErrorKind.CONFLICT,
                     "answer " + result.status() + ", expected " + step.expect().status() + ": "
@@ -177,20 +181,23 @@
                         name,
                         where.equals("body")
                                 ? new String(result.body(), StandardCharsets.UTF_8)
-                                : where.startsWith("header:")
+                                : where.startsWith(HEADER)
                                         ? result.headers()
-                                                .getOrDefault(where.substring(7).toLowerCase(Locale.ROOT), "")
+                                                .getOrDefault(
+                                                        where.substring(HEADER.length())
+                                                                .toLowerCase(Locale.ROOT),
+                                                        "")
                                         : json(result.body()).at(where).asText("")));
     }
 
     private static void remove(Runbook.Step step, Variables variables) throws ServiceException {
         JsonNode doc = json(variables.get(step.from()).getBytes(StandardCharsets.UTF_8));
-        JsonPointer p = JsonPointer.compile(variables.fill(step.pointer()));
-        JsonNode parent = doc.at(p.head());
-        if (!(parent instanceof ObjectNode o) || !o.has(p.last().getMatchingProperty())) {
-            throw new NotFoundException("there is nothing at " + p);
+        JsonPointer pointer = JsonPointer.compile(variables.fill(step.pointer()));
+        JsonNode parent = doc.at(pointer.head());
+        if (!(parent instanceof ObjectNode object) || !object.has(pointer.last().getMatchingProperty())) {
+            throw new NotFoundException("there is nothing at " + pointer);
         }
-        o.remove(p.last().getMatchingProperty());
+        object.remove(pointer.last().getMatchingProperty());
         variables.put(step.from(), new String(Configurations.write(doc), StandardCharsets.UTF_8));
     }
 
--- /dev/null
+++ b/operator/src/main/java/org/woadvale/operator/package-info.java
@@ -0,0 +1,2 @@
+/** Runbooks for operators: files of steps over HTTP that are checked, shown and executed. */
+package org.woadvale.operator;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
@@ -12,11 +12,14 @@
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.dataplane.queue.RouteTerms;
 
-/** Messages that wait in one part, 1,250 bytes each: heap, and what taking them and making a view of them costs. design 9.8 */
+/**
+ * Messages that wait in one part, 1,250 bytes each: heap, and what taking them and making a view of them costs.
+ * (docs/design.md, section 9.8)
+ */
 final class Backlog implements Mechanism {
     private static final int BODY = 1250;
     private static final long A_MESSAGE = 6000;
-    /** A part of 16 MB: design 9.8. */
+    /** A part of 16 MB (docs/design.md, section 9.8). */
     private static final int MOST = 12_000;
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -17,7 +17,7 @@
     private static final long A_PROCESSOR = 1500;
     private static final int MARKS = 10;
     private static final int MOST_NODES = 60_000;
-    /** Of a configuration. design 6.1 */
+    /** Of a configuration. (docs/design.md, section 6.1) */
     private static final int MOST_TENANTS = 1000;
 
     private static final int MOST_LISTED = 20_000;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Heap.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Heap.java
@@ -5,7 +5,10 @@
 
 /** Bytes of heap in use after a collection. */
 final class Heap {
-    /** The serial collector leaves some dead objects in place in three of four collections (MarkSweepAlwaysCompactCount). */
+    /**
+     * The serial collector leaves some dead objects in place in three of four collections
+     * (MarkSweepAlwaysCompactCount).
+     */
     private static final int COLLECTIONS = 4;
 
     private Heap() {}
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -27,7 +27,9 @@
 import org.woadvale.testkit.simulation.SimDisk;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Three shipped control nodes and many hollow nodes in one process, on the fake clock. design 12.1 */
+/**
+ * Three shipped control nodes and many hollow nodes in one process, on the fake clock. (docs/design.md, section 12.1)
+ */
 final class HollowFleet {
     static final String LIST = ServiceNames.processors(TestConfiguration.GROUP);
     private static final Duration PATIENCE = Duration.ofSeconds(60);
@@ -156,7 +158,9 @@
         await(() -> operator.processorsPut() == shape.destinations(), "a processor was not listed");
     }
 
-    /** Marks one destination, or takes the mark back; how long until each store that follows the list has the new one. */
+    /**
+     * Marks one destination, or takes the mark back; how long until each store that follows the list has the new one.
+     */
     Duration mark(boolean leaving) throws ServiceException {
         Duration from = sim.now();
         operator.putProcessor(0, leaving);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -12,7 +12,8 @@
 
 /**
  * One hollow machine on the fake clock: it counts what it sends and gets, and the processor time of all that runs on
- * it. Design 12.1. The time is the thread's own (ThreadMXBean); asking for it costs about a microsecond a task, which
+ * it. (docs/design.md, section 12.1) The time is the thread's own (ThreadMXBean); asking for it costs about a
+ * microsecond a task, which
  * is not taken off. Sockets cost nothing here: see {@link Wires}.
  */
 final class HollowHost implements Clock, Timers {
@@ -53,7 +54,7 @@
         alive = false;
     }
 
-    /** A frame that left or came, with its four bytes of length. design 3.2 */
+    /** A frame that left or came, with its four bytes of length. (docs/design.md, section 3.2) */
     void passed(int frameBytes) {
         frames++;
         bytes += frameBytes + Integer.BYTES;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -17,7 +17,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Streams between hollow machines: the shipped codec writes and reads each frame, nothing is lost. design 3 */
+/**
+ * Streams between hollow machines: the shipped codec writes and reads each frame, nothing is lost. (docs/design.md,
+ * section 3)
+ */
 final class HollowNet {
     private final Sim sim;
     private final Map<String, HollowHost> hosts = new HashMap<>();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -27,7 +27,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What a pilot does for control and nothing else: the shipped subscriptions, passes and leases, put together as DataPlaneNode does
+ * What a pilot does for control and nothing else: the shipped subscriptions, passes and leases, put together as
+ * DataPlaneNode does
  * (design 6.3, 7, 8), without callers' HTTP, messages or a disk.
  */
 final class HollowNode {
@@ -97,7 +98,7 @@
                 .subscribe(result -> {}, e -> {});
     }
 
-    /** One pass for one message, settled at once. design 8.3 */
+    /** One pass for one message, settled at once. (docs/design.md, section 8.3) */
     void draw(String bucket) {
         localBuckets
                 .take(bucket, LocalBuckets.MAX_WAIT)
@@ -121,7 +122,7 @@
         return subscriptions.latest(service);
     }
 
-    /** The configuration that this node may use now; -1 where none is proven fresh. design 7.2 */
+    /** The configuration that this node may use now; -1 where none is proven fresh. (docs/design.md, section 7.2) */
     long configurationVersion() {
         return configurations.fresh().map(ConfigurationView.Known::version).orElse(-1L);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
@@ -8,7 +8,9 @@
 import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Changes the configuration and the list of processors of a {@link HollowFleet}; a change that fails is not repeated. */
+/**
+ * Changes the configuration and the list of processors of a {@link HollowFleet}; a change that fails is not repeated.
+ */
 final class HollowOperator {
     private static final int RATE = 100_000;
     private static final int ADDRESSES_PER_NETWORK = 250;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -23,7 +23,10 @@
 import org.woadvale.testkit.simulation.SimDisk;
 import reactor.core.publisher.Mono;
 
-/** Replicas of many message parts on three stores, all at rest: what leading and following a part costs. design 5 */
+/**
+ * Replicas of many message parts on three stores, all at rest: what leading and following a part costs.
+ * (docs/design.md, section 5)
+ */
 final class Parts implements Mechanism {
     private static final List<String> STORES = List.of("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1");
     private static final Duration WINDOW = Duration.ofSeconds(10);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Shape.java
@@ -1,6 +1,8 @@
 package org.woadvale.testkit.capacity;
 
-/** A hollow fleet: nodes, tenants of the configuration, processors in one list, passes drawn by each node in a second. */
+/**
+ * A hollow fleet: nodes, tenants of the configuration, processors in one list, passes drawn by each node in a second.
+ */
 record Shape(int nodes, int tenants, int destinations, double drawsPerS) {
     static final int ZONES = 9;
     /** Every fourth node is a store, the others are intakes. */
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
@@ -14,7 +14,7 @@
 import org.woadvale.common.error.InvalidRequestException;
 import org.woadvale.common.error.ServiceException;
 
-/** What the command line asks for, checked before anything is started. design 10.1 */
+/** What the command line asks for, checked before anything is started. (docs/design.md, section 10.1) */
 final class Wanted {
     static final String NODES = "nodes";
 
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Sampling.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Sampling.java
@@ -4,7 +4,7 @@
 
 /**
  * What a caller makes of the answer to a submission. A 202 without a handle proves nothing: the caller asks again with
- * the same id, as after no answer, and what was answered counts as broken. design 9.6
+ * the same id, as after no answer, and what was answered counts as broken. (docs/design.md, section 9.6)
  */
 record Sampling(Observations.Said said, String kind, String handle, boolean repeated) {
     static final Sampling NONE = new Sampling(Observations.Said.UNKNOWN, "no answer", "", false);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Sizes of fleets: design 12.2. */
+/** Sizes of fleets (docs/design.md, section 12.2). */
 public enum Shape {
     SMALL(2, 3, 3, 3, 4, 2),
     LANKAVIDYA(8, 3, 3, 3, 20, 12),
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
@@ -11,7 +11,9 @@
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.rpc.Codec;
 
-/** The shipped replication engine on a few nodes; every step is an explicit action, so equal actions give equal runs. */
+/**
+ * The shipped replication engine on a few nodes; every step is an explicit action, so equal actions give equal runs.
+ */
 final class ModelCluster {
     /** One tick of the enumeration; timers of the model's timing fall on its multiples. */
     static final Duration UNIT = Duration.ofMillis(100);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
@@ -16,7 +16,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Stand-ins behind the platform's doors that leave out one mechanism each. design 12.3 */
+/** Stand-ins behind the platform's doors that leave out one mechanism each. (docs/design.md, section 12.3) */
 final class BareReplicas {
     private static final String ID = "X-Attempt-Id";
     private static final String SEAL = "x-server-seal";
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -7,7 +7,10 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.Role;
 
-/** Measures how long the core takes to make a new machine a voter everywhere after a member is gone. design 6.10 */
+/**
+ * Measures how long the core takes to make a new machine a voter everywhere after a member is gone. (docs/design.md,
+ * section 6.10)
+ */
 public final class CoreExchange {
     /** How the member that is to be replaced goes. */
     public enum Departure {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -16,7 +16,10 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Two operators put configurations all day, racing, while control nodes die and come back; how long each yes or no takes. */
+/**
+ * Two operators put configurations all day, racing, while control nodes die and come back; how long each yes or no
+ * takes.
+ */
 public final class Day {
     private record Said(String id, byte[] configuration, long base, long version) {}
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -9,7 +9,10 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** One scenario for each never-line: it brings about the failure that the line is meant for. design 12.3 */
+/**
+ * One scenario for each never-line: it brings about the failure that the line is meant for. (docs/design.md, section
+ * 12.3)
+ */
 final class FailureScenarios {
     private static final TestConfiguration SMALL = new TestConfiguration(3, 2, 20, 30, 26);
 
@@ -127,7 +130,10 @@
         }
     }
 
-    /** Its intake goes on getting passes for the tenant that is used here, so that nothing but old subscriptions can stop it. */
+    /**
+     * Its intake goes on getting passes for the tenant that is used here, so that nothing but old subscriptions can
+     * stop it.
+     */
     private static int hallOfAnotherThanTheHolder(FleetSimulation simulation) {
         return simulation
                         .w
@@ -163,7 +169,10 @@
         return over(simulation);
     }
 
-    /** 09: the owner of the configuration is cut off from the other control nodes; another configuration is taken; then it is read there. */
+    /**
+     * 09: the owner of the configuration is cut off from the other control nodes; another configuration is taken; then
+     * it is read there.
+     */
     static FleetSimulation ownerOfTheLayoutCutOff(long seed, Seams seams, AtomicReference<String> cut)
             throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
@@ -188,7 +197,10 @@
         return over(simulation);
     }
 
-    /** 10: processors are marked as leaving while no store hears the core; some have their subscriptions from themselves only. */
+    /**
+     * 10: processors are marked as leaving while no store hears the core; some have their subscriptions from themselves
+     * only.
+     */
     static FleetSimulation markedOutOfTouch(long seed, Seams seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation.traffic(40);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -16,7 +16,9 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** One seeded run with random failures, alone and together; a last one right at the end; then every message asked for. */
+/**
+ * One seeded run with random failures, alone and together; a last one right at the end; then every message asked for.
+ */
 public final class FaultStorm {
     /** A fleet and its load. */
     public enum Size {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -12,7 +12,9 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Withdraws and exchanges keys of a simulated fleet, and goes on using the withdrawn ones to see what they still do. */
+/**
+ * Withdraws and exchanges keys of a simulated fleet, and goes on using the withdrawn ones to see what they still do.
+ */
 final class KeyChanges {
     private static final String KEY_NAME = "short";
     private static final int TENANT = 2;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -26,7 +26,10 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Stand-ins that leave out one mechanism each; every never-line has a scenario that breaks with one. design 12.3 */
+/**
+ * Stand-ins that leave out one mechanism each; every never-line has a scenario that breaks with one. (docs/design.md,
+ * section 12.3)
+ */
 final class NaiveVariants {
     private interface Asking {
         <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NetworkSimulation.java
@@ -36,7 +36,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** The shipped nodes behind the platform's doors, on fakes; what is outside of them is the test's. design 12.1 */
+/**
+ * The shipped nodes behind the platform's doors, on fakes; what is outside of them is the test's. (docs/design.md,
+ * section 12.1)
+ */
 public final class NetworkSimulation extends Machines {
     /** How long a leased message rests after its last word; told to the nodes as their boot value. */
     public static final Duration LEASE = Duration.ofMillis(3000);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -7,7 +7,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 
-/** Each never-line's scenario twice: as shipped, and with one mechanism left out. design 12.3 */
+/** Each never-line's scenario twice: as shipped, and with one mechanism left out. (docs/design.md, section 12.3) */
 public final class Pairs {
     private interface Scene {
         FleetSimulation play(long seed, Seams seams) throws ServiceException;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -13,7 +13,10 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 
-/** Clients on the simulated platform: they send messages at random times, and later ask what became of the accepted ones. */
+/**
+ * Clients on the simulated platform: they send messages at random times, and later ask what became of the accepted
+ * ones.
+ */
 final class PlatformClients {
     private static final int CLIENTS = 40;
     private static final int TENANTS = 4;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Scenarios that bring about the failure each rule is meant for, as shipped and with one mechanism left out. design 12.3 */
+/**
+ * Scenarios that bring about the failure each rule is meant for, as shipped and with one mechanism left out.
+ * (docs/design.md, section 12.3)
+ */
 public final class PlatformScenarios {
     private PlatformScenarios() {}
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
@@ -117,7 +117,9 @@
         }
     }
 
-    /** The brief's machines have calendars that differ; only every fourth fault storm, since stamps tell nothing then. */
+    /**
+     * The brief's machines have calendars that differ; only every fourth fault storm, since stamps tell nothing then.
+     */
     private void jump() {
         if (calendarsJump) {
             List<String> all = fleet.all();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -11,7 +11,9 @@
 import org.woadvale.common.error.UnavailableException;
 import reactor.core.publisher.Mono;
 
-/** The platform's list of processors: it lags, comes in pages, and takes only so many calls a second. docs/platform.md 6 */
+/**
+ * The platform's list of processors: it lags, comes in pages, and takes only so many calls a second. docs/platform.md 6
+ */
 public final class ProcessorList {
     private static final int PAGE = 3;
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
@@ -5,7 +5,9 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Rules;
 
-/** A rule, the failure that may break it, and the mechanism that keeps it: played as shipped and without the mechanism. */
+/**
+ * A rule, the failure that may break it, and the mechanism that keeps it: played as shipped and without the mechanism.
+ */
 public final class RuleScenario {
     private static final int NODES = 3;
     private static final Duration COMPLETION = Duration.ofSeconds(10);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Seams.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Seams.java
@@ -8,7 +8,9 @@
 import org.woadvale.common.wal.Disk;
 import org.woadvale.dataplane.delivery.DeliveryClient;
 
-/** Where a stand-in may take the place of what the shipped nodes are given; by address. design 12.3 */
+/**
+ * Where a stand-in may take the place of what the shipped nodes are given; by address. (docs/design.md, section 12.3)
+ */
 public record Seams(
         BiFunction<String, RpcClient, RpcClient> rpc,
         BiFunction<String, Disk, Disk> disk,
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -15,7 +15,10 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ObservationLog;
 
-/** A seeded day on the platform's stand-in: planned work and unplanned trouble under traffic, then every message asked for. */
+/**
+ * A seeded day on the platform's stand-in: planned work and unplanned trouble under traffic, then every message asked
+ * for.
+ */
 public final class SeededPlatformDays {
     private static final Duration RECOVERY = Duration.ofMillis(4200);
     /** A planned stop, the start, and as long as the entry takes to see it. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 
-/** The fake clock and everything that is to happen on it: design 12.1. */
+/** The fake clock and everything that is to happen on it (docs/design.md, section 12.1). */
 public final class Sim {
     private record Event(Duration at, long seq, Runnable task) {}
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -64,7 +64,8 @@
     }
 
     /**
-     * The folders of a control node and a store that lost their disks under traffic, so that they hold a snapshot from a
+     * The folders of a control node and a store that lost their disks under traffic, so that they hold a snapshot from
+     * a
      * leader and entries after it.
      */
     public static Folders folders() throws ServiceException {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -11,7 +11,7 @@
 
 /**
  * Simulated days on which one store is replaced, or loses its disk, and the next tolerated loss follows as soon as the
- * first no longer counts. design 6.9
+ * first no longer counts. (docs/design.md, section 6.9)
  */
 public final class StoreReplacement {
     /** How the first store goes. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
@@ -4,7 +4,9 @@
 import java.time.Duration;
 import org.woadvale.common.error.ServiceException;
 
-/** {@code trace [SEEDS]}: digests of seeded simulations, to hold a build without change of behaviour against another. */
+/**
+ * {@code trace [SEEDS]}: digests of seeded simulations, to hold a build without change of behaviour against another.
+ */
 public final class TraceCommand {
     private static final Duration DAY = Duration.ofSeconds(25);
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
@@ -34,7 +34,7 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** A whole fleet of the shipped nodes on fakes: design 12.1. */
+/** A whole fleet of the shipped nodes on fakes (docs/design.md, section 12.1). */
 public final class World extends Machines {
     private static final int RING_FILES = 8;
     /** Small, so that faultStorms meet the ring's end too. */
--- a/testkit/src/main/java/org/woadvale/testkit/stub/AnswerFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/AnswerFaults.java
@@ -80,7 +80,9 @@
         return out;
     }
 
-    /** No run of a key may begin before every earlier accepted message of it has ended, whether that ever ran or not. */
+    /**
+     * No run of a key may begin before every earlier accepted message of it has ended, whether that ever ran or not.
+     */
     List<String> order() {
         Map<String, Duration> ended = ends();
         Set<String> ran = observations.copy(observations.ran).stream()
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
@@ -86,7 +86,10 @@
         return out;
     }
 
-    /** Within one life of a node: a route that was served there is unknown there later, though it is in every paper since. */
+    /**
+     * Within one life of a node: a route that was served there is unknown there later, though it is in every paper
+     * since.
+     */
     List<String> back() {
         List<String> out = new ArrayList<>();
         Map<String, Duration> served = new HashMap<>();
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
@@ -95,7 +95,10 @@
                         trouble.until().compareTo(since) > 0 && trouble.from().compareTo(until) <= 0);
     }
 
-    /** ConfigurationStub that may rule a request between two moments: what was newest so long before, and all that came since. */
+    /**
+     * ConfigurationStub that may rule a request between two moments: what was newest so long before, and all that came
+     * since.
+     */
     public List<ConfigurationStub> ruling(Duration from, Duration until) {
         Duration old = from.minus(Bounds.APPLY);
         long newest = configurationStub.stream()
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -99,7 +99,9 @@
         }
     }
 
-    /** A caller with the client generated from our schema: processors in, sees the proof, is told the kind of a refusal. */
+    /**
+     * A caller with the client generated from our schema: processors in, sees the proof, is told the kind of a refusal.
+     */
     private void generatedClient() throws ApiException {
         ClientLoad client = new ClientLoad(fleet.intakes.get(0).http, TestConfiguration.callerKey(1));
         String handle = client.submit("hold", "generated");
--- a/testkit/src/test/java/org/woadvale/testkit/StyleTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/StyleTest.java
@@ -15,7 +15,8 @@
 
 /** The agreed style, where a machine can tell. */
 class StyleTest {
-    private static final Pattern REFERENCE = Pattern.compile("[Dd]esign (\\d+(?:\\.\\d+)?)");
+    private static final Pattern REFERENCE =
+            Pattern.compile("(?:[Dd]esign|docs/design\\.md,? section) (\\d+(?:\\.\\d+)?)");
 
     private static List<Path> sources() throws IOException {
         try (Stream<Path> stream = Files.walk(Path.of(".."))) {
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
@@ -13,7 +13,9 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.simulation.SimulatedFleets;
 
-/** Frames, data folders and HTTP exchanges have the form that an earlier build gave them, whatever the code is named. */
+/**
+ * Frames, data folders and HTTP exchanges have the form that an earlier build gave them, whatever the code is named.
+ */
 class StoredBytesTest {
     @Test
     void everyRegisteredTypeIsWrittenAsBefore() throws IOException, ReflectiveOperationException {
--- a/testkit/src/test/java/org/woadvale/testkit/explore/ExplorerTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/ExplorerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Enumerations bounded by states, so that each run is the same. design 12.4 */
+/** Enumerations bounded by states, so that each run is the same. (docs/design.md, section 12.4) */
 @ExtendWith(QuietEngine.class)
 class ExplorerTest {
     private static ExploreReport explore(StartState start, ExploreBounds bounds) {
--- a/testkit/src/test/java/org/woadvale/testkit/explore/MutantsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/MutantsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each invariant breaks once the rule that it depends on is left out. design 12.4 */
+/** Each invariant breaks once the rule that it depends on is left out. (docs/design.md, section 12.4) */
 @ExtendWith(QuietEngine.class)
 class MutantsTest {
     private static final int STEPS = 600;
--- a/testkit/src/test/java/org/woadvale/testkit/explore/RandomWalkTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/RandomWalkTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fixed seeds of the random walks; more of them by the command {@code explore}. design 12.4 */
+/** Fixed seeds of the random walks; more of them by the command {@code explore}. (docs/design.md, section 12.4) */
 @ExtendWith(QuietEngine.class)
 class RandomWalkTest {
     private static final int STEPS = 600;
--- a/testkit/src/test/java/org/woadvale/testkit/replication/KeeperReturnTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/KeeperReturnTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.error.ServiceException;
 
-/** The former owner need not wait for its own lease, and nobody else may take that way. design 5.3 */
+/**
+ * The former owner need not wait for its own lease, and nobody else may take that way. (docs/design.md, section 5.3)
+ */
 class KeeperReturnTest {
     private static final Duration SOON = Duration.ofMillis(600);
 
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -114,7 +114,10 @@
         assertFalse(replicas.replicas.get("b:1").role() == Role.UNINITIALIZED, "b must be sworn again");
     }
 
-    /** The naive way, which counts the blank disk at once, loses an accepted entry: why design 5.5 is needed. */
+    /**
+     * The naive way, which counts the blank disk at once, loses an accepted entry: why (docs/design.md, section 5.5).
+     * is needed.
+     */
     @Test
     void naiveDiskReturnLosesAnAcceptedEntry() throws ServiceException {
         Trio replicas = new Trio(5);
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -17,7 +17,7 @@
 import org.woadvale.common.replication.Role;
 import org.woadvale.common.replication.SnapshotMessages;
 
-/** A member that needs a snapshot while changes go on. design 5.8 */
+/** A member that needs a snapshot while changes go on. (docs/design.md, section 5.8) */
 class SnapshotTransferTest {
     private static final int RING_FILE = 8 << 20;
     private static final int CHANGES = 60;
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
@@ -18,7 +18,9 @@
         assertEquals(0, figures.failed(), "accepted messages that did not run in time");
     }
 
-    /** Before: 3.7 % refused from a cold start, as the first asker emptied each bucket and spent passes were not told. */
+    /**
+     * Before: 3.7 % refused from a cold start, as the first asker emptied each bucket and spent passes were not told.
+     */
     @Test
     void coldStartBelowTheAllowanceIsNotRefused() throws ServiceException {
         Measure.Figures figures = Measure.steady(1, 8, 3, EIGHT, 200, Duration.ofSeconds(9), simulation -> {});
@@ -47,7 +49,9 @@
         assertTrue(figures.worstShare() <= 1.0, "worst window " + figures.worstShare());
     }
 
-    /** Before: 50 to 101 submissions of 1500 met views that were too old; control parts' leases of 2 s were the cause. */
+    /**
+     * Before: 50 to 101 submissions of 1500 met views that were too old; control parts' leases of 2 s were the cause.
+     */
     @Test
     void killedOwnerOfTheLayoutRefusesNobody() throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -17,7 +17,10 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.Role;
 
-/** A control machine that is gone for good is exchanged by the core itself, before the next loss may come. design 6.10 */
+/**
+ * A control machine that is gone for good is exchanged by the core itself, before the next loss may come.
+ * (docs/design.md, section 6.10)
+ */
 class CoreReplacementTest {
     /** The shortest time after the start of a successor at which the next machine may be lost. */
     private static final Duration CATCH_UP = Duration.ofMillis(4100);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
@@ -67,7 +67,9 @@
         }
     }
 
-    /** A request sent by whoever receives a reply, before anything else can run, finds the reply's stream in the pool. */
+    /**
+     * A request sent by whoever receives a reply, before anything else can run, finds the reply's stream in the pool.
+     */
     @Test
     void streamIsInThePoolWhenItsReplyIsPublished() throws Exception {
         try (Peer peer = new Peer((c, n, head) -> open(Peer.answer(200, "a", "", "ok")))) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -22,7 +22,10 @@
 import org.woadvale.controlplane.api.ControlApiMessages;
 import reactor.core.publisher.Mono;
 
-/** A caller inside the fleet whose first answer is lost does not take its own success for a refusal: design 6.11. */
+/**
+ * A caller inside the fleet whose first answer is lost does not take its own success for a refusal (docs/design.md,
+ * section 6.11).
+ */
 class InternalRepeatTest {
     private static final String BUCKET = "bucket/of-nobody";
     private static final String LIST = ServiceNames.processors("book");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -19,7 +19,10 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.common.replication.Role;
 
-/** A control machine that is cut off from the others for twenty seconds, with orders to it all the while. design 6.12 */
+/**
+ * A control machine that is cut off from the others for twenty seconds, with orders to it all the while.
+ * (docs/design.md, section 6.12)
+ */
 class IsolatedCoreTest {
     private static final Duration CUT = Duration.ofSeconds(20);
     /** After two renewals that are missing the machine knows; then it answers at once. */
@@ -69,7 +72,8 @@
     }
 
     /**
-     * Before: the machine kept orders for 2.5 s and more before it said anything, and was ready throughout. Machine 0 is
+     * Before: the machine kept orders for 2.5 s and more before it said anything, and was ready throughout. Machine 0
+     * is
      * the leader of part c0.
      */
     @ParameterizedTest
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -10,7 +10,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Response;
 
-/** Fetched work is held by a lease: design 9.10. */
+/** Fetched work is held by a lease (docs/design.md, section 9.10). */
 class LeasesTest {
     private static final long LEASE_MS = NetworkSimulation.LEASE.toMillis();
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -17,7 +17,10 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
-/** Hundreds of changes, and large ones: acknowledged in time, caught up with, and bounded in bytes. design 6.11 */
+/**
+ * Hundreds of changes, and large ones: acknowledged in time, caught up with, and bounded in bytes. (docs/design.md,
+ * section 6.11)
+ */
 class ManyChangesTest {
     private static final Duration CALL = Duration.ofSeconds(4);
     private static final Duration SILENCE = Duration.ofSeconds(1);
@@ -124,7 +127,10 @@
         assertTrue(lost.get(9).compareTo(LEADER_LOST) < 0, "leader lost " + lost.get(9));
     }
 
-    /** Each core member is restarted, wiped and frozen in turn meanwhile; all have everything, and no more than they need. */
+    /**
+     * Each core member is restarted, wiped and frozen in turn meanwhile; all have everything, and no more than they
+     * need.
+     */
     @Test
     void sixHundredChangesWithEveryMemberInTrouble() throws ServiceException {
         int changes = Integer.getInteger("manyChanges.count", CHANGES);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -76,7 +76,9 @@
                 .orElseThrow();
     }
 
-    /** Repeats after many changes, after the loss of the leader, from wiped members and with the whole core restarted. */
+    /**
+     * Repeats after many changes, after the loss of the leader, from wiped members and with the whole core restarted.
+     */
     @Test
     void takenOrderIsYesAfterHundredsOfChangesAndEveryRestart() throws ServiceException {
         String first = text(version + 2, "r-first");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -11,7 +11,7 @@
 import org.woadvale.common.membership.ServiceView;
 import reactor.core.publisher.Mono;
 
-/** One control node reads the list for all: design 6.7. */
+/** One control node reads the list for all (docs/design.md, section 6.7). */
 class ProcessorRegistryTest {
     private static final String KEY = ServiceNames.processors("book");
     private static final String AT = "10.9.0.1:8080";
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -134,7 +134,8 @@
 
     /**
      * The operator goes on after a second of silence, so a machine that waited 2.5 s for a leader (as before) was not
-     * heard: each answer comes within that second, and the operator's repeats have a clear yes within 2.5 s of the loss.
+     * heard: each answer comes within that second, and the operator's repeats have a clear yes within 2.5 s of the
+     * loss.
      */
     @Test
     void layoutPutRightAfterTheLossOfItsOwnerGetsAClearYes() throws ServiceException {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -12,7 +12,7 @@
 import org.woadvale.common.http.Response;
 import reactor.core.publisher.Mono;
 
-/** Attempts without an answer are sent again: design 9.11. */
+/** Attempts without an answer are sent again (docs/design.md, section 9.11). */
 class ResendTest {
     private static final long TIMEOUT_MS = 1500;
     private static final String AT = "10.9.0.1:8080";
@@ -107,7 +107,10 @@
         assertEquals("completed", fixture.state(handle).path("state").asText());
     }
 
-    /** A planned leadership transfer while a processor works: its answer is recorded with the new owner, and nothing runs twice. */
+    /**
+     * A planned leadership transfer while a processor works: its answer is recorded with the new owner, and nothing
+     * runs twice.
+     */
     @Test
     void handOverDuringARunDoesNotRunItTwice() throws ServiceException {
         Shore fixture = new Shore(7, 1);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.woadvale.common.error.ServiceException;
 
-/** The next tolerated loss may come as soon as the first store's successor counts as back. design 6.9 */
+/**
+ * The next tolerated loss may come as soon as the first store's successor counts as back. (docs/design.md, section 6.9)
+ */
 class StoreReplacementTest {
     private static final int SEEDS = 4;
     /** Of the 4.1 s that the users allow, the start of the process takes two. */
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 
-/** Fetches wait at one store at a time: design 9.10. */
+/** Fetches wait at one store at a time (docs/design.md, section 9.10). */
 class WaitingPullsTest {
     private static Request pull(String instance, long waitMs) {
         return new Request(
