--- a/common/src/test/java/org/woadvale/common/http/GateEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
@@ -26,7 +26,7 @@
  * Requests that are written oddly, byte for byte: a definite answer and the end of the stream, and nothing reaches the
  * application.
  */
-class GateEdgeTest {
+class HttpGatewayEdgeTest {
     private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
     private HttpGateway gate;
     private int port;
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -68,8 +68,8 @@
             now = now.plus(d);
         }
 
-        boolean run(String book, boolean dry, Map<String, String> values) throws ServiceException {
-            return new RunbookRunner(this, this, "", dry).run(Runbooks.load(book), values);
+        boolean run(String controlNode, boolean dry, Map<String, String> values) throws ServiceException {
+            return new RunbookRunner(this, this, "", dry).run(Runbooks.load(controlNode), values);
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -44,7 +44,7 @@
     @Override
     public Map<String, Double> measure(int size) throws ServiceException {
         FleetSimulation simulation =
-                new FleetSimulation(1, 8, 3, 12, new TestConfiguration(8, 12, 100, 200, 40), RING_BYTES).embark();
+                new FleetSimulation(1, 8, 3, 12, new TestConfiguration(8, 12, 100, 200, 40), RING_BYTES).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         simulation.traffic(size);
         simulation.w.sim.run(Duration.ofSeconds(5));
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -23,8 +23,8 @@
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.dataplane.queue.MessageCommands;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimDisk;
+import org.woadvale.testkit.simulation.Simulator;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
@@ -38,7 +38,7 @@
     private static final int RING_BYTES = 4 << 20;
     private static final int AT_ONCE = 100;
 
-    final Sim sim = new Sim(1);
+    final Simulator sim = new Simulator(1);
     private final HollowNet net = new HollowNet(sim);
     private final Shape shape;
     private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -8,7 +8,7 @@
 import org.woadvale.common.runtime.Clock;
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
-import org.woadvale.testkit.simulation.Sim;
+import org.woadvale.testkit.simulation.Simulator;
 
 /**
  * One hollow machine on the fake clock: it counts what it sends and gets, and the processor time of all that runs on
@@ -22,7 +22,7 @@
     private static final Duration DISK = Duration.ofMillis(2);
 
     final String address;
-    private final Sim sim;
+    private final Simulator sim;
     private final Duration started;
     private RpcRouter router = new RpcRouter();
     private boolean alive = true;
@@ -31,7 +31,7 @@
     private long served;
     private long cpuNanos;
 
-    HollowHost(String address, Sim sim) {
+    HollowHost(String address, Simulator sim) {
         this.address = address;
         this.sim = sim;
         this.started = sim.now();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.rpc.PendingCalls;
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.runtime.TimerHandle;
-import org.woadvale.testkit.simulation.Sim;
+import org.woadvale.testkit.simulation.Simulator;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
@@ -22,10 +22,10 @@
  * section 3)
  */
 final class HollowNet {
-    private final Sim sim;
+    private final Simulator sim;
     private final Map<String, HollowHost> hosts = new HashMap<>();
 
-    HollowNet(Sim sim) {
+    HollowNet(Simulator sim) {
         this.sim = sim;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -23,7 +23,7 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.wal.DisabledWriteAheadLog;
 import org.woadvale.dataplane.ConfigurationView;
-import org.woadvale.testkit.simulation.Sim;
+import org.woadvale.testkit.simulation.Simulator;
 import reactor.core.publisher.Mono;
 
 /**
@@ -45,7 +45,8 @@
     private final MemberLease memberLease;
     private final List<TimerHandle> running = new ArrayList<>();
 
-    HollowNode(HollowHost host, RpcClient rpc, Codec codec, Sim sim, String zone, List<String> seeds, String role) {
+    HollowNode(
+            HollowHost host, RpcClient rpc, Codec codec, Simulator sim, String zone, List<String> seeds, String role) {
         this.environment = new NodeEnvironment(
                 host,
                 host,
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Parts.java
@@ -19,8 +19,8 @@
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageStateMachine;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimDisk;
+import org.woadvale.testkit.simulation.Simulator;
 import reactor.core.publisher.Mono;
 
 /**
@@ -60,7 +60,7 @@
     @Override
     public Map<String, Double> measure(int size) throws ServiceException {
         long before = Heap.used();
-        Sim sim = new Sim(1);
+        Simulator sim = new Simulator(1);
         HollowNet net = new HollowNet(sim);
         List<HollowHost> hosts = new ArrayList<>();
         List<Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>>> replicas =
@@ -94,7 +94,7 @@
 
     /** Each part has another first store, so owners are spread. */
     private static Map<String, Replica<MessageCommands.MessageCommand, MessageCommands.MessageResult>> store(
-            HollowHost host, HollowNet net, Sim sim, int parts) throws ServiceException {
+            HollowHost host, HollowNet net, Simulator sim, int parts) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RingWriteAheadLog wal = RingWriteAheadLog.open(new SimDisk(sim), host, RING_FILES, RING_BYTES);
         NodeEnvironment environment = new NodeEnvironment(
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wanted.java
@@ -22,7 +22,7 @@
     @Command(name = "capacity", description = "Measures what control costs against sizes")
     public static final class Options {
         @Option(name = "--only", description = "Mechanisms, by comma; all unless told")
-        private String only = "";
+        private String controlNode = "";
 
         @Option(name = "--sizes", description = "Sizes by comma, four at least; with one mechanism only")
         private String sizes = "";
@@ -43,7 +43,7 @@
     private final Path out;
 
     private Wanted(Options options, long allowed) throws ServiceException {
-        List<String> only = list(options.nodes.isEmpty() ? options.only : NODES);
+        List<String> only = list(options.nodes.isEmpty() ? options.controlNode : NODES);
         List<String> sizes = list(options.nodes.isEmpty() ? options.sizes : options.nodes);
         Map<String, Supplier<Mechanism>> all = all();
         for (String name : only.isEmpty() ? all.keySet() : only) {
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -21,7 +21,7 @@
     private static final int LOWEST = 15000;
     private static final int HIGHEST = 32000;
     private static final Set<Integer> GIVEN = new HashSet<>();
-    public final List<NodeProcess> lighthouses = new ArrayList<>();
+    public final List<NodeProcess> controlNodes = new ArrayList<>();
     public final List<NodeProcess> intakes = new ArrayList<>();
     public final List<NodeProcess> stores = new ArrayList<>();
     private final List<Relay> relays = new ArrayList<>();
@@ -31,12 +31,12 @@
     public Fleet(Shape shape, Path root) throws IOException {
         this.root = root;
         List<String> addresses = new ArrayList<>();
-        for (int i = 0; i < shape.lighthouses; i++) {
+        for (int i = 0; i < shape.controlNodes; i++) {
             addresses.add(free());
         }
         seeds = List.copyOf(addresses);
-        for (int i = 0; i < shape.lighthouses; i++) {
-            lighthouses.add(new NodeProcess(
+        for (int i = 0; i < shape.controlNodes; i++) {
+            controlNodes.add(new NodeProcess(
                     "lighthouse" + i,
                     ControlPlaneProgram.class.getName(),
                     root,
@@ -104,7 +104,7 @@
     }
 
     public List<NodeProcess> inZone(int n, Shape shape) {
-        return Stream.of(lighthouses, stores, intakes)
+        return Stream.of(controlNodes, stores, intakes)
                 .flatMap(l -> IntStream.range(0, l.size())
                         .filter(i -> i % shape.zones == n)
                         .mapToObj(l::get))
@@ -112,7 +112,7 @@
     }
 
     public List<NodeProcess> all() {
-        return Stream.of(lighthouses, stores, intakes).flatMap(List::stream).toList();
+        return Stream.of(controlNodes, stores, intakes).flatMap(List::stream).toList();
     }
 
     public void startAll() throws IOException {
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -23,7 +23,7 @@
     private final Map<String, String> left = new ConcurrentHashMap<>();
 
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-    private final StubEnvironment town;
+    private final StubEnvironment environment;
     private final Fleet fleet;
     private final Random random;
     private final AtomicLong ids = new AtomicLong();
@@ -31,25 +31,25 @@
     private final ConcurrentLinkedQueue<CompletableFuture<?>> open = new ConcurrentLinkedQueue<>();
     private final Map<String, AtomicLong> kinds = new ConcurrentHashMap<>();
 
-    public Load(StubEnvironment town, Fleet fleet, long seed) {
-        this.town = town;
+    public Load(StubEnvironment environment, Fleet fleet, long seed) {
+        this.environment = environment;
         this.fleet = fleet;
         this.random = new Random(seed);
     }
 
     public void run(Duration howLong, int perSecond) {
-        Duration begun = town.times.monotonicTime();
+        Duration begun = environment.times.monotonicTime();
         Duration asked = begun;
         long sent = 0;
-        while (town.times.monotonicTime().minus(begun).compareTo(howLong) < 0) {
-            long due = town.times.monotonicTime().minus(begun).toNanos() * perSecond / 1_000_000_000L;
+        while (environment.times.monotonicTime().minus(begun).compareTo(howLong) < 0) {
+            long due = environment.times.monotonicTime().minus(begun).toNanos() * perSecond / 1_000_000_000L;
             while (sent < due) {
-                one(random.nextInt(town.testConfiguration.tenants()));
+                one(random.nextInt(environment.testConfiguration.tenants()));
                 sent++;
             }
-            if (town.times.monotonicTime().minus(asked).compareTo(ASK_EACH) > 0) {
+            if (environment.times.monotonicTime().minus(asked).compareTo(ASK_EACH) > 0) {
                 // ended messages are forgotten after two minutes
-                asked = town.times.monotonicTime();
+                asked = environment.times.monotonicTime();
                 List.copyOf(left.keySet()).forEach(this::ask);
             }
             StubEnvironment.sleep(5);
@@ -58,7 +58,7 @@
 
     /** A submission of a mixed kind at an intake that is up. */
     public CompletableFuture<Observations.Submitted> one(int tenant) {
-        List<String> lanes = town.testConfiguration.lanes();
+        List<String> lanes = environment.testConfiguration.lanes();
         String lane = random.nextInt(3) == 0 ? "accept" : lanes.get(random.nextInt(lanes.size()));
         Map<String, Object> body = new LinkedHashMap<>();
         String id = "c" + ids.incrementAndGet();
@@ -77,13 +77,14 @@
         String id = "k" + ids.incrementAndGet();
         byte[] body = Configurations.write(Map.of("id", id, "body", Map.of()));
         open.add(submit(0, id, "hold", "", body, 0, intake, secret));
-        open.add(town.client
+        open.add(environment
+                .client
                 .send("GET", intake.http, "/v1/messages?state=failed", secret, new byte[0], Map.of())
                 .handle((got, e) -> {
                     if (e == null && got.status() == 200) {
-                        town.seen.saw(
-                                town.seen.served,
-                                new Observations.KeyServed(secret, "read", town.times.monotonicTime()));
+                        environment.seen.saw(
+                                environment.seen.served,
+                                new Observations.KeyServed(secret, "read", environment.times.monotonicTime()));
                     }
                     return true;
                 }));
@@ -104,8 +105,9 @@
 
     private CompletableFuture<Observations.Submitted> submit(
             int tenant, String id, String lane, String order, byte[] body, int tries, NodeProcess process, String key) {
-        Duration sent = town.times.monotonicTime();
-        CompletableFuture<Observations.Submitted> f = town.client
+        Duration sent = environment.times.monotonicTime();
+        CompletableFuture<Observations.Submitted> f = environment
+                .client
                 .send("POST", process.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
                 .handle((got, e) -> {
                     Sampling sampling = e == null ? Sampling.of(got) : Sampling.NONE;
@@ -121,12 +123,12 @@
                             order,
                             key,
                             sent,
-                            town.times.monotonicTime(),
+                            environment.times.monotonicTime(),
                             sampling.said(),
                             sampling.kind(),
                             sampling.handle(),
                             sampling.repeated());
-                    town.seen.saw(town.seen.submitted, submitted);
+                    environment.seen.saw(environment.seen.submitted, submitted);
                     if (sampling.said() == Observations.Said.ACCEPTED) {
                         owners.put(sampling.handle(), tenant);
                         left.put(sampling.handle(), "not asked yet");
@@ -144,8 +146,8 @@
     public boolean settle(Duration limit) {
         open.forEach(f -> f.exceptionally(e -> null).join());
         open.clear();
-        Duration until = town.times.monotonicTime().plus(limit);
-        while (!left.isEmpty() && town.times.monotonicTime().compareTo(until) < 0) {
+        Duration until = environment.times.monotonicTime().plus(limit);
+        while (!left.isEmpty() && environment.times.monotonicTime().compareTo(until) < 0) {
             int n = 0;
             ArrayList<CompletableFuture<?>> wave = new ArrayList<>();
             for (String h : left.keySet()) {
@@ -161,8 +163,9 @@
 
     private CompletableFuture<?> ask(String handle) {
         NodeProcess process = fleet.intakes.get(random.nextInt(fleet.intakes.size()));
-        Duration asked = town.times.monotonicTime();
-        return town.client
+        Duration asked = environment.times.monotonicTime();
+        return environment
+                .client
                 .send(
                         "GET",
                         process.http,
@@ -176,8 +179,8 @@
                             && got.status() == 200
                             && got.json().path("handle").asText().equals(handle)) {
                         Observations.Shown shown = Observations.Shown.read(
-                                handle, got.json(), asked, town.times.monotonicTime(), town::trueTime);
-                        town.seen.saw(town.seen.shown, shown);
+                                handle, got.json(), asked, environment.times.monotonicTime(), environment::trueTime);
+                        environment.seen.saw(environment.seen.shown, shown);
                         if (shown.over()) {
                             left.remove(handle);
                         }
@@ -204,7 +207,7 @@
 
     public Map<String, Long> states() {
         Map<String, String> last = new HashMap<>();
-        town.seen.copy(town.seen.shown).forEach(shown -> last.put(shown.handle(), shown.state()));
+        environment.seen.copy(environment.seen.shown).forEach(shown -> last.put(shown.handle(), shown.state()));
         Map<String, Long> out = new TreeMap<>();
         last.values().forEach(s -> out.merge(s, 1L, Long::sum));
         return out;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
@@ -10,7 +10,7 @@
 
     final int intakes;
     final int stores;
-    final int lighthouses;
+    final int controlNodes;
     final int zones;
     final int processors;
     final int endpoints;
@@ -18,7 +18,7 @@
     Shape(int intakes, int stores, int lighthouses, int zones, int processors, int endpoints) {
         this.intakes = intakes;
         this.stores = stores;
-        this.lighthouses = lighthouses;
+        this.controlNodes = lighthouses;
         this.zones = zones;
         this.processors = processors;
         this.endpoints = endpoints;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -65,7 +65,7 @@
     /** ControlMessages control nodes in turn until one gives a clear answer. */
     public Client.Got operate(String method, String path, byte[] body, Map<String, String> headers) {
         for (int i = 0; i < 60; i++) {
-            NodeProcess process = fleet.lighthouses.get(i % fleet.lighthouses.size());
+            NodeProcess process = fleet.controlNodes.get(i % fleet.controlNodes.size());
             try {
                 Client.Got got = client.send(method, process.http, path, "", body, headers)
                         .join();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
@@ -23,8 +23,9 @@
 
     private BareReplicas() {}
 
-    private static Seams replies(Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> f) {
-        return Seams.none()
+    private static FleetOverrides replies(
+            Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> f) {
+        return FleetOverrides.none()
                 .withPost((a, client) ->
                         deliveryRequest -> client.send(deliveryRequest).map(f));
     }
@@ -40,15 +41,15 @@
     }
 
     /** LOST: the stores' disks say "synced" and have not. */
-    static Seams lyingStores() {
-        return Seams.none()
+    static FleetOverrides lyingStores() {
+        return FleetOverrides.none()
                 .withDisk((a, disk) -> a.startsWith("10.0.1.")
                         ? NaiveVariants.lyingDisk().disk().apply(a, disk)
                         : disk);
     }
 
     /** TWICE: a success is no proof, every fourth time. */
-    static Seams successIsNoProof() {
+    static FleetOverrides successIsNoProof() {
         int[] n = {0};
         return replies(deliveryResponse -> deliveryResponse.status() == 200 && n[0]++ % 4 == 0
                 ? other(deliveryResponse, 502, "")
@@ -56,7 +57,7 @@
     }
 
     /** MIXED: an error is taken for done. */
-    static Seams errorIsSuccess() {
+    static FleetOverrides errorIsSuccess() {
         return replies(deliveryResponse ->
                 deliveryResponse.status() >= 500 && !deliveryResponse.headers().containsKey("x-not-executed")
                         ? other(deliveryResponse, 200, "surely")
@@ -64,8 +65,8 @@
     }
 
     /** ORDER: silence is taken for a refusal for good. */
-    static Seams silenceIsRefusal() {
-        return Seams.none()
+    static FleetOverrides silenceIsRefusal() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(
@@ -78,8 +79,8 @@
     }
 
     /** ROUTE: nobody is told who is expected. */
-    static Seams nobodyIsExpected() {
-        return Seams.none().withPost((a, client) -> deliveryRequest -> {
+    static FleetOverrides nobodyIsExpected() {
+        return FleetOverrides.none().withPost((a, client) -> deliveryRequest -> {
             Map<String, String> h = new LinkedHashMap<>(deliveryRequest.headers());
             h.remove("X-Expect-Instance");
             return client.send(new DeliveryClient.DeliveryRequest(
@@ -94,8 +95,8 @@
     }
 
     /** UNASKED: bytes are sent in the wrong order, as a careless client might. */
-    static Seams bytesChange() {
-        return Seams.none().withPost((a, client) -> deliveryRequest -> {
+    static FleetOverrides bytesChange() {
+        return FleetOverrides.none().withPost((a, client) -> deliveryRequest -> {
             byte[] b = deliveryRequest.body().clone();
             byte first = b[0];
             b[0] = b[b.length - 1];
@@ -112,8 +113,8 @@
     }
 
     /** CEILING: looked at once, sent whenever the stream is open. */
-    static Seams lookFirstSendLater() {
-        return Seams.none()
+    static FleetOverrides lookFirstSendLater() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> Mono.defer(() -> {
                     boolean go = deliveryRequest.stillPermitted().getAsBoolean();
                     return client.send(new DeliveryClient.DeliveryRequest(
@@ -128,8 +129,8 @@
     }
 
     /** CONFIG, DRAIN: from a moment on the views that are known are taken for confirmed. */
-    static Seams newsStands(BooleanSupplier frozen) {
-        return Seams.none().withRpc((a, rpc) -> {
+    static FleetOverrides newsStands(BooleanSupplier frozen) {
+        return FleetOverrides.none().withRpc((a, rpc) -> {
             Map<String, ServiceView> last = new HashMap<>();
             return new RpcClient() {
                 @Override
@@ -161,9 +162,9 @@
     }
 
     /** TWICE: whoever has a lease of a message, has its present one. */
-    static Seams anyLeaseWillDo() {
+    static FleetOverrides anyLeaseWillDo() {
         Map<String, Integer> present = new ConcurrentHashMap<>();
-        return Seams.none().withRpc((a, rpc) -> new RpcClient() {
+        return FleetOverrides.none().withRpc((a, rpc) -> new RpcClient() {
             @Override
             public String self() {
                 return rpc.self();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -23,14 +23,14 @@
 /** Callers of a simulated fleet: they processor in, ask again while they do not know, and ask what became of it. */
 public class Callers {
     private static final Duration REMEMBERED = Duration.ofSeconds(90);
-    public final World w;
+    public final SimulatedFleet w;
     private final Map<String, Integer> owners = new HashMap<>();
     private final Set<String> open = new HashSet<>();
     private final Map<String, Long> kinds = new TreeMap<>();
     private long ids;
     private boolean trafficOn;
 
-    Callers(World fleet) {
+    Callers(SimulatedFleet fleet) {
         this.w = fleet;
     }
 
@@ -55,7 +55,7 @@
 
     public void one(int tenant) {
         List<String> lanes = w.testConfiguration.lanes();
-        String lane = w.sim.luck(0.4) ? "accept" : lanes.get(w.sim.random().nextInt(lanes.size()));
+        String lane = w.sim.chance(0.4) ? "accept" : lanes.get(w.sim.random().nextInt(lanes.size()));
         String order = lane.equals("accept") ? "applicant" + w.sim.random().nextInt(6) : "";
         Map<String, Object> body = new LinkedHashMap<>();
         String id = "c" + ids++;
@@ -63,7 +63,7 @@
         if (!order.isEmpty()) {
             body.put("orderingKey", order);
         }
-        body.put("delayMs", w.sim.luck(0.1) ? 1000 : 0);
+        body.put("delayMs", w.sim.chance(0.1) ? 1000 : 0);
         body.put("body", Map.of("text", "x".repeat(300)));
         submit(tenant, id, lane, order, Configurations.write(body), w.intakes, 5);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -22,8 +22,9 @@
 
     /** All processors are down: how long submissions of 1.25 KB at 270 a second are taken, parts of 2 MB. */
     private static void down() throws ServiceException {
-        FleetSimulation simulation =
-                new FleetSimulation(1, 8, 3, 4, new TestConfiguration(8, 2, 45, 60, 26), World.LARGE_RING).embark();
+        FleetSimulation simulation = new FleetSimulation(
+                        1, 8, 3, 4, new TestConfiguration(8, 2, 45, 60, 26), SimulatedFleet.LARGE_RING)
+                .startAll();
         simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, true));
         Duration from = simulation.w.sim.now();
         for (int i = 0; i < 270 * 90; i++) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -17,7 +17,7 @@
 final class ConfigurationOperator {
     private static final Duration PROBE_FOR = Duration.ofSeconds(7);
     private final FleetSimulation simulation;
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final KeyChanges keyChanges;
     private int n;
 
@@ -49,7 +49,7 @@
 
     /** Adds a lane, or takes the last added one away; then every intake must follow within 3 s. */
     void change() {
-        changeAt(fleet.lighthouses);
+        changeAt(fleet.controlNodes);
     }
 
     void changeAt(List<String> lighthouses) {
@@ -120,7 +120,7 @@
                 != fleet.testConfiguration.ratePerS();
         double rate = usual
                 ? fleet.testConfiguration.ratePerS()
-                : fleet.testConfiguration.ratePerS() * (fleet.sim.luck(0.5) ? 0.3 : 1.5);
+                : fleet.testConfiguration.ratePerS() * (fleet.sim.chance(0.5) ? 0.3 : 1.5);
         int burst = usual
                 ? fleet.testConfiguration.burst()
                 : (int) Math.max(1, fleet.testConfiguration.burst() * rate / fleet.testConfiguration.ratePerS());
@@ -140,7 +140,7 @@
 
     void rate() {
         String e = TestConfiguration.endpoint(fleet.sim.random().nextInt(fleet.testConfiguration.endpoints()));
-        double rate = fleet.sim.luck(0.5)
+        double rate = fleet.sim.chance(0.5)
                 ? fleet.testConfiguration.endpointRate()
                 : 10 + fleet.sim.random().nextInt(20);
         Duration sent = fleet.sim.now();
@@ -156,8 +156,8 @@
     }
 
     void timeLimit() {
-        String lane = fleet.sim.luck(0.5) ? "hold" : "accept";
-        long limit = fleet.sim.luck(0.5) ? TestConfiguration.TIME_LIMIT_MS : 30000;
+        String lane = fleet.sim.chance(0.5) ? "hold" : "accept";
+        long limit = fleet.sim.chance(0.5) ? TestConfiguration.TIME_LIMIT_MS : 30000;
         fleet.seen.lane(lane, new Observations.LaneLimits(limit, TestConfiguration.ATTEMPTS));
         simulation.put(
                 Edit.lanes(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -33,10 +33,10 @@
 
     /** The time from the successor's first step until it votes in every control partition. */
     public static Duration measure(long seed, Departure departure) throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(seed, 2, 3, 2).embark();
-        World world = simulation.w;
+        FleetSimulation simulation = new FleetSimulation(seed, 2, 3, 2).startAll();
+        SimulatedFleet world = simulation.w;
         world.sim.run(REST.plus(world.sim.between(0, 1_000_000)));
-        String leaver = world.lighthouses.get((int) Math.floorMod(seed, 3L));
+        String leaver = world.controlNodes.get((int) Math.floorMod(seed, 3L));
         String successor = replace(world, leaver, departure);
         Duration started = world.sim.now();
         boolean planned = departure == Departure.PLANNED;
@@ -53,7 +53,7 @@
         return world.sim.now().minus(started);
     }
 
-    private static String replace(World world, String leaver, Departure departure) throws ServiceException {
+    private static String replace(SimulatedFleet world, String leaver, Departure departure) throws ServiceException {
         if (departure == Departure.PLANNED) {
             return world.newControlNode();
         }
@@ -69,7 +69,7 @@
     }
 
     /** Whether a control node is a voting member of all control partitions, by its own knowledge. */
-    public static boolean votesEverywhere(World world, String node) {
+    public static boolean votesEverywhere(SimulatedFleet world, String node) {
         return ServiceNames.controlParts().stream()
                 .map(p -> world.controlNode(node).replica(p))
                 .allMatch(replica -> replica.role() != Role.UNINITIALIZED
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -25,7 +25,7 @@
 
     private static final Duration DOWN = Duration.ofSeconds(5);
     private final FleetSimulation simulation;
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final List<Long> millis = new ArrayList<>();
     private final List<Said> taken = new ArrayList<>();
     private final List<String> wrong = new ArrayList<>();
@@ -35,8 +35,9 @@
     private int n;
 
     public Day(long seed) throws ServiceException {
-        simulation =
-                new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), World.SMALL_RING).embark();
+        simulation = new FleetSimulation(
+                        seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.SMALL_RING)
+                .startAll();
         fleet = simulation.w;
     }
 
@@ -52,7 +53,7 @@
             fleet.seenVersions();
             if (fleet.sim.now().compareTo(nextKill) >= 0) {
                 nextKill = fleet.sim.now().plus(kills);
-                String l = fleet.lighthouses.get(fleet.sim.random().nextInt(3));
+                String l = fleet.controlNodes.get(fleet.sim.random().nextInt(3));
                 fleet.host(l).powerLoss();
                 killed++;
                 fleet.sim.after(DOWN, () -> fleet.begin(l));
@@ -76,7 +77,7 @@
                         : present(response);
                 // the one that lost goes on from what it reads
                 reread(version, configuration -> operator(who, configuration, version, between, end));
-                if (!taken.isEmpty() && fleet.sim.luck(0.2)) {
+                if (!taken.isEmpty() && fleet.sim.chance(0.2)) {
                     repeat(taken.get(fleet.sim.random().nextInt(taken.size())));
                 }
             });
@@ -93,7 +94,7 @@
 
     private void put(String id, byte[] json, long base, Duration begun, Consumer<Response> then) {
         fleet.request(
-                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
+                fleet.controlNodes.get(fleet.sim.random().nextInt(3)),
                 request(id, json, base),
                 Duration.ofSeconds(4),
                 response -> {
@@ -126,7 +127,7 @@
     /** However long ago: the first answer. */
     private void repeat(Said said) {
         fleet.request(
-                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
+                fleet.controlNodes.get(fleet.sim.random().nextInt(3)),
                 request(said.id(), said.configuration(), said.base()),
                 Duration.ofSeconds(4),
                 optional -> optional.filter(response -> response.status() < 500).ifPresent(response -> {
@@ -140,7 +141,7 @@
 
     private void reread(long version, Consumer<Configuration> then) {
         fleet.request(
-                fleet.lighthouses.get(fleet.sim.random().nextInt(3)),
+                fleet.controlNodes.get(fleet.sim.random().nextInt(3)),
                 new Request("GET", "/v1/layout/" + version, Map.of(), new byte[0]),
                 Duration.ofSeconds(4),
                 optional -> {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
@@ -11,10 +11,10 @@
     private static final Duration PERIOD = Duration.ofSeconds(1);
     private static final Duration LOOK = Duration.ofMillis(800);
     private static final int MISSES = 2;
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final Map<String, Integer> missed = new HashMap<>();
 
-    Entry(NetworkSimulation network) {
+    Entry(SimulatedPlatformFleet network) {
         this.network = network;
         look();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -18,10 +18,10 @@
 
     private FailureScenarios() {}
 
-    private static FleetSimulation begun(long seed, TestConfiguration testConfiguration, Seams seams)
+    private static FleetSimulation begun(long seed, TestConfiguration testConfiguration, FleetOverrides seams)
             throws ServiceException {
         FleetSimulation simulation =
-                new FleetSimulation(seed, 3, 3, 4, testConfiguration, World.LARGE_RING, seams).embark();
+                new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING, seams).startAll();
         simulation.w.sim.run(Duration.ofSeconds(2));
         return simulation;
     }
@@ -33,7 +33,7 @@
     }
 
     /** 01: all machines lose their power under traffic. */
-    static FleetSimulation powerLossEverywhere(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation powerLossEverywhere(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation.traffic(30);
         simulation.w.sim.run(Duration.ofSeconds(4));
@@ -48,7 +48,7 @@
     }
 
     /** 02: processors do the work, and then something breaks. */
-    static FleetSimulation errorsAfterTheWork(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation errorsAfterTheWork(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation
                 .w
@@ -61,7 +61,7 @@
     }
 
     /** 03: the stores hear an intake, but it does not hear them. */
-    static FleetSimulation answersDoNotComeBack(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation answersDoNotComeBack(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation.traffic(30);
         simulation.w.sim.run(Duration.ofSeconds(2));
@@ -74,7 +74,7 @@
     }
 
     /** 04: work that takes longer than an attempt may. */
-    static FleetSimulation workLongerThanAnAttempt(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation workLongerThanAnAttempt(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation
                 .w
@@ -90,7 +90,7 @@
     }
 
     /** 05: the streams between an intake and the stores stall for a minute under a tenant's flood. */
-    static FleetSimulation stalledStreams(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation stalledStreams(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         String i = simulation.w.intakes.get(0);
         for (int n = 0; n < 20; n++) {
@@ -108,7 +108,7 @@
     }
 
     /** 06: streams to an endpoint open after anything up to 3 s, all at once in the end. */
-    static FleetSimulation streamsThatOpenSlowly(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation streamsThatOpenSlowly(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, new TestConfiguration(3, 1, 60, 60, 26), seams);
         for (int ms = 0; ms < 14000; ms += 20) {
             simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
@@ -126,7 +126,7 @@
     /** The nodes of a zone hear nothing from the core any more; among themselves they do. */
     private static void outOfTouch(FleetSimulation simulation, int zone) {
         for (String n : List.of(simulation.w.intakes.get(zone), simulation.w.stores.get(zone))) {
-            simulation.w.lighthouses.forEach(l -> simulation.w.net.cut(l, n));
+            simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, n));
         }
     }
 
@@ -137,7 +137,7 @@
     private static int hallOfAnotherThanTheHolder(FleetSimulation simulation) {
         return simulation
                         .w
-                        .pilot(simulation.w.intakes.get(0))
+                        .dataPlaneNode(simulation.w.intakes.get(0))
                         .ownedBuckets()
                         .contains("tenant/" + TestConfiguration.tenant(2))
                 ? 1
@@ -145,7 +145,7 @@
     }
 
     /** 07: a key is withdrawn while a zone is out of touch; it goes on being used, also for reads. */
-    static FleetSimulation keyWithdrawnOutOfTouch(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation keyWithdrawnOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         new ConfigurationOperator(simulation).withdraw();
         simulation.w.sim.run(Duration.ofMillis(1800));
@@ -156,7 +156,7 @@
     }
 
     /** 08: a lane is added and taken away again while a zone is out of touch. */
-    static FleetSimulation lanesChangedOutOfTouch(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation lanesChangedOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         ConfigurationOperator operator = new ConfigurationOperator(simulation);
         operator.change();
@@ -173,10 +173,10 @@
      * 09: the owner of the configuration is cut off from the other control nodes; another configuration is taken; then
      * it is read there.
      */
-    static FleetSimulation ownerOfTheLayoutCutOff(long seed, Seams seams, AtomicReference<String> cut)
+    static FleetSimulation ownerOfTheLayoutCutOff(long seed, FleetOverrides seams, AtomicReference<String> cut)
             throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
-        String owner = simulation.w.lighthouses.stream()
+        String owner = simulation.w.controlNodes.stream()
                 .filter(l -> simulation.w.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
@@ -184,7 +184,7 @@
         cut.set(owner);
         simulation.w.sim.run(Duration.ofSeconds(4));
         List<String> others =
-                simulation.w.lighthouses.stream().filter(l -> !l.equals(owner)).toList();
+                simulation.w.controlNodes.stream().filter(l -> !l.equals(owner)).toList();
         new ConfigurationOperator(simulation).changeAt(others);
         simulation.w.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
@@ -201,11 +201,11 @@
      * 10: processors are marked as leaving while no store hears the core; some have their subscriptions from themselves
      * only.
      */
-    static FleetSimulation markedOutOfTouch(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation markedOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation.traffic(40);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.stores.forEach(s -> simulation.w.lighthouses.forEach(l -> simulation.w.net.cut(l, s)));
+        simulation.w.stores.forEach(s -> simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, s)));
         simulation.list("p0", true);
         simulation.list("p1", true);
         simulation.w.sim.run(Duration.ofSeconds(10));
@@ -214,7 +214,7 @@
     }
 
     /** 11: something in between answers "200" in the name of the endpoints, and does nothing. */
-    static FleetSimulation somethingInBetween(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation somethingInBetween(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         simulation.w.post.middlebox(true);
         simulation.traffic(15);
@@ -227,7 +227,7 @@
      * 12: two full outages in a row; back means every tenant and every part. From the second a control node and a store
      * come back late, so their parts have to wait out their leases.
      */
-    static FleetSimulation twoOutages(long seed, Seams seams) throws ServiceException {
+    static FleetSimulation twoOutages(long seed, FleetOverrides seams) throws ServiceException {
         FleetSimulation simulation = begun(seed, SMALL, seams);
         for (int i = 0; i < 2; i++) {
             simulation.traffic(20);
@@ -236,7 +236,7 @@
             simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
             simulation.w.sim.run(Duration.ofSeconds(1));
             List<String> late =
-                    i == 0 ? List.of() : List.of(simulation.w.lighthouses.get(0), simulation.w.stores.get(0));
+                    i == 0 ? List.of() : List.of(simulation.w.controlNodes.get(0), simulation.w.stores.get(0));
             for (String h : simulation.w.all()) {
                 if (!late.contains(h)) {
                     simulation.w.restart(h);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
@@ -28,7 +28,8 @@
     /** Tenant 0 sends many times the others' load; trouble makes the back ends slow or useless for it. */
     public static Others run(long seed, double flood, Backend.Manner manner, Duration allDown) throws ServiceException {
         TestConfiguration testConfiguration = new TestConfiguration(4, 2, 40, 60, 26);
-        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4, testConfiguration, World.LARGE_RING).embark();
+        FleetSimulation simulation =
+                new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         simulation.w.backends.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith("p"))
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -55,7 +55,7 @@
     }
 
     private final FleetSimulation simulation;
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final Size size;
     private final Random random;
     private final Map<String, FaultInjection> faults = new LinkedHashMap<>();
@@ -74,9 +74,9 @@
                 size.stores(seed),
                 size.processors,
                 size.testConfiguration,
-                size == Size.SMALL ? World.SMALL_RING : World.LARGE_RING,
+                size == Size.SMALL ? SimulatedFleet.SMALL_RING : SimulatedFleet.LARGE_RING,
                 size.zones,
-                Seams.none());
+                FleetOverrides.none());
         fleet = simulation.w;
         simulation.watch();
         new MachineFaults(simulation, random, log).into(faults);
@@ -95,7 +95,7 @@
     }
 
     public List<String> run(Duration length) throws ServiceException {
-        simulation.embark();
+        simulation.startAll();
         simulation.list("f2", false);
         simulation.list("f3", false);
         simulation.traffic(size.perSecond);
@@ -111,7 +111,7 @@
         strike(names);
         fleet.sim.run(Duration.ofSeconds(8));
         fleet.net.heal();
-        fleet.net.weather(0, 0);
+        fleet.net.setLossAndDuplication(0, 0);
         fleet.post.answerLoss(0);
         for (String h : fleet.all()) {
             fleet.restart(h);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
@@ -16,7 +16,7 @@
 /** Stand-in for a processor that fetches: asks again under the same fetch id, repeats each outcome until confirmed. */
 public final class Fetcher {
     private static final Duration AGAIN = Duration.ofMillis(200);
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final String id;
     private final String service;
     private final Set<String> mine = new HashSet<>();
@@ -26,7 +26,7 @@
     private int life;
     private int fetches;
 
-    Fetcher(World fleet, String id, String service) {
+    Fetcher(SimulatedFleet fleet, String id, String service) {
         this.fleet = fleet;
         this.id = id;
         this.service = service;
@@ -81,7 +81,7 @@
             if (life != bornIn) {
                 return;
             }
-            if (response.isEmpty() || response.get().status() >= 500 || fleet.sim.luck(loseAnswer)) {
+            if (response.isEmpty() || response.get().status() >= 500 || fleet.sim.chance(loseAnswer)) {
                 fleet.sim.after(AGAIN, () -> ask(fetch, true, bornIn));
                 return;
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Seams.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetOverrides.java
@@ -11,35 +11,35 @@
 /**
  * Where a stand-in may take the place of what the shipped nodes are given; by address. (docs/design.md, section 12.3)
  */
-public record Seams(
+public record FleetOverrides(
         BiFunction<String, RpcClient, RpcClient> rpc,
         BiFunction<String, Disk, Disk> disk,
         BiFunction<String, Clock, Clock> times,
         BiFunction<String, DeliveryClient, DeliveryClient> post,
         UnaryOperator<ReplicationTiming> timing) {
 
-    public static Seams none() {
-        return new Seams(
+    public static FleetOverrides none() {
+        return new FleetOverrides(
                 (a, rpc) -> rpc, (a, disk) -> disk, (a, clock) -> clock, (a, client) -> client, timing -> timing);
     }
 
-    public Seams withRpc(BiFunction<String, RpcClient, RpcClient> b) {
-        return new Seams(b, disk, times, post, timing);
+    public FleetOverrides withRpc(BiFunction<String, RpcClient, RpcClient> b) {
+        return new FleetOverrides(b, disk, times, post, timing);
     }
 
-    public Seams withDisk(BiFunction<String, Disk, Disk> d) {
-        return new Seams(rpc, d, times, post, timing);
+    public FleetOverrides withDisk(BiFunction<String, Disk, Disk> d) {
+        return new FleetOverrides(rpc, d, times, post, timing);
     }
 
-    public Seams withTimes(BiFunction<String, Clock, Clock> t) {
-        return new Seams(rpc, disk, t, post, timing);
+    public FleetOverrides withTimes(BiFunction<String, Clock, Clock> t) {
+        return new FleetOverrides(rpc, disk, t, post, timing);
     }
 
-    public Seams withPost(BiFunction<String, DeliveryClient, DeliveryClient> p) {
-        return new Seams(rpc, disk, times, p, timing);
+    public FleetOverrides withPost(BiFunction<String, DeliveryClient, DeliveryClient> p) {
+        return new FleetOverrides(rpc, disk, times, p, timing);
     }
 
-    public Seams withTiming(UnaryOperator<ReplicationTiming> p) {
-        return new Seams(rpc, disk, times, post, p);
+    public FleetOverrides withTiming(UnaryOperator<ReplicationTiming> p) {
+        return new FleetOverrides(rpc, disk, times, post, p);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -24,13 +24,13 @@
     long puts;
 
     public FleetSimulation(long seed, int intakes, int stores, int processors) throws ServiceException {
-        this(seed, intakes, stores, processors, new TestConfiguration(3, 2, 20, 30, 26), World.SMALL_RING);
+        this(seed, intakes, stores, processors, new TestConfiguration(3, 2, 20, 30, 26), SimulatedFleet.SMALL_RING);
     }
 
     public FleetSimulation(
             long seed, int intakes, int stores, int processors, TestConfiguration testConfiguration, int ringBytes)
             throws ServiceException {
-        this(seed, intakes, stores, processors, testConfiguration, ringBytes, Seams.none());
+        this(seed, intakes, stores, processors, testConfiguration, ringBytes, FleetOverrides.none());
     }
 
     public FleetSimulation(
@@ -40,7 +40,7 @@
             int processors,
             TestConfiguration testConfiguration,
             int ringBytes,
-            Seams seams)
+            FleetOverrides seams)
             throws ServiceException {
         this(seed, intakes, stores, processors, testConfiguration, ringBytes, 3, seams);
     }
@@ -53,9 +53,9 @@
             TestConfiguration testConfiguration,
             int ringBytes,
             int zones,
-            Seams seams)
+            FleetOverrides seams)
             throws ServiceException {
-        super(new World(seed, intakes, stores, testConfiguration, ringBytes, zones, seams));
+        super(new SimulatedFleet(seed, intakes, stores, testConfiguration, ringBytes, zones, seams));
         for (int i = 0; i < processors; i++) {
             w.addBackend("p" + i, service(i), false);
         }
@@ -70,7 +70,7 @@
     }
 
     /** Puts the first configuration, lists the processors and waits until every intake is ready. */
-    public FleetSimulation embark() {
+    public FleetSimulation startAll() {
         put(configuration, 0, "first", response -> {});
         w.backends.keySet().stream().filter(b -> b.startsWith("p")).forEach(b -> list(b, false));
         require(w.sim.runUntil(w::ready, Duration.ofSeconds(40)), "the fleet did not get ready");
@@ -107,13 +107,13 @@
     }
 
     private String anyLighthouse() {
-        List<String> all = w.presentLighthouses();
+        List<String> all = w.presentControlNodes();
         return all.get(w.sim.random().nextInt(all.size()));
     }
 
     /** Repeats with the same request id until the answer is definite. */
     public void put(Configuration configuration, long base, String id, Consumer<Response> then) {
-        put(configuration, base, id, w.presentLighthouses(), then);
+        put(configuration, base, id, w.presentControlNodes(), then);
     }
 
     void put(Configuration l, long base, String id, List<String> at, Consumer<Response> then) {
@@ -171,7 +171,7 @@
     }
 
     void operate(Request request, Consumer<Response> then) {
-        operate(request, w.presentLighthouses(), then);
+        operate(request, w.presentControlNodes(), then);
     }
 
     private void operate(Request request, List<String> at, Consumer<Response> then) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
@@ -10,7 +10,7 @@
     private final Host host;
     private final SimNet net;
 
-    public Harness(String address, Sim sim, SimNet net) {
+    public Harness(String address, Simulator sim, SimNet net) {
         this.host = new Host(address, sim);
         this.net = net;
         net.add(host);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -14,7 +14,7 @@
 
     static final Instant EPOCH = Instant.parse("2030-01-01T00:00:00Z");
     final String address;
-    final Sim sim;
+    final Simulator sim;
     final SimDisk disk;
     private final double timing;
     private RpcRouter router = new RpcRouter();
@@ -27,7 +27,7 @@
     private boolean inDiskTask;
     private long writtenBefore;
 
-    Host(String address, Sim sim) {
+    Host(String address, Simulator sim) {
         this.address = address;
         this.sim = sim;
         this.disk = new SimDisk(sim);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -25,7 +25,7 @@
     private static final Duration CALLER_LIMIT = Duration.ofSeconds(5);
 
     private final FleetSimulation fleet;
-    private final World world;
+    private final SimulatedFleet world;
     private final IntSupplier nextNumber;
 
     /** Takes a number of the supplier for each change, so that request ids and secrets differ. */
@@ -63,7 +63,7 @@
 
     /** A group's processor key is exchanged; its processors go on with the old one for a while. */
     void rotate() {
-        String group = world.sim.luck(0.5) ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
+        String group = world.sim.chance(0.5) ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
         int number = nextNumber.getAsInt();
         String fresh = "fetch-secret-" + number;
         Configuration.Key key =
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -13,7 +13,7 @@
     private static final Duration CALM_AFTER_LOSS = Duration.ofSeconds(15);
     private static final Duration CALM_AFTER_REPLACEMENT = Duration.ofSeconds(40);
     private final FleetSimulation simulation;
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final Random random;
     private final List<String> log;
     private Duration noLossBefore;
@@ -33,7 +33,7 @@
         faults.put("cut off", this::cutOff);
         faults.put("one-way cut", () -> healing(() -> fleet.net.cutOneWay(any(fleet.all()), any(fleet.all()))));
         faults.put("stalled streams", () -> healing(() -> fleet.net.stall(any(fleet.intakes), any(fleet.stores))));
-        faults.put("bad weather", () -> fleet.net.weather(0.05, 0.02));
+        faults.put("bad weather", () -> fleet.net.setLossAndDuplication(0.05, 0.02));
         faults.put("lost disk", this::wipe);
         faults.put("store lost for good", this::loseStore);
         faults.put("lighthouse lost for good", this::loseLighthouse);
@@ -100,7 +100,7 @@
 
     private void wipe() {
         if (mayLose(CALM_AFTER_LOSS)) {
-            String h = any(random.nextBoolean() ? fleet.presentStores() : fleet.presentLighthouses());
+            String h = any(random.nextBoolean() ? fleet.presentStores() : fleet.presentControlNodes());
             log.add("wipe " + h);
             fleet.kill(h);
             fleet.host(h).disk.wipe();
@@ -119,17 +119,17 @@
 
     private void loseLighthouse() {
         if (mayLose(CALM_AFTER_REPLACEMENT)) {
-            String h = any(fleet.presentLighthouses());
+            String h = any(fleet.presentControlNodes());
             log.add("lost " + h);
             fleet.lose(h);
             later(some(), () -> {
-                String fresh = fleet.newLighthouse();
+                String fresh = fleet.newControlNodeFirstSettings();
                 simulation.operate(
                         new Request(
                                 "PUT",
                                 "/v1/core",
                                 Map.of(),
-                                Configurations.write(Map.of("lighthouses", fleet.presentLighthouses()))),
+                                Configurations.write(Map.of("lighthouses", fleet.presentControlNodes()))),
                         response -> log.add("core " + response.status() + " with " + fresh));
             });
         }
@@ -137,7 +137,7 @@
 
     private void drain(String h) {
         if (fleet.host(h).alive()) {
-            fleet.pilot(h).drain();
+            fleet.dataPlaneNode(h).drain();
             later(Duration.ofSeconds(2), () -> fleet.kill(h));
             later(Duration.ofSeconds(4), () -> fleet.restart(h));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -14,17 +14,32 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
+import org.woadvale.common.membership.CoreClient;
+import org.woadvale.common.membership.CoreMembers;
+import org.woadvale.common.membership.RpcTypeNumbers;
+import org.woadvale.common.replication.NodeEnvironment;
+import org.woadvale.common.replication.ReplicationTiming;
+import org.woadvale.common.rpc.Codec;
+import org.woadvale.common.rpc.RpcClient;
+import org.woadvale.common.rpc.RpcRouter;
+import org.woadvale.common.wal.DisabledWriteAheadLog;
+import org.woadvale.common.wal.RingWriteAheadLog;
+import org.woadvale.common.wal.WriteAheadLog;
+import org.woadvale.controlplane.api.ControlApiMessages;
+import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.testkit.stub.Observations;
 import reactor.core.publisher.Mono;
 
 /** The machines of a simulated fleet, whatever runs on them. */
-public class Machines {
+public abstract class Machines {
+    static final int RING_FILES = 8;
     private static final Duration CONNECT = Duration.ofSeconds(1);
-    public final Sim sim;
+    public final Simulator sim;
     public final SimNet net;
-    public final List<String> lighthouses = new ArrayList<>();
+    public final List<String> controlNodes = new ArrayList<>();
     public final List<String> stores = new ArrayList<>();
     public final List<String> intakes = new ArrayList<>();
     final Map<String, Host> hosts = new LinkedHashMap<>();
@@ -33,12 +48,53 @@
     private final int zoneCount;
     private BiConsumer<Request, Response> answers = (request, answer) -> {};
 
-    Machines(Sim sim, int zoneCount) {
+    Machines(Simulator sim, int zoneCount) {
         this.sim = sim;
         this.net = new SimNet(sim);
         this.zoneCount = zoneCount;
     }
 
+    /** What a node is started with on its machine. */
+    record NodeStart(RpcRouter router, NodeEnvironment environment, CoreClient core) {}
+
+    /** Starts the process of a machine on what its disk holds; machines without a role that stores have no log. */
+    NodeStart boot(
+            String address, FleetOverrides overrides, int ringBytes, ReplicationTiming timing, List<String> knownSeeds)
+            throws ServiceException {
+        Host host = hosts.get(address);
+        boolean controlNode = controlNodes.contains(address);
+        RpcRouter router = new RpcRouter();
+        Codec codec = controlNode
+                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())
+                : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
+        host.boot(router);
+        RpcClient rpc = overrides.rpc().apply(address, net.rpc(host, codec));
+        WriteAheadLog wal = controlNode || stores.contains(address)
+                ? RingWriteAheadLog.open(overrides.disk().apply(address, host.disk), host, RING_FILES, ringBytes)
+                : new DisabledWriteAheadLog();
+        wal.onFailure(why -> host.kill());
+        NodeEnvironment environment = new NodeEnvironment(
+                overrides.times().apply(address, host),
+                host,
+                rpc,
+                codec,
+                wal,
+                sim.random()::nextLong,
+                overrides.timing().apply(timing));
+        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, knownSeeds, CoreMembers.unknown(), members -> {});
+        return new NodeStart(router, environment, core);
+    }
+
+    /** Starts the node of a machine. */
+    public abstract void start(String address) throws ServiceException;
+
+    /** Starts it again, unless it runs or is gone for good. */
+    public void restart(String address) throws ServiceException {
+        if (!lost.contains(address) && !hosts.get(address).alive()) {
+            start(address);
+        }
+    }
+
     String host(String address, int zone) {
         Host host = new Host(address, sim);
         hosts.put(address, host);
@@ -65,8 +121,8 @@
         return stores.stream().filter(s -> !lost.contains(s)).toList();
     }
 
-    public List<String> presentLighthouses() {
-        return lighthouses.stream().filter(s -> !lost.contains(s)).toList();
+    public List<String> presentControlNodes() {
+        return controlNodes.stream().filter(s -> !lost.contains(s)).toList();
     }
 
     public String zone(String address) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -45,7 +45,7 @@
             Consumer<FleetSimulation> fault)
             throws ServiceException {
         FleetSimulation simulation =
-                new FleetSimulation(seed, intakes, stores, 12, testConfiguration, World.LARGE_RING).embark();
+                new FleetSimulation(seed, intakes, stores, 12, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         long frames = simulation.w.net.frames();
         long syncs = syncs(simulation);
@@ -63,7 +63,7 @@
         long[] passes = new long[3];
         for (String i : simulation.w.intakes) {
             if (simulation.w.host(i).alive()) {
-                var counts = simulation.w.pilot(i).tokenCounts();
+                var counts = simulation.w.dataPlaneNode(i).tokenCounts();
                 passes[0] += counts.atOnce();
                 passes[1] += counts.waited();
                 passes[2] += counts.asks();
@@ -96,7 +96,7 @@
     public static Duration outage(long seed, int intakes, int stores, TestConfiguration testConfiguration)
             throws ServiceException {
         FleetSimulation simulation =
-                new FleetSimulation(seed, intakes, stores, 4, testConfiguration, World.LARGE_RING).embark();
+                new FleetSimulation(seed, intakes, stores, 4, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         simulation.traffic(60);
         simulation.w.sim.run(Duration.ofSeconds(5));
         simulation.calm();
@@ -157,9 +157,10 @@
         List<Long> refused = new ArrayList<>();
         List<Long> sent = new ArrayList<>();
         for (long seed = 1; seed <= 10; seed++) {
-            FleetSimulation simulation = new FleetSimulation(seed, 8, 3, 4, eight, World.LARGE_RING).embark();
+            FleetSimulation simulation =
+                    new FleetSimulation(seed, 8, 3, 4, eight, SimulatedFleet.LARGE_RING).startAll();
             String holder = simulation.w.intakes.stream()
-                    .filter(i -> simulation.w.pilot(i).ownedBuckets().contains("tenant/tenant0"))
+                    .filter(i -> simulation.w.dataPlaneNode(i).ownedBuckets().contains("tenant/tenant0"))
                     .findFirst()
                     .orElseThrow();
             List<String> others =
@@ -251,8 +252,10 @@
                         eight,
                         270,
                         length,
-                        simulation ->
-                                simulation.w.pilot(simulation.w.intakes.get(0)).drain()));
+                        simulation -> simulation
+                                .w
+                                .dataPlaneNode(simulation.w.intakes.get(0))
+                                .drain()));
         row(
                 "store killed",
                 steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.stores.get(0))));
@@ -265,10 +268,12 @@
                         eight,
                         270,
                         length,
-                        simulation ->
-                                simulation.w.pilot(simulation.w.stores.get(0)).drain()));
+                        simulation -> simulation
+                                .w
+                                .dataPlaneNode(simulation.w.stores.get(0))
+                                .drain()));
         row(
                 "lighthouse killed",
-                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.lighthouses.get(0))));
+                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.controlNodes.get(0))));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
@@ -31,9 +31,9 @@
     }
 
     /** Each sending of an order has a name of its own, so that a repeat is judged anew. */
-    public static Seams withoutIdentity() {
+    public static FleetOverrides withoutIdentity() {
         AtomicLong names = new AtomicLong();
-        return Seams.none().withRpc((address, rpc) -> new Forwarding(rpc) {
+        return FleetOverrides.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 return forward(
@@ -58,9 +58,9 @@
     }
 
     /** A node answers readings with the first configuration that it saw, asking nobody. */
-    public static Seams readsWithoutLeader() {
+    public static FleetOverrides readsWithoutLeader() {
         Map<String, Object> seen = new ConcurrentHashMap<>();
-        return Seams.none().withRpc((address, rpc) -> new Forwarding(rpc) {
+        return FleetOverrides.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 if (!(body instanceof ControlApiMessages.GetConfigurationRequest)) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -52,8 +52,8 @@
     }
 
     /** 01: a disk that says "synced" and has not. */
-    static Seams lyingDisk() {
-        return Seams.none().withDisk((a, disk) -> new Disk() {
+    static FleetOverrides lyingDisk() {
+        return FleetOverrides.none().withDisk((a, disk) -> new Disk() {
             @Override
             public List<String> list() throws IOException {
                 return disk.list();
@@ -91,8 +91,8 @@
     }
 
     /** 02: any 5xx is taken for "later". */
-    static Seams anyErrorIsLater() {
-        return Seams.none()
+    static FleetOverrides anyErrorIsLater() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .map(deliveryResponse -> deliveryResponse.status() >= 500
                                 ? new DeliveryClient.DeliveryResponse(503, deliveryResponse.body())
@@ -100,8 +100,8 @@
     }
 
     /** 03: an answer that did not come in time is taken for "nothing was sent". */
-    static Seams silenceIsNo() {
-        return Seams.none()
+    static FleetOverrides silenceIsNo() {
+        return FleetOverrides.none()
                 .withRpc((a, rpcClient) -> rpc(rpcClient, new Asking() {
                     @Override
                     public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
@@ -115,8 +115,8 @@
     }
 
     /** 04: a processor that does not answer in time is taken to have refused. */
-    static Seams silenceIsRefusal() {
-        return Seams.none()
+    static FleetOverrides silenceIsRefusal() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(422, new byte[0]))
@@ -124,8 +124,8 @@
     }
 
     /** 05: submissions without a time by which they must have come; a store's life is learned once and for all. */
-    static Seams timelessHandIns() {
-        return Seams.none().withRpc((a, rpcClient) -> {
+    static FleetOverrides timelessHandIns() {
+        return FleetOverrides.none().withRpc((a, rpcClient) -> {
             Map<String, Object> clocks = new HashMap<>();
             return rpc(rpcClient, new Asking() {
                 @Override
@@ -152,8 +152,8 @@
     }
 
     /** 06: everything is looked at once; what then waits for its stream is sent whatever has become of it. */
-    static Seams lookFirstSendLater() {
-        return Seams.none()
+    static FleetOverrides lookFirstSendLater() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> Mono.defer(() -> {
                     boolean go = deliveryRequest.stillPermitted().getAsBoolean();
                     return client.send(new DeliveryClient.DeliveryRequest(
@@ -166,8 +166,8 @@
     }
 
     /** 07, 08, 10: who cannot be reached for subscriptions is taken to have none: the last answer is still good. */
-    static Seams noNewsIsGoodNews() {
-        return Seams.none().withRpc((a, rpcClient) -> {
+    static FleetOverrides noNewsIsGoodNews() {
+        return FleetOverrides.none().withRpc((a, rpcClient) -> {
             Map<String, ServiceView> last = new HashMap<>();
             return rpc(rpcClient, new Asking() {
                 @Override
@@ -214,8 +214,8 @@
     }
 
     /** 09: a machine whose clock stands still for as long as told, as if it had been suspended. */
-    static Seams stoppedClock(Predicate<String> stopped) {
-        return Seams.none().withTimes((a, clock) -> new Clock() {
+    static FleetOverrides stoppedClock(Predicate<String> stopped) {
+        return FleetOverrides.none().withTimes((a, clock) -> new Clock() {
             private Duration last = Duration.ZERO;
 
             @Override
@@ -232,8 +232,8 @@
     }
 
     /** 11: a 200 is enough; the proof is made up. */
-    static Seams everySuccessIsProof() {
-        return Seams.none()
+    static FleetOverrides everySuccessIsProof() {
+        return FleetOverrides.none()
                 .withPost((a, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .map(deliveryResponse -> deliveryResponse.status() == 200
                                 ? proven(deliveryRequest, deliveryResponse)
@@ -257,9 +257,9 @@
     }
 
     /** 12: leases so long that nobody ever loses one by mistake. */
-    static Seams longLeases() {
+    static FleetOverrides longLeases() {
         Function<Duration, Duration> longer = d -> d.multipliedBy(10);
-        return Seams.none()
+        return FleetOverrides.none()
                 .withTiming(timing -> new ReplicationTiming(
                         longer.apply(timing.lease()),
                         timing.heartbeat(),
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
@@ -15,13 +15,13 @@
 final class OperatorSimulation {
     private static final Duration CALL = Duration.ofSeconds(2);
     private static final Duration LONGEST = Duration.ofMillis(1600);
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final ObservationLog seen;
     private ConfigurationStub now;
     private int n;
     private int open;
 
-    OperatorSimulation(NetworkSimulation network, ObservationLog seen, ConfigurationStub first) {
+    OperatorSimulation(SimulatedPlatformFleet network, ObservationLog seen, ConfigurationStub first) {
         this.network = network;
         this.seen = seen;
         this.now = first;
@@ -105,7 +105,7 @@
     /** A route comes, or one that came goes; now and then a time-out changes. */
     void change() {
         Optional<ConfigurationStub.Route> old = added();
-        if (old.isPresent() && network.sim.luck(0.5)) {
+        if (old.isPresent() && network.sim.chance(0.5)) {
             put(
                     now.routes(now.routes().stream()
                                     .filter(route -> !route.equals(old.get()))
@@ -227,7 +227,7 @@
     }
 
     private String anyControlNode() {
-        return network.lighthouses.get(network.sim.random().nextInt(network.lighthouses.size()));
+        return network.controlNodes.get(network.sim.random().nextInt(network.controlNodes.size()));
     }
 
     /** Asks for the configuration as it stands; the last reading of a day counts. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -10,7 +10,7 @@
 /** Each never-line's scenario twice: as shipped, and with one mechanism left out. (docs/design.md, section 12.3) */
 public final class Pairs {
     private interface Scene {
-        FleetSimulation play(long seed, Seams seams) throws ServiceException;
+        FleetSimulation play(long seed, FleetOverrides seams) throws ServiceException;
     }
 
     /** The line, what is brought about, and what the stand-in leaves out. */
@@ -19,9 +19,9 @@
         public final String failure;
         public final String leftOut;
         private final Scene scene;
-        private final Seams naive;
+        private final FleetOverrides naive;
 
-        private Pair(String line, String failure, String leftOut, Scene scene, Seams naive) {
+        private Pair(String line, String failure, String leftOut, Scene scene, FleetOverrides naive) {
             this.line = line;
             this.failure = failure;
             this.leftOut = leftOut;
@@ -30,7 +30,7 @@
         }
 
         public List<String> shipped(long seed) throws ServiceException {
-            return scene.play(seed, Seams.none()).violations();
+            return scene.play(seed, FleetOverrides.none()).violations();
         }
 
         public List<String> brokenWithout(long seed) throws ServiceException {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -30,7 +30,7 @@
     private static final Duration READ_LIMIT = Duration.ofSeconds(2);
     private static final int READ_RETRIES = 5;
 
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final Entry entry;
     private final OperatorSimulation operator;
     private final ObservationLog seen;
@@ -38,7 +38,7 @@
     private int ids;
     private boolean running;
 
-    PlatformClients(NetworkSimulation network, Entry entry, OperatorSimulation operator, ObservationLog seen) {
+    PlatformClients(SimulatedPlatformFleet network, Entry entry, OperatorSimulation operator, ObservationLog seen) {
         this.network = network;
         this.entry = entry;
         this.operator = operator;
@@ -73,14 +73,14 @@
     /** On any route that there is, or was just added or removed, with any key that there is or was. */
     private void sendAny() {
         List<ConfigurationStub.Route> routes = operator.now().routes();
-        boolean usual = network.sim.luck(USUAL_SHARE);
+        boolean usual = network.sim.chance(USUAL_SHARE);
         ConfigurationStub.Route route = usual || seen.configurationStub.isEmpty()
                 ? any(routes)
                 : any(any(seen.configurationStub).configurationStub().routes());
         int tenant = network.sim.random().nextInt(TENANTS);
         String key = usual ? "key" + tenant : anyKeyEver(tenant);
         String order = route.inOrder() ? "k" + network.sim.random().nextInt(ORDER_KEYS) : "";
-        long delayMs = network.sim.luck(DELAYED_SHARE) ? DELAY_MS : 0;
+        long delayMs = network.sim.chance(DELAYED_SHARE) ? DELAY_MS : 0;
         int client = network.sim.random().nextInt(CLIENTS);
         String zone = "hall" + network.sim.random().nextInt(ZONES);
         send(route.pathPrefix() + ids, key, order, delayMs, entry.forClient(client, zone));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
@@ -19,7 +19,7 @@
     private static final double LIST_RATE = 44;
     private static final double RATE = 25;
 
-    public final NetworkSimulation network;
+    public final SimulatedPlatformFleet network;
     public final ObservationLog seen = new ObservationLog();
     final ProcessorList processorList;
     final Entry entry;
@@ -31,8 +31,8 @@
     private final Map<String, String> addresses = new TreeMap<>();
     private int lives;
 
-    public PlatformSimulation(long seed, int fronts, int stores, Seams seams) throws ServiceException {
-        network = new NetworkSimulation(seed, fronts, stores, seams);
+    public PlatformSimulation(long seed, int fronts, int stores, FleetOverrides seams) throws ServiceException {
+        network = new SimulatedPlatformFleet(seed, fronts, stores, seams);
         processorList = new ProcessorList(network.sim, LAG, LIST_RATE);
         network.list(processorList::page);
         entry = new Entry(network);
@@ -70,7 +70,7 @@
     }
 
     /** The first configuration, the processors, and readiness. */
-    public PlatformSimulation embark() {
+    public PlatformSimulation startAll() {
         operator.begin();
         for (int i = 0; i < 3; i++) {
             processor("book", "10.9.0." + i + ":8080");
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
@@ -9,7 +9,7 @@
 /** What comes from outside: callers, processors, endpoints, operator, and the calendar. */
 final class ProcessorFaults {
     private final FleetSimulation simulation;
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final ConfigurationOperator operator;
     private final Random random;
     private final boolean calendarsJump;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorHabits.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorHabits.java
@@ -17,17 +17,17 @@
     }
 
     /** What a run comes to: 200, 500, 422, or zero where it breaks off without an answer. */
-    int outcome(String id, Sim sim) {
+    int outcome(String id, Simulator sim) {
         if (share(id, 1, 60)) {
             return 422;
         }
-        if (share(id, 2, 60) || sim.luck(fails)) {
+        if (share(id, 2, 60) || sim.chance(fails)) {
             return 500;
         }
-        return sim.luck(breaksOff) ? 0 : 200;
+        return sim.chance(breaksOff) ? 0 : 200;
     }
 
-    Duration work(Sim sim) {
+    Duration work(Simulator sim) {
         return sim.between(least.toNanos() / 1000, most.toNanos() / 1000);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -20,7 +20,7 @@
     /** One entry, as it stands since a time. */
     private record Row(String service, String address, int slots, String state, Duration since) {}
 
-    private final Sim sim;
+    private final Simulator sim;
     private final Duration lag;
     private final double ratePerS;
     private final Map<String, List<Row>> rows = new TreeMap<>();
@@ -28,7 +28,7 @@
     private boolean down;
     private int refused;
 
-    public ProcessorList(Sim sim, Duration lag, double ratePerS) {
+    public ProcessorList(Simulator sim, Duration lag, double ratePerS) {
         this.sim = sim;
         this.lag = lag;
         this.ratePerS = ratePerS;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
@@ -20,14 +20,14 @@
 
 /** Addresses at which processors take work, and the way there from the stores. */
 public final class ProcessorSimulation {
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final Map<String, Function<Request, Mono<Response>>> at = new HashMap<>();
     private final Set<String> silent = new HashSet<>();
     private BiConsumer<Request, Response> onRead = (request, response) -> {};
     private final Map<String, Duration> slowStreams = new HashMap<>();
     private double answerLoss;
 
-    ProcessorSimulation(NetworkSimulation network) {
+    ProcessorSimulation(SimulatedPlatformFleet network) {
         this.network = network;
     }
 
@@ -100,7 +100,7 @@
                 .apply(request)
                 .subscribe(
                         response -> {
-                            if (!silent.contains(address) && !network.sim.luck(answerLoss)) {
+                            if (!silent.contains(address) && !network.sim.chance(answerLoss)) {
                                 network.sim.after(
                                         network.net.delay(),
                                         () -> host.soon(() -> {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Puller.java
@@ -12,7 +12,7 @@
     private static final Duration WAIT = Duration.ofMillis(1000);
     private static final Duration CALL = Duration.ofMillis(2500);
     private static final Duration AGAIN = Duration.ofMillis(200);
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final Entry entry;
     private final ObservationLog seen;
     private final String id;
@@ -23,7 +23,7 @@
     private boolean mute;
     private int runs;
 
-    Puller(NetworkSimulation network, Entry entry, ObservationLog seen, String id, String service) {
+    Puller(SimulatedPlatformFleet network, Entry entry, ObservationLog seen, String id, String service) {
         this.network = network;
         this.entry = entry;
         this.seen = seen;
@@ -82,7 +82,7 @@
     private void work(Response job) {
         String message = job.headers().get("X-Attempt-Id");
         Duration began = network.sim.now();
-        boolean turnedAway = network.sim.luck(habits.turnsAway());
+        boolean turnedAway = network.sim.chance(habits.turnsAway());
         if (turnedAway) {
             end(job, 503, "");
             return;
@@ -119,7 +119,7 @@
     }
 
     private void extendLater(Response job, boolean[] over) {
-        network.sim.after(NetworkSimulation.LEASE.dividedBy(3), () -> {
+        network.sim.after(SimulatedPlatformFleet.LEASE.dividedBy(3), () -> {
             if (alive && !mute && !over[0]) {
                 network.request(
                         entry.any(),
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
@@ -21,9 +21,9 @@
     public final String failure;
     public final String leftOut;
     private final Failure played;
-    private final Seams without;
+    private final FleetOverrides without;
 
-    RuleScenario(String rule, String failure, String leftOut, Failure played, Seams without) {
+    RuleScenario(String rule, String failure, String leftOut, Failure played, FleetOverrides without) {
         this.rule = rule;
         this.failure = failure;
         this.leftOut = leftOut;
@@ -31,8 +31,8 @@
         this.without = without;
     }
 
-    private Rules play(long seed, Seams seams) throws ServiceException {
-        PlatformSimulation platform = new PlatformSimulation(seed, NODES, NODES, seams).embark();
+    private Rules play(long seed, FleetOverrides seams) throws ServiceException {
+        PlatformSimulation platform = new PlatformSimulation(seed, NODES, NODES, seams).startAll();
         played.play(platform);
         platform.end(COMPLETION);
         return new Rules(platform.seen);
@@ -40,7 +40,7 @@
 
     /** What is broken as shipped: nothing, if all is well. */
     public List<String> shipped(long seed) throws ServiceException {
-        return play(seed, Seams.none()).violations();
+        return play(seed, FleetOverrides.none()).violations();
     }
 
     /** The rules that are broken without the mechanism: this one among them, if it is what keeps the rule. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
@@ -19,7 +19,7 @@
     }
 
     private static final int QUEUE = 8;
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final ObservationLog seen;
     private final String id;
     private final String service;
@@ -32,7 +32,7 @@
     private boolean alive = true;
 
     ScriptedProcessor(
-            NetworkSimulation network,
+            SimulatedPlatformFleet network,
             ObservationLog seen,
             String id,
             String service,
@@ -94,7 +94,7 @@
         if (dedupes && table.running.contains(message)) {
             return Mono.just(answer(request, 409, true));
         }
-        if (busy >= slots + QUEUE || network.sim.luck(habits.turnsAway())) {
+        if (busy >= slots + QUEUE || network.sim.chance(habits.turnsAway())) {
             return Mono.just(answer(request, 503, true));
         }
         return run(request, message);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -25,7 +25,7 @@
     private static final Duration ROLL = Duration.ofMillis(10_500);
 
     private final PlatformSimulation simulation;
-    private final NetworkSimulation network;
+    private final SimulatedPlatformFleet network;
     private final Random random;
     private final Map<String, Runnable> planned = new LinkedHashMap<>();
     private final Map<String, Runnable> unplanned = new LinkedHashMap<>();
@@ -36,10 +36,10 @@
     private Duration nextStop = Duration.ZERO;
 
     public SeededPlatformDays(long seed) throws ServiceException {
-        this(seed, Seams.none());
+        this(seed, FleetOverrides.none());
     }
 
-    public SeededPlatformDays(long seed, Seams seams) throws ServiceException {
+    public SeededPlatformDays(long seed, FleetOverrides seams) throws ServiceException {
         random = new Random(seed * 17 + 3);
         calm = seed % 3 == 0;
         simulation = new PlatformSimulation(seed, 3 + (int) (seed % 3), 3, seams);
@@ -137,9 +137,10 @@
             return;
         }
         nextStop = network.sim.now().plus(ROLL);
-        network.pilot(node).drain();
+        network.dataPlaneNode(node).drain();
         for (int ms = 200; ms < 2000; ms += 200) {
-            network.sim.after(Duration.ofMillis(ms), () -> network.pilot(node).drain());
+            network.sim.after(
+                    Duration.ofMillis(ms), () -> network.dataPlaneNode(node).drain());
         }
         network.sim.after(Duration.ofMillis(5500), () -> {
             killed(node);
@@ -178,8 +179,8 @@
 
     private void weather() {
         trouble("weather", Duration.ofSeconds(3).plus(RECOVERY));
-        network.net.weather(0.05, 0.1);
-        network.sim.after(Duration.ofSeconds(3), () -> network.net.weather(0, 0));
+        network.net.setLossAndDuplication(0.05, 0.1);
+        network.sim.after(Duration.ofSeconds(3), () -> network.net.setLossAndDuplication(0, 0));
     }
 
     private void allAway() {
@@ -197,7 +198,7 @@
 
     /** The broken rules; empty when all went well. */
     public List<String> run(Duration length) {
-        simulation.embark();
+        simulation.startAll();
         simulation.clients.start(30);
         Duration end = network.sim.now().plus(length);
         while (network.sim.now().compareTo(end) < 0) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimPost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryClient.java
@@ -19,11 +19,11 @@
 import reactor.core.publisher.Sinks;
 
 /** The way from stores to back ends; back ends live outside of every host. */
-public final class SimPost {
+public final class SimDeliveryClient {
     /** The outside's clock: true time. */
     public interface Outside extends Clock, Timers {}
 
-    private final World fleet;
+    private final SimulatedFleet fleet;
     private final Set<String> down = new HashSet<>();
     private final Map<String, Duration> slowStreams = new HashMap<>();
     private final Map<String, String> names = new HashMap<>();
@@ -32,7 +32,7 @@
     private double answerLoss;
     private boolean middlebox;
 
-    SimPost(World fleet) {
+    SimDeliveryClient(SimulatedFleet fleet) {
         this.fleet = fleet;
     }
 
@@ -135,7 +135,7 @@
         backend.answer(request)
                 .subscribe(
                         response -> {
-                            if (!fleet.sim.luck(answerLoss) && !down.contains(id)) {
+                            if (!fleet.sim.chance(answerLoss) && !down.contains(id)) {
                                 fleet.sim.after(
                                         fleet.net.delay(),
                                         () -> host.soon(() -> sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -42,13 +42,13 @@
         }
     }
 
-    private final Sim sim;
+    private final Simulator sim;
     private final Map<String, Platter> files = new HashMap<>();
     private long syncs;
     private boolean full;
     private long written;
 
-    public SimDisk(Sim sim) {
+    public SimDisk(Simulator sim) {
         this.sim = sim;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -27,7 +27,7 @@
         void sent(String from, String to, Frame frame, int bytes);
     }
 
-    private final Sim sim;
+    private final Simulator sim;
     private final Map<String, Host> hosts = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
     /** Frames that wait in a stream whose other end does not take them: they are late, not lost. */
@@ -40,7 +40,7 @@
     private long frames;
     private Eye eye = (from, to, frame, bytes) -> {};
 
-    public SimNet(Sim sim) {
+    public SimNet(Simulator sim) {
         this.sim = sim;
     }
 
@@ -48,7 +48,7 @@
         hosts.put(host.address, host);
     }
 
-    public void weather(double newLoss, double newTwice) {
+    public void setLossAndDuplication(double newLoss, double newTwice) {
         loss = newLoss;
         twice = newTwice;
     }
@@ -102,7 +102,7 @@
         slowLinks.slow(from, to, bytesPerSecond);
     }
 
-    public void watch(Eye e) {
+    public void watchFrames(Eye e) {
         eye = e;
     }
 
@@ -116,11 +116,11 @@
     }
 
     Duration delay() {
-        return sim.luck(0.01) ? sim.between(5_000, 60_000) : sim.between(100, 1500);
+        return sim.chance(0.01) ? sim.between(5_000, 60_000) : sim.between(100, 1500);
     }
 
     private boolean lost(String from, String to) {
-        return !reaches(from, to) || sim.luck(loss);
+        return !reaches(from, to) || sim.chance(loss);
     }
 
     RpcClient rpc(Host self, Codec codec) {
@@ -152,7 +152,7 @@
                         sent(self.address, to, ask, bytes);
                         long life = self.life();
                         deliver(to, bytes, sink, life);
-                        if (sim.luck(twice)) {
+                        if (sim.chance(twice)) {
                             deliver(to, bytes, sink, life);
                         }
                         return sink.asMono().doFinally(signal -> late.cancel());
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/World.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
@@ -13,30 +13,20 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 import org.woadvale.common.membership.CoreClient;
-import org.woadvale.common.membership.CoreMembers;
-import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.ReplicationTiming;
 import org.woadvale.common.replication.Role;
-import org.woadvale.common.rpc.Codec;
-import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.rpc.RpcRouter;
-import org.woadvale.common.wal.DisabledWriteAheadLog;
-import org.woadvale.common.wal.RingWriteAheadLog;
-import org.woadvale.common.wal.WriteAheadLog;
-import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.controlplane.api.OperatorHttpHandler;
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.dataplane.DataPlaneNode;
-import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /** A whole fleet of the shipped nodes on fakes (docs/design.md, section 12.1). */
-public final class World extends Machines {
-    private static final int RING_FILES = 8;
+public final class SimulatedFleet extends Machines {
     /** Small, so that faultStorms meet the ring's end too. */
     static final int SMALL_RING = 512 << 10;
 
@@ -45,36 +35,36 @@
     public final Observations seen = new Observations();
     public final TestConfiguration testConfiguration;
     public final Map<String, Backend> backends = new LinkedHashMap<>();
-    public final SimPost post;
+    public final SimDeliveryClient post;
     private final int ringBytes;
     private final List<String> seeds;
     /** The seeds in the settings of machines that are started from now on. */
     private List<String> joinSeeds;
 
-    private final Map<String, ControlNode> controlNodes = new HashMap<>();
-    private final Map<String, OperatorHttpHandler> operators = new HashMap<>();
-    private final Map<String, DataPlaneNode> pilots = new HashMap<>();
-    private final Seams seams;
+    private final Map<String, ControlNode> controlNodesByAddress = new HashMap<>();
+    private final Map<String, OperatorHttpHandler> operatorHandlers = new HashMap<>();
+    private final Map<String, DataPlaneNode> dataPlaneNodes = new HashMap<>();
+    private final FleetOverrides seams;
 
-    public World(
+    public SimulatedFleet(
             long seed,
             int intakeCount,
             int storeCount,
             TestConfiguration testConfiguration,
             int ringBytes,
             int zoneCount,
-            Seams seams)
+            FleetOverrides seams)
             throws ServiceException {
-        super(new Sim(seed), zoneCount);
+        super(new Simulator(seed), zoneCount);
         this.seams = seams;
         this.ringBytes = ringBytes;
-        this.post = new SimPost(this);
+        this.post = new SimDeliveryClient(this);
         this.testConfiguration = testConfiguration;
         testConfiguration.allow(seen);
         for (int i = 0; i < 3; i++) {
-            lighthouses.add(host("10.0.0." + (i + 1) + ":1", i));
+            controlNodes.add(host("10.0.0." + (i + 1) + ":1", i));
         }
-        seeds = List.copyOf(lighthouses);
+        seeds = List.copyOf(controlNodes);
         joinSeeds = seeds;
         for (int i = 0; i < storeCount; i++) {
             stores.add(host("10.0.1." + (i + 1) + ":1", i));
@@ -89,14 +79,14 @@
 
     /** A control node that joins a running core, with settings that name present members as seeds. */
     public String newControlNode() throws ServiceException {
-        joinSeeds = presentLighthouses().stream().limit(seeds.size()).toList();
-        return newLighthouse();
+        joinSeeds = presentControlNodes().stream().limit(seeds.size()).toList();
+        return newControlNodeFirstSettings();
     }
 
     /** A control node that joins a running core, with the settings of the first start. */
-    public String newLighthouse() throws ServiceException {
-        String a = host("10.0.0." + (lighthouses.size() + 1) + ":1", lighthouses.size());
-        lighthouses.add(a);
+    public String newControlNodeFirstSettings() throws ServiceException {
+        String a = host("10.0.0." + (controlNodes.size() + 1) + ":1", controlNodes.size());
+        controlNodes.add(a);
         start(a);
         return a;
     }
@@ -123,38 +113,23 @@
         return addBackend(id, old.service(), old.paced());
     }
 
+    @Override
     public void start(String address) throws ServiceException {
-        Host host = hosts.get(address);
-        boolean controlNode = lighthouses.contains(address);
+        boolean controlNode = controlNodes.contains(address);
         boolean store = stores.contains(address);
-        RpcRouter router = new RpcRouter();
-        Codec codec = controlNode
-                ? RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())
-                : RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        host.boot(router);
-        RpcClient rpc = seams.rpc().apply(address, net.rpc(host, codec));
-        WriteAheadLog wal = controlNode || store
-                ? RingWriteAheadLog.open(seams.disk().apply(address, host.disk), host, RING_FILES, ringBytes)
-                : new DisabledWriteAheadLog();
-        wal.onFailure(why -> host.kill());
-        NodeEnvironment environment = new NodeEnvironment(
-                seams.times().apply(address, host),
-                host,
-                rpc,
-                codec,
-                wal,
-                sim.random()::nextLong,
-                seams.timing()
-                        .apply(controlNode || store ? ReplicationTiming.partitions() : ReplicationTiming.defaults()));
-        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, joinSeeds, CoreMembers.unknown(), members -> {});
+        ReplicationTiming timing = controlNode || store ? ReplicationTiming.partitions() : ReplicationTiming.defaults();
+        NodeStart start = boot(address, seams, ringBytes, timing, joinSeeds);
+        RpcRouter router = start.router();
+        NodeEnvironment environment = start.environment();
+        CoreClient core = start.core();
         if (controlNode) {
             ControlNode node =
                     new ControlNode(environment, core, seeds.contains(address) ? seeds : List.of(), zone(address));
             node.route(router);
             OperatorHttpHandler handler = new OperatorHttpHandler(node, "");
             handler.route(router);
-            controlNodes.put(address, node);
-            operators.put(address, handler);
+            controlNodesByAddress.put(address, node);
+            operatorHandlers.put(address, handler);
             node.start();
         } else {
             Settings boot = new Settings(
@@ -170,20 +145,14 @@
                     false,
                     8,
                     "");
-            DataPlaneNode node =
-                    new DataPlaneNode(environment, boot, core, seams.post().apply(address, post.from(host)));
+            DataPlaneNode node = new DataPlaneNode(
+                    environment, boot, core, seams.post().apply(address, post.from(hosts.get(address))));
             node.route(router);
-            pilots.put(address, node);
+            dataPlaneNodes.put(address, node);
             node.start();
         }
     }
 
-    public void restart(String address) throws ServiceException {
-        if (!lost.contains(address) && !hosts.get(address).alive()) {
-            start(address);
-        }
-    }
-
     /** A restart within an event of the simulator. */
     void begin(String address) {
         try {
@@ -193,12 +162,12 @@
         }
     }
 
-    public DataPlaneNode pilot(String address) {
-        return pilots.get(address);
+    public DataPlaneNode dataPlaneNode(String address) {
+        return dataPlaneNodes.get(address);
     }
 
     public ControlNode controlNode(String address) {
-        return controlNodes.get(address);
+        return controlNodesByAddress.get(address);
     }
 
     /** A request from outside to one node; no answer at all if the node dies or stays away. */
@@ -206,16 +175,16 @@
         reach(
                 to,
                 request,
-                () -> lighthouses.contains(to)
-                        ? operators.get(to).handle(request)
-                        : pilots.get(to).handle(request),
+                () -> controlNodes.contains(to)
+                        ? operatorHandlers.get(to).handle(request)
+                        : dataPlaneNodes.get(to).handle(request),
                 limit,
                 then);
     }
 
     /** What each node that answers says of the configuration it uses. */
     public void seenVersions() {
-        pilots.forEach((a, node) -> {
+        dataPlaneNodes.forEach((a, node) -> {
             if (hosts.get(a).alive() && !hosts.get(a).paused()) {
                 seen.saw(
                         seen.versions,
@@ -228,19 +197,25 @@
     public boolean repaired() {
         return hosts.keySet().stream().allMatch(h -> lost(h) || hosts.get(h).alive())
                 && presentStores().stream()
-                        .allMatch(s -> pilots.get(s).status().get("seated").equals(true)
-                                && pilots.get(s).groups().values().stream()
-                                        .noneMatch(g -> g.stream().anyMatch(this::lost)))
-                && presentLighthouses().stream()
+                        .allMatch(s ->
+                                dataPlaneNodes.get(s).status().get("seated").equals(true)
+                                        && dataPlaneNodes.get(s).groups().values().stream()
+                                                .noneMatch(g -> g.stream().anyMatch(this::lost)))
+                && presentControlNodes().stream()
                         .allMatch(l -> ServiceNames.controlParts().stream()
-                                .allMatch(p -> controlNodes.get(l).replica(p).role() != Role.UNINITIALIZED
-                                        && controlNodes.get(l).replica(p).role() != Role.STOPPED
-                                        && controlNodes.get(l).replica(p).members().keySet().stream()
-                                                .noneMatch(this::lost)));
+                                .allMatch(p ->
+                                        controlNodesByAddress.get(l).replica(p).role() != Role.UNINITIALIZED
+                                                && controlNodesByAddress
+                                                                .get(l)
+                                                                .replica(p)
+                                                                .role()
+                                                        != Role.STOPPED
+                                                && controlNodesByAddress.get(l).replica(p).members().keySet().stream()
+                                                        .noneMatch(this::lost)));
     }
 
     public boolean ready() {
         return intakes.stream()
-                .allMatch(i -> hosts.get(i).alive() && pilots.get(i).ready());
+                .allMatch(i -> hosts.get(i).alive() && dataPlaneNodes.get(i).ready());
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -32,7 +32,7 @@
         FaultStorm storm = new FaultStorm(SEED);
         storm.watchAnswers(watcher);
         storm.run();
-        FleetSimulation fleet = new FleetSimulation(SEED, 3, 3, 2).embark();
+        FleetSimulation fleet = new FleetSimulation(SEED, 3, 3, 2).startAll();
         fleet.w.watchAnswers(watcher);
         for (String node : fleet.w.all()) {
             for (String path : new String[] {
@@ -69,9 +69,9 @@
      * leader and entries after it.
      */
     public static Folders folders() throws ServiceException {
-        PlatformSimulation day = new PlatformSimulation(SEED, 3, 3, Seams.none()).embark();
+        PlatformSimulation day = new PlatformSimulation(SEED, 3, 3, FleetOverrides.none()).startAll();
         day.clients.start(REQUESTS_PER_SECOND);
-        NetworkSimulation network = day.network;
+        SimulatedPlatformFleet network = day.network;
         network.sim.run(DAY);
         for (String address : List.of(CONTROL_ADDRESS, STORE_ADDRESS)) {
             network.kill(address);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Sim.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Simulator.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 
 /** The fake clock and everything that is to happen on it (docs/design.md, section 12.1). */
-public final class Sim {
+public final class Simulator {
     private record Event(Duration at, long seq, Runnable task) {}
 
     private final PriorityQueue<Event> events =
@@ -18,7 +18,7 @@
     private long ran;
     private final TraceDigest trace = new TraceDigest();
 
-    public Sim(long seed) {
+    public Simulator(long seed) {
         random = new Random(seed);
     }
 
@@ -35,7 +35,7 @@
         return random;
     }
 
-    public boolean luck(double p) {
+    public boolean chance(double p) {
         return random.nextDouble() < p;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -20,8 +20,8 @@
         System.out.println("|---|---|---|---|---|");
         for (long seed = 1; seed <= 5; seed++) {
             FleetSimulation simulation = new FleetSimulation(
-                            seed, 8, 3, 4, new TestConfiguration(8, 12, 45, 60, 26), World.LARGE_RING)
-                    .embark();
+                            seed, 8, 3, 4, new TestConfiguration(8, 12, 45, 60, 26), SimulatedFleet.LARGE_RING)
+                    .startAll();
             simulation.traffic(150);
             simulation.w.sim.run(Duration.ofSeconds(20));
             int[] most = {0};
@@ -36,7 +36,8 @@
                     simulation.w.sim.runUntil(
                             () -> {
                                 most[0] = Math.max(
-                                        most[0], simulation.w.pilot(spare).notVotingCount());
+                                        most[0],
+                                        simulation.w.dataPlaneNode(spare).notVotingCount());
                                 return simulation.w.repaired();
                             },
                             Duration.ofSeconds(120)),
@@ -62,13 +63,18 @@
         System.out.println("|---|---|---|---|---|---|");
         for (int[] shape : new int[][] {{8, 3}, {7, 4}}) {
             FleetSimulation simulation = new FleetSimulation(
-                            1, shape[0], shape[1], 4, new TestConfiguration(8, 12, 45, 60, 26), World.SMALL_RING)
-                    .embark();
+                            1,
+                            shape[0],
+                            shape[1],
+                            4,
+                            new TestConfiguration(8, 12, 45, 60, 26),
+                            SimulatedFleet.SMALL_RING)
+                    .startAll();
             String name = shape[0] + "+" + shape[1] + "+3";
             simulation.w.sim.run(Duration.ofSeconds(10));
             row(simulation, name, "10 s after the start");
             simulation.w.kill(simulation.w.stores.get(0));
-            simulation.w.kill(simulation.w.lighthouses.get(0));
+            simulation.w.kill(simulation.w.controlNodes.get(0));
             simulation.w.kill(simulation.w.intakes.get(0));
             simulation.w.sim.run(Duration.ofSeconds(8));
             row(simulation, name, "first of each kind killed 8 s ago");
@@ -88,9 +94,10 @@
         List<Integer> holders = new ArrayList<>();
         long terms = 0;
         for (String s : simulation.w.stores) {
-            stores.add(simulation.w.host(s).alive() ? simulation.w.pilot(s).ledCount() : 0);
+            stores.add(
+                    simulation.w.host(s).alive() ? simulation.w.dataPlaneNode(s).ledCount() : 0);
         }
-        for (String l : simulation.w.lighthouses) {
+        for (String l : simulation.w.controlNodes) {
             controlNodes.add(
                     simulation.w.host(l).alive()
                             ? ServiceNames.controlParts().stream()
@@ -106,13 +113,13 @@
         for (String i : simulation.w.intakes) {
             holders.add(
                     simulation.w.host(i).alive()
-                            ? simulation.w.pilot(i).ownedBuckets().size()
+                            ? simulation.w.dataPlaneNode(i).ownedBuckets().size()
                             : 0);
         }
         for (String p : ServiceNames.messageParts()) {
             terms += simulation.w.stores.stream()
                     .filter(s -> simulation.w.host(s).alive())
-                    .mapToLong(s -> simulation.w.pilot(s).term(p))
+                    .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
                     .max()
                     .orElse(0);
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -43,14 +43,14 @@
     private static final double MESSAGES_PER_SECOND = 40;
 
     private final FleetSimulation fleet;
-    private final Sim sim;
+    private final Simulator sim;
     /** The successor's start, or the moment at which the leaver was told to stop. */
     private Duration measuredFrom = Duration.ZERO;
     /** From here on the first store no longer counts as lost. */
     private Duration secondLossFrom = Duration.ZERO;
 
     private StoreReplacement(long seed) throws ServiceException {
-        fleet = new FleetSimulation(seed, 3, 3, 4).embark();
+        fleet = new FleetSimulation(seed, 3, 3, 4).startAll();
         sim = fleet.w.sim;
     }
 
@@ -81,10 +81,10 @@
         String successor = fleet.w.newStore();
         waitUntil(successorStart.plus(CATCH_UP).plus(sim.between(0, 6_000_000)));
         measuredFrom = sim.now();
-        boolean drained = fleet.w.pilot(leaver).drain();
+        boolean drained = fleet.w.dataPlaneNode(leaver).drain();
         while (!drained && sim.now().minus(measuredFrom).compareTo(DRAIN_LIMIT) < 0) {
             sim.run(DRAIN_STEP);
-            drained = fleet.w.pilot(leaver).drain();
+            drained = fleet.w.dataPlaneNode(leaver).drain();
         }
         sim.run(LAST_PAUSE);
         fleet.w.lose(leaver);
@@ -134,12 +134,12 @@
 
     private boolean countedEverywhere(String successor) {
         Set<String> expected = new TreeSet<>(fleet.w.presentStores());
-        return fleet.w.pilot(successor).notVotingCount() == 0
+        return fleet.w.dataPlaneNode(successor).notVotingCount() == 0
                 && fleet.w.presentStores().stream()
-                        .allMatch(store -> fleet.w.pilot(store).groups().size() == ServiceNames.MESSAGE_PARTS
-                                && fleet.w.pilot(store).groups().values().stream()
+                        .allMatch(store -> fleet.w.dataPlaneNode(store).groups().size() == ServiceNames.MESSAGE_PARTS
+                                && fleet.w.dataPlaneNode(store).groups().values().stream()
                                         .allMatch(expected::equals))
-                && fleet.w.pilot(successor).promotedEverywhere();
+                && fleet.w.dataPlaneNode(successor).promotedEverywhere();
     }
 
     /** Any of the stores that count, the successor too; its disk is lost with it. */
@@ -166,7 +166,7 @@
 
     private boolean everyPartitionIsLed() {
         return fleet.w.presentStores().stream()
-                        .mapToLong(store -> fleet.w.pilot(store).ledCount())
+                        .mapToLong(store -> fleet.w.dataPlaneNode(store).ledCount())
                         .sum()
                 == ServiceNames.MESSAGE_PARTS;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
@@ -23,7 +23,7 @@
     private TrafficMeter() {}
 
     private void watch(FleetSimulation simulation) {
-        simulation.w.net.watch((from, to, frame, bytes) -> {
+        simulation.w.net.watchFrames((from, to, frame, bytes) -> {
             if (!simulation.w.zone(from).equals(simulation.w.zone(to))) {
                 Load load = loads.computeIfAbsent(frame.body().getClass().getSimpleName(), k -> new Load());
                 load.frames++;
@@ -61,7 +61,7 @@
 
     public static void main(String[] args) throws ServiceException {
         TestConfiguration eight = new TestConfiguration(8, 12, 45, 60, 26);
-        FleetSimulation idle = new FleetSimulation(1, 8, 3, 12, eight, World.LARGE_RING).embark();
+        FleetSimulation idle = new FleetSimulation(1, 8, 3, 12, eight, SimulatedFleet.LARGE_RING).startAll();
         idle.w.sim.run(Duration.ofSeconds(30));
         TrafficMeter quiet = new TrafficMeter();
         quiet.watch(idle);
@@ -73,7 +73,8 @@
     }
 
     private static void busy(int rate, TestConfiguration testConfiguration) throws ServiceException {
-        FleetSimulation busy = new FleetSimulation(1, 8, 3, 12, testConfiguration, World.LARGE_RING).embark();
+        FleetSimulation busy =
+                new FleetSimulation(1, 8, 3, 12, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         busy.traffic(rate);
         busy.w.sim.run(Duration.ofSeconds(10));
         long before = busy.kinds().getOrDefault("accepted", 0L);
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -35,7 +35,7 @@
     private static final Duration LONG = Duration.ofSeconds(60);
 
     private Fleet fleet;
-    private StubEnvironment town;
+    private StubEnvironment stubEnvironment;
     private Load load;
     private RunbookHarness runbooks;
 
@@ -48,7 +48,8 @@
     }
 
     private void accepted(String when) {
-        town.await("a hand-in " + when, LONG, () -> load.one(0).join().said() == Observations.Said.ACCEPTED);
+        stubEnvironment.await(
+                "a hand-in " + when, LONG, () -> load.one(0).join().said() == Observations.Said.ACCEPTED);
     }
 
     @Test
@@ -57,12 +58,12 @@
         try (Fleet f = fleet;
                 StubEnvironment environment =
                         new StubEnvironment(f, Shape.SMALL, new TestConfiguration(8, 2, 45, 60, 26))) {
-            town = environment;
+            stubEnvironment = environment;
             runbooks = new RunbookHarness(environment);
             load = new Load(environment, f, 5);
             f.startAll();
             environment.await(
-                    "the core's readiness", LONG, () -> f.lighthouses.stream().allMatch(environment::ready));
+                    "the core's readiness", LONG, () -> f.controlNodes.stream().allMatch(environment::ready));
             environment.putConfiguration(environment.configuration(), 0, "first");
             environment.listProcessors();
             environment.await("readiness", LONG, () -> f.all().stream().allMatch(environment::ready));
@@ -71,10 +72,10 @@
             CompletableFuture<Void> traffic = CompletableFuture.runAsync(() -> load.run(Duration.ofSeconds(12), 40));
             f.stores.get(0).kill();
             accepted("with a store killed");
-            f.lighthouses.get(0).kill();
+            f.controlNodes.get(0).kill();
             accepted("with a lighthouse killed as well");
             f.stores.get(0).start();
-            f.lighthouses.get(0).start();
+            f.controlNodes.get(0).start();
             environment.await("return", LONG, () -> f.all().stream().allMatch(environment::ready));
             changeConfigurations();
             roll();
@@ -87,7 +88,7 @@
             }
             runbooks.run(
                     "check-after-outage",
-                    Map.of("lighthouses", list(f.lighthouses), "stores", list(f.stores), "intakes", list(f.intakes)));
+                    Map.of("lighthouses", list(f.controlNodes), "stores", list(f.stores), "intakes", list(f.intakes)));
             accepted("after the outage");
             boolean settled = load.settle(Duration.ofSeconds(120));
             assertEquals(List.of(), load.broken(), "every 202 carries a handle");
@@ -105,7 +106,7 @@
     private void generatedClient() throws ApiException {
         ClientLoad client = new ClientLoad(fleet.intakes.get(0).http, TestConfiguration.callerKey(1));
         String handle = client.submit("hold", "generated");
-        town.await("the end of " + handle, LONG, () -> client.over(handle));
+        stubEnvironment.await("the end of " + handle, LONG, () -> client.over(handle));
         assertEquals(Message.StateEnum.DONE, client.show(handle).getState());
         assertTrue(client.show(handle).getProof().contains(handle), "the receipt names it");
         ApiException no = assertThrows(ApiException.class, () -> client.submit("nowhere", "generated"));
@@ -115,15 +116,17 @@
 
     /** The runbooks require a core that is ready; on a busy machine a part may be between two owners just then. */
     private void allReady() {
-        town.await("everybody's readiness", LONG, () -> fleet.all().stream().allMatch(town::ready));
+        stubEnvironment.await(
+                "everybody's readiness", LONG, () -> fleet.all().stream().allMatch(stubEnvironment::ready));
     }
 
     private void changeConfigurations() throws Exception {
         allReady();
         Map<String, Configuration.Lane> lanes =
-                new TreeMap<>(town.configuration().lanes());
+                new TreeMap<>(stubEnvironment.configuration().lanes());
         lanes.put("extra", lanes.get("hold"));
-        Map<String, Configuration.Key> keys = new TreeMap<>(town.configuration().keys());
+        Map<String, Configuration.Key> keys =
+                new TreeMap<>(stubEnvironment.configuration().keys());
         keys.put(
                 "guest",
                 new Configuration.Key(
@@ -132,8 +135,11 @@
                         "",
                         Configurations.sha256("guest-secret")));
         Configuration next = new Configuration(
-                town.configuration().tenants(), town.configuration().services(), lanes, keys);
-        String l = http(fleet.lighthouses.get(1));
+                stubEnvironment.configuration().tenants(),
+                stubEnvironment.configuration().services(),
+                lanes,
+                keys);
+        String l = http(fleet.controlNodes.get(1));
         String i = http(fleet.intakes.get(0));
         runbooks.run(
                 "put-layout",
@@ -147,7 +153,8 @@
                         "layout",
                         new String(Configurations.write(next), StandardCharsets.UTF_8)));
         runbooks.run("withdraw-key", Map.of("lighthouse", l, "intake", i, "request", "day-2", "key", "guest"));
-        var refused = town.client
+        var refused = stubEnvironment
+                .client
                 .send(
                         "POST",
                         fleet.intakes.get(0).http,
@@ -183,8 +190,8 @@
     private void replaceLighthouse(Path root) throws Exception {
         allReady();
         List<String> seeds =
-                fleet.lighthouses.stream().map(process -> process.address).toList();
-        fleet.lighthouses.get(2).kill();
+                fleet.controlNodes.stream().map(process -> process.address).toList();
+        fleet.controlNodes.get(2).kill();
         String address = Fleet.free();
         NodeProcess fresh = new NodeProcess(
                 "lighthouse3",
@@ -197,13 +204,13 @@
                 List.of(),
                 true,
                 true);
-        fleet.lighthouses.set(2, fresh);
+        fleet.controlNodes.set(2, fresh);
         runbooks.byHand(step -> fresh.start());
         runbooks.run(
                 "replace-lighthouse",
                 Map.of(
                         "lighthouse",
-                        http(fleet.lighthouses.get(0)),
+                        http(fleet.controlNodes.get(0)),
                         "newLighthouse",
                         http(fresh),
                         "first",
@@ -221,7 +228,7 @@
         NodeProcess fresh = fleet.pilot("store3", "hall2", "store");
         fleet.stores.set(2, fresh);
         runbooks.byHand(step -> fresh.start());
-        runbooks.run("replace-store", Map.of("lighthouse", http(fleet.lighthouses.get(0)), "store", http(fresh)));
+        runbooks.run("replace-store", Map.of("lighthouse", http(fleet.controlNodes.get(0)), "store", http(fresh)));
         accepted("with a new store");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -27,9 +27,9 @@
 import org.woadvale.controlplane.state.ControlStateMachine;
 import org.woadvale.dataplane.queue.MessageStateMachine;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimDisk;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 /** What replicas recover from a data folder, partition by partition. */
 final class StoredFolder {
@@ -51,7 +51,7 @@
     /** A line for each partition: log position, term, identity, members and a checksum of the state machine. */
     static List<String> recover(InputStream folder, String address, StoredFrames.Program program)
             throws IOException, ServiceException, ReflectiveOperationException {
-        Sim sim = new Sim(1);
+        Simulator sim = new Simulator(1);
         Harness machine = new Harness(address, sim, new SimNet(sim));
         machine.boot(new RpcRouter());
         try (DataInputStream data = new DataInputStream(new GZIPInputStream(folder))) {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/OldBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FirstFormatTest.java
@@ -18,7 +18,7 @@
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /** What the first version wrote into logs: a changed type or number shows here before it eats a disk. */
-class OldBytesTest {
+class FirstFormatTest {
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
 
     private static <T> T read(String hex, Class<T> type) throws ServiceException {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
@@ -15,21 +15,21 @@
 class FullDiskGroupTest {
     private static final Duration SETTLED = Duration.ofSeconds(3);
 
-    private static void setFull(Trio replicas, String node, boolean full) {
+    private static void setFull(ReplicaGroupFixture replicas, String node, boolean full) {
         replicas.hosts.get(node).disk().setFull(full);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void oneFullDiskHoldsNothingUpAndCatchesUp(long seed) throws ServiceException {
-        Trio replicas = new Trio(seed);
-        String leader = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
+        String leader = replicas.awaitLeader();
         List<String> names = List.copyOf(replicas.hosts.keySet());
         String full = seed % 2 == 0 ? leader : names.get((names.indexOf(leader) + 1) % names.size());
         setFull(replicas, full, true);
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            accepted.add(replicas.say("word" + i));
+            accepted.add(replicas.propose("word" + i));
             replicas.sim.run(Duration.ofMillis(200));
         }
         assertEquals("word19", accepted.get(19));
@@ -40,15 +40,15 @@
                 .filter(n -> !n.equals(full))
                 .findFirst()
                 .ifPresent(n -> replicas.hosts.get(n).kill());
-        assertEquals("after", replicas.say("after"));
-        assertTrue(replicas.words.get(replicas.awaitOwner()).words.containsAll(accepted));
+        assertEquals("after", replicas.propose("after"));
+        assertTrue(replicas.words.get(replicas.awaitLeader()).words.containsAll(accepted));
     }
 
     /** With two full disks nothing can be confirmed; what was under way is decided once there is room. */
     @Test
     void twoFullDisksConfirmNothingUntilThereIsRoom() throws ServiceException {
-        Trio replicas = new Trio(5);
-        String leader = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
+        String leader = replicas.awaitLeader();
         replicas.hosts.keySet().stream().filter(n -> !n.equals(leader)).forEach(n -> setFull(replicas, n, true));
         List<String> answers = new ArrayList<>();
         replicas.replicas
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
@@ -16,15 +16,15 @@
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 /** A disk that takes no more bytes for a while: nothing is confirmed, nothing is lost, the process goes on. */
 class FullDiskTest {
     private static final int FILES = 4;
     private static final int SIZE = 4096;
     private static final int LARGE_SIZE = 4 << 20;
-    private final Sim sim = new Sim(31);
+    private final Simulator sim = new Simulator(31);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
     private final List<String> failures = new ArrayList<>();
     private final List<Long> confirmed = new ArrayList<>();
--- a/testkit/src/test/java/org/woadvale/testkit/replication/KeeperReturnTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/LeaderRestartTest.java
@@ -15,15 +15,15 @@
 /**
  * The former owner need not wait for its own lease, and nobody else may take that way. (docs/design.md, section 5.3)
  */
-class KeeperReturnTest {
+class LeaderRestartTest {
     private static final Duration SOON = Duration.ofMillis(600);
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void afterALossOfAllPowerTheFormerOwnerOwnsAtOnce(long seed) throws ServiceException {
-        Trio replicas = new Trio(seed);
-        assertEquals("one", replicas.say("one"));
-        String former = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
+        assertEquals("one", replicas.propose("one"));
+        String former = replicas.awaitLeader();
         replicas.sim.run(Duration.ofSeconds(1));
         for (String h : replicas.hosts.keySet()) {
             replicas.hosts.get(h).powerLoss();
@@ -31,32 +31,32 @@
         for (String h : replicas.hosts.keySet()) {
             replicas.start(h);
         }
-        assertTrue(replicas.sim.runUntil(() -> replicas.owner().isPresent(), SOON), "nobody owns the part in time");
-        assertEquals(former, replicas.owner().orElseThrow());
-        assertEquals("two", replicas.say("two"));
+        assertTrue(replicas.sim.runUntil(() -> replicas.leader().isPresent(), SOON), "nobody owns the part in time");
+        assertEquals(former, replicas.leader().orElseThrow());
+        assertEquals("two", replicas.propose("two"));
     }
 
     @Test
     void anOwnerOfAnEarlierTermWaitsForThePresentOne() throws ServiceException {
-        Trio replicas = new Trio(7);
-        String old = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(7);
+        String old = replicas.awaitLeader();
         replicas.hosts.get(old).powerLoss();
-        String next = replicas.awaitOwner();
+        String next = replicas.awaitLeader();
         assertFalse(next.equals(old));
         replicas.sim.run(Duration.ofSeconds(1));
         replicas.start(old);
         for (int i = 0; i < 40; i++) {
             replicas.sim.run(Duration.ofMillis(50));
-            assertEquals(next, replicas.owner().orElse("none"), "the present owner's claim runs");
+            assertEquals(next, replicas.leader().orElse("none"), "the present owner's claim runs");
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void neverTwoOwnersUnderRestartsAndPauses(long seed) throws ServiceException {
-        Trio replicas = new Trio(seed);
-        replicas.awaitOwner();
-        replicas.net.weather(0.05, 0.05);
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
+        replicas.awaitLeader();
+        replicas.net.setLossAndDuplication(0.05, 0.05);
         List<String> names = new ArrayList<>(replicas.hosts.keySet());
         long worst = 0;
         for (int i = 0; i < 600; i++) {
@@ -78,11 +78,11 @@
                 default -> {}
             }
             replicas.sim.run(Duration.ofMillis(100));
-            worst = Math.max(worst, replicas.owners());
+            worst = Math.max(worst, replicas.leaderCount());
         }
         replicas.net.heal();
         replicas.sim.run(Duration.ofSeconds(8));
         assertEquals(1, worst);
-        assertEquals("last", replicas.say("last"));
+        assertEquals("last", replicas.propose("last"));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/Trio.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicaGroupFixture.java
@@ -18,12 +18,12 @@
 import org.woadvale.common.rpc.RpcRouter;
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 import reactor.core.publisher.Mono;
 
 /** One part on three (or more) simulated hosts, with a machine that keeps a list of words. */
-final class Trio {
+final class ReplicaGroupFixture {
     static final class Words implements StateMachine<String, String> {
         final List<String> words = new ArrayList<>();
         private final Codec codec;
@@ -63,23 +63,23 @@
 
     static final String PART = "m0";
     private final int ringFileSize;
-    final Sim sim;
+    final Simulator sim;
     final SimNet net;
     final Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
     final Map<String, Harness> hosts = new LinkedHashMap<>();
     final Map<String, Replica<String, String>> replicas = new LinkedHashMap<>();
     final Map<String, Words> words = new LinkedHashMap<>();
-    List<String> wanted = List.of("a:1", "b:1", "c:1");
+    List<String> desiredMembers = List.of("a:1", "b:1", "c:1");
 
-    Trio(long seed) throws ServiceException {
+    ReplicaGroupFixture(long seed) throws ServiceException {
         this(seed, 512 << 10);
     }
 
-    Trio(long seed, int ringFileSize) throws ServiceException {
+    ReplicaGroupFixture(long seed, int ringFileSize) throws ServiceException {
         this.ringFileSize = ringFileSize;
-        sim = new Sim(seed);
+        sim = new Simulator(seed);
         net = new SimNet(sim);
-        for (String n : wanted) {
+        for (String n : desiredMembers) {
             add(n);
         }
     }
@@ -104,19 +104,19 @@
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
         Words m = new Words(codec);
-        Replica<String, String> replica = new Replica<>(PART, wanted, m, environment);
+        Replica<String, String> replica = new Replica<>(PART, desiredMembers, m, environment);
         ReplicationMessages.route(router, part -> Mono.just(replica));
         words.put(n, m);
         replicas.put(n, replica);
         replica.start(wal.recovered().getOrDefault(PART, List.of()));
     }
 
-    void want(List<String> members) {
-        wanted = members;
+    void setDesiredMembers(List<String> members) {
+        desiredMembers = members;
         replicas.values().forEach(replica -> replica.setDesiredMembers(members));
     }
 
-    Optional<String> owner() {
+    Optional<String> leader() {
         return replicas.entrySet().stream()
                 .filter(entry -> hosts.get(entry.getKey()).alive()
                         && entry.getValue().role() == Role.LEADER
@@ -125,26 +125,26 @@
                 .findFirst();
     }
 
-    long owners() {
+    long leaderCount() {
         return replicas.entrySet().stream()
                 .filter(entry ->
                         hosts.get(entry.getKey()).alive() && entry.getValue().isActiveLeader())
                 .count();
     }
 
-    String awaitOwner() {
-        if (!sim.runUntil(() -> owner().isPresent(), Duration.ofSeconds(20))) {
+    String awaitLeader() {
+        if (!sim.runUntil(() -> leader().isPresent(), Duration.ofSeconds(20))) {
             throw new AssertionError("nobody owns the part");
         }
-        return owner().orElseThrow();
+        return leader().orElseThrow();
     }
 
     /** Proposes at the owner; the answer, or the fault's kind. */
-    String say(String word) {
-        return sayAt(awaitOwner(), word);
+    String propose(String word) {
+        return proposeAt(awaitLeader(), word);
     }
 
-    String sayAt(String n, String word) {
+    String proposeAt(String n, String word) {
         String[] out = {"open"};
         Mono<String> m = replicas.get(n).propose(word, String.class);
         m.subscribe(x -> out[0] = x, e -> out[0] = ServiceException.of(e).kind().wireName());
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -22,11 +22,11 @@
 class ReplicationTest {
     @Test
     void committedWordsOutliveTheOwner() throws ServiceException {
-        Trio replicas = new Trio(1);
-        assertEquals("one", replicas.say("one"));
-        String first = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(1);
+        assertEquals("one", replicas.propose("one"));
+        String first = replicas.awaitLeader();
         replicas.hosts.get(first).powerLoss();
-        assertEquals("two", replicas.say("two"));
+        assertEquals("two", replicas.propose("two"));
         replicas.start(first);
         replicas.sim.run(Duration.ofSeconds(3));
         assertEquals(List.of("one", "two"), replicas.words.get(first).words);
@@ -34,11 +34,11 @@
 
     @Test
     void pausedOwnerWakesHarmless() throws ServiceException {
-        Trio replicas = new Trio(2);
-        String old = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(2);
+        String old = replicas.awaitLeader();
         replicas.hosts.get(old).pause(Duration.ofSeconds(6));
         replicas.sim.run(Duration.ofSeconds(5));
-        String next = replicas.awaitOwner();
+        String next = replicas.awaitLeader();
         assertFalse(next.equals(old), "another must own while the first is paused");
         replicas.sim.run(Duration.ofSeconds(1));
         assertFalse(
@@ -48,9 +48,9 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void neverTwoOwnersUnderCuts(long seed) throws ServiceException {
-        Trio replicas = new Trio(seed);
-        replicas.awaitOwner();
-        replicas.net.weather(0.05, 0.05);
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
+        replicas.awaitLeader();
+        replicas.net.setLossAndDuplication(0.05, 0.05);
         long worst = 0;
         for (int i = 0; i < 400; i++) {
             if (i % 40 == 0) {
@@ -59,15 +59,15 @@
                         .get(replicas.sim.random().nextInt(3)));
             }
             replicas.sim.run(Duration.ofMillis(100));
-            worst = Math.max(worst, replicas.owners());
+            worst = Math.max(worst, replicas.leaderCount());
         }
         assertEquals(1, worst);
     }
 
     @Test
     void cutOffReplicaDoesNotUnseatTheOwnerOnReturn() throws ServiceException {
-        Trio replicas = new Trio(3);
-        String owner = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(3);
+        String owner = replicas.awaitLeader();
         String other = replicas.hosts.keySet().stream()
                 .filter(h -> !h.equals(owner))
                 .findFirst()
@@ -77,14 +77,14 @@
         replicas.sim.run(Duration.ofSeconds(10));
         replicas.net.heal();
         replicas.sim.run(Duration.ofSeconds(3));
-        assertEquals(owner, replicas.awaitOwner());
+        assertEquals(owner, replicas.awaitLeader());
         assertEquals(term, replicas.replicas.get(owner).term());
     }
 
     @Test
     void farBehindReplicaTakesAViewThenFollows() throws ServiceException {
-        Trio replicas = new Trio(4);
-        String owner = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(4);
+        String owner = replicas.awaitLeader();
         String behind = replicas.hosts.keySet().stream()
                 .filter(h -> !h.equals(owner))
                 .findFirst()
@@ -92,7 +92,7 @@
         replicas.hosts.get(behind).kill();
         List<String> said = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            said.add(replicas.say("w" + i + "x".repeat(1500)));
+            said.add(replicas.propose("w" + i + "x".repeat(1500)));
         }
         replicas.start(behind);
         replicas.sim.run(Duration.ofSeconds(4));
@@ -102,12 +102,12 @@
     /** The disk is blank: the replica must not vote until the others have voting it anew. */
     @Test
     void lostDiskLosesNothing() throws ServiceException {
-        Trio replicas = new Trio(5);
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
         loseDiskOfTheOnlyOther(replicas, false);
         replicas.sim.run(Duration.ofSeconds(10));
-        assertEquals(0, replicas.owners(), "blank b and behind c must not own the part between them");
+        assertEquals(0, replicas.leaderCount(), "blank b and behind c must not own the part between them");
         replicas.start("a:1");
-        replicas.awaitOwner();
+        replicas.awaitLeader();
         replicas.sim.run(Duration.ofSeconds(5));
         assertTrue(replicas.words.get("b:1").words.contains("precious"));
         assertEquals(Role.FOLLOWER, replicas.replicas.get("c:1").role());
@@ -120,23 +120,23 @@
      */
     @Test
     void naiveDiskReturnLosesAnAcceptedEntry() throws ServiceException {
-        Trio replicas = new Trio(5);
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
         loseDiskOfTheOnlyOther(replicas, true);
-        replicas.awaitOwner();
+        replicas.awaitLeader();
         replicas.start("a:1");
         replicas.sim.run(Duration.ofSeconds(5));
-        assertFalse(replicas.words.get(replicas.awaitOwner()).words.contains("precious"));
+        assertFalse(replicas.words.get(replicas.awaitLeader()).words.contains("precious"));
     }
 
     /** Accepted by a and b while c is away; then b's disk is lost, a is down, and c is back. */
-    private static void loseDiskOfTheOnlyOther(Trio replicas, boolean naive) throws ServiceException {
-        assertEquals("early", replicas.say("early"));
+    private static void loseDiskOfTheOnlyOther(ReplicaGroupFixture replicas, boolean naive) throws ServiceException {
+        assertEquals("early", replicas.propose("early"));
         replicas.sim.run(Duration.ofSeconds(1));
-        assertEquals("a:1", replicas.awaitOwner());
+        assertEquals("a:1", replicas.awaitLeader());
         String identity = replicas.replicas.get("b:1").members().get("b:1");
         Map<String, String> group = replicas.replicas.get("b:1").members();
         replicas.net.cutOff("c:1");
-        assertEquals("precious", replicas.say("precious"));
+        assertEquals("precious", replicas.propose("precious"));
         replicas.hosts.get("a:1").kill();
         replicas.hosts.get("b:1").kill();
         replicas.hosts.get("b:1").disk().wipe();
@@ -147,7 +147,8 @@
             ReplicationMessages.ReplicaSnapshot base =
                     new ReplicationMessages.ReplicaSnapshot(identity, 0, "", true, 0, 0, group, new byte[0], List.of());
             wal.append(
-                    List.of(new WalRecord(Trio.PART, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
+                    List.of(new WalRecord(
+                            ReplicaGroupFixture.PART, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
                     () -> {});
             replicas.sim.run(Duration.ofMillis(100));
             replicas.hosts.get("b:1").kill();
@@ -158,31 +159,31 @@
 
     @Test
     void lostMemberIsReplacedAndAllCopiesCount() throws ServiceException {
-        Trio replicas = new Trio(6);
-        replicas.say("one");
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(6);
+        replicas.propose("one");
         replicas.hosts.get("c:1").kill();
-        replicas.want(List.of("a:1", "b:1", "d:1"));
+        replicas.setDesiredMembers(List.of("a:1", "b:1", "d:1"));
         replicas.add("d:1");
         replicas.sim.run(Duration.ofSeconds(6));
         assertEquals(
                 Set.of("a:1", "b:1", "d:1"),
-                replicas.replicas.get(replicas.awaitOwner()).members().keySet());
-        replicas.hosts.get(replicas.awaitOwner()).kill();
-        assertEquals("two", replicas.say("two"));
+                replicas.replicas.get(replicas.awaitLeader()).members().keySet());
+        replicas.hosts.get(replicas.awaitLeader()).kill();
+        assertEquals("two", replicas.propose("two"));
         assertTrue(replicas.words.get("d:1").words.containsAll(List.of("one", "two")));
     }
 
     @Test
     void handOverMovesTheOwnerWithoutWaitingForTheClaim() throws ServiceException {
-        Trio replicas = new Trio(7);
-        String old = replicas.awaitOwner();
-        replicas.say("one");
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(7);
+        String old = replicas.awaitLeader();
+        replicas.propose("one");
         replicas.sim.run(Duration.ofSeconds(1));
         String successor = replicas.replicas.get(old).successor().orElseThrow();
         Duration begun = replicas.sim.now();
         assertTrue(replicas.replicas.get(old).transferLeadership(successor));
         assertFalse(replicas.replicas.get(old).isActiveLeader(), "the claim is given up first");
-        replicas.sim.runUntil(() -> replicas.owner().filter(successor::equals).isPresent(), Duration.ofSeconds(3));
+        replicas.sim.runUntil(() -> replicas.leader().filter(successor::equals).isPresent(), Duration.ofSeconds(3));
         assertTrue(
                 replicas.sim.now().minus(begun).compareTo(Duration.ofMillis(500)) < 0,
                 "took " + replicas.sim.now().minus(begun));
@@ -190,16 +191,16 @@
 
     @Test
     void refusedProposalIsDefiniteAndNeverApplied() throws ServiceException {
-        Trio replicas = new Trio(8);
-        String owner = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(8);
+        String owner = replicas.awaitLeader();
         String other = replicas.hosts.keySet().stream()
                 .filter(h -> !h.equals(owner))
                 .findFirst()
                 .orElseThrow();
-        assertEquals("not_owner", replicas.sayAt(other, "never"));
+        assertEquals("not_owner", replicas.proposeAt(other, "never"));
         replicas.net.cutOff(owner);
         replicas.sim.run(Duration.ofSeconds(4));
-        assertEquals("not_owner", replicas.sayAt(owner, "never"));
+        assertEquals("not_owner", replicas.proposeAt(owner, "never"));
         replicas.net.heal();
         replicas.sim.run(Duration.ofSeconds(5));
         assertFalse(replicas.words.values().stream().anyMatch(words -> words.words.contains("never")));
@@ -207,9 +208,9 @@
 
     @Test
     void undecidedProposalIsUnknownNotRefused() throws ServiceException {
-        Trio replicas = new Trio(9);
-        String owner = replicas.awaitOwner();
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(9);
+        String owner = replicas.awaitLeader();
         replicas.net.cutOff(owner);
-        assertEquals("unknown_outcome", replicas.sayAt(owner, "perhaps"));
+        assertEquals("unknown_outcome", replicas.proposeAt(owner, "perhaps"));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingDiskAccessTest.java
@@ -18,11 +18,11 @@
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 /** How many bytes the ring asks of the disk at once, and in how many calls. */
-class RingBytesTest {
+class RingDiskAccessTest {
     private static final int FILES = 12;
     private static final int SIZE = 8 << 20;
     private static final int RECORD = 200_000;
@@ -84,7 +84,7 @@
         }
     }
 
-    private final Sim sim = new Sim(21);
+    private final Simulator sim = new Simulator(21);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
     private Counting disk;
 
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
@@ -14,8 +14,8 @@
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 /** The power goes between a write and its sync, at every place of a ring that has wrapped. */
 class RingPowerCutTest {
@@ -78,7 +78,7 @@
     @Test
     void aTornFirstBatchOverTheOldestFileIsNoDamage() throws ServiceException {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Sim sim = new Sim(seed);
+            Simulator sim = new Simulator(seed);
             Harness harness = new Harness("a:1", sim, new SimNet(sim));
             List<Long> confirmed = new ArrayList<>();
             writeUntilThePowerIsCut(sim, harness, confirmed, 1 + (int) (seed % 40));
@@ -101,7 +101,7 @@
         }
     }
 
-    private static void writeUntilThePowerIsCut(Sim sim, Harness harness, List<Long> confirmed, int syncs)
+    private static void writeUntilThePowerIsCut(Simulator sim, Harness harness, List<Long> confirmed, int syncs)
             throws ServiceException {
         harness.boot(new RpcRouter());
         RingWriteAheadLog wal = RingWriteAheadLog.open(new CutDisk(harness.disk(), syncs), harness.host(), FILES, SIZE);
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -27,63 +27,63 @@
 
     private final Map<String, Integer> piecesSent = new HashMap<>();
 
-    private Trio afterManyChanges(long seed, int changes) throws ServiceException {
-        Trio replicas = new Trio(seed, RING_FILE);
-        replicas.net.watch((from, to, frame, bytes) -> {
+    private ReplicaGroupFixture afterManyChanges(long seed, int changes) throws ServiceException {
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed, RING_FILE);
+        replicas.net.watchFrames((from, to, frame, bytes) -> {
             if (frame.body() instanceof SnapshotMessages.SnapshotChunkRequest) {
                 piecesSent.merge(to, 1, Integer::sum);
                 assertTrue(bytes < 300_000, "a piece of " + bytes + " bytes");
             }
         });
         for (int i = 0; i < changes; i++) {
-            replicas.say(i + "x".repeat(CHANGE_BYTES));
+            replicas.propose(i + "x".repeat(CHANGE_BYTES));
         }
         replicas.sim.run(Duration.ofSeconds(1));
         return replicas;
     }
 
-    private static String follower(Trio replicas) {
-        String leader = replicas.awaitOwner();
+    private static String follower(ReplicaGroupFixture replicas) {
+        String leader = replicas.awaitLeader();
         return replicas.hosts.keySet().stream()
                 .filter(h -> !h.equals(leader))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void wipeAndStart(Trio replicas, String node) throws ServiceException {
+    private static void wipeAndStart(ReplicaGroupFixture replicas, String node) throws ServiceException {
         replicas.hosts.get(node).kill();
         replicas.hosts.get(node).disk().wipe();
         replicas.start(node);
     }
 
-    private static boolean counts(Trio replicas, String node) {
+    private static boolean counts(ReplicaGroupFixture replicas, String node) {
         return replicas.replicas.get(node).role() == Role.FOLLOWER;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aWipedMemberCountsInTimeThoughCallsAreLost(long seed) throws ServiceException {
-        Trio replicas = afterManyChanges(seed, CHANGES);
+        ReplicaGroupFixture replicas = afterManyChanges(seed, CHANGES);
         String wiped = follower(replicas);
-        replicas.net.weather(0.1, 0.1);
+        replicas.net.setLossAndDuplication(0.1, 0.1);
         wipeAndStart(replicas, wiped);
         assertTrue(replicas.sim.runUntil(() -> counts(replicas, wiped), Duration.ofSeconds(12)), "does not count");
-        replicas.net.weather(0, 0);
+        replicas.net.setLossAndDuplication(0, 0);
         replicas.sim.run(Duration.ofSeconds(2));
-        assertEquals(replicas.words.get(replicas.awaitOwner()).words, replicas.words.get(wiped).words);
+        assertEquals(replicas.words.get(replicas.awaitLeader()).words, replicas.words.get(wiped).words);
     }
 
     /** Before: the whole went as one frame, and its owner's next snapshot moved on with each 4 MB of changes. */
     @Test
     void aMemberWithADiskThirtyTimesAsSlowCatchesUpUnderChanges() throws ServiceException {
-        Trio replicas = afterManyChanges(11, CHANGES);
+        ReplicaGroupFixture replicas = afterManyChanges(11, CHANGES);
         String slow = follower(replicas);
         replicas.hosts.get(slow).slowDisk(30);
         wipeAndStart(replicas, slow);
         int[] said = {0};
         Duration begun = replicas.sim.now();
         while (!counts(replicas, slow) && replicas.sim.now().minus(begun).compareTo(CATCH_UP) < 0) {
-            replicas.say("more" + said[0]++ + "y".repeat(CHANGE_BYTES));
+            replicas.propose("more" + said[0]++ + "y".repeat(CHANGE_BYTES));
             replicas.sim.run(Duration.ofMillis(20));
         }
         assertTrue(counts(replicas, slow), "after " + said[0] + " changes");
@@ -93,15 +93,15 @@
     /** 2 MB a second, a quarter of them taken by changes; the snapshot has 6 MB. */
     @Test
     void aMemberBehindASlowLinkCatchesUpUnderChanges() throws ServiceException {
-        Trio replicas = afterManyChanges(13, CHANGES);
+        ReplicaGroupFixture replicas = afterManyChanges(13, CHANGES);
         String slow = follower(replicas);
-        replicas.net.slowLink(replicas.awaitOwner(), slow, 2_000_000);
+        replicas.net.slowLink(replicas.awaitLeader(), slow, 2_000_000);
         wipeAndStart(replicas, slow);
         Duration begun = replicas.sim.now();
         for (int i = 0;
                 !counts(replicas, slow) && replicas.sim.now().minus(begun).compareTo(Duration.ofSeconds(8)) < 0;
                 i++) {
-            replicas.say("more" + i + "y".repeat(CHANGE_BYTES));
+            replicas.propose("more" + i + "y".repeat(CHANGE_BYTES));
             replicas.sim.run(Duration.ofMillis(200));
         }
         assertTrue(counts(replicas, slow), piecesSent + " pieces");
@@ -109,9 +109,9 @@
 
     @Test
     void aMemberThatComesAndGoesGetsEachPieceAgainOnlyWhereItMust() throws ServiceException {
-        Trio replicas = afterManyChanges(12, CHANGES);
+        ReplicaGroupFixture replicas = afterManyChanges(12, CHANGES);
         String wiped = follower(replicas);
-        String leader = replicas.awaitOwner();
+        String leader = replicas.awaitLeader();
         wipeAndStart(replicas, wiped);
         for (int i = 0; i < 6; i++) {
             replicas.sim.run(Duration.ofMillis(100));
@@ -124,22 +124,22 @@
         assertTrue(piecesSent.get(wiped) < 3 * atLeast, piecesSent + " of " + atLeast);
     }
 
-    private static Map<String, String> group(Trio replicas) {
-        return replicas.replicas.get(replicas.awaitOwner()).members();
+    private static Map<String, String> group(ReplicaGroupFixture replicas) {
+        return replicas.replicas.get(replicas.awaitLeader()).members();
     }
 
     /** The disk of a follower goes back to an earlier state; the others, the leader among them, run on. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24})
     void aRolledBackDiskCountsOnlyUnderAnotherIdentity(long seed) throws ServiceException {
-        Trio replicas = new Trio(seed, RING_FILE);
-        replicas.say("early");
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed, RING_FILE);
+        replicas.propose("early");
         replicas.sim.run(Duration.ofSeconds(1));
         String old = follower(replicas);
         var earlier = replicas.hosts.get(old).disk().copy();
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            accepted.add(replicas.say("later" + i));
+            accepted.add(replicas.propose("later" + i));
         }
         replicas.sim.run(Duration.ofSeconds(1));
         String identity = group(replicas).get(old);
@@ -155,10 +155,10 @@
 
     @Test
     void aDiskCopiedFromAnotherMemberCountsAsLost() throws ServiceException {
-        Trio replicas = new Trio(31, RING_FILE);
-        replicas.say("early");
+        ReplicaGroupFixture replicas = new ReplicaGroupFixture(31, RING_FILE);
+        replicas.propose("early");
         replicas.sim.run(Duration.ofSeconds(1));
-        String leader = replicas.awaitOwner();
+        String leader = replicas.awaitLeader();
         String victim = follower(replicas);
         Map<String, String> before = group(replicas);
         replicas.hosts.get(victim).kill();
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SupervisorTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SupervisorTest.java
@@ -13,12 +13,12 @@
 import org.woadvale.common.runtime.Component;
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 class SupervisorTest {
     private final List<String> log = new ArrayList<>();
-    private final Sim sim = new Sim(1);
+    private final Simulator sim = new Simulator(1);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
 
     private final class Scripted implements Component {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -16,17 +16,17 @@
 import org.woadvale.common.wal.RingWriteAheadLog;
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.testkit.simulation.Harness;
-import org.woadvale.testkit.simulation.Sim;
 import org.woadvale.testkit.simulation.SimNet;
+import org.woadvale.testkit.simulation.Simulator;
 
 class WriteAheadLogTest {
     private static final int FILES = 4;
     private static final int SIZE = 4096;
-    private Sim sim;
+    private Simulator sim;
     private Harness harness;
 
     private RingWriteAheadLog open(long seed) throws ServiceException {
-        sim = new Sim(seed);
+        sim = new Simulator(seed);
         harness = new Harness("a:1", sim, new SimNet(sim));
         return reopen();
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
@@ -62,7 +62,7 @@
                     new TestConfiguration(8, 2, 45, 60, 26),
                     100,
                     Duration.ofSeconds(12),
-                    simulation -> simulation.w.kill(simulation.w.lighthouses.get(0)));
+                    simulation -> simulation.w.kill(simulation.w.controlNodes.get(0)));
             sound(figures);
             assertEquals(0, figures.throttled() + figures.otherRefusals());
         }
@@ -73,9 +73,9 @@
     void drainedStoreGivesItsPartsAwayForGood() throws ServiceException {
         Measure.Figures figures = Measure.steady(1, 3, 3, EIGHT, 60, Duration.ofSeconds(12), simulation -> {
             String s = simulation.w.stores.get(0);
-            simulation.w.pilot(s).drain();
+            simulation.w.dataPlaneNode(s).drain();
             simulation.w.sim.run(Duration.ofSeconds(2));
-            assertTrue(simulation.w.pilot(s).drain(), "all parts must be away after 2 s");
+            assertTrue(simulation.w.dataPlaneNode(s).drain(), "all parts must be away after 2 s");
         });
         sound(figures);
         assertEquals(0, figures.throttled() + figures.otherRefusals(), "a drain refuses nobody");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -20,7 +20,7 @@
     private final FleetSimulation simulation;
 
     BadInputTest() throws ServiceException {
-        simulation = new FleetSimulation(1, 2, 3, 2).embark();
+        simulation = new FleetSimulation(1, 2, 3, 2).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
     }
 
@@ -158,7 +158,7 @@
 
     @Test
     void layoutsThatCannotBeTakenChangeNothing() {
-        String l = simulation.w.lighthouses.get(1);
+        String l = simulation.w.controlNodes.get(1);
         Map<String, String> base = Map.of("if-match", "1", "x-request-id", "bad");
         Response response = ask(
                 l,
@@ -193,7 +193,7 @@
                 "\"1\"", ask(l, "GET", "/v1/layout", "", "", Map.of()).headers().get("ETag"));
         Response first = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
         Response again = ask(
-                simulation.w.lighthouses.get(2),
+                simulation.w.controlNodes.get(2),
                 "PUT",
                 "/v1/layout",
                 "",
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
@@ -30,13 +30,13 @@
         }
     }
 
-    private final Shore shore;
+    private final PlatformFixture fixture;
     private final List<Call> calls = new ArrayList<>();
     private long nextRevision = 10;
     private boolean stopped;
 
-    ConfigurationHistory(Shore shore) {
-        this.shore = shore;
+    ConfigurationHistory(PlatformFixture fixture) {
+        this.fixture = fixture;
     }
 
     /** An operator that goes on until stopped: it reads, changes what it read, and repeats what got no clear answer. */
@@ -55,23 +55,23 @@
 
     private void later(Runnable step) {
         if (!stopped) {
-            shore.r.sim.after(PAUSE, step);
+            fixture.r.sim.after(PAUSE, step);
         }
     }
 
     private String any(List<String> machines) {
-        return machines.get(shore.r.sim.random().nextInt(machines.size()));
+        return machines.get(fixture.r.sim.random().nextInt(machines.size()));
     }
 
     private void read(String name, List<String> machines) {
         String to = any(machines);
-        Duration from = shore.r.sim.now();
+        Duration from = fixture.r.sim.now();
         Request get = new Request("GET", "/-/configuration", Map.of(), new byte[0]);
-        shore.r.request(to, get, LIMIT, answer -> {
+        fixture.r.request(to, get, LIMIT, answer -> {
             long revision = answer.filter(response -> response.status() == TAKEN)
                     .map(ConfigurationHistory::revision)
                     .orElse(0L);
-            calls.add(new Call(to, false, 0, revision, status(answer), from, shore.r.sim.now()));
+            calls.add(new Call(to, false, 0, revision, status(answer), from, fixture.r.sim.now()));
             if (revision == 0) {
                 later(() -> read(name, machines));
             } else {
@@ -83,11 +83,11 @@
 
     private void change(String name, List<String> machines, long base, long revision) {
         String to = any(machines);
-        Duration from = shore.r.sim.now();
-        byte[] text = shore.configurationStub.with(revision).text().getBytes(StandardCharsets.UTF_8);
+        Duration from = fixture.r.sim.now();
+        byte[] text = fixture.configurationStub.with(revision).text().getBytes(StandardCharsets.UTF_8);
         Request put = new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(base)), text);
-        shore.r.request(to, put, LIMIT, answer -> {
-            Call call = new Call(to, true, base, revision, status(answer), from, shore.r.sim.now());
+        fixture.r.request(to, put, LIMIT, answer -> {
+            Call call = new Call(to, true, base, revision, status(answer), from, fixture.r.sim.now());
             calls.add(call);
             later(() -> {
                 if (call.clear()) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -19,24 +19,24 @@
 
 /** The operator's configurations through the doors: design 6.8, docs/platform.md 3. */
 class ControlTest {
-    private Shore fixture;
+    private PlatformFixture fixture;
 
     @BeforeEach
     void begin() throws ServiceException {
-        fixture = new Shore(21, 2);
+        fixture = new PlatformFixture(21, 2);
     }
 
     private Response get(int controlNode) {
         return fixture.r
                 .ask(
-                        fixture.r.lighthouses.get(controlNode),
+                        fixture.r.controlNodes.get(controlNode),
                         new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                         Duration.ofSeconds(4))
                 .orElseThrow();
     }
 
     private static ConfigurationStub.Route route(String name, String prefix) {
-        return Shore.route(name, prefix, "desk", false);
+        return PlatformFixture.route(name, prefix, "desk", false);
     }
 
     private ConfigurationStub more(long revision, ConfigurationStub.Route... routes) {
@@ -75,21 +75,21 @@
     void invalidOnesAreRefusedAndNeverInForce() throws ServiceException {
         List<String> bad = List.of(
                 fixture.configurationStub.with(9).text().substring(0, 300),
-                more(9, Shore.route("r-x", "/x/", "nobody", false)).text(),
+                more(9, PlatformFixture.route("r-x", "/x/", "nobody", false)).text(),
                 more(9, route("r-x", "/x/"), route("r-y", "/x/")).text(),
-                more(9, new ConfigurationStub.Route("r-x", Shore.HOST, "/x/", "desk", 0, 3, false, 90, false))
+                more(9, new ConfigurationStub.Route("r-x", PlatformFixture.HOST, "/x/", "desk", 0, 3, false, 90, false))
                         .text(),
                 more(3, route("r-x", "/x/")).text(),
                 more(2, route("r-x", "/x/")).text(),
                 more(9, route("r-x", "/x/"))
                         .tenants(List.of(
-                                new ConfigurationStub.Tenant("a", List.of(Shore.KEY), 9, 9),
-                                new ConfigurationStub.Tenant("b", List.of(Shore.KEY), 9, 9)))
+                                new ConfigurationStub.Tenant("a", List.of(PlatformFixture.KEY), 9, 9),
+                                new ConfigurationStub.Tenant("b", List.of(PlatformFixture.KEY), 9, 9)))
                         .text());
         refused(bad);
-        fixture.r.lighthouses.forEach(fixture.r::kill);
+        fixture.r.controlNodes.forEach(fixture.r::kill);
         fixture.run(500);
-        for (String l : fixture.r.lighthouses) {
+        for (String l : fixture.r.controlNodes) {
             fixture.r.restart(l);
         }
         fixture.run(5000);
@@ -110,7 +110,7 @@
                 400,
                 fixture.r
                         .ask(
-                                fixture.r.lighthouses.get(0),
+                                fixture.r.controlNodes.get(0),
                                 new Request(
                                         "PUT",
                                         "/-/configuration",
@@ -134,7 +134,7 @@
                             .text());
             for (int i = 0; i < 2; i++) {
                 fixture.r.request(
-                        fixture.r.lighthouses.get((round + i) % 3),
+                        fixture.r.controlNodes.get((round + i) % 3),
                         new Request(
                                 "PUT",
                                 "/-/configuration",
@@ -153,7 +153,8 @@
     void routeIsFoundByHostAndTheLongestPrefix() {
         ConfigurationStub next = more(
                 9,
-                new ConfigurationStub.Route("r-long", Shore.HOST, "/push/deep/", "desk", 1500, 3, false, 90, false),
+                new ConfigurationStub.Route(
+                        "r-long", PlatformFixture.HOST, "/push/deep/", "desk", 1500, 3, false, 90, false),
                 new ConfigurationStub.Route("r-host", "other.example", "/push/", "desk", 1500, 3, false, 90, true));
         assertEquals(200, fixture.put(next, 3, 0).status());
         fixture.run(3000);
@@ -180,7 +181,7 @@
                 401, fixture.send("/push/1", "b", Map.of("authorization", "")).status());
         assertEquals(
                 401,
-                fixture.send("/push/1", "b", Map.of("authorization", "Bearer " + Shore.KEY))
+                fixture.send("/push/1", "b", Map.of("authorization", "Bearer " + PlatformFixture.KEY))
                         .status());
         assertEquals(
                 200,
@@ -211,7 +212,7 @@
         assertEquals(
                 400, fixture.send("/push/1", "b", Map.of("x-attempt-id", "a b")).status());
         Optional<Response> none = fixture.r.ask(
-                fixture.r.lighthouses.get(0),
+                fixture.r.controlNodes.get(0),
                 new Request("GET", "/-/nothing", Map.of(), new byte[0]),
                 Duration.ofSeconds(4));
         assertEquals(404, none.orElseThrow().status());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -44,9 +44,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aMemberGoneForGoodIsReplacedBeforeTheNextLoss(long seed) throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        simulation.w.lose(simulation.w.lighthouses.get((int) (seed % 3)));
+        simulation.w.lose(simulation.w.controlNodes.get((int) (seed % 3)));
         simulation.w.sim.run(Duration.ofSeconds(1).plus(PROCESS_START));
         String successor = simulation.w.newControlNode();
         Duration limit = CATCH_UP.minus(PROCESS_START);
@@ -54,7 +54,7 @@
         assertTrue(
                 CoreExchange.votesEverywhere(simulation.w, successor),
                 "not voting everywhere " + limit + " after its announcement");
-        simulation.w.lose(simulation.w.lighthouses.get((int) ((seed + 1) % 3)));
+        simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
         configurationIsTaken(simulation, "after-the-second-loss");
         simulation.w.sim.run(Duration.ofSeconds(3));
         assertEquals(List.of(), simulation.violations());
@@ -63,8 +63,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aPlannedLeaverStaysUntilItsSuccessorVotesEverywhere(long seed) throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).embark();
-        String leaver = simulation.w.lighthouses.get((int) (seed % 3));
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
+        String leaver = simulation.w.controlNodes.get((int) (seed % 3));
         String successor = simulation.w.newControlNode();
         simulation.w.sim.run(Duration.ofSeconds(1));
         assertTrue(!CoreExchange.votesEverywhere(simulation.w, successor), "a standby machine alone changes nothing");
@@ -74,44 +74,44 @@
         simulation.w.lose(leaver);
         simulation.w.sim.run(TOLD);
         assertTrue(CoreExchange.votesEverywhere(simulation.w, successor));
-        simulation.w.lose(simulation.w.lighthouses.get((int) ((seed + 1) % 3)));
+        simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
         configurationIsTaken(simulation, "after-the-second-loss");
     }
 
     @Test
     void aLeaverWithoutSuccessorDoesNotWait() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(4, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(4, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        String leaver = simulation.w.lighthouses.get(0);
+        String leaver = simulation.w.controlNodes.get(0);
         assertTrue(
                 simulation.w.sim.runUntil(() -> simulation.w.controlNode(leaver).drain(), Duration.ofMillis(1000)));
     }
 
     @Test
     void aRestartOfTheSameMachineChangesNothing() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         List<Set<String>> before = new ArrayList<>();
-        simulation.w.lighthouses.forEach(l -> before.add(members(simulation, l)));
+        simulation.w.controlNodes.forEach(l -> before.add(members(simulation, l)));
         long epoch = simulation
                 .w
-                .controlNode(simulation.w.lighthouses.get(1))
+                .controlNode(simulation.w.controlNodes.get(1))
                 .members()
                 .epoch();
-        for (String l : simulation.w.lighthouses) {
+        for (String l : simulation.w.controlNodes) {
             simulation.w.kill(l);
             simulation.w.sim.run(Duration.ofSeconds(5));
             simulation.w.restart(l);
             simulation.w.sim.run(Duration.ofSeconds(5));
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(before.get(i), members(simulation, simulation.w.lighthouses.get(i)));
+            assertEquals(before.get(i), members(simulation, simulation.w.controlNodes.get(i)));
         }
         assertEquals(
                 epoch,
                 simulation
                         .w
-                        .controlNode(simulation.w.lighthouses.get(1))
+                        .controlNode(simulation.w.controlNodes.get(1))
                         .members()
                         .epoch());
     }
@@ -120,10 +120,10 @@
     @ParameterizedTest
     @ValueSource(longs = {7, 8, 9})
     void theWholeCoreIsExchangedOneByOne(long seed) throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
-            simulation.w.lose(simulation.w.lighthouses.get(i));
+            simulation.w.lose(simulation.w.controlNodes.get(i));
             simulation.w.sim.run(Duration.ofSeconds(1));
             String successor = simulation.w.newControlNode();
             simulation.w.sim.run(CATCH_UP);
@@ -133,11 +133,11 @@
         configurationIsTaken(simulation, "by-a-core-of-others");
         long epoch = simulation
                 .w
-                .controlNode(simulation.w.lighthouses.get(6))
+                .controlNode(simulation.w.controlNodes.get(6))
                 .members()
                 .epoch();
         for (String node : simulation.w.stores) {
-            assertEquals(epoch, simulation.w.pilot(node).core().epoch(), node);
+            assertEquals(epoch, simulation.w.dataPlaneNode(node).core().epoch(), node);
         }
         assertEquals(List.of(), simulation.violations());
     }
@@ -145,9 +145,9 @@
     /** A member that was away while it was replaced learns that, and serves nothing. */
     @Test
     void aRemovedMemberKnowsItAndStandsBy() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(10, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(10, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        String removed = simulation.w.lighthouses.get(0);
+        String removed = simulation.w.controlNodes.get(0);
         simulation.w.kill(removed);
         String successor = simulation.w.newControlNode();
         simulation.w.sim.run(Duration.ofSeconds(6));
@@ -157,7 +157,7 @@
         assertTrue(simulation.w.controlNode(successor).members().members().contains(successor));
         assertTrue(ServiceNames.controlParts().stream()
                 .noneMatch(p -> simulation.w.controlNode(removed).replica(p).role() == Role.LEADER));
-        simulation.w.lose(simulation.w.lighthouses.get(1));
+        simulation.w.lose(simulation.w.controlNodes.get(1));
         simulation.w.sim.run(Duration.ofSeconds(4));
         assertTrue(CoreExchange.votesEverywhere(simulation.w, removed), "it takes the next free place");
         configurationIsTaken(simulation, "again");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
@@ -13,8 +13,9 @@
 /** Processors that fetch: lost answers, crashes. */
 class FetchTest {
     private static FleetSimulation fetching(long seed) throws ServiceException {
-        FleetSimulation simulation =
-                new FleetSimulation(seed, 2, 3, 0, new TestConfiguration(2, 1, 20, 30, 26), World.LARGE_RING).embark();
+        FleetSimulation simulation = new FleetSimulation(
+                        seed, 2, 3, 0, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
+                .startAll();
         simulation.list("f0", false);
         simulation.list("f1", false);
         simulation.w.sim.run(Duration.ofSeconds(1));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -30,13 +30,13 @@
     private static final String BUCKET = "bucket/of-nobody";
     private static final String LIST = ServiceNames.processors("book");
 
-    private Shore shore;
+    private PlatformFixture fixture;
     private String caller;
 
     @BeforeEach
     void begin() throws ServiceException {
-        shore = new Shore(41, 1);
-        caller = shore.r.intakes.get(0);
+        fixture = new PlatformFixture(41, 1);
+        caller = fixture.r.intakes.get(0);
     }
 
     /** Loses the first answer that is not a refusal. */
@@ -66,14 +66,15 @@
     }
 
     private <T> T ask(String service, RepeatableRequest body, Class<T> type) {
-        RpcClient lossy = new FirstAnswerLost(shore.r.net.rpc(
-                shore.r.host(caller), RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
-        CoreClient core = new CoreClient(lossy, () -> 1L, shore.r.lighthouses, CoreMembers.unknown(), members -> {});
+        RpcClient lossy = new FirstAnswerLost(fixture.r.net.rpc(
+                fixture.r.host(caller),
+                RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
+        CoreClient core = new CoreClient(lossy, () -> 1L, fixture.r.controlNodes, CoreMembers.unknown(), members -> {});
         AtomicReference<T> out = new AtomicReference<>();
         core.ask(ServiceNames.controlPart(service), body, type).subscribe(out::set, e -> {
             throw new AssertionError(e);
         });
-        assertTrue(shore.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no answer");
+        assertTrue(fixture.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no answer");
         return out.get();
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -51,8 +51,8 @@
         return all.stream();
     }
 
-    private static String leader(NetworkSimulation network) {
-        return network.lighthouses.stream()
+    private static String leader(SimulatedPlatformFleet network) {
+        return network.controlNodes.stream()
                 .filter(l -> network.host(l).alive()
                         && network.controlNode(l).replica("c0").role() == Role.LEADER
                         && network.controlNode(l).replica("c0").isActiveLeader())
@@ -60,8 +60,8 @@
                 .orElseThrow();
     }
 
-    private static void cut(NetworkSimulation network, Cut how, String machine) {
-        for (String other : network.lighthouses) {
+    private static void cut(SimulatedPlatformFleet network, Cut how, String machine) {
+        for (String other : network.controlNodes) {
             if (!other.equals(machine) && how != Cut.OUTWARD) {
                 network.net.cutOneWay(other, machine);
             }
@@ -79,14 +79,14 @@
     @ParameterizedTest
     @MethodSource("days")
     void theMachineSaysLaterAndTheHistoryIsLinearizable(Cut how, int machine, long seed) throws ServiceException {
-        Shore shore = new Shore(seed, 2);
-        NetworkSimulation network = shore.r;
+        PlatformFixture fixture = new PlatformFixture(seed, 2);
+        SimulatedPlatformFleet network = fixture.r;
         network.sim.run(Duration.ofSeconds(2));
         String first = leader(network);
-        String cutOff = network.lighthouses.get((network.lighthouses.indexOf(first) + machine) % 3);
-        ConfigurationHistory history = new ConfigurationHistory(shore);
-        history.operate("one", network.lighthouses);
-        history.operate("two", network.lighthouses);
+        String cutOff = network.controlNodes.get((network.controlNodes.indexOf(first) + machine) % 3);
+        ConfigurationHistory history = new ConfigurationHistory(fixture);
+        history.operate("one", network.controlNodes);
+        history.operate("two", network.controlNodes);
         history.operate("at-the-cut-off", List.of(cutOff));
         network.sim.run(Duration.ofSeconds(2));
         cut(network, how, cutOff);
@@ -109,7 +109,7 @@
         assertEquals(200, readiness(network, cutOff));
     }
 
-    private static int readiness(NetworkSimulation network, String machine) {
+    private static int readiness(SimulatedPlatformFleet network, String machine) {
         return network.ask(machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
                 .map(Response::status)
                 .orElse(0);
@@ -119,15 +119,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void anOrderIsAcknowledgedSoonAfterTheLeaderIsLost(long seed) throws ServiceException {
-        Shore shore = new Shore(seed, 2);
-        NetworkSimulation network = shore.r;
+        PlatformFixture fixture = new PlatformFixture(seed, 2);
+        SimulatedPlatformFleet network = fixture.r;
         network.sim.run(Duration.ofSeconds(2));
         network.kill(leader(network));
         Duration lost = network.sim.now();
-        ConfigurationHistory history = new ConfigurationHistory(shore);
+        ConfigurationHistory history = new ConfigurationHistory(fixture);
         history.order(
                 "one",
-                network.lighthouses.stream()
+                network.controlNodes.stream()
                         .filter(l -> network.host(l).alive())
                         .toList(),
                 3);
@@ -140,11 +140,11 @@
     @Test
     void anAnswerThatWasBuiltBeforeAFreezeIsNotGivenAfterIt() throws ServiceException {
         for (int i = 0; i < 24; i++) {
-            Shore shore = new Shore(70 + i, 2);
-            NetworkSimulation network = shore.r;
+            PlatformFixture fixture = new PlatformFixture(70 + i, 2);
+            SimulatedPlatformFleet network = fixture.r;
             network.sim.run(Duration.ofSeconds(2));
             String frozen = leader(network);
-            int at = network.lighthouses.indexOf(frozen);
+            int at = network.controlNodes.indexOf(frozen);
             List<Optional<Response>> answers = new ArrayList<>();
             network.request(
                     frozen,
@@ -156,8 +156,8 @@
             network.sim.run(ON_THE_WAY);
             boolean before = !answers.isEmpty();
             network.sim.run(Duration.ofSeconds(2));
-            String next = shore.configurationStub.with(9).text();
-            assertEquals(200, shore.put(next, 3, (at + 1) % 3).status());
+            String next = fixture.configurationStub.with(9).text();
+            assertEquals(200, fixture.put(next, 3, (at + 1) % 3).status());
             network.sim.run(Duration.ofSeconds(8));
             String read = answers.get(0)
                     .filter(response -> response.status() == 200)
@@ -171,18 +171,18 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void aNodeThatSeesOnlyTheCutOffMachineStopsAsTheRulesAsk(int machine) throws ServiceException {
-        Shore shore = new Shore(90 + machine, 2);
-        NetworkSimulation network = shore.r;
+        PlatformFixture fixture = new PlatformFixture(90 + machine, 2);
+        SimulatedPlatformFleet network = fixture.r;
         network.sim.run(Duration.ofSeconds(2));
-        String cutOff = network.lighthouses.get((network.lighthouses.indexOf(leader(network)) + machine) % 3);
+        String cutOff = network.controlNodes.get((network.controlNodes.indexOf(leader(network)) + machine) % 3);
         String front = network.intakes.get(0);
         cut(network, Cut.BOTH_WAYS, cutOff);
         network.all().stream()
                 .filter(h -> !h.equals(front) && !h.equals(cutOff))
                 .forEach(h -> network.net.cut(front, h));
         network.sim.run(Duration.ofMillis(1600));
-        assertTrue(network.pilot(front).configurations().fresh().isPresent(), "stopped too early");
+        assertTrue(network.dataPlaneNode(front).configurations().fresh().isPresent(), "stopped too early");
         network.sim.run(Duration.ofMillis(1600));
-        assertTrue(network.pilot(front).configurations().fresh().isEmpty(), "goes on by what it knows");
+        assertTrue(network.dataPlaneNode(front).configurations().fresh().isEmpty(), "goes on by what it knows");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -14,16 +14,16 @@
     /** The stream stalls 1 to 6 ms after the first request. Before: marks were undone, and work went on. */
     @Test
     void lateChangeOfAListDoesNotUndoALeavingMark() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).embark();
+        FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(2));
         String part = ServiceNames.controlPart("service/" + FleetSimulation.service(0));
-        String owner = simulation.w.lighthouses.stream()
+        String owner = simulation.w.controlNodes.stream()
                 .filter(l -> simulation.w.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         // not the leader of c0: a machine that does not hear that one has no contact, and turns requests away (6.12)
-        String asked = simulation.w.lighthouses.stream()
+        String asked = simulation.w.controlNodes.stream()
                 .filter(l -> !l.equals(owner)
                         && !simulation.w.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -12,10 +12,10 @@
 
 /** Fetched work is held by a lease (docs/design.md, section 9.10). */
 class LeasesTest {
-    private static final long LEASE_MS = NetworkSimulation.LEASE.toMillis();
+    private static final long LEASE_MS = SimulatedPlatformFleet.LEASE.toMillis();
 
-    private static Shore withOne(long seed) throws ServiceException {
-        Shore fixture = new Shore(seed, 1);
+    private static PlatformFixture withOne(long seed) throws ServiceException {
+        PlatformFixture fixture = new PlatformFixture(seed, 1);
         fixture.accepted("/pull/x?y=1", "bytes", Map.of());
         return fixture;
     }
@@ -26,7 +26,7 @@
 
     @Test
     void jobCarriesTheRequestAsItArrived() throws ServiceException {
-        Shore fixture = withOne(1);
+        PlatformFixture fixture = withOne(1);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(
                 "200 POST /pull/x?y=1 tenant-a bytes",
@@ -35,7 +35,7 @@
                         + response.headers().get("X-Tenant") + " "
                         + new String(response.body()));
         assertTrue(
-                response.headers().values().stream().noneMatch(v -> v.contains(Shore.KEY)),
+                response.headers().values().stream().noneMatch(v -> v.contains(PlatformFixture.KEY)),
                 "no key goes to a processor");
         assertEquals(200, fixture.end(response, 200));
         assertEquals(204, fixture.pull("i-1", 1000).status());
@@ -44,7 +44,7 @@
     /** Not sooner than a lease after the last word, and not much later. */
     @Test
     void silentLeaseIsHandedAgainAndNotSooner() throws ServiceException {
-        Shore fixture = withOne(2);
+        PlatformFixture fixture = withOne(2);
         Response first = fixture.pull("i-1", 1000);
         Duration given = fixture.r.sim.now();
         Response second = fixture.pull("i-2", 10_000);
@@ -56,7 +56,7 @@
 
     @Test
     void eachExtensionCountsAnew() throws ServiceException {
-        Shore fixture = withOne(3);
+        PlatformFixture fixture = withOne(3);
         Response first = fixture.pull("i-1", 1000);
         for (int i = 0; i < 4; i++) {
             fixture.run(LEASE_MS * 2 / 3);
@@ -71,7 +71,7 @@
 
     @Test
     void endIsTakenOnceAndSaidAgainHasTheSameAnswer() throws ServiceException {
-        Shore fixture = withOne(4);
+        PlatformFixture fixture = withOne(4);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(200, fixture.end(response, 200));
         assertEquals(200, fixture.end(response, 200));
@@ -80,7 +80,7 @@
 
     @Test
     void olderLeaseIsGoneAfterANewerOne() throws ServiceException {
-        Shore fixture = withOne(5);
+        PlatformFixture fixture = withOne(5);
         Response old = fixture.pull("i-1", 1000);
         Response fresh = fixture.pull("i-2", 10_000);
         assertEquals(409, fixture.extend(old));
@@ -93,7 +93,7 @@
 
     @Test
     void unknownLeaseIsGone() throws ServiceException {
-        Shore fixture = withOne(6);
+        PlatformFixture fixture = withOne(6);
         for (String word : new String[] {"m0-99.1", "nonsense", "m7-1.1.1", "m999-1.1"}) {
             Map<String, String> h = Map.of("x-lease-id", word, "x-job-outcome", "200", "x-server-seal", "s");
             assertEquals(409, fixture.front("POST", "/-/job-end/x", h, "").status(), word);
@@ -104,7 +104,7 @@
     /** The predecessor's last word is not known to the new owner: it counts from when it took over. */
     @Test
     void newOwnerCountsFromTakingOver() throws ServiceException {
-        Shore fixture = withOne(7);
+        PlatformFixture fixture = withOne(7);
         Response response = fixture.pull("i-1", 1000);
         fixture.run(1500);
         assertEquals(200, fixture.extend(response));
@@ -122,7 +122,7 @@
     /** An end that was taken by an owner that is gone has the same answer from its successor. */
     @Test
     void takenEndIsRememberedAcrossOwners() throws ServiceException {
-        Shore fixture = withOne(8);
+        PlatformFixture fixture = withOne(8);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(200, fixture.end(response, 200));
         fixture.r.kill(fixture.r.owner(part(response)).orElseThrow());
@@ -132,7 +132,7 @@
 
     @Test
     void workGivenBackUnrunCountsAsNoAttempt() throws ServiceException {
-        Shore fixture = withOne(9);
+        PlatformFixture fixture = withOne(9);
         for (int i = 0; i < 6; i++) {
             Response response = fixture.pull("i-1", 5000);
             assertEquals(200, response.status(), "round " + i);
@@ -144,7 +144,7 @@
 
     @Test
     void failedAttemptsAreCountedAndThenItIsDead() throws ServiceException {
-        Shore fixture = new Shore(10, 1);
+        PlatformFixture fixture = new PlatformFixture(10, 1);
         String handle = fixture.accepted("/pull/x", "poison", Map.of());
         for (int i = 0; i < 3; i++) {
             assertEquals("queued", fixture.state(handle).path("state").asText());
@@ -159,7 +159,7 @@
 
     @Test
     void lapsedLeasesCountAsNoAttempt() throws ServiceException {
-        Shore fixture = new Shore(11, 1);
+        PlatformFixture fixture = new PlatformFixture(11, 1);
         String handle = fixture.accepted("/pull/x", "body", Map.of());
         for (int i = 0; i < 5; i++) {
             assertEquals(200, fixture.pull("i-" + i, 10_000).status(), "round " + i);
@@ -175,7 +175,7 @@
     /** The next of the key waits while the first is held, and while its lease lapses. */
     @Test
     void orderedMessageKeepsItsPlaceWhileItsLeaseLapses() throws ServiceException {
-        Shore fixture = new Shore(12, 1);
+        PlatformFixture fixture = new PlatformFixture(12, 1);
         Map<String, String> key = Map.of("x-order-key", "k");
         fixture.accepted("/turn/x", "first", key);
         fixture.accepted("/turn/x", "second", key);
