--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -32,15 +32,15 @@
     private static final Duration LEADER_LOST = Duration.ofMillis(2500);
     private static final int SNAPSHOT_BYTES = 3 << 20;
 
-    private Shore shore;
+    private PlatformFixture fixture;
     private long version;
     private final Map<String, Long> bytesByType = new TreeMap<>();
 
     @BeforeEach
     void begin() throws ServiceException {
-        shore = new Shore(51, 2);
-        version = shore.configurationStub.configRevision();
-        shore.r.net.watch((from, to, frame, bytes) -> {
+        fixture = new PlatformFixture(51, 2);
+        version = fixture.configurationStub.configRevision();
+        fixture.r.net.watchFrames((from, to, frame, bytes) -> {
             if (!from.equals(to)) {
                 bytesByType.merge(frame.body().getClass().getSimpleName(), (long) bytes, Long::sum);
             }
@@ -48,12 +48,12 @@
     }
 
     private String text(long revision, int routeCount) {
-        List<ConfigurationStub.Route> routes = new ArrayList<>(shore.configurationStub.routes());
+        List<ConfigurationStub.Route> routes = new ArrayList<>(fixture.configurationStub.routes());
         for (int i = 0; i < routeCount; i++) {
             String name = "r-" + Long.toHexString((i + 1) * 0x9E3779B97F4A7C15L);
-            routes.add(Shore.route(name, "/" + name + "/" + i + "/", "desk", false));
+            routes.add(PlatformFixture.route(name, "/" + name + "/" + i + "/", "desk", false));
         }
-        return shore.configurationStub.routes(routes).with(revision).text();
+        return fixture.configurationStub.routes(routes).with(revision).text();
     }
 
     /** Sends the next change until it is taken and says how long its acknowledgement took; refusals fail. */
@@ -63,45 +63,45 @@
                 "/-/configuration",
                 Map.of("if-match", Long.toString(version)),
                 text(version + 1, routeCount).getBytes(StandardCharsets.UTF_8));
-        Duration sent = shore.r.sim.now();
+        Duration sent = fixture.r.sim.now();
         AtomicReference<Duration> acknowledged = new AtomicReference<>();
         send(order, node, acknowledged);
-        assertTrue(shore.r.sim.runUntil(() -> acknowledged.get() != null, CLEAR_ANSWER), "no clear answer");
+        assertTrue(fixture.r.sim.runUntil(() -> acknowledged.get() != null, CLEAR_ANSWER), "no clear answer");
         version++;
         return acknowledged.get().minus(sent);
     }
 
     /** As the platform's operator does it: on to another node after a second of silence or an unclear answer. */
     private void send(Request order, int node, AtomicReference<Duration> acknowledged) {
-        shore.r.request(shore.r.lighthouses.get(node % 3), order, SILENCE, answer -> {
+        fixture.r.request(fixture.r.controlNodes.get(node % 3), order, SILENCE, answer -> {
             int status = answer.map(Response::status).orElse(0);
             assertTrue(status < 400 || status >= 500, "refused with " + status);
             if (status == 200) {
-                acknowledged.compareAndSet(null, shore.r.sim.now());
+                acknowledged.compareAndSet(null, fixture.r.sim.now());
             } else {
-                shore.r.sim.after(PAUSE, () -> send(order, node + 1, acknowledged));
+                fixture.r.sim.after(PAUSE, () -> send(order, node + 1, acknowledged));
             }
         });
     }
 
     private String leader() {
-        return shore.r.lighthouses.stream()
-                .filter(l -> shore.r.host(l).alive()
-                        && shore.r.controlNode(l).replica("c0").isActiveLeader())
+        return fixture.r.controlNodes.stream()
+                .filter(l -> fixture.r.host(l).alive()
+                        && fixture.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
 
     private int snapshotBytes(String node) {
-        return shore.r
+        return fixture.r
                 .controlNode(node)
                 .replica("c0")
-                .inspect(i -> shore.r.controlNode(node).machine("c0").snapshot().length);
+                .inspect(i -> fixture.r.controlNode(node).machine("c0").snapshot().length);
     }
 
     private void restartAfter(String node, long ms) throws ServiceException {
-        shore.run(ms);
-        shore.r.restart(node);
+        fixture.run(ms);
+        fixture.r.restart(node);
     }
 
     @Test
@@ -109,16 +109,16 @@
         List<Duration> calm = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             calm.add(change(LARGE_ROUTES, i % 3));
-            shore.run(200);
+            fixture.run(200);
         }
         calm.sort(Duration::compareTo);
         List<Duration> lost = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String leader = leader();
-            shore.r.kill(leader);
-            lost.add(change(LARGE_ROUTES, (shore.r.lighthouses.indexOf(leader) + 1) % 3));
+            fixture.r.kill(leader);
+            lost.add(change(LARGE_ROUTES, (fixture.r.controlNodes.indexOf(leader) + 1) % 3));
             restartAfter(leader, 500);
-            shore.run(3000);
+            fixture.run(3000);
         }
         lost.sort(Duration::compareTo);
         System.out.println("large orders, " + text(version, LARGE_ROUTES).length() + " bytes: calm p50 " + calm.get(20)
@@ -139,37 +139,37 @@
         long base = version;
         for (int i = 0; i < changes; i++) {
             int member = i / 60 % 3;
-            String node = shore.r.lighthouses.get(member);
+            String node = fixture.r.controlNodes.get(member);
             int trouble = i / 180;
             if (i % 60 == 10 && trouble < 2) {
-                shore.r.kill(node);
+                fixture.r.kill(node);
                 if (trouble == 1) {
-                    shore.r.host(node).disk.wipe();
+                    fixture.r.host(node).disk.wipe();
                 }
             } else if (i % 60 == 10) {
-                shore.r.host(node).pause(Duration.ofSeconds(4));
+                fixture.r.host(node).pause(Duration.ofSeconds(4));
             } else if (i % 60 == 40 && trouble < 2) {
-                shore.r.restart(node);
-                shore.run(4000);
+                fixture.r.restart(node);
+                fixture.run(4000);
             }
             change(routeCount, member + 1);
         }
-        shore.run(6000);
+        fixture.run(6000);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, shore.put(first, base, node).status(), "the first order, at " + node);
-            String read = shore.r
+            assertEquals(200, fixture.put(first, base, node).status(), "the first order, at " + node);
+            String read = fixture.r
                     .ask(
-                            shore.r.lighthouses.get(node),
+                            fixture.r.controlNodes.get(node),
                             new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                             CALL)
                     .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                     .orElseThrow();
             assertEquals(text(version, routeCount), read);
-            String name = shore.r.lighthouses.get(node);
-            long applied = shore.r
+            String name = fixture.r.controlNodes.get(node);
+            long applied = fixture.r
                     .controlNode(name)
                     .replica("c0")
-                    .inspect(i -> shore.r
+                    .inspect(i -> fixture.r
                             .controlNode(name)
                             .machine("c0")
                             .configurations()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
@@ -20,7 +20,7 @@
 
     @Given("a fleet of {int} intakes and {int} stores under {int} messages a second")
     public void fleet(int intakes, int stores, int perSecond) throws ServiceException {
-        simulation = new FleetSimulation(SEED, intakes, stores, 4).embark();
+        simulation = new FleetSimulation(SEED, intakes, stores, 4).startAll();
         operator = new ConfigurationOperator(simulation);
         simulation.traffic(perSecond);
         simulation.w.sim.run(Duration.ofSeconds(4));
@@ -39,7 +39,8 @@
     @When("the holder of an allowance is killed")
     public void killHolder() {
         String holder = simulation.w.intakes.stream()
-                .filter(i -> simulation.w.pilot(i).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(0)))
+                .filter(i ->
+                        simulation.w.dataPlaneNode(i).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(0)))
                 .findFirst()
                 .orElseThrow();
         simulation.w.kill(holder);
@@ -52,7 +53,7 @@
 
     @When("a lighthouse is killed")
     public void killLighthouse() {
-        simulation.w.kill(simulation.w.lighthouses.get(0));
+        simulation.w.kill(simulation.w.controlNodes.get(0));
     }
 
     @When("an intake is cut off")
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
@@ -15,7 +15,7 @@
 class OrderHistoryTest {
     private static final Duration LENGTH = Duration.ofSeconds(40);
 
-    private static List<String> brokenOrders(long seed, Seams seams) {
+    private static List<String> brokenOrders(long seed, FleetOverrides seams) {
         try {
             return new SeededPlatformDays(seed, seams)
                     .run(LENGTH).stream()
@@ -29,7 +29,7 @@
     @ParameterizedTest
     @ValueSource(longs = {201, 202, 203, 204})
     void historyIsInOrder(long seed) {
-        assertEquals(List.of(), brokenOrders(seed, Seams.none()));
+        assertEquals(List.of(), brokenOrders(seed, FleetOverrides.none()));
     }
 
     @Test
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -24,13 +24,13 @@
     private static final int LATER_CHANGES = 300;
     private static final int ORDERS_AT_ONCE = 8;
 
-    private Shore shore;
+    private PlatformFixture fixture;
     private long version;
 
     @BeforeEach
     void begin() throws ServiceException {
-        shore = new Shore(31, 1);
-        version = shore.configurationStub.configRevision();
+        fixture = new PlatformFixture(31, 1);
+        version = fixture.configurationStub.configRevision();
     }
 
     private static Request request(String text, long base) {
@@ -42,36 +42,40 @@
     }
 
     private String text(long revision, String route) {
-        List<ConfigurationStub.Route> routes = new ArrayList<>(shore.configurationStub.routes());
-        routes.add(Shore.route(route, "/" + route + "/", "desk", false));
-        return shore.configurationStub.routes(routes).with(revision).text();
+        List<ConfigurationStub.Route> routes = new ArrayList<>(fixture.configurationStub.routes());
+        routes.add(PlatformFixture.route(route, "/" + route + "/", "desk", false));
+        return fixture.configurationStub.routes(routes).with(revision).text();
     }
 
     private void change(int count) {
         for (int i = 0; i < count; i++) {
             assertEquals(
-                    200, shore.put(text(version + 2, "r-" + i), version, i % 3).status());
+                    200,
+                    fixture.put(text(version + 2, "r-" + i), version, i % 3).status());
             version += 2;
         }
     }
 
     private void repeatedEverywhere(int expected, String text, long base) {
         for (int node = 0; node < 3; node++) {
-            assertEquals(expected, shore.put(text, base, node).status(), "at control node " + node);
+            assertEquals(expected, fixture.put(text, base, node).status(), "at control node " + node);
         }
     }
 
     private String leader() {
-        return shore.r.lighthouses.stream()
-                .filter(l -> shore.r.host(l).alive()
-                        && shore.r.controlNode(l).replica("c0").isActiveLeader())
+        return fixture.r.controlNodes.stream()
+                .filter(l -> fixture.r.host(l).alive()
+                        && fixture.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
 
     private String readBack(int node) {
-        return shore.r
-                .ask(shore.r.lighthouses.get(node), new Request("GET", "/-/configuration", Map.of(), new byte[0]), CALL)
+        return fixture.r
+                .ask(
+                        fixture.r.controlNodes.get(node),
+                        new Request("GET", "/-/configuration", Map.of(), new byte[0]),
+                        CALL)
                 .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                 .orElseThrow();
     }
@@ -83,25 +87,25 @@
     void takenOrderIsYesAfterHundredsOfChangesAndEveryRestart() throws ServiceException {
         String first = text(version + 2, "r-first");
         long base = version;
-        assertEquals(200, shore.put(first, base, 0).status());
+        assertEquals(200, fixture.put(first, base, 0).status());
         version += 2;
         change(LATER_CHANGES);
         repeatedEverywhere(200, first, base);
-        for (String node : shore.r.lighthouses) {
-            shore.r.kill(node);
-            shore.r.host(node).disk.wipe();
-            shore.run(2500);
-            assertEquals(200, shore.put(first, base, 0).status(), "while " + node + " is away");
-            shore.r.restart(node);
-            shore.run(6000);
+        for (String node : fixture.r.controlNodes) {
+            fixture.r.kill(node);
+            fixture.r.host(node).disk.wipe();
+            fixture.run(2500);
+            assertEquals(200, fixture.put(first, base, 0).status(), "while " + node + " is away");
+            fixture.r.restart(node);
+            fixture.run(6000);
             repeatedEverywhere(200, first, base);
         }
-        shore.r.lighthouses.forEach(shore.r::kill);
-        shore.run(500);
-        for (String node : shore.r.lighthouses) {
-            shore.r.restart(node);
+        fixture.r.controlNodes.forEach(fixture.r::kill);
+        fixture.run(500);
+        for (String node : fixture.r.controlNodes) {
+            fixture.r.restart(node);
         }
-        shore.run(4000);
+        fixture.run(4000);
         repeatedEverywhere(200, first, base);
         change(1);
     }
@@ -113,22 +117,22 @@
             String text = text(version + 2, "r-round" + round);
             String lost = leader();
             List<Integer> statuses = new ArrayList<>();
-            for (String node : shore.r.lighthouses) {
-                shore.r.request(
+            for (String node : fixture.r.controlNodes) {
+                fixture.r.request(
                         node,
                         request(text, version),
                         CALL,
                         response -> statuses.add(response.map(Response::status).orElse(0)));
             }
-            shore.run(1 + round);
-            shore.r.kill(lost);
-            shore.r.sim.runUntil(() -> statuses.size() == 3, Duration.ofSeconds(6));
+            fixture.run(1 + round);
+            fixture.r.kill(lost);
+            fixture.r.sim.runUntil(() -> statuses.size() == 3, Duration.ofSeconds(6));
             assertEquals(
                     List.of(),
                     statuses.stream().filter(s -> s / 100 == 4).toList(),
                     "no copy is refused, round " + round);
-            shore.r.restart(lost);
-            shore.run(3000);
+            fixture.r.restart(lost);
+            fixture.run(3000);
             repeatedEverywhere(200, text, version);
             version += 2;
         }
@@ -142,8 +146,8 @@
         for (int i = 0; i < ORDERS_AT_ONCE; i++) {
             String text = text(version + 2, "r-operator" + i);
             texts.add(text);
-            for (String node : shore.r.lighthouses) {
-                shore.r.request(
+            for (String node : fixture.r.controlNodes) {
+                fixture.r.request(
                         node,
                         request(text, version),
                         CALL,
@@ -151,7 +155,7 @@
                                 .add(response.map(Response::status).orElse(0)));
             }
         }
-        shore.run(CALL.toMillis());
+        fixture.run(CALL.toMillis());
         List<String> taken =
                 texts.stream().filter(t -> statuses.get(t).equals(Set.of(200))).toList();
         assertEquals(1, taken.size(), statuses.values().toString());
@@ -164,7 +168,7 @@
     void refusedOrderStaysRefusedThoughItsTextWasTakenOnAnotherBase() {
         String early = text(version + 10, "r-early");
         repeatedEverywhere(412, early, version - 1);
-        assertEquals(200, shore.put(early, version, 0).status());
+        assertEquals(200, fixture.put(early, version, 0).status());
         repeatedEverywhere(412, early, version - 1);
         repeatedEverywhere(200, early, version);
     }
@@ -177,7 +181,7 @@
         change(1);
         repeatedEverywhere(412, ahead, version);
         assertEquals(text(version, "r-0"), readBack(1));
-        assertEquals(200, shore.put(text(version + 10, "r-other"), version, 0).status());
+        assertEquals(200, fixture.put(text(version + 10, "r-other"), version, 0).status());
     }
 
     /** Texts that are different bytes are different orders, also where they read alike as text. */
@@ -185,12 +189,12 @@
     void bytesThatCannotBeReadAreRefusedAndChangeNothing() {
         byte[] bytes = text(version + 2, "r-odd").getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length / 2] = (byte) 0xff;
-        Optional<Response> answer = shore.r.ask(
-                shore.r.lighthouses.get(0),
+        Optional<Response> answer = fixture.r.ask(
+                fixture.r.controlNodes.get(0),
                 new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(version)), bytes),
                 CALL);
         assertEquals(400, answer.orElseThrow().status());
-        assertEquals(shore.configurationStub.text(), readBack(2));
+        assertEquals(fixture.configurationStub.text(), readBack(2));
     }
 
     @Test
@@ -201,8 +205,8 @@
                     "PUT", "/-/configuration", Map.of("if-match", match), good.getBytes(StandardCharsets.UTF_8));
             assertEquals(
                     400,
-                    shore.r
-                            .ask(shore.r.lighthouses.get(0), broken, CALL)
+                    fixture.r
+                            .ask(fixture.r.controlNodes.get(0), broken, CALL)
                             .orElseThrow()
                             .status(),
                     "If-Match: " + match);
@@ -212,7 +216,7 @@
         for (String text : unreadable) {
             repeatedEverywhere(400, text, version);
         }
-        assertEquals(shore.configurationStub.text(), readBack(0));
-        assertEquals(200, shore.put(good, version, 1).status());
+        assertEquals(fixture.configurationStub.text(), readBack(0));
+        assertEquals(200, fixture.put(good, version, 1).status());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Shore.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformFixture.java
@@ -19,7 +19,7 @@
 import reactor.core.publisher.Mono;
 
 /** Scripted clients, processors and operator around a small fleet behind the platform's doors. */
-final class Shore {
+final class PlatformFixture {
     static final String HOST = "lode.example";
     static final String KEY = "key-of-a";
     static final Duration SOON = Duration.ofSeconds(3);
@@ -27,14 +27,14 @@
     /** What a scripted processor was sent. */
     record Got(Request q, Duration at) {}
 
-    final NetworkSimulation r;
+    final SimulatedPlatformFleet r;
     final ProcessorList processorList;
     final List<Got> got = new ArrayList<>();
-    ConfigurationStub configurationStub = Shore.plain();
+    ConfigurationStub configurationStub = PlatformFixture.plain();
     private int ids;
 
-    Shore(long seed, int fronts) throws ServiceException {
-        r = new NetworkSimulation(seed, fronts, 3, Seams.none());
+    PlatformFixture(long seed, int fronts) throws ServiceException {
+        r = new SimulatedPlatformFleet(seed, fronts, 3, FleetOverrides.none());
         processorList = new ProcessorList(r.sim, Duration.ofMillis(800), 44);
         r.list(processorList::page);
         assertEquals(200, put(configurationStub, 0, 0).status());
@@ -78,7 +78,7 @@
     Response put(String text, long base, int controlNode) {
         for (int i = 0; i < 20; i++) {
             Optional<Response> response = r.ask(
-                    r.lighthouses.get((controlNode + i) % 3),
+                    r.controlNodes.get((controlNode + i) % 3),
                     new Request(
                             "PUT",
                             "/-/configuration",
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
@@ -12,7 +12,7 @@
 class PlatformSimulationTest {
     @Test
     void calmDayBreaksNoRuleAndServesAll() throws ServiceException {
-        PlatformSimulation simulation = new PlatformSimulation(1, 3, 3, Seams.none()).embark();
+        PlatformSimulation simulation = new PlatformSimulation(1, 3, 3, FleetOverrides.none()).startAll();
         simulation.clients.start(30);
         simulation.network.sim.run(Duration.ofSeconds(6));
         simulation.operator.change();
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -16,9 +16,9 @@
     private static final String KEY = ServiceNames.processors("book");
     private static final String AT = "10.9.0.1:8080";
 
-    private static ServiceView view(Shore fixture) {
+    private static ServiceView view(PlatformFixture fixture) {
         String part = ServiceNames.controlPart(KEY);
-        String owner = fixture.r.lighthouses.stream()
+        String owner = fixture.r.controlNodes.stream()
                 .filter(l -> fixture.r.host(l).alive()
                         && fixture.r.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
@@ -31,7 +31,7 @@
 
     @Test
     void wholeListIsTakenFromAllPagesAndWrittenOnlyWhereItDiffers() throws ServiceException {
-        Shore fixture = new Shore(1, 1);
+        PlatformFixture fixture = new PlatformFixture(1, 1);
         for (int i = 0; i < 8; i++) {
             fixture.processorList.put("i-" + i, i % 2 == 0 ? "book" : "same", "10.9.0." + i + ":8080", 4, "ready");
         }
@@ -55,7 +55,7 @@
 
     @Test
     void fleetAsksNoOftenerThanOneReaderDoes() throws ServiceException {
-        Shore fixture = new Shore(2, 2);
+        PlatformFixture fixture = new PlatformFixture(2, 2);
         fixture.run(2000);
         int before = fixture.processorList.calls();
         fixture.run(14_000);
@@ -67,8 +67,8 @@
     /** What is being read stays in force while the list cannot be had. */
     @Test
     void listThatIsDownChangesNothing() throws ServiceException {
-        Shore fixture = new Shore(3, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        PlatformFixture fixture = new PlatformFixture(3, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
         fixture.processorList.down(true);
         fixture.run(8000);
         assertEquals(1, view(fixture).processors().size());
@@ -79,21 +79,21 @@
 
     @Test
     void nextOwnerOfTheLayoutsPartReadsOn() throws ServiceException {
-        Shore fixture = new Shore(4, 1);
-        String owner = fixture.r.lighthouses.stream()
+        PlatformFixture fixture = new PlatformFixture(4, 1);
+        String owner = fixture.r.controlNodes.stream()
                 .filter(l -> fixture.r.controlNode(l).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         fixture.r.kill(owner);
         fixture.run(4000);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
         assertEquals(1, view(fixture).processors().size());
     }
 
     @Test
     void drainingProcessorGetsNothingMore() throws ServiceException {
-        Shore fixture = new Shore(5, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        PlatformFixture fixture = new PlatformFixture(5, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(1500);
         assertEquals(1, fixture.got.size());
@@ -106,7 +106,7 @@
         assertTrue(
                 last.minus(shown).toMillis() < 2500,
                 "got work until " + last.minus(shown) + " after the list showed it");
-        fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(Shore.done(request)));
+        fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(PlatformFixture.done(request)));
         fixture.run(3000);
         assertEquals(41, fixture.got.size());
     }
@@ -114,13 +114,13 @@
     /** Another service may take the address of one that is gone: its id is no more the one that is expected. */
     @Test
     void reusedAddressIsToldWhoIsExpected() throws ServiceException {
-        Shore fixture = new Shore(6, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        PlatformFixture fixture = new PlatformFixture(6, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(1500);
         assertEquals("i-1", fixture.got.get(0).q().headers().get("x-expect-instance"));
         fixture.processorList.drop("i-1");
-        fixture.processor("i-7", "same", AT, request -> Mono.just(Shore.done(request)));
+        fixture.processor("i-7", "same", AT, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(3000);
         assertEquals(1, fixture.got.size(), "nobody serves the first service any more");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
@@ -18,8 +18,9 @@
     private static final String ENDPOINT = TestConfiguration.endpoint(0);
 
     private static List<String> under(long seed, Consumer<FleetSimulation> change) throws ServiceException {
-        FleetSimulation simulation =
-                new FleetSimulation(seed, 3, 3, 2, new TestConfiguration(3, 1, 60, 60, 26), World.LARGE_RING).embark();
+        FleetSimulation simulation = new FleetSimulation(
+                        seed, 3, 3, 2, new TestConfiguration(3, 1, 60, 60, 26), SimulatedFleet.LARGE_RING)
+                .startAll();
         for (int ms = 0; ms < 12000; ms += 20) {
             simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
         }
@@ -31,7 +32,8 @@
 
     private static String holder(FleetSimulation simulation) {
         return simulation.w.intakes.stream()
-                .filter(i -> simulation.w.pilot(i).ownedBuckets().stream().anyMatch(b -> b.startsWith("endpoint/")))
+                .filter(i ->
+                        simulation.w.dataPlaneNode(i).ownedBuckets().stream().anyMatch(b -> b.startsWith("endpoint/")))
                 .findFirst()
                 .orElseThrow();
     }
@@ -42,7 +44,7 @@
         String store = simulation.w.stores.get(0);
         simulation.w.net.cutOff(holder);
         simulation.w.net.join(holder, store);
-        simulation.w.lighthouses.forEach(l -> simulation.w.net.cut(l, store));
+        simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, store));
         simulation.w.intakes.stream().filter(i -> !i.equals(holder)).forEach(i -> simulation.w.net.cut(i, store));
         simulation.w.sim.after(Duration.ofSeconds(3), simulation.w.net::heal);
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -26,13 +26,13 @@
     private static boolean allParts(FleetSimulation simulation, String store, boolean voting) {
         return simulation.w.stores.stream()
                 .filter(s -> simulation.w.host(s).alive())
-                .allMatch(s ->
-                        simulation.w.pilot(s).groups().values().stream().allMatch(g -> g.contains(store) == voting));
+                .allMatch(s -> simulation.w.dataPlaneNode(s).groups().values().stream()
+                        .allMatch(g -> g.contains(store) == voting));
     }
 
     @Test
     void fourthStoreTakesThePlaceOfALostOne() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(3, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(3, 3, 3, 4).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
         String lost = simulation.w.stores.get(0);
@@ -40,7 +40,8 @@
         String spare = simulation.w.newStore();
         assertTrue(
                 simulation.w.sim.runUntil(
-                        () -> simulation.w.pilot(spare).groups().size() == 8 && allParts(simulation, lost, false),
+                        () -> simulation.w.dataPlaneNode(spare).groups().size() == 8
+                                && allParts(simulation, lost, false),
                         Duration.ofSeconds(60)),
                 "the spare is not seated everywhere");
         simulation.w.kill(simulation.w.stores.get(1));
@@ -54,23 +55,23 @@
     /** Before: a store that merely joined got nothing. Its zone has another, so it shares that one's copies only. */
     @Test
     void storeThatJoinsGetsItsShareAndThenAllIsQuiet() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(9, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(9, 3, 3, 4).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
         String fresh = simulation.w.newStore();
         assertTrue(
                 simulation.w.sim.runUntil(
-                        () -> simulation.w.pilot(fresh).groups().size() == 4
-                                && simulation.w.pilot(fresh).ledCount() == 2,
+                        () -> simulation.w.dataPlaneNode(fresh).groups().size() == 4
+                                && simulation.w.dataPlaneNode(fresh).ledCount() == 2,
                         Duration.ofSeconds(120)),
-                "it has " + simulation.w.pilot(fresh).groups().keySet() + ", owns "
-                        + simulation.w.pilot(fresh).ledCount());
+                "it has " + simulation.w.dataPlaneNode(fresh).groups().keySet() + ", owns "
+                        + simulation.w.dataPlaneNode(fresh).ledCount());
         simulation.w.sim.run(Duration.ofSeconds(20));
         long terms = terms(simulation);
         simulation.w.sim.run(Duration.ofSeconds(60));
         assertEquals(terms, terms(simulation), "parts go on changing hands");
         for (String s : simulation.w.stores) {
-            assertEquals(2, simulation.w.pilot(s).ledCount(), s);
+            assertEquals(2, simulation.w.dataPlaneNode(s).ledCount(), s);
         }
         assertFalse(
                 simulation.kinds().containsKey("unavailable"),
@@ -81,7 +82,7 @@
     private static long terms(FleetSimulation simulation) {
         return ServiceNames.messageParts().stream()
                 .mapToLong(p -> simulation.w.stores.stream()
-                        .mapToLong(s -> simulation.w.pilot(s).term(p))
+                        .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
                         .max()
                         .orElse(0))
                 .sum();
@@ -89,25 +90,27 @@
 
     @Test
     void shortAbsenceOfAStoreMovesNothing() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(4, 3, 4, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(4, 3, 4, 4).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
-        Map<String, ?> before = simulation.w.pilot(simulation.w.stores.get(1)).groups();
+        Map<String, ?> before =
+                simulation.w.dataPlaneNode(simulation.w.stores.get(1)).groups();
         simulation.w.kill(simulation.w.stores.get(0));
         simulation.w.sim.run(Duration.ofSeconds(6));
         simulation.w.restart(simulation.w.stores.get(0));
         simulation.w.sim.run(Duration.ofSeconds(10));
-        assertEquals(before, simulation.w.pilot(simulation.w.stores.get(1)).groups());
+        assertEquals(
+                before, simulation.w.dataPlaneNode(simulation.w.stores.get(1)).groups());
         ended(simulation);
     }
 
     @Test
     void lostLighthouseIsReplacedByAnother() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).startAll();
         simulation.traffic(20);
-        simulation.w.kill(simulation.w.lighthouses.get(0));
-        String spare = simulation.w.newLighthouse();
-        List<String> wanted = List.of(simulation.w.lighthouses.get(1), simulation.w.lighthouses.get(2), spare);
+        simulation.w.kill(simulation.w.controlNodes.get(0));
+        String spare = simulation.w.newControlNodeFirstSettings();
+        List<String> wanted = List.of(simulation.w.controlNodes.get(1), simulation.w.controlNodes.get(2), spare);
         AtomicInteger status = new AtomicInteger();
         simulation.operate(
                 new Request("PUT", "/v1/core", Map.of(), Configurations.write(Map.of("lighthouses", wanted))),
@@ -123,7 +126,7 @@
                                         .equals(wanted.stream().sorted().toList()),
                         Duration.ofSeconds(60)),
                 "not seated: " + simulation.w.controlNode(spare).controlNodes());
-        simulation.w.kill(simulation.w.lighthouses.get(1));
+        simulation.w.kill(simulation.w.controlNodes.get(1));
         simulation.w.sim.run(Duration.ofSeconds(8));
         AtomicInteger taken = new AtomicInteger();
         simulation.put(simulation.configuration, simulation.version, "after", response -> taken.set(response.status()));
@@ -139,9 +142,9 @@
      */
     @Test
     void layoutPutRightAfterTheLossOfItsOwnerGetsAClearYes() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).startAll();
         Duration lost = simulation.w.sim.now();
-        simulation.w.kill(simulation.w.lighthouses.get(0));
+        simulation.w.kill(simulation.w.controlNodes.get(0));
         List<Integer> answers = new ArrayList<>();
         repeat(simulation, answers, lost.plusMillis(2500));
         simulation.w.sim.run(Duration.ofSeconds(6));
@@ -153,7 +156,7 @@
         byte[] json = Configurations.write(simulation.configuration);
         Request put = new Request("PUT", "/v1/layout", Map.of("if-match", "1", "x-request-id", "now"), json);
         Duration sent = simulation.w.sim.now();
-        simulation.w.request(simulation.w.lighthouses.get(1), put, Duration.ofSeconds(5), optional -> {
+        simulation.w.request(simulation.w.controlNodes.get(1), put, Duration.ofSeconds(5), optional -> {
             assertTrue(
                     simulation.w.sim.now().minus(sent).compareTo(Duration.ofSeconds(1)) < 0,
                     "silent for over a second");
@@ -174,7 +177,7 @@
 
     @Test
     void twoLighthousesAtOnceAreRefused() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(6, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(6, 3, 3, 4).startAll();
         AtomicInteger status = new AtomicInteger();
         simulation.operate(
                 new Request(
@@ -182,7 +185,7 @@
                         "/v1/core",
                         Map.of(),
                         Configurations.write(Map.of(
-                                "lighthouses", List.of(simulation.w.lighthouses.get(0), "10.9.9.1:1", "10.9.9.2:1")))),
+                                "lighthouses", List.of(simulation.w.controlNodes.get(0), "10.9.9.1:1", "10.9.9.2:1")))),
                 response -> status.set(response.status()));
         simulation.w.sim.run(Duration.ofSeconds(2));
         assertEquals(409, status.get());
@@ -190,19 +193,19 @@
 
     @Test
     void ownersSpreadAgainAfterARollingRestart() throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(7, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(7, 3, 3, 4).startAll();
         simulation.traffic(20);
         for (String s : simulation.w.stores) {
-            simulation.w.pilot(s).drain();
+            simulation.w.dataPlaneNode(s).drain();
             simulation.w.sim.run(Duration.ofSeconds(1));
-            assertTrue(simulation.w.pilot(s).drain(), "drained within a second");
+            assertTrue(simulation.w.dataPlaneNode(s).drain(), "drained within a second");
             simulation.w.kill(s);
             simulation.w.sim.run(Duration.ofSeconds(2));
             simulation.w.restart(s);
             simulation.w.sim.run(Duration.ofSeconds(6));
         }
         for (String s : simulation.w.stores) {
-            long owned = simulation.w.pilot(s).ledCount();
+            long owned = simulation.w.dataPlaneNode(s).ledCount();
             assertTrue(owned >= 2 && owned <= 3, s + " owns " + owned + " of 8 parts");
         }
         assertFalse(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -17,17 +17,17 @@
     private static final long TIMEOUT_MS = 1500;
     private static final String AT = "10.9.0.1:8080";
 
-    private static Duration gap(Shore fixture, int from) {
+    private static Duration gap(PlatformFixture fixture, int from) {
         return fixture.got.get(from + 1).at().minus(fixture.got.get(from).at());
     }
 
-    private static Mono<Response> silenceUntil(Shore fixture, int n, Request request) {
-        return fixture.got.size() < n ? Mono.never() : Mono.just(Shore.done(request));
+    private static Mono<Response> silenceUntil(PlatformFixture fixture, int n, Request request) {
+        return fixture.got.size() < n ? Mono.never() : Mono.just(PlatformFixture.done(request));
     }
 
     @Test
     void unclearAttemptIsSentAgainAfterItsDeadlineOnly() throws ServiceException {
-        Shore fixture = new Shore(1, 1);
+        PlatformFixture fixture = new PlatformFixture(1, 1);
         fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 2, request));
         String handle = fixture.accepted("/push/x", "b", Map.of());
         fixture.run(6000);
@@ -41,12 +41,13 @@
     /** The back end gives a repeat its first success again, so nothing is waited for. */
     @Test
     void unclearAnswerOfAServiceThatDedupesIsSentAgainAtOnce() throws ServiceException {
-        Shore fixture = new Shore(2, 1);
+        PlatformFixture fixture = new PlatformFixture(2, 1);
         fixture.processor(
                 "i-1",
                 "same",
                 AT,
-                request -> Mono.just(fixture.got.size() < 3 ? Shore.answer(request, 502) : Shore.done(request)));
+                request -> Mono.just(
+                        fixture.got.size() < 3 ? PlatformFixture.answer(request, 502) : PlatformFixture.done(request)));
         fixture.accepted("/dedup/x", "b", Map.of());
         fixture.run(3000);
         assertEquals(3, fixture.got.size());
@@ -55,14 +56,16 @@
 
     @Test
     void unclearAttemptsAndSuchThatWereNotRunCountAsNoTries() throws ServiceException {
-        Shore fixture = new Shore(3, 1);
+        PlatformFixture fixture = new PlatformFixture(3, 1);
         fixture.processor("i-1", "same", AT, request -> {
             int n = fixture.got.size();
-            Response notRun = Shore.answer(request, 503).with("X-Not-Executed", "1");
+            Response notRun = PlatformFixture.answer(request, 503).with("X-Not-Executed", "1");
             return Mono.just(
                     n <= 5
-                            ? Shore.answer(request, 502)
-                            : n <= 9 ? notRun : n <= 10 ? Shore.answer(request, 421) : Shore.done(request));
+                            ? PlatformFixture.answer(request, 502)
+                            : n <= 9
+                                    ? notRun
+                                    : n <= 10 ? PlatformFixture.answer(request, 421) : PlatformFixture.done(request));
         });
         String handle = fixture.accepted("/dedup/x", "b", Map.of());
         fixture.run(20_000);
@@ -72,8 +75,8 @@
 
     @Test
     void answers500CountAndTheThirdEndsIt() throws ServiceException {
-        Shore fixture = new Shore(4, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.answer(request, 500)));
+        PlatformFixture fixture = new PlatformFixture(4, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.answer(request, 500)));
         String handle = fixture.accepted("/push/x", "poison", Map.of());
         fixture.run(12_000);
         assertEquals(3, fixture.got.size());
@@ -82,7 +85,7 @@
 
     @Test
     void nextOfTheKeyWaitsWhileTheFirstIsUnclear() throws ServiceException {
-        Shore fixture = new Shore(5, 1);
+        PlatformFixture fixture = new PlatformFixture(5, 1);
         fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 3, request));
         Map<String, String> key = Map.of("x-order-key", "k");
         fixture.accepted("/order/x", "first", key);
@@ -96,7 +99,7 @@
     /** The new owner waits for the attempt's deadline too; then it is run again, once. */
     @Test
     void newOwnerSendsAgainWhatItsPredecessorHadUnderWay() throws ServiceException {
-        Shore fixture = new Shore(6, 1);
+        PlatformFixture fixture = new PlatformFixture(6, 1);
         fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 2, request));
         String handle = fixture.accepted("/push/x", "b", Map.of());
         fixture.r.sim.runUntil(() -> !fixture.got.isEmpty(), Duration.ofSeconds(5));
@@ -113,17 +116,17 @@
      */
     @Test
     void handOverDuringARunDoesNotRunItTwice() throws ServiceException {
-        Shore fixture = new Shore(7, 1);
+        PlatformFixture fixture = new PlatformFixture(7, 1);
         fixture.processor(
                 "i-1",
                 "book",
                 AT,
-                request -> Mono.create(
-                        sink -> fixture.r.sim.after(Duration.ofMillis(1000), () -> sink.success(Shore.done(request)))));
+                request -> Mono.create(sink -> fixture.r.sim.after(
+                        Duration.ofMillis(1000), () -> sink.success(PlatformFixture.done(request)))));
         String handle = fixture.accepted("/push/x", "b", Map.of());
         fixture.r.sim.runUntil(() -> !fixture.got.isEmpty(), Duration.ofSeconds(5));
         String before = fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow();
-        fixture.r.pilot(before).drain();
+        fixture.r.dataPlaneNode(before).drain();
         fixture.run(6000);
         assertTrue(!fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow().equals(before), "handed over");
         assertEquals(1, fixture.got.size());
@@ -132,8 +135,8 @@
 
     @Test
     void deliveryIsTheRequestAsItArrived() throws ServiceException {
-        Shore fixture = new Shore(8, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(Shore.done(request)));
+        PlatformFixture fixture = new PlatformFixture(8, 1);
+        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted(
                 "/order/x?y=%20z", "bytes", Map.of("x-order-key", "k", "x-attempt-id", "mine", "content-type", "a/b"));
         fixture.run(1500);
@@ -142,7 +145,7 @@
                 "POST /order/x?y=%20z bytes",
                 request.method() + " " + request.path() + " " + new String(request.body()));
         assertEquals(
-                List.of("mine", "k", "tenant-a", "i-1", Shore.HOST, "a/b"),
+                List.of("mine", "k", "tenant-a", "i-1", PlatformFixture.HOST, "a/b"),
                 List.of("x-attempt-id", "x-order-key", "x-tenant", "x-expect-instance", "host", "content-type").stream()
                         .map(h -> request.headers().get(h))
                         .toList());
@@ -156,13 +159,15 @@
     /** A failed message keeps its body, a done one does not; what is not there and what is another's look alike. */
     @Test
     void failedMessagesKeepTheirBodiesAndDoneOnesDoNot() throws ServiceException {
-        Shore fixture = new Shore(9, 1);
+        PlatformFixture fixture = new PlatformFixture(9, 1);
         fixture.processor(
                 "i-1",
                 "book",
                 AT,
                 request -> Mono.just(
-                        new String(request.body()).equals("bad") ? Shore.answer(request, 422) : Shore.done(request)));
+                        new String(request.body()).equals("bad")
+                                ? PlatformFixture.answer(request, 422)
+                                : PlatformFixture.done(request)));
         String bad = fixture.accepted("/push/x", "bad", Map.of());
         String good = fixture.accepted("/push/x", "good", Map.of());
         String later = fixture.accepted("/push/x", "later", Map.of("x-delay-ms", "60000"));
@@ -184,7 +189,7 @@
         for (String none : List.of("m0-999", "m999-1", "nonsense", "m1-1x")) {
             assertEquals(404, fixture.bytes(none).status(), none);
         }
-        Map<String, String> other = Map.of("host", Shore.HOST, "authorization", "Token key-of-b");
+        Map<String, String> other = Map.of("host", PlatformFixture.HOST, "authorization", "Token key-of-b");
         assertEquals(404, fixture.front("GET", "/-/message/" + bad, other, "").status());
         assertEquals(
                 404, fixture.front("GET", "/-/message-body/" + bad, other, "").status());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -34,12 +34,12 @@
     @ParameterizedTest
     @ValueSource(longs = {5, 2, 3, 4})
     void allThreeSeedsMayBeGone(long seed) throws ServiceException {
-        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).embark();
+        FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.traffic(20);
         for (int i = 0; i < 3; i++) {
-            simulation.w.lose(simulation.w.lighthouses.get(i));
-            String fresh = simulation.w.newLighthouse();
-            List<String> wanted = simulation.w.presentLighthouses();
+            simulation.w.lose(simulation.w.controlNodes.get(i));
+            String fresh = simulation.w.newControlNodeFirstSettings();
+            List<String> wanted = simulation.w.presentControlNodes();
             AtomicInteger status = new AtomicInteger();
             simulation.operate(
                     new Request("PUT", "/v1/core", Map.of(), Configurations.write(Map.of("lighthouses", wanted))),
@@ -57,7 +57,7 @@
                     "not seated: " + simulation.w.controlNode(fresh).controlNodes());
             simulation.w.sim.run(Duration.ofSeconds(10));
         }
-        new ConfigurationOperator(simulation).changeAt(simulation.w.presentLighthouses());
+        new ConfigurationOperator(simulation).changeAt(simulation.w.presentControlNodes());
         simulation.w.sim.run(Duration.ofSeconds(5));
         assertEquals(2, simulation.version, "the layout was changed by the new core");
         simulation.w.seenVersions();
@@ -83,7 +83,7 @@
     void anOlderListIsNeverTaken() {
         CoreMembers newer = new CoreMembers(9, List.of("10.0.0.2:1", "10.0.0.4:1"));
         List<CoreMembers> written = new ArrayList<>();
-        Sim sim = new Sim(1);
+        Simulator sim = new Simulator(1);
         RpcClient rpc = new SimNet(sim)
                 .rpc(new Host("10.0.0.9:1", sim), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()));
         CoreClient core = new CoreClient(rpc, () -> 0, List.of("10.0.0.1:1"), newer, written::add);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -19,7 +19,8 @@
     private static final Backend.Manner LOSES = new Backend.Manner(Duration.ofMillis(5), 0, 0, 1);
 
     private static FleetSimulation fleet(long seed) throws ServiceException {
-        return new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), World.LARGE_RING).embark();
+        return new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
+                .startAll();
     }
 
     private static FleetSimulation ended(FleetSimulation simulation) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -23,7 +23,7 @@
                 new byte[0]);
     }
 
-    private static List<Response> waiting(Shore fixture, int n, long waitMs) {
+    private static List<Response> waiting(PlatformFixture fixture, int n, long waitMs) {
         List<Response> out = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             fixture.r.request(
@@ -37,7 +37,7 @@
 
     @Test
     void fetchWithoutWorkIsEmptyAfterItsWait() throws ServiceException {
-        Shore fixture = new Shore(1, 2);
+        PlatformFixture fixture = new PlatformFixture(1, 2);
         Duration asked = fixture.r.sim.now();
         assertEquals(204, fixture.pull("i-1", 1000).status());
         long took = fixture.r.sim.now().minus(asked).toMillis();
@@ -54,7 +54,7 @@
     /** Work that becomes due meets a waiting fetch at once, wherever the two are. */
     @Test
     void waitingFetchGetsWhatBecomesDue() throws ServiceException {
-        Shore fixture = new Shore(2, 3);
+        PlatformFixture fixture = new PlatformFixture(2, 3);
         List<Response> out = waiting(fixture, 6, 10_000);
         fixture.run(1000);
         Duration sent = fixture.r.sim.now();
@@ -68,7 +68,7 @@
     @Test
     void oneMessageGoesToOneFetchOnly() throws ServiceException {
         for (long seed = 3; seed < 6; seed++) {
-            Shore fixture = new Shore(seed, 3);
+            PlatformFixture fixture = new PlatformFixture(seed, 3);
             List<Response> out = waiting(fixture, 30, 2500);
             for (int i = 0; i < 12; i++) {
                 fixture.accepted("/pull/" + i, "b" + i, Map.of());
@@ -85,7 +85,7 @@
 
     @Test
     void delayIsKept() throws ServiceException {
-        Shore fixture = new Shore(6, 1);
+        PlatformFixture fixture = new PlatformFixture(6, 1);
         Duration sent = fixture.r.sim.now();
         fixture.accepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
         Response response = fixture.pull("i-1", 8000);
@@ -97,7 +97,7 @@
     /** The asking intake dies: its fetch is gone, and what it may have been promised comes again after the lease. */
     @Test
     void fetchOfADeadIntakeLosesNothing() throws ServiceException {
-        Shore fixture = new Shore(7, 2);
+        PlatformFixture fixture = new PlatformFixture(7, 2);
         List<Response> out = new ArrayList<>();
         fixture.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
         fixture.r.request(
--- a/testkit/src/test/java/org/woadvale/testkit/stub/ConfigurationRulesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ConfigurationRulesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each check of configurations and limits sees the break that it is meant for, and no other does. */
-class ConfigurationRulesTest extends Diary {
+class ConfigurationRulesTest extends ObservationLogBuilder {
     @Test
     void withdrawnKeyRan() {
         paper(
--- a/testkit/src/test/java/org/woadvale/testkit/stub/Diary.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ObservationLogBuilder.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /** A day as it was seen from outside, written by hand. */
-abstract class Diary {
+abstract class ObservationLogBuilder {
     static final String HOST = "h";
     final ObservationLog w = new ObservationLog();
 
--- a/testkit/src/test/java/org/woadvale/testkit/stub/RulesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/RulesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each check of runs and ends sees the break that it is meant for, and no other does. */
-class RulesTest extends Diary {
+class RulesTest extends ObservationLogBuilder {
     @Test
     void goodDayBreaksNothing() {
         done("1", "a", "", 10);
