--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -10,7 +10,7 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Whole shipped nodes (8 intakes, 3 stores, 3 lighthouses) under mixed traffic: what one event costs in frames, syncs
+ * Whole shipped nodes (8 intakes, 3 stores, 3 control nodes) under mixed traffic: what one event costs in frames, syncs
  * and
  * processor time over all of them. The time holds the simulator and the stand-ins too, and no sockets. (docs/design.md,
  * section 12.1)
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -219,7 +219,7 @@
         out.put("bytes of the core /s", all.bytes());
         out.put("processor ms of the core /s", all.cpuS() * 1000);
         out.put(
-                "asks of the busiest lighthouse /s",
+                "asks of the busiest control node /s",
                 core.keySet().stream()
                         .mapToDouble(a -> core.get(a).minus(controlNodes.get(a)).asks() / s)
                         .max()
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
@@ -28,7 +28,9 @@
     static {
         ALL.put("kill-store", (fleet, environment, load) -> killOne(fleet.stores.get(0), environment, load));
         ALL.put("kill-intake", (fleet, environment, load) -> killOne(fleet.intakes.get(0), environment, load));
-        ALL.put("kill-lighthouse", (fleet, environment, load) -> killOne(fleet.controlNodes.get(0), environment, load));
+        ALL.put(
+                "kill-control-node",
+                (fleet, environment, load) -> killOne(fleet.controlNodes.get(0), environment, load));
         ALL.put("pause-store", (fleet, environment, load) -> pauseOne(fleet.stores.get(0), load));
         ALL.put("pause-intake", (fleet, environment, load) -> pauseOne(fleet.intakes.get(0), load));
         ALL.put("lose-disk", Drills::loseDisk);
@@ -37,9 +39,9 @@
         ALL.put("cut-intake", (fleet, environment, load) -> cutOff(fleet.intakes.get(0), fleet, environment, load));
         ALL.put("cut-store", (fleet, environment, load) -> cutOff(fleet.stores.get(0), fleet, environment, load));
         ALL.put(
-                "cut-lighthouse",
+                "cut-control-node",
                 (fleet, environment, load) -> cutOff(fleet.controlNodes.get(0), fleet, environment, load));
-        ALL.put("hall-off", Drills::zoneOff);
+        ALL.put("zone-off", Drills::zoneOff);
         ALL.put("slow-endpoints", Drills::slowEndpoints);
         ALL.put("wrap", (fleet, environment, load) -> load.run(Duration.ofSeconds(90), 270));
         ALL.put("upgrade", Drills::upgrade);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -37,7 +37,7 @@
         seeds = List.copyOf(addresses);
         for (int i = 0; i < shape.controlNodes; i++) {
             controlNodes.add(new NodeProcess(
-                    "lighthouse" + i,
+                    "control" + i,
                     ControlPlaneProgram.class.getName(),
                     root,
                     seeds.get(i),
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
@@ -15,10 +15,10 @@
     final int processors;
     final int endpoints;
 
-    Shape(int intakes, int stores, int lighthouses, int zones, int processors, int endpoints) {
+    Shape(int intakes, int stores, int controlNodes, int zones, int processors, int endpoints) {
         this.intakes = intakes;
         this.stores = stores;
-        this.controlNodes = lighthouses;
+        this.controlNodes = controlNodes;
         this.zones = zones;
         this.processors = processors;
         this.endpoints = endpoints;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -77,7 +77,7 @@
             }
             sleep(200);
         }
-        throw new IllegalStateException("no lighthouse answered " + method + " " + path);
+        throw new IllegalStateException("no control node answered " + method + " " + path);
     }
 
     public long putConfiguration(Configuration configuration, long base, String requestId) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -52,7 +52,7 @@
         changeAt(fleet.controlNodes);
     }
 
-    void changeAt(List<String> lighthouses) {
+    void changeAt(List<String> controlNodes) {
         Optional<String> extra = simulation.configuration.lanes().keySet().stream()
                 .filter(x -> x.startsWith("extra"))
                 .findFirst();
@@ -60,7 +60,7 @@
         String lane = remove ? extra.get() : "extra" + n;
         Configuration next =
                 remove ? withoutLane(simulation.configuration, lane) : withLane(simulation.configuration, lane);
-        simulation.put(next, simulation.version, "change" + n++, lighthouses, response -> {
+        simulation.put(next, simulation.version, "change" + n++, controlNodes, response -> {
             if (response.status() == 200) {
                 long puts = simulation.puts;
                 fleet.intakes.forEach(i -> probe(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -36,7 +36,7 @@
         faults.put("bad weather", () -> fleet.net.setLossAndDuplication(0.05, 0.02));
         faults.put("lost disk", this::wipe);
         faults.put("store lost for good", this::loseStore);
-        faults.put("lighthouse lost for good", this::loseLighthouse);
+        faults.put("control node lost for good", this::loseControlNode);
         faults.put("drain", () -> drain(any(fleet.stores)));
         faults.put("holder drained", () -> drain(any(fleet.intakes)));
         faults.put("stores in turn", this::inTurn);
@@ -117,7 +117,7 @@
         }
     }
 
-    private void loseLighthouse() {
+    private void loseControlNode() {
         if (mayLose(CALM_AFTER_REPLACEMENT)) {
             String h = any(fleet.presentControlNodes());
             log.add("lost " + h);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -273,7 +273,7 @@
                                 .dataPlaneNode(simulation.w.stores.get(0))
                                 .drain()));
         row(
-                "lighthouse killed",
+                "control node killed",
                 steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.controlNodes.get(0))));
     }
 }
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -73,7 +73,7 @@
             f.stores.get(0).kill();
             accepted("with a store killed");
             f.controlNodes.get(0).kill();
-            accepted("with a lighthouse killed as well");
+            accepted("with a control node killed as well");
             f.stores.get(0).start();
             f.controlNodes.get(0).start();
             environment.await("return", LONG, () -> f.all().stream().allMatch(environment::ready));
@@ -194,7 +194,7 @@
         fleet.controlNodes.get(2).kill();
         String address = Fleet.free();
         NodeProcess fresh = new NodeProcess(
-                "lighthouse3",
+                "control3",
                 ControlPlaneProgram.class.getName(),
                 root,
                 address,
@@ -219,7 +219,7 @@
                         seeds.get(1),
                         "third",
                         address));
-        accepted("with a new lighthouse");
+        accepted("with a new control node");
     }
 
     private void replaceStore() throws Exception {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
@@ -51,8 +51,8 @@
         simulation.w.host(simulation.w.stores.get(1)).powerLoss();
     }
 
-    @When("a lighthouse is killed")
-    public void killLighthouse() {
+    @When("a control node is killed")
+    public void killControlNode() {
         simulation.w.kill(simulation.w.controlNodes.get(0));
     }
 
--- a/testkit/src/test/resources/features/never.feature
+++ b/testkit/src/test/resources/features/never.feature
@@ -22,7 +22,7 @@
       | an intake is killed                       |
       | the holder of an allowance is killed      |
       | a store loses power                       |
-      | a lighthouse is killed                    |
+      | a control node is killed                    |
       | an intake is cut off                      |
       | a store is cut off one way                |
       | everything loses power and is restarted   |
