--- a/testkit/src/test/java/org/woadvale/testkit/replication/FirstFormatTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/FirstFormatTest.java
@@ -1,4 +1,4 @@
-package org.woadvale.testkit.replication;
+package org.woadvale.dataplane.queue;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -14,8 +14,6 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
-import org.woadvale.dataplane.queue.MessageCommands;
-import org.woadvale.dataplane.queue.RouteTerms;
 
 /** What the first version wrote into logs: a changed type or number shows here before it eats a disk. */
 class FirstFormatTest {
