--- a/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
+++ b/common/src/main/java/org/woadvale/common/cli/CoreMembersFile.java
@@ -44,7 +44,7 @@
                 lines.stream().filter(line -> line.matches("[0-9.]+:[0-9]+")).toList());
     }
 
-    /** Replaces the list as a whole; the epoch has a line of its own that builds without epochs pass over. */
+    /** Replaces the list in one step; the epoch has a line of its own that builds without epochs ignore. */
     public void write(CoreMembers known) {
         try {
             Files.createDirectories(file.getParent());
--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -40,7 +40,7 @@
         void check(Settings boot) throws ServiceException;
     }
 
-    /** Where the boot values come from; the command line and its file unless told otherwise. */
+    /** Where the settings come from: the command line and its file, or the platform. */
     @FunctionalInterface
     public interface Source {
         /** The settings that the command line names. */
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -88,7 +88,8 @@
     }
 
     /**
-     * What becomes of a message when nobody can say whether its run was done: design 9.3; resend (docs/design.md,
+     * What becomes of a message when nobody can say whether it was executed; RESEND is for processors that deduplicate
+     * (docs/design.md,
      * section 9.11).
      */
     public enum IfUnclear {
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -250,7 +250,7 @@
         changed.forEach(view -> listeners.forEach(listener -> listener.accept(view.service(), view)));
     }
 
-    /** As a home node: what is held, with its age; what is not held yet is followed from now on. */
+    /** As a home node: answers with the views that are here and their age, and subscribes to those that are not. */
     public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest ask) {
         return Mono.fromSupplier(() -> byService(ask)).map(reply -> compression.pack(ask, reply));
     }
--- a/common/src/main/java/org/woadvale/common/error/ThrottledException.java
+++ b/common/src/main/java/org/woadvale/common/error/ThrottledException.java
@@ -17,12 +17,12 @@
         super(ErrorKind.THROTTLED, message, details);
     }
 
-    /** The caller may come back after so many whole seconds. */
+    /** The caller may come back after so many seconds. */
     public ThrottledException(String message, long retryAfterSeconds) {
         this(message, List.of(Long.toString(retryAfterSeconds)));
     }
 
-    /** When the caller may come back, in whole seconds, if that is known. */
+    /** When the caller may come back, in seconds, if that is known. */
     public Optional<String> retryAfterSeconds() {
         return details().stream().findFirst();
     }
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Notes on a stream that what came cannot be decoded: the server then ends the body as if it were whole. */
+/** Notes on a stream that what came cannot be decoded: the server then ends the body as if it were complete. */
 final class MalformedRequestHandler extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<Boolean> KEY = AttributeKey.valueOf("woadvale.broken");
 
--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Replaces a whole list, from a source that has them all. */
+    /** Replaces all processors of a service, from a source that knows them all. */
     public record PutProcessors(
             String service,
             Map<String, Processor> processors,
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -98,7 +98,8 @@
     }
 
     /**
-     * Stands once the first of the ring has let its lease lapse; the ring itself is told of that later.
+     * Also the second of the ring may acquire, once the first has let its lease expire; the ring itself learns of that
+     * later.
      * (docs/design.md, section 8.4)
      */
     private boolean preferredOwner(String bucketName, Set<String> ring) {
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -9,7 +9,7 @@
  * The next change of a group: a follower that has caught up takes its place in it.
  *
  * @param joining the node that joins, or that is a member already and comes back with another identity
- * @param members the whole group after the change, node to identity
+ * @param members all members after the change, node to identity
  */
 record MembershipChange(String joining, Map<String, String> members) {
     /** A lost disk's new identity, or a wanted member for one not wanted; empty if there is nothing to change. */
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Recovers from what the write-ahead log held and takes part from then on.
+     * Recovers from the records of the write-ahead log and takes part from then on.
      *
      * @throws ServiceException if a record is unreadable; the replica must not be used then
      */
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
@@ -49,7 +49,7 @@
             String identity,
             @FirstFormatName("willing") boolean electable) {}
 
-    /** A whole snapshot in one request, for builds that do not know chunks. */
+    /** A snapshot in one request, for builds that do not know chunks. */
     public record InstallSnapshotRequest(
             @FirstFormatName("part") String partition,
             long term,
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
@@ -21,11 +21,11 @@
 
     /** What became of a chunk. */
     public enum ChunkStatus {
-        /** Accepted, or held already: the next chunk begins at the offset of the answer. */
+        /** Accepted, or received before: the next chunk begins at the offset of the answer. */
         ACCEPTED,
         /** Not the chunk that comes next: nothing changed; the next one begins at the offset of the answer. */
         UNEXPECTED_OFFSET,
-        /** The whole does not have its checksum: all chunks are dropped. */
+        /** The snapshot does not have its checksum: all chunks are dropped. */
         CORRUPT,
         /** Larger than this replica can store: nothing changed. */
         TOO_LARGE,
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -55,7 +55,7 @@
 
     @Override
     public String name() {
-        return "beam";
+        return "RPC";
     }
 
     @Override
@@ -84,10 +84,11 @@
         }
     }
 
-    private void accept(Connection c) {
-        RpcConnection connection = new RpcConnection(c, self, codec, router, timers, framesSent, Optional.empty());
+    private void accept(Connection incomingConnection) {
+        RpcConnection connection =
+                new RpcConnection(incomingConnection, self, codec, router, timers, framesSent, Optional.empty());
         incoming.put(connection, Boolean.TRUE);
-        c.onDispose(() -> incoming.remove(connection));
+        incomingConnection.onDispose(() -> incoming.remove(connection));
         connection.open();
     }
 
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -32,8 +32,9 @@
     @Override
     public TimerHandle after(Duration delay, Runnable task) {
         try {
-            ScheduledFuture<?> f = pool.schedule(guarded(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
-            return () -> f.cancel(false);
+            ScheduledFuture<?> scheduled =
+                    pool.schedule(guarded(task), Math.max(0, delay.toNanos()), TimeUnit.NANOSECONDS);
+            return () -> scheduled.cancel(false);
         } catch (RejectedExecutionException e) {
             return () -> {};
         }
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -89,7 +89,7 @@
         return buffer.array();
     }
 
-    /** Empty where no whole, sound record stands at the place. */
+    /** Empty where no complete and valid record begins at the position. */
     static Optional<DecodedRecord> read(ReadWindow file, int at) throws NewerFormatException, IOException {
         if (at + HEADER_BYTES + PREFIX_BYTES > file.size()) {
             return Optional.empty();
--- a/common/src/main/java/org/woadvale/common/wal/RingWriter.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriter.java
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Takes the space of all files, and zeroes what a former life left behind the last sound record. */
+    /** Allocates all files, and zeroes what a former incarnation left behind the last valid record. */
     private void prepare() throws IOException {
         if (prepared) {
             return;
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -27,6 +27,6 @@
     /** Since the folder was made; more than there are files once the ring has wrapped. */
     long filesWritten();
 
-    /** The most bytes that one record can have; a part's whole base must fit. */
+    /** The most bytes that one record can have; a partition's snapshot must fit. */
     int largestRecordBytes();
 }
--- a/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** All that is held ends right before the place. */
+    /** All that is buffered ends right before the position. */
     void flush(Disk.DiskFile leaf, long pos) throws IOException {
         if (length > 0) {
             leaf.write(pos - length, bytes, length);
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
@@ -28,22 +28,22 @@
  */
 class HttpGatewayEdgeTest {
     private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
-    private HttpGateway gate;
+    private HttpGateway gateway;
     private int port;
 
     @BeforeEach
     void start() throws Exception {
         port = LoopbackPorts.free();
-        gate = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
+        gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
             reached.add(request.path() + " " + new String(request.body(), StandardCharsets.ISO_8859_1));
             return Mono.just(new Response(200, Map.of("X-Path", request.path()), new byte[] {'o', 'k'}));
         });
-        gate.start();
+        gateway.start();
     }
 
     @AfterEach
     void stop() {
-        gate.stop();
+        gateway.stop();
     }
 
     /** All that comes back until the other side ends the stream; the caller says no more. */
@@ -156,17 +156,17 @@
         stop();
         Sinks.One<Response> later = Sinks.one();
         CountDownLatch open = new CountDownLatch(1);
-        gate = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
+        gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
             open.countDown();
             return later.asMono();
         });
-        gate.start();
+        gateway.start();
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream()
                     .write(post("Content-Length: 5\r\n", "hello").getBytes(StandardCharsets.ISO_8859_1));
             assertTrue(open.await(10, TimeUnit.SECONDS));
-            Thread stopping = new Thread(gate::stop);
+            Thread stopping = new Thread(gateway::stop);
             stopping.start();
             while (takesStreams()) {
                 Thread.onSpinWait();
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -39,13 +39,13 @@
     @Test
     void oversizedBodiesNeverReachTheApplicationAndFaultsBecomeAnswers() throws Exception {
         String address = LoopbackPorts.freeAddress();
-        HttpGateway gate = new HttpGateway(address, 100, request -> {
+        HttpGateway gateway = new HttpGateway(address, 100, request -> {
             reached.incrementAndGet();
             return request.body().length == 3
                     ? Mono.error(new ThrottledException("later", List.of("7")))
                     : Mono.just(Response.json(200, request.body().length));
         });
-        gate.start();
+        gateway.start();
         try {
             assertEquals(413, post(address, 101, true).statusCode());
             HttpResponse<String> chunked = post(address, 5000, false);
@@ -57,7 +57,7 @@
             assertEquals(429, throttled.statusCode());
             assertEquals("7", throttled.headers().firstValue("Retry-After").orElse(""));
         } finally {
-            gate.stop();
+            gateway.stop();
         }
     }
 
@@ -65,13 +65,13 @@
     @Test
     void everyAnswerDeclaresItsLength() throws Exception {
         String address = LoopbackPorts.freeAddress();
-        HttpGateway gate = new HttpGateway(address, 100, request -> switch (request.body().length) {
+        HttpGateway gateway = new HttpGateway(address, 100, request -> switch (request.body().length) {
             case 1 -> Mono.just(Response.json(202, "taken"));
             case 2 -> Mono.error(new OutcomeUnknownException("not known"));
             case 3 -> throw new IllegalStateException("thrown");
             default -> Mono.empty();
         });
-        gate.start();
+        gateway.start();
         try {
             int[] statuses = {500, 202, 504, 500, 500, 413};
             int[] lengths = {0, 1, 2, 3, 4, 101};
@@ -84,7 +84,7 @@
                 assertTrue(response.body().length() > 0, "for " + lengths[i]);
             }
         } finally {
-            gate.stop();
+            gateway.stop();
         }
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
@@ -64,7 +64,7 @@
                 MAX_ATTEMPTS);
     }
 
-    /** Replaces a whole list, if it still is the one that was read; false if not. */
+    /** Replaces all processors of a service, if their list still is the one that was read; false if not. */
     public Mono<Boolean> replace(String service, ProcessorsResponse read, Map<String, Processor> processors) {
         ControlMessages.PutProcessors command = new ControlMessages.PutProcessors(
                 service, new HashMap<>(processors), read.version() + 1, ControlMessages.newRequestId());
@@ -72,7 +72,7 @@
                 .map(UpdateResult::accepted);
     }
 
-    /** A change names the list that was read, so that one which was held up on its way cannot undo a later one. */
+    /** A change names the list that was read, so that one which was delayed on its way cannot undo a later one. */
     private Mono<Boolean> change(String service, LongFunction<RepeatableRequest> command, int attemptsLeft) {
         return get(service)
                 .flatMap(read -> node.call(
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/Heartbeats.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/Heartbeats.java
@@ -11,8 +11,8 @@
 import org.woadvale.common.runtime.LockedShard;
 
 /**
- * When the holders of a partition's leases were last heard, in the memory of the partition's leader. A new leader heard
- * nobody yet, and so gives every lease its whole time anew.
+ * When the owners of a partition's leases were last heard, in the memory of the partition's leader. A new leader heard
+ * nobody yet, and so lets every lease run anew.
  */
 final class Heartbeats {
     private static final Duration LEASE = ReplicationTiming.defaults().lease();
@@ -21,7 +21,7 @@
     private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
     private final Map<String, Duration> lastHeard = new HashMap<>();
-    /** For each lease that is being given to the next holder, the term of the one before. */
+    /** For each lease that is being given to the next owner, the term of the one before. */
     private final Map<String, Long> termsGivenAway = new HashMap<>();
 
     private Duration leaderSince = Duration.ZERO;
@@ -32,7 +32,7 @@
         this.environment = environment;
     }
 
-    /** The holder of a lease was heard just now. */
+    /** The owner of a lease was heard just now. */
     void note(String lease) {
         shard.run(() -> {
             forgetFormerTerms();
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
@@ -10,7 +10,9 @@
 import org.woadvale.common.membership.CoreMembers;
 import org.woadvale.common.runtime.Clock;
 
-/** What control machines have told the leader of partition c0: that they run, or that they are about to stop. */
+/**
+ * What control machines have announced to the leader of partition c0: that they run, or that they are about to stop.
+ */
 final class Announcements {
     /** An announcement counts for so long; it is repeated with each tick while it matters. */
     private static final Duration VALID_FOR = Duration.ofSeconds(1);
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -185,7 +185,9 @@
                                 core.members().epoch())));
     }
 
-    /** The members of all control partitions' groups, or as told by others while this node is in none. */
+    /**
+     * The members of all control partitions' groups, or those that other nodes have named while this node is in none.
+     */
     public List<String> controlNodes() {
         TreeSet<String> nodes = new TreeSet<>();
         replicas().forEach(replica -> nodes.addAll(replica.members().keySet()));
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
@@ -7,6 +7,6 @@
 /** Knows all processors: the platform, or a fake in tests. */
 @FunctionalInterface
 public interface ProcessorSource {
-    /** The whole lists, by service and id; fails where the source cannot be read. */
+    /** All processors, by service and id; fails where the source cannot be read. */
     Mono<Map<String, Map<String, Processor>>> list();
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -67,7 +67,7 @@
             throw new InvalidRequestException("The boot file is invalid at roles: name intake, store or both.");
         }
         if (settings.join()) {
-            throw new InvalidRequestException("The boot file is invalid at join: only lighthouses have it.");
+            throw new InvalidRequestException("The boot file is invalid at join: only control nodes have it.");
         }
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -123,7 +123,7 @@
         return presence == Presence.SERVING || presence == Presence.LEAVING && role.equals("store");
     }
 
-    /** The node was told to stop. */
+    /** The node is draining. */
     void leave() {
         presence = Presence.LEAVING;
         settings.roles().stream().filter(role -> role.equals("intake")).forEach(this::giveUp);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -170,7 +170,7 @@
         return true;
     }
 
-    /** True if the processor still has it and may go on for a whole lease. */
+    /** True if the processor still has it and may go on for another lease. */
     Mono<Boolean> extend(MessageCommands.ExtendLeaseRequest request) {
         return partition
                 .replica()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Spent only while it lives, and told as spent only then: what is out never exceeds the bucket. (docs/design.md,
+     * Spent only while it is valid, and reported as spent only then: what is outstanding never exceeds the bucket.
+     * (docs/design.md,
      * section 8.2)
      */
     boolean spend() {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -98,7 +98,7 @@
     }
 
     /**
-     * The same, but nothing that is held up on its way beyond the limit is taken then (docs/design.md, section 9.7).
+     * The same, but nothing that is delayed on its way beyond the limit is accepted then (docs/design.md, section 9.7).
      */
     public <T> Mono<T> callWithDeadline(
             String part,
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -126,24 +126,26 @@
         }
     }
 
-    private void deliver(String service, Dispatcher dispatcher, Message m) {
-        if (!starting.add(m.handle())) {
+    private void deliver(String service, Dispatcher dispatcher, Message message) {
+        if (!starting.add(message.handle())) {
             return;
         }
-        Optional<WaitingPull> to = take(service);
-        if (to.isEmpty()) {
-            starting.remove(m.handle());
+        Optional<WaitingPull> pull = take(service);
+        if (pull.isEmpty()) {
+            starting.remove(message.handle());
             return;
         }
         dispatcher
                 .leases()
-                .begin(m, to.get().request().processor())
+                .begin(message, pull.get().request().processor())
                 .map(Optional::of)
                 .defaultIfEmpty(Optional.empty())
                 .onErrorReturn(Optional.empty())
-                .doFinally(signal -> starting.remove(m.handle()))
-                .subscribe(message -> message.ifPresentOrElse(
-                        got -> to.get().response().tryEmitValue(new MessageCommands.LongPullResponse(List.of(got))),
-                        () -> requeue(to.get())));
+                .doFinally(signal -> starting.remove(message.handle()))
+                .subscribe(handedOut -> handedOut.ifPresentOrElse(
+                        begun -> pull.get()
+                                .response()
+                                .tryEmitValue(new MessageCommands.LongPullResponse(List.of(begun))),
+                        () -> requeue(pull.get())));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -49,7 +49,7 @@
     private final Supplier<Boolean> drain;
     private final HttpRouter router;
 
-    /** The interface of one node; the suppliers tell of the whole node. */
+    /** The interface of one node; status, readiness and drain are those of the node. */
     public IngressNode(
             NodeEnvironment environment,
             ConfigurationView configurations,
@@ -141,7 +141,7 @@
         return json;
     }
 
-    /** Messages of the key's tenant in one state, newest first: failed ones unless told otherwise. */
+    /** Messages of the key's tenant in one state, newest first: failed ones by default. */
     private Mono<Response> listMessages(Request request) throws ServiceException {
         Configuration.Key key = routeMatcher.key(request, Configuration.Role.CALLER);
         String state = query(request, "state").orElse("failed").toUpperCase(Locale.ROOT);
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -182,7 +182,7 @@
     }
 
     /**
-     * A partition that may change leaders in order is waited for shortly; one in trouble is not. (docs/design.md,
+     * A partition that may change leaders in order is waited for shortly; one with failures is not. (docs/design.md,
      * section 9.13)
      */
     private Duration leaderWait(AdmittedSubmission admitted, Duration tokenLife) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -41,7 +41,7 @@
     public static final String NO_PROCESSOR = "";
     /** Every reason of an end that nobody could prove starts like this. */
     public static final String OUTCOME_UNKNOWN_PROOF = "unclear: ";
-    /** An attempt that is held by a lease has this for where it went. (docs/design.md, section 9.10) */
+    /** The destination of an attempt under a lease begins with this. (docs/design.md, section 9.10) */
     public static final String LEASED = "lease:";
 
     private static final int MAX_RECORDED_ENDS = 62;
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -94,7 +94,8 @@
 
     // asks between data plane nodes
     /**
-     * By the clock of the asked process in this life of it: what comes later is refused. (docs/design.md, section 9.7)
+     * A time by the clock of one incarnation of the asked process: what arrives later is rejected. (docs/design.md,
+     * section 9.7)
      */
     public record RemoteDeadline(String incarnation, Duration at) {}
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -113,7 +113,9 @@
                 .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
     }
 
-    /** What was held up on its way past its time is refused: its pass, key and lane have not been looked at since. */
+    /**
+     * What was delayed on its way beyond its deadline is rejected: its token, key and lane have not been checked since.
+     */
     public Mono<Object> requireBefore(MessageCommands.RemoteDeadline deadline) {
         return Mono.defer(() -> deadline.incarnation().equals(incarnation)
                         && environment.clock().monotonicTime().compareTo(deadline.at()) < 0
