--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -120,11 +120,11 @@
     }
 
     private boolean help(String[] rest) throws ServiceException {
-        boolean wanted = Arrays.stream(rest).anyMatch(argument -> argument.equals("-h") || argument.equals("--help"));
-        if (wanted) {
+        boolean desired = Arrays.stream(rest).anyMatch(argument -> argument.equals("-h") || argument.equals("--help"));
+        if (desired) {
             usage();
         }
-        return wanted;
+        return desired;
     }
 
     private int run(Settings boot) throws ServiceException {
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -25,7 +25,7 @@
 
     static final String NAME = "[a-z0-9][a-z0-9_-]{0,62}";
 
-    /** Absent parts are empty. */
+    /** Absent components are empty. */
     public Configuration {
         tenants = orEmpty(tenants);
         services = orEmpty(services);
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A processor group, or one outside endpoint with its stated rate. Streams: how many connections one back end
-     * takes from all stores together, 0 where it does not say. Dedupes: a repeat gets the first success again.
+     * A processor group, or one outside endpoint with its stated rate. Streams: how many connections one back end takes
+     * from all stores together, 0 where it does not say. Dedupes: a repeat gets the first success again.
      */
     public record Service(
             @NotNull Kind kind,
@@ -89,8 +89,7 @@
 
     /**
      * What becomes of a message when nobody can say whether it was executed; RESEND is for processors that deduplicate
-     * (docs/design.md,
-     * section 9.11).
+     * (docs/design.md, section 9.11).
      */
     public enum IfUnclear {
         /** It ends as failed, with a reason of its own. */
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -85,16 +85,17 @@
     /** Why a document cannot be read: in one line, and by path where there is one. */
     public static String fault(IOException e) {
         StringBuilder path = new StringBuilder();
-        String why = String.valueOf(e.getMessage());
+        String reason = String.valueOf(e.getMessage());
         if (e instanceof JsonMappingException mapping) {
             mapping.getPath()
                     .forEach(r -> path.append(
                             r.getFieldName() == null
                                     ? "[" + r.getIndex() + "]"
                                     : (path.length() == 0 ? "" : ".") + r.getFieldName()));
-            why = String.valueOf(mapping.getOriginalMessage());
+            reason = String.valueOf(mapping.getOriginalMessage());
         }
-        return (path.length() == 0 ? "" : path + ": ") + why.lines().findFirst().orElse("");
+        return (path.length() == 0 ? "" : path + ": ")
+                + reason.lines().findFirst().orElse("");
     }
 
     /** Every fault of the annotations, by path. */
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -146,14 +146,14 @@
         return settings;
     }
 
-    /** Whole parts must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
+    /** Whole partitions must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
     static Optional<String> sizes(Settings settings, long heapMb) {
         int parts = ServiceNames.MESSAGE_PARTS;
         if (settings.partMb() * 2 > settings.ringFileMb()) {
             return Optional.of("partMb: a part of " + settings.partMb() + " MB needs ringFileMb of at least "
                     + 2 * settings.partMb());
         }
-        // of each part an old base, a new one and the log between them, and the file that is being written
+        // of each partition an old snapshot, a new one and the log between them, and the file that is being written
         int ring = parts
                         * (2 * settings.partMb()
                                 + Math.min(LOG_MB, Math.max(1, settings.ringFileMb() / COMPACTION_FRACTION)))
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -28,13 +28,13 @@
 
     /** The reply with its configurations deflated, where the asker reads that and it is smaller. */
     public ControlMessages.ServiceViewResponse pack(
-            ControlMessages.ServiceViewRequest ask, ControlMessages.ServiceViewResponse reply) {
-        if (!ask.acceptsDeflated() || reply.views().stream().noneMatch(ViewCompression::isWorthwhile)) {
-            return reply;
+            ControlMessages.ServiceViewRequest request, ControlMessages.ServiceViewResponse response) {
+        if (!request.acceptsDeflated() || response.views().stream().noneMatch(ViewCompression::isWorthwhile)) {
+            return response;
         }
         List<ServiceView> views = new ArrayList<>();
         Map<String, byte[]> deflated = new HashMap<>();
-        for (ServiceView view : reply.views()) {
+        for (ServiceView view : response.views()) {
             if (isWorthwhile(view)) {
                 deflated.put(view.service(), deflated(view));
                 views.add(view.withConfiguration(view.version(), new byte[0], view.configurationVersion()));
@@ -42,24 +42,24 @@
                 views.add(view);
             }
         }
-        return new ControlMessages.ServiceViewResponse(views, reply.ages(), reply.coreEpoch(), deflated);
+        return new ControlMessages.ServiceViewResponse(views, response.ages(), response.coreEpoch(), deflated);
     }
 
     /** The reply as it was before it was packed; fails with BAD_REQUEST if the bytes cannot be inflated. */
-    public static ControlMessages.ServiceViewResponse unpack(ControlMessages.ServiceViewResponse reply)
+    public static ControlMessages.ServiceViewResponse unpack(ControlMessages.ServiceViewResponse response)
             throws ServiceException {
-        if (reply.deflated().isEmpty()) {
-            return reply;
+        if (response.deflated().isEmpty()) {
+            return response;
         }
         List<ServiceView> views = new ArrayList<>();
-        for (ServiceView view : reply.views()) {
-            byte[] bytes = reply.deflated().get(view.service());
+        for (ServiceView view : response.views()) {
+            byte[] bytes = response.deflated().get(view.service());
             views.add(
                     bytes == null
                             ? view
                             : view.withConfiguration(view.version(), inflate(bytes), view.configurationVersion()));
         }
-        return new ControlMessages.ServiceViewResponse(views, reply.ages(), reply.coreEpoch());
+        return new ControlMessages.ServiceViewResponse(views, response.ages(), response.coreEpoch());
     }
 
     private static boolean isWorthwhile(ServiceView view) {
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -203,13 +203,16 @@
                         e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
     }
 
-    private Mono<ControlMessages.ServiceViewResponse> pollCore(String part, Map<String, Long> known) {
-        return core.ask(part, new ControlMessages.ServiceViewRequest(known), ControlMessages.ServiceViewResponse.class)
+    private Mono<ControlMessages.ServiceViewResponse> pollCore(String partition, Map<String, Long> known) {
+        return core.ask(
+                        partition,
+                        new ControlMessages.ServiceViewRequest(known),
+                        ControlMessages.ServiceViewResponse.class)
                 .flatMap(ViewSubscriptions::unpacked);
     }
 
-    private static Mono<ControlMessages.ServiceViewResponse> unpacked(ControlMessages.ServiceViewResponse reply) {
-        return Mono.fromCallable(() -> ViewCompression.unpack(reply));
+    private static Mono<ControlMessages.ServiceViewResponse> unpacked(ControlMessages.ServiceViewResponse response) {
+        return Mono.fromCallable(() -> ViewCompression.unpack(response));
     }
 
     /** A home that does not serve, or serves old subscriptions, is passed over for a while. */
@@ -251,15 +254,15 @@
     }
 
     /** As a home node: answers with the views that are here and their age, and subscribes to those that are not. */
-    public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest ask) {
-        return Mono.fromSupplier(() -> byService(ask)).map(reply -> compression.pack(ask, reply));
+    public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest request) {
+        return Mono.fromSupplier(() -> byService(request)).map(response -> compression.pack(request, response));
     }
 
-    private ControlMessages.ServiceViewResponse byService(ControlMessages.ServiceViewRequest ask) {
+    private ControlMessages.ServiceViewResponse byService(ControlMessages.ServiceViewRequest request) {
         return shard.get(() -> {
             List<ServiceView> views = new ArrayList<>();
             Map<String, Duration> ages = new HashMap<>();
-            ask.knownVersions().forEach((service, version) -> {
+            request.knownVersions().forEach((service, version) -> {
                 SubscribedView subscribedView = touch(service);
                 if (subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0) {
                     ages.put(service, age(subscribedView));
--- a/common/src/main/java/org/woadvale/common/http/HttpRouter.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpRouter.java
@@ -36,10 +36,10 @@
             }
             Map<String, String> path = new LinkedHashMap<>();
             for (int i = 0; i < segments.size(); i++) {
-                String wanted = segments.get(i);
-                if (wanted.startsWith("{")) {
-                    path.put(wanted.substring(1, wanted.length() - 1), given.get(i));
-                } else if (!wanted.equals(given.get(i))) {
+                String desired = segments.get(i);
+                if (desired.startsWith("{")) {
+                    path.put(desired.substring(1, desired.length() - 1), given.get(i));
+                } else if (!desired.equals(given.get(i))) {
                     return Optional.empty();
                 }
             }
--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -27,8 +27,7 @@
 
     /**
      * Renews a singleton lease in its term, and does nothing if another term is the present one. A term of 0 asks to
-     * acquire
-     * the lease; sent again as it was, it has the outcome of its first copy, which is known by the request id.
+     * acquire the lease; sent again as it was, it has the outcome of its first copy, which is known by the request id.
      */
     public record SingletonLeaseRequest(
             String service,
@@ -59,8 +58,8 @@
 
     /**
      * Views that differ, and for each service served the age of its confirmation; and the epoch of the list of the
-     * core's members that the answering process knows. A configuration that travels deflated, by service, is
-     * empty in its view.
+     * core's members that the answering process knows. A configuration that travels deflated, by service, is empty in
+     * its view.
      */
     public record ServiceViewResponse(
             List<ServiceView> views,
@@ -80,7 +79,7 @@
     public record CoreMembersResponse(
             List<String> members, @Since(3) long epoch) {}
 
-    // commands in the logs of control parts
+    // commands in the logs of control partitions
     /** Makes a node a member of a service, or changes its lease. */
     public record PutMember(
             String service,
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -16,7 +16,7 @@
 import org.woadvale.common.rpc.RpcClient;
 import reactor.core.publisher.Mono;
 
-/** A process's way to the owners of the control parts, who are found by asking. */
+/** A process's way to the leaders of the control partitions, who are found by asking. */
 public final class CoreClient {
     private static final int ATTEMPTS = 5;
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(700);
@@ -96,29 +96,29 @@
     }
 
     /** Where a request to a partition goes first: the leader that answered last, or any control node. */
-    public String likelyLeader(String part) {
+    public String likelyLeader(String partition) {
         List<String> all = controlNodes();
-        return leaderHints.getOrDefault(part, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
+        return leaderHints.getOrDefault(partition, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
     }
 
     /** Sends the request up to five times, also while the outcome of an earlier sending is unknown. */
-    public <T> Mono<T> ask(String part, RepeatableRequest request, Class<T> type) {
-        return attempt(part, request, type, likelyLeader(part), ATTEMPTS);
+    public <T> Mono<T> ask(String partition, RepeatableRequest request, Class<T> type) {
+        return attempt(partition, request, type, likelyLeader(partition), ATTEMPTS);
     }
 
-    private <T> Mono<T> attempt(String part, RepeatableRequest body, Class<T> type, String to, int left) {
+    private <T> Mono<T> attempt(String partition, RepeatableRequest body, Class<T> type, String to, int left) {
         return rpc.call(to, body, type, ATTEMPT_TIMEOUT)
-                .doOnNext(t -> leaderHints.put(part, to))
+                .doOnNext(t -> leaderHints.put(partition, to))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
-                    leaderHints.remove(part, to);
+                    leaderHints.remove(partition, to);
                     if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind()) || left <= 1) {
                         return Mono.error(failure);
                     }
                     String next = failure instanceof NotLeaderException notLeader
                             ? notLeader.leader().orElseGet(() -> nextNode(to))
                             : nextNode(to);
-                    return attempt(part, body, type, next, left - 1);
+                    return attempt(partition, body, type, next, left - 1);
                 });
     }
 
--- a/common/src/main/java/org/woadvale/common/membership/Processor.java
+++ b/common/src/main/java/org/woadvale/common/membership/Processor.java
@@ -5,8 +5,7 @@
 
 /**
  * A back end as the platform lists it; without an address it fetches. Slots: how many runs at once, 0 if not said;
- * zone:
- * where it stands, empty if not said.
+ * zone: where it stands, empty if not said.
  */
 public record Processor(
         String address,
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Names of services and parts, and the draws by hash that everyone makes alike (docs/design.md, section 6.2). */
+/** Names of services and partitions, and the draws by hash that everyone makes alike (docs/design.md, section 6.2). */
 public final class ServiceNames {
     /** The service whose view holds the configuration. */
     public static final String CONFIGURATION = "layout";
--- a/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
@@ -5,8 +5,7 @@
 
 /**
  * A lease that one node holds at a time; the owner is empty while it is vacant. A term of zero: never owned. Clear: it
- * was taken when all
- * that earlier terms gave out had lapsed.
+ * was taken when all that earlier terms gave out had lapsed.
  */
 public record SingletonLease(
         @FirstFormatName("holder") String owner,
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -20,8 +20,8 @@
         int spent;
         boolean closed;
 
-        Grant(String asker, long id, int granted, Duration until) {
-            this.requester = asker;
+        Grant(String requester, long id, int granted, Duration until) {
+            this.requester = requester;
             this.id = id;
             this.granted = granted;
             this.until = until;
@@ -47,8 +47,8 @@
     private int outstanding;
 
     /**
-     * A first term starts full; a later one at the level handed over. Unless the passes of earlier terms are dead,
-     * as many as the bucket holds above that level may still be out. (docs/design.md, section 8.4)
+     * A first term starts full; a later one at the level handed over. Unless the tokens of earlier terms are dead, as
+     * many as the bucket holds above that level may still be out. (docs/design.md, section 8.4)
      */
     public AggregateBucket(long term, double handedLevel, boolean clear, RateLimit limit, Duration now) {
         this.term = term;
@@ -106,8 +106,8 @@
         fill(now);
     }
 
-    private void report(String asker, TokenMessages.UsageReport report) {
-        Optional.ofNullable(byId.get(asker + "/" + report.grant()))
+    private void report(String requester, TokenMessages.UsageReport report) {
+        Optional.ofNullable(byId.get(requester + "/" + report.grant()))
                 .filter(grant -> !grant.closed)
                 .ifPresent(grant -> {
                     int before = grant.out();
@@ -122,23 +122,23 @@
 
     /** Idempotent by asker and grant id; never grants more than the aggregate holds, nor for longer than the lease. */
     public TokenMessages.TokenResponse grant(
-            String asker, TokenMessages.TokenRequest request, Duration leaseEnd, Duration now) {
+            String requester, TokenMessages.TokenRequest request, Duration leaseEnd, Duration now) {
         expireGrants(now);
-        request.reports().forEach(report -> report(asker, report));
+        request.reports().forEach(report -> report(requester, report));
         fill(now);
         Duration left = leaseEnd.minus(now);
         Duration lifetime = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
-        Grant known = byId.get(asker + "/" + request.grant());
+        Grant known = byId.get(requester + "/" + request.grant());
         if (known != null) {
             return new TokenMessages.TokenResponse(request.grant(), known.granted, Duration.ZERO, term, lifetime);
         }
         if (request.grant() == TokenMessages.NO_GRANT) {
             return new TokenMessages.TokenResponse(request.grant(), 0, Duration.ZERO, term, lifetime);
         }
-        int most = Optional.ofNullable(requesters.get(asker))
+        int most = Optional.ofNullable(requesters.get(requester))
                 .map(Requester::largestRequest)
                 .orElse(1);
-        requesters.put(asker, new Requester(now, Math.min(most * 2, MAX_GRANTS)));
+        requesters.put(requester, new Requester(now, Math.min(most * 2, MAX_GRANTS)));
         // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted.
         // (docs/design.md, section 8.3)
         RateLimit mine = bucket.limit();
@@ -149,11 +149,11 @@
             return new TokenMessages.TokenResponse(request.grant(), 0, bucket.until(1), term, lifetime);
         }
         Grant grant = new Grant(
-                asker,
+                requester,
                 request.grant(),
                 tokens,
                 now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
-        byId.put(asker + "/" + request.grant(), grant);
+        byId.put(requester + "/" + request.grant(), grant);
         byEnd.add(grant);
         outstanding += tokens;
         return new TokenMessages.TokenResponse(request.grant(), tokens, Duration.ZERO, term, lifetime);
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
@@ -68,7 +68,7 @@
         inUse(token).ifPresent(batch -> batch.drawn--);
     }
 
-    /** Only now is the pass reported as spent; a report can so never be taken back. */
+    /** Only now is the token reported as spent; a report can so never be taken back. */
     public void markSpent(AdmissionToken token) {
         inUse(token).ifPresent(batch -> {
             batch.spent++;
@@ -76,7 +76,7 @@
         });
     }
 
-    /** Life counts from when the pass was first asked for. */
+    /** Life counts from when the token was first asked for. */
     public void onGranted(long grant, int tokens, Duration asked, Duration lifetime, Duration now) {
         lastBatch = tokens;
         Duration until = asked.plus(lifetime);
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -42,7 +42,7 @@
         Duration notBefore = Duration.ZERO;
         Duration retry = MAX_WAIT;
         boolean requestInFlight;
-        /** Somebody wanted a pass and did not wait for it. */
+        /** Somebody wanted a token and did not wait for it. */
         boolean requestLost;
 
         Duration lastReport = Duration.ZERO;
@@ -200,14 +200,14 @@
         bucketState.lastReport = now();
         requests++;
         Duration since = bucketState.pendingSince;
-        TokenMessages.TokenRequest ask = new TokenMessages.TokenRequest(
+        TokenMessages.TokenRequest request = new TokenMessages.TokenRequest(
                 bucket,
                 bucketState.pending,
                 Math.max(bucketState.waiting.size(), bucketState.requestLost ? 1 : 0),
                 bucketState.localBucket.reports(now()));
         shard.afterUnlock(() -> environment
                 .rpc()
-                .call(owner.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
+                .call(owner.get(), request, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(
                         response -> shard.run(() -> onGranted(bucket, bucketState, response, since)),
                         e -> shard.run(() -> {
@@ -230,11 +230,11 @@
         }
         bucketState.lastReport = now();
         requests++;
-        TokenMessages.TokenRequest ask = new TokenMessages.TokenRequest(
+        TokenMessages.TokenRequest request = new TokenMessages.TokenRequest(
                 bucket, TokenMessages.NO_GRANT, 0, bucketState.localBucket.reports(now()));
         shard.afterUnlock(() -> environment
                 .rpc()
-                .call(owner.get(), ask, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
+                .call(owner.get(), request, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(response -> {}, e -> {}));
     }
 
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -99,8 +99,7 @@
 
     /**
      * Also the second of the ring may acquire, once the first has let its lease expire; the ring itself learns of that
-     * later.
-     * (docs/design.md, section 8.4)
+     * later. (docs/design.md, section 8.4)
      */
     private boolean preferredOwner(String bucketName, Set<String> ring) {
         SingletonLease singleton = subscriptions.latest(bucketName).singleton();
@@ -192,7 +191,7 @@
     }
 
     /** Grants tokens of a bucket that this node owns; fails with NOT_OWNER for others. */
-    public Mono<TokenMessages.TokenResponse> onTokenRequest(String asker, TokenMessages.TokenRequest request) {
+    public Mono<TokenMessages.TokenResponse> onTokenRequest(String requester, TokenMessages.TokenRequest request) {
         Optional<RateLimit> allowance = limits.apply(request.bucket());
         return Mono.defer(() -> shard.get(() -> {
             OwnedBucket ownedBucket = owned.get(request.bucket());
@@ -204,7 +203,7 @@
             }
             ownedBucket.bucket.change(allowance.get(), now());
             TokenMessages.TokenResponse response =
-                    ownedBucket.bucket.grant(asker, request, ownedBucket.leaseEnd, now());
+                    ownedBucket.bucket.grant(requester, request, ownedBucket.leaseEnd, now());
             requests++;
             granted += response.granted();
             return Mono.just(response);
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -13,8 +13,7 @@
 
 /**
  * The leader's work in one term. Entered by {@link #onElected} and left by {@link #onDeposed}; in between it appends
- * and
- * replicates entries, advances the commit index, renews its lease and changes the members of the group.
+ * and replicates entries, advances the commit index, renews its lease and changes the members of the group.
  */
 final class Leader implements ReplicaStorage.LogRetention {
     private static final Logger LOG = LogManager.getLogger(Leader.class);
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -56,8 +56,7 @@
 
     /**
      * After a restart: the lease that was confirmed here last was this node's own, and ended with its former
-     * incarnation,
-     * so nobody else can hold one.
+     * incarnation, so nobody else can hold one.
      */
     private boolean wasLastLeader() {
         return state.term() > 0
--- a/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
@@ -8,8 +8,7 @@
 
 /**
  * The lease under which a leader acts: as long as it runs, no other replica is elected. It is counted from the sending
- * of
- * the latest heartbeat that a majority has confirmed, and ends for the leader a little earlier than for the voters.
+ * of the latest heartbeat that a majority has confirmed, and ends for the leader a little earlier than for the voters.
  */
 final class LeaderLease {
     private final ReplicaState state;
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -111,8 +111,8 @@
                 && state.now().compareTo(progress.since().plus(JOIN_PERIOD)) < 0;
     }
 
-    private void send(boolean wanted) {
-        if (inFlight || !inLeaderTerm() || !wanted) {
+    private void send(boolean desired) {
+        if (inFlight || !inLeaderTerm() || !desired) {
             return;
         }
         inFlight = true;
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -17,8 +17,7 @@
 
 /**
  * One replica of one partition. This class is what the rest of the program sees of the engine: it joins the engine's
- * parts
- * and runs each call on the replica's shard.
+ * components and runs each call on the replica's shard.
  *
  * @param <C> the commands of the state machine
  * @param <R> the results of commands
@@ -169,9 +168,8 @@
 
     /**
      * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can know
-     * without
-     * asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader was
-     * heard.
+     * without asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader
+     * was heard.
      */
     public Duration lastMajorityContact() {
         return state.shard()
@@ -269,7 +267,7 @@
         }
     }
 
-    /** For model checking: the parts of the engine, to be used on the shard. */
+    /** For model checking: the components of the engine, to be used on the shard. */
     ReplicaState state() {
         return state;
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -12,8 +12,7 @@
 
 /**
  * What all roles of a replica share: its role, term, vote, identity, log and members, and which leader it follows.
- * Depends
- * on nothing else of the engine; used on the replica's shard only.
+ * Depends on nothing else of the engine; used on the replica's shard only.
  */
 final class ReplicaState {
     /** Is notified after each change of role. */
@@ -241,7 +240,7 @@
         }
     }
 
-    /** The refusal of a replica that does not lead, with the leader if another one is known. */
+    /** The leader, if one is known and it is another node. */
     Optional<String> otherLeader() {
         return leaderId.isEmpty() || leaderId.equals(self()) ? Optional.empty() : Optional.of(leaderId);
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -7,8 +7,7 @@
 
 /**
  * What a replica writes to the write-ahead log: entries, and snapshots that replace every earlier record of the
- * partition.
- * Knows up to which index the log in memory is synced.
+ * partition. Knows up to which index the log in memory is synced.
  */
 final class ReplicaStorage {
     /** Which entries followers still need; the log in memory is kept from there on. */
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
@@ -36,8 +36,7 @@
 
     /**
      * For partitions on control nodes and stores. Control partitions: the next leader must confirm subscriptions before
-     * the
-     * views in the fleet are too old to use. Message partitions: what is ordered waits for the next leader.
+     * the views in the fleet are too old to use. Message partitions: what is ordered waits for the next leader.
      */
     public static ReplicationTiming partitions() {
         return PARTITIONS;
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
@@ -25,17 +25,17 @@
         return content.index();
     }
 
-    SnapshotMessages.SnapshotChunkRequest nextChunk(String part, long term) {
+    SnapshotMessages.SnapshotChunkRequest nextChunk(String partition, long term) {
         int end = Math.min(content.bytes().length, offset + chunkBytes);
         SnapshotMessages.SnapshotId id = new SnapshotMessages.SnapshotId(
                 content.index(), content.indexTerm(), content.bytes().length, content.checksum());
         return new SnapshotMessages.SnapshotChunkRequest(
-                part, term, id, offset, Arrays.copyOfRange(content.bytes(), offset, end));
+                partition, term, id, offset, Arrays.copyOfRange(content.bytes(), offset, end));
     }
 
-    void onResponse(SnapshotMessages.SnapshotChunkResponse reply, Duration took) {
-        boolean inside = reply.nextOffset() >= 0 && reply.nextOffset() < content.bytes().length;
-        offset = inside ? (int) reply.nextOffset() : 0;
+    void onResponse(SnapshotMessages.SnapshotChunkResponse response, Duration took) {
+        boolean inside = response.nextOffset() >= 0 && response.nextOffset() < content.bytes().length;
+        offset = inside ? (int) response.nextOffset() : 0;
         if (took.multipliedBy(FAST_FRACTION).compareTo(requestTimeout) < 0) {
             chunkBytes = Math.min(LARGEST_CHUNK, chunkBytes * 2);
         }
--- a/common/src/main/java/org/woadvale/common/replication/StateMachine.java
+++ b/common/src/main/java/org/woadvale/common/replication/StateMachine.java
@@ -4,8 +4,7 @@
 
 /**
  * The state that a partition replicates. Must be deterministic: equal commands in equal order give equal states,
- * results
- * and failures on every replica.
+ * results and failures on every replica.
  *
  * @param <C> the commands that the log holds
  * @param <R> what applying a command answers
--- a/common/src/main/java/org/woadvale/common/rpc/Frame.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Frame.java
@@ -5,7 +5,7 @@
 
 /** What travels on a connection after the handshake. */
 public record Frame(long id, Kind kind, Object body) {
-    /** Refuses absent parts. */
+    /** Refuses absent components. */
     public Frame {
         Objects.requireNonNull(kind);
         Objects.requireNonNull(body);
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -91,13 +91,13 @@
     }
 
     /** Runs the handler and turns its result into the frame to send back. */
-    public static Mono<Frame> serve(RpcRouter router, String from, Frame ask) {
-        return Mono.<Object>from(router.handle(from, ask.body()))
-                .map(result -> new Frame(ask.id(), Frame.Kind.RESPONSE, result))
+    public static Mono<Frame> serve(RpcRouter router, String from, Frame request) {
+        return Mono.<Object>from(router.handle(from, request.body()))
+                .map(result -> new Frame(request.id(), Frame.Kind.RESPONSE, result))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
                     return Mono.just(new Frame(
-                            ask.id(),
+                            request.id(),
                             Frame.Kind.ERROR,
                             new Frame.ErrorResponse(
                                     failure.kind().name(), String.valueOf(failure.getMessage()), failure.details())));
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public Object read(Kryo kryo, Input in, Class<? extends Object> wanted) {
+    public Object read(Kryo kryo, Input in, Class<? extends Object> desired) {
         Object[] args = Arrays.stream(components)
                 .map(component -> defaultValue(component.getType()))
                 .toArray();
--- a/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcClient.java
@@ -8,9 +8,6 @@
     /** The name of this node. */
     String self();
 
-    /**
-     * Fails with UNREACHABLE (never sent), UNKNOWN_OUTCOME (sent, no answer in time),
-     * or with the peer's own fault.
-     */
+    /** Fails with UNREACHABLE (never sent), UNKNOWN_OUTCOME (sent, no answer in time), or with the peer's own fault. */
     <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit);
 }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -159,9 +159,9 @@
         connection.channel().writeAndFlush(Unpooled.wrappedBuffer(codec.write(frame)));
     }
 
-    private void refuse(String why) {
+    private void refuse(String reason) {
         if (state != State.CLOSED) {
-            LOG.warn("Closed the connection from {}: {}.", connection.channel().remoteAddress(), why);
+            LOG.warn("Closed the connection from {}: {}.", connection.channel().remoteAddress(), reason);
             close();
         }
     }
--- a/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void onSpaceNeeded(String part, Runnable giveBase) {
+    public void onSpaceNeeded(String partition, Runnable giveBase) {
         throw new IllegalStateException("this process has no disk");
     }
 
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void onFailure(Consumer<String> why) {
+    public void onFailure(Consumer<String> reason) {
         // nothing can fail
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
+++ b/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
@@ -29,7 +29,7 @@
         entryBytes += group.entryBytes();
     }
 
-    /** A snapshot stands for all earlier records of its part: what still waits of them is never written. */
+    /** A snapshot stands for all earlier records of its partition: what still waits of them is never written. */
     private void dropReplaced(PendingAppend group) {
         Set<String> replaced = new HashSet<>();
         group.entries().stream()
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -56,7 +56,7 @@
 
     /** All of the record but its bytes, which follow: a large base is not copied once more. */
     static byte[] header(long segment, long batch, WalRecord record) {
-        byte[] part = record.partition().getBytes(StandardCharsets.UTF_8);
+        byte[] partition = record.partition().getBytes(StandardCharsets.UTF_8);
         return withChecksum(
                 ByteBuffer.allocate(size(record) - record.bytes().length)
                         .position(HEADER_BYTES)
@@ -64,8 +64,8 @@
                         .putLong(segment)
                         .putLong(batch)
                         .put((byte) record.kind().ordinal())
-                        .putShort((short) part.length)
-                        .put(part)
+                        .putShort((short) partition.length)
+                        .put(partition)
                         .putLong(record.index())
                         .putLong(record.term())
                         .putInt(record.bytes().length),
@@ -123,8 +123,8 @@
         if (kind == END_OF_SEGMENT) {
             return Optional.of(new DecodedRecord(segment, batch, next, Optional.empty()));
         }
-        byte[] part = new byte[buffer.getShort()];
-        buffer.get(part);
+        byte[] partition = new byte[buffer.getShort()];
+        buffer.get(partition);
         long index = buffer.getLong();
         long term = buffer.getLong();
         byte[] bytes = new byte[buffer.getInt()];
@@ -134,7 +134,7 @@
                 batch,
                 next,
                 Optional.of(new WalRecord(
-                        new String(part, StandardCharsets.UTF_8),
+                        new String(partition, StandardCharsets.UTF_8),
                         WalRecord.Kind.values()[kind],
                         index,
                         term,
--- a/common/src/main/java/org/woadvale/common/wal/Recovery.java
+++ b/common/src/main/java/org/woadvale/common/wal/Recovery.java
@@ -12,17 +12,17 @@
  * section 4.3).
  */
 final class Recovery {
-    /** The folder cannot be trusted; its parts must be treated as lost. */
+    /** The folder cannot be trusted; its partitions must be treated as lost. */
     static final class DamagedLogException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        DamagedLogException(String why) {
-            super(why, null, false, false);
+        DamagedLogException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
     final Map<String, List<WalRecord>> recordsByPartition = new LinkedHashMap<>();
-    /** Segment of the oldest record still needed by each part. */
+    /** Segment of the oldest record still needed by each partition. */
     final Map<String, Long> oldestNeeded = new LinkedHashMap<>();
 
     long segment;
@@ -79,10 +79,10 @@
         if (!writtenOver || oldest > expected + 1) {
             throw new DamagedLogException("segment " + expected + " is missing or breaks off");
         }
-        for (List<WalRecord> part : recordsByPartition.values()) {
-            if (part.get(0).kind() != WalRecord.Kind.SNAPSHOT) {
+        for (List<WalRecord> partition : recordsByPartition.values()) {
+            if (partition.get(0).kind() != WalRecord.Kind.SNAPSHOT) {
                 throw new DamagedLogException("segment " + expected + " was still needed by "
-                        + part.get(0).partition());
+                        + partition.get(0).partition());
             }
         }
     }
--- a/common/src/main/java/org/woadvale/common/wal/RingRetention.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingRetention.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which segments of the ring are still needed, and which parts were asked for a new snapshot to free them. */
+/** Which segments of the ring are still needed, and which partitions were asked for a new snapshot to free them. */
 final class RingRetention {
-    /** So many segments later a part is asked again. */
+    /** So many segments later a partition is asked again. */
     private static final long REQUEST_INTERVAL_BYTES = 1;
 
-    /** Segment of the oldest record still needed by each part. */
+    /** Segment of the oldest record still needed by each partition. */
     private final Map<String, Long> oldestByPartition;
-    /** In which segment a part was asked for a snapshot that has not been written yet. */
+    /** In which segment a partition was asked for a snapshot that has not been written yet. */
     private final Map<String, Long> requestedAt;
 
     RingRetention(Map<String, Long> oldestByPart) {
@@ -49,14 +49,14 @@
     List<String> partitionsToSnapshot(long segment) {
         long oldest = oldest(segment);
         List<String> holding = new ArrayList<>();
-        oldestByPartition.forEach((part, since) -> {
+        oldestByPartition.forEach((partition, since) -> {
             boolean underWay =
-                    segment <= requestedAt.getOrDefault(part, -REQUEST_INTERVAL_BYTES) + REQUEST_INTERVAL_BYTES;
+                    segment <= requestedAt.getOrDefault(partition, -REQUEST_INTERVAL_BYTES) + REQUEST_INTERVAL_BYTES;
             if (since <= oldest + 1 && !underWay) {
-                holding.add(part);
+                holding.add(partition);
             }
         });
-        holding.forEach(part -> requestedAt.put(part, segment));
+        holding.forEach(partition -> requestedAt.put(partition, segment));
         return holding;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -36,7 +36,7 @@
     private final RingWriter writer;
     private final Map<String, Runnable> pressure = new ConcurrentHashMap<>();
     private final PendingWrites pending = new PendingWrites();
-    private Consumer<String> failure = why -> {};
+    private Consumer<String> failure = reason -> {};
     private boolean flushing;
     private boolean failed;
     private boolean diskFull;
@@ -136,9 +136,9 @@
      * A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. (docs/design.md,
      * section 4.4)
      */
-    private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String why) {
+    private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String reason) {
         if (!diskFull) {
-            LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", why);
+            LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", reason);
         }
         diskFull = true;
         timers.after(FULL_DISK_RETRY, () -> timers.onDisk(() -> write(batch)));
@@ -157,26 +157,26 @@
         }
     }
 
-    private synchronized void fail(String why) {
+    private synchronized void fail(String reason) {
         failed = true;
-        LOG.error("The disk failed: {}.", why);
-        failure.accept(why);
+        LOG.error("The disk failed: {}.", reason);
+        failure.accept(reason);
     }
 
-    /** Asks the parts that hold back the oldest files for new snapshots. */
+    /** Asks the partitions that hold back the oldest files for new snapshots. */
     private void requestSnapshots() {
         long used = writer.segmentsInUse();
         ringNearlyFull = used >= files - Math.max(1, files / SPARE_FRACTION);
         if (used > files / 2) {
             writer.retention()
                     .partitionsToSnapshot(writer.segment())
-                    .forEach(part -> timers.soon(pressure.getOrDefault(part, () -> {})));
+                    .forEach(partition -> timers.soon(pressure.getOrDefault(partition, () -> {})));
         }
     }
 
     @Override
-    public void onSpaceNeeded(String part, Runnable giveBase) {
-        pressure.put(part, giveBase);
+    public void onSpaceNeeded(String partition, Runnable giveBase) {
+        pressure.put(partition, giveBase);
     }
 
     @Override
@@ -189,8 +189,8 @@
     }
 
     @Override
-    public synchronized void onFailure(Consumer<String> why) {
-        failure = why;
+    public synchronized void onFailure(Consumer<String> reason) {
+        failure = reason;
     }
 
     @Override
--- a/common/src/main/java/org/woadvale/common/wal/WalRecord.java
+++ b/common/src/main/java/org/woadvale/common/wal/WalRecord.java
@@ -1,13 +1,13 @@
 package org.woadvale.common.wal;
 
-/** One record of a part. A BASE replaces everything the part wrote before it. */
+/** One record of a partition. A SNAPSHOT replaces everything that the partition wrote before it. */
 public record WalRecord(String partition, Kind kind, long index, long term, byte[] bytes, byte format) {
     /** The format in which this build writes the bytes. */
     public static final byte FORMAT = 3;
 
     /** A record in the format of this build. */
-    public WalRecord(String part, Kind kind, long index, long term, byte[] bytes) {
-        this(part, kind, index, term, bytes, FORMAT);
+    public WalRecord(String partition, Kind kind, long index, long term, byte[] bytes) {
+        this(partition, kind, index, term, bytes, FORMAT);
     }
 
     /** What the bytes are. Stored by ordinal: only ever add at the end. */
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -4,22 +4,22 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Synced records of every part of this process. */
+/** Synced records of every partition of this process. */
 public interface WriteAheadLog {
-    /** What each part wrote, from its last base on. */
+    /** What each partition wrote, from its last snapshot on. */
     Map<String, List<WalRecord>> recovered();
 
     /** Done runs after the records are synced; never if the disk fails. */
     void append(List<WalRecord> entries, Runnable done);
 
-    /** A part that holds back the oldest file is asked for a new base. */
-    void onSpaceNeeded(String part, Runnable giveBase);
+    /** A partition that holds back the oldest file is asked for a new snapshot. */
+    void onSpaceNeeded(String partition, Runnable giveBase);
 
     /** True when only room for outcomes is left. */
     boolean nearlyFull();
 
     /** Called once when the disk fails; the process must stop. */
-    void onFailure(Consumer<String> why);
+    void onFailure(Consumer<String> reason);
 
     /** Syncs so far. */
     long syncs();
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -114,7 +114,7 @@
         } catch (IOException e) {
             throw new UnavailableException("Cannot open the data folder " + settings.data() + ": " + e.getMessage());
         }
-        wal.onFailure(why -> onGiveUp.run());
+        wal.onFailure(reason -> onGiveUp.run());
         SecureRandom random = new SecureRandom();
         CoreMembersFile membersFile = new CoreMembersFile(settings.data());
         NodeEnvironment environment = new NodeEnvironment(
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -17,8 +17,7 @@
 
 /**
  * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update
- * has the
- * answer that it had. All three are bounded: the oldest go first.
+ * has the answer that it had. All three are bounded: the oldest go first.
  */
 public final class ConfigurationLog {
     /** So many revisions are kept at the most. */
@@ -122,8 +121,7 @@
      * Decides an update; the same update again has the decision that it had.
      *
      * @throws ServiceException STALE_BASE if it builds on another version than the present one, CONFLICT if its request
-     * id
-     *     stands for other content, INVALID_LAYOUT if its revision is not above the present one
+     *     id stands for other content, INVALID_LAYOUT if its revision is not above the present one
      */
     public ControlMessages.ConfigurationAccepted put(ControlMessages.PutConfiguration update) throws ServiceException {
         String digest = digest(update.configuration(), update.original());
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -12,8 +12,7 @@
 
 /**
  * The leases of one control partition, on its leader. Renewals are noted in memory; who holds a lease is committed.
- * Every
- * request fails with NOT_OWNER on a replica that does not lead.
+ * Every request fails with NOT_OWNER on a replica that does not lead.
  */
 public final class LeaseManager {
     private final MemberLeases members;
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -25,8 +25,7 @@
 /**
  * Who the members of the core are. Every control machine announces itself; the leader of partition c0 puts a standby
  * machine in the place of a member that is gone or leaves, one at a time, by a committed command that carries the epoch
- * of
- * the list that it was made from. Why this is safe: docs/design.md, section 6.10.
+ * of the list that it was made from. Why this is safe: docs/design.md, section 6.10.
  */
 public final class CoreMembership {
     private static final Logger LOG = LogManager.getLogger(CoreMembership.class);
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -11,8 +11,7 @@
 
 /**
  * Whether this control machine is in contact with a majority of the core: as the leader of partition c0 with its
- * voters, as
- * a member with that leader, as a standby machine by the answers to its announcements. Costs no messages.
+ * voters, as a member with that leader, as a standby machine by the answers to its announcements. Costs no messages.
  */
 public final class MajorityContact {
     /** Heartbeats and announcements come at least every 300 ms; two that are missing mean no contact. */
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -78,9 +78,7 @@
         });
     }
 
-    /**
-     * An answer counts only before its limit, also on a machine that was frozen since: the limit is looked at again.
-     */
+    /** An answer counts only before its limit, also on a machine that was frozen since: the limit is checked again. */
     private <T> Mono<T> inTime(Mono<T> work, Duration until, Progress progress) {
         Mono<T> answered = work.flatMap(answer -> {
             boolean late = now().compareTo(until) >= 0;
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -39,8 +39,7 @@
 
 /**
  * A control node: one replica of every control partition, and what it answers as their leader. Leaders are spread over
- * the
- * nodes: each partition prefers another one.
+ * the nodes: each partition prefers another one.
  */
 public final class ControlNode implements Component {
     private static final int MAX_HISTORY_BYTES = 512 << 10;
@@ -277,8 +276,7 @@
 
     /**
      * Whether operators and processors may be sent here. A partition that changes its leader in order is without one
-     * for a
-     * moment; that is no reason to turn them away.
+     * for a moment; that is no reason to turn them away.
      */
     public boolean ready() {
         observeLeaders();
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -17,8 +17,7 @@
 
 /**
  * Chooses three stores in different zones for each message partition, and replaces those that are gone. Holds only what
- * the
- * leader has seen; a new leader begins anew.
+ * the leader has seen; a new leader begins anew.
  */
 final class ReplicaPlacement {
     static final int REPLICAS = 3;
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -25,8 +25,7 @@
 
 /**
  * Takes over the lists of processors from a source that has them all. The leader of partition c0 reads for all; whole
- * lists
- * are written, and only where they differ.
+ * lists are written, and only where they differ.
  */
 public final class ProcessorRegistry implements Component {
     private static final Logger LOG = LogManager.getLogger(ProcessorRegistry.class);
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -172,14 +172,14 @@
         return members.votingEverywhere();
     }
 
-    /** How many message parts this node owns now. */
+    /** How many message partitions this node owns now. */
     public long ledCount() {
         return members.ledCount();
     }
 
-    /** The term of a message part as known here; zero where it is not. */
-    public long term(String part) {
-        return members.term(part);
+    /** The term of a message partition as known here; zero where it is not. */
+    public long term(String partition) {
+        return members.term(partition);
     }
 
     /** The shared buckets that this node holds. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -92,7 +92,7 @@
         RpcRouter router = new RpcRouter();
         TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, timers);
         WriteAheadLog wal = wal(settings, timers);
-        wal.onFailure(why -> onGivenUp.run());
+        wal.onFailure(reason -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
         Optional<CoreMembersFile> known =
                 settings.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(settings.data()));
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -84,7 +84,7 @@
         sawPlacement = true;
         newcomer = beganEmpty
                 && !view.placement().isEmpty()
-                && view.placement().values().stream().noneMatch(copies -> copies.contains(environment.self()));
+                && view.placement().values().stream().noneMatch(replicas -> replicas.contains(environment.self()));
         renewIfChanged();
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -14,8 +14,8 @@
 import org.woadvale.dataplane.queue.MessagePartitions;
 
 /**
- * In which message parts this store counts, and which it owns (docs/design.md, section 6.5). Empty on a node that is no
- * store.
+ * In which message partitions this store counts, and which it owns (docs/design.md, section 6.5). Empty on a node that
+ * is no store.
  */
 final class PartitionReplicas {
     private final NodeEnvironment environment;
@@ -29,7 +29,7 @@
         this.partitions = partitions;
     }
 
-    /** The group of each message part here. */
+    /** The group of each message partition here. */
     Map<String, Set<String>> groups() {
         Map<String, Set<String>> out = new TreeMap<>();
         partitions.ifPresent(messagePartitions -> messagePartitions
@@ -49,7 +49,7 @@
                         .toList();
     }
 
-    /** The parts that the placement gives to this store, and in which it does not count yet. */
+    /** The partitions that the placement gives to this store, and in which it does not count yet. */
     List<String> notVoting() {
         Map<String, Set<String>> groups = groups();
         return assigned().stream()
@@ -90,9 +90,9 @@
                 .orElse(0L);
     }
 
-    long term(String part) {
+    long term(String string) {
         return partitions
-                .map(messagePartitions -> messagePartitions.all().get(part))
+                .map(messagePartitions -> messagePartitions.all().get(string))
                 .map(partition -> partition.replica().term())
                 .orElse(0L);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Whether it may still be sent is asked once the stream is open, right before the first byte. An answer without
-     * the headers of the echo (lower case), or with another or a second value, belongs to another request.
-     * (docs/design.md, section 9.3)
+     * Whether it may still be sent is asked once the stream is open, right before the first byte. An answer without the
+     * headers of the echo (lower case), or with another or a second value, belongs to another request. (docs/design.md,
+     * section 9.3)
      */
     record DeliveryRequest(
             String method,
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -18,8 +18,7 @@
 
 /**
  * Leases of the messages of one partition that processors have pulled, in its leader's memory. A new leader knows none,
- * so it
- * counts from when it took over, which is later than any renewal that its predecessor answered.
+ * so it counts from when it took over, which is later than any renewal that its predecessor answered.
  */
 final class DeliveryLeases {
     /** For renewals that were answered while the clock was read. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -33,7 +33,7 @@
         return Optional.of(permit);
     }
 
-    /** None where the pass is missing, or where it is not known whether one is needed. */
+    /** None where the token is missing, or where it is not known whether one is needed. */
     static Optional<DeliveryPermit> draw(DispatchContext context, String service) {
         return context.configurations().deliveryBucket(service).flatMap(bucket -> {
             Optional<LocalBucket.AdmissionToken> pass = bucket.flatMap(context.localBuckets()::tryTake);
@@ -49,8 +49,7 @@
 
     /**
      * Spent only while it is valid, and reported as spent only then: what is outstanding never exceeds the bucket.
-     * (docs/design.md,
-     * section 8.2)
+     * (docs/design.md, section 8.2)
      */
     boolean spend() {
         boolean alive = isValid();
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
@@ -68,10 +68,11 @@
     }
 
     /**
-     * The delay after so many failed tries: exponential and bounded, with jitter between half and one and a half of it.
+     * The delay after so many failed attempts: exponential and bounded, with jitter between half and one and a half of
+     * it.
      */
-    Duration backoff(int tries) {
-        int quadruplings = Math.min(MAX_QUADRUPLINGS, Math.max(0, tries - 1));
+    Duration backoff(int attempts) {
+        int quadruplings = Math.min(MAX_QUADRUPLINGS, Math.max(0, attempts - 1));
         Duration exponential = FIRST_BACKOFF.multipliedBy(1L << 2 * quadruplings);
         Duration bounded = exponential.compareTo(LONGEST_BACKOFF) > 0 ? LONGEST_BACKOFF : exponential;
         long jitter = Math.floorMod(context.environment().random().getAsLong(), bounded.toNanos());
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -19,10 +19,10 @@
 import org.woadvale.dataplane.queue.ReadyQueue;
 import reactor.core.publisher.Mono;
 
-/** Lets the messages of one part out, while this node owns it (docs/design.md, section 9.3). */
+/** Lets the messages of one partition out, while this node owns it (docs/design.md, section 9.3). */
 public final class Dispatcher {
     private static final int LOOK_AHEAD = 64;
-    /** Retries of a tenant on a lane in a part: a flood that cannot succeed spends only these. */
+    /** Retries of a tenant on a lane in a partition: a flood that cannot succeed spends only these. */
     private static final RateLimit RETRIES = new RateLimit(5, 10);
 
     private final DispatchContext context;
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Running here by the log, but not by us: the owner changed, so the outcome is unclear. */
+    /** Running here by the log, but not by us: the leader changed, so the outcome is unclear. */
     private void adoptRunning() {
         for (Message message :
                 partition.replica().inspect(i -> partition.stateMachine().running())) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -58,8 +58,8 @@
             .disableRetry(true);
 
     /**
-     * Whatever waited for a stream is looked at again once it has one. A reply is published by a later task of the
-     * event loop, when its stream is back in the pool: a caller that sends again at once finds it there.
+     * Whatever waited for a stream is checked again once it has one. A reply is published by a later task of the event
+     * loop, when its stream is back in the pool: a caller that sends again at once finds it there.
      */
     @Override
     public Mono<DeliveryResponse> send(DeliveryRequest deliveryRequest) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -10,7 +10,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Records an ending with whichever store owns the part now, until it is committed (docs/design.md, section 9.3). */
+/** Records an ending with whichever store owns the partition now, until it is committed (docs/design.md, section 9.3). */
 public final class OutcomeRecorder {
     private static final Logger LOG = LogManager.getLogger(OutcomeRecorder.class);
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
@@ -26,14 +26,15 @@
     }
 
     /** Records the end of an attempt with whoever leads the partition by now. */
-    public Mono<Boolean> record(String part, MessageCommands.End end, String processor) {
-        return record(part, end, processor, environment.clock().monotonicTime().plus(GIVE_UP_AFTER));
+    public Mono<Boolean> record(String partition, MessageCommands.End end, String processor) {
+        return record(
+                partition, end, processor, environment.clock().monotonicTime().plus(GIVE_UP_AFTER));
     }
 
-    private Mono<Boolean> record(String part, MessageCommands.End end, String processor, Duration until) {
-        MessageCommands.OutcomeReport ask = new MessageCommands.OutcomeReport(part, end, processor, "");
+    private Mono<Boolean> record(String partition, MessageCommands.End end, String processor, Duration until) {
+        MessageCommands.OutcomeReport request = new MessageCommands.OutcomeReport(partition, end, processor, "");
         return forwarder
-                .call(part, ask, MessageCommands.TransitionResult.class, ATTEMPT_TIMEOUT)
+                .call(partition, request, MessageCommands.TransitionResult.class, ATTEMPT_TIMEOUT)
                 .map(MessageCommands.TransitionResult::applied)
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
@@ -45,7 +46,7 @@
                         return Mono.just(false);
                     }
                     return Delays.pause(environment.timers(), RETRY_PAUSE)
-                            .then(Mono.defer(() -> record(part, end, processor, until)));
+                            .then(Mono.defer(() -> record(partition, end, processor, until)));
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -11,8 +11,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What this node's own asks tell of stores and parts; only for draws, never for what is true. (docs/design.md, section
- * 9.13)
+ * What this node's own asks tell of stores and partitions; only for draws, never for what is true. (docs/design.md,
+ * section 9.13)
  */
 final class StoreHealth {
     private static final Duration FAILURE_MEMORY = Duration.ofMillis(1500);
@@ -35,28 +35,28 @@
     }
 
     /** Counts the ask as open until it ends. */
-    <T> Mono<T> tracked(String store, Mono<T> ask) {
+    <T> Mono<T> tracked(String store, Mono<T> request) {
         return Mono.defer(() -> {
             long id = ids.incrementAndGet();
             Map<Long, Duration> here = inFlight.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
             here.put(id, now());
-            return ask.doFinally(signal -> here.remove(id));
+            return request.doFinally(signal -> here.remove(id));
         });
     }
 
-    void onFailure(String part, String store, ServiceException failure) {
+    void onFailure(String partition, String store, ServiceException failure) {
         if (failure.kind() == ErrorKind.UNREACHABLE || failure.kind() == ErrorKind.UNKNOWN_OUTCOME) {
             slowSince.put(store, now().plus(UNHEALTHY_AFTER));
         }
         boolean redirected = failure instanceof NotLeaderException notLeader
                 && notLeader.leader().isPresent();
         if (!redirected) {
-            failures.put(part, now().plus(FAILURE_MEMORY));
+            failures.put(partition, now().plus(FAILURE_MEMORY));
         }
     }
 
-    void onSuccess(String part, String store) {
-        failures.remove(part);
+    void onSuccess(String partition, String store) {
+        failures.remove(partition);
         slowSince.remove(store);
     }
 
@@ -64,8 +64,8 @@
         return now().compareTo(slowSince.getOrDefault(store, Duration.ZERO)) < 0;
     }
 
-    boolean hasFailed(String part) {
-        return now().compareTo(failures.getOrDefault(part, Duration.ZERO)) < 0;
+    boolean hasFailed(String partition) {
+        return now().compareTo(failures.getOrDefault(partition, Duration.ZERO)) < 0;
     }
 
     boolean isSilent(String store) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -24,7 +24,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Finds the owner of a message part among its stores and asks it. */
+/** Finds the leader of a message partition among its stores and asks it. */
 public final class SubmitForwarder {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(400);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
@@ -45,8 +45,8 @@
     }
 
     /**
-     * A part for what any part may hold: among those whose owner is in touch, rather one of our own zone; drawn by the
-     * given id. (docs/design.md, section 9.13)
+     * A partition for a message that any may hold: among those whose leader answers, by preference one in this zone;
+     * drawn by the given id. (docs/design.md, section 9.13)
      */
     public String anyPartition(String id) {
         Map<String, List<String>> placement =
@@ -55,12 +55,12 @@
                 subscriptions.latest(ServiceNames.STORES).members();
         List<String> sound = new ArrayList<>();
         List<String> near = new ArrayList<>();
-        placement.forEach((part, copies) -> {
-            String owner = leaderHints.getOrDefault(part, copies.isEmpty() ? "" : copies.get(0));
-            if (!health.hasFailed(part) && !health.isSilent(owner) && members.containsKey(owner)) {
-                sound.add(part);
-                if (members.get(owner).zone().equals(zone)) {
-                    near.add(part);
+        placement.forEach((partition, replicas) -> {
+            String leader = leaderHints.getOrDefault(partition, replicas.isEmpty() ? "" : replicas.get(0));
+            if (!health.hasFailed(partition) && !health.isSilent(leader) && members.containsKey(leader)) {
+                sound.add(partition);
+                if (members.get(leader).zone().equals(zone)) {
+                    near.add(partition);
                 }
             }
         });
@@ -70,62 +70,60 @@
                 : ServiceNames.rendezvousOwner(id, from).orElse(ServiceNames.messagePart("", id));
     }
 
-    /** The known owner first, then the copies in turn; those that do not answer only if there are no others. */
-    private String likelyLeader(String part, int turn) {
-        List<String> all = subscriptions.latest(ServiceNames.STORES).placement().getOrDefault(part, List.of());
-        List<String> copies = all.stream().filter(c -> !health.isUnhealthy(c)).toList();
-        String known = leaderHints.getOrDefault(part, "");
+    /** The known leader first, then the copies in turn; those that do not answer only if there are no others. */
+    private String likelyLeader(String partition, int turn) {
+        List<String> all = subscriptions.latest(ServiceNames.STORES).placement().getOrDefault(partition, List.of());
+        List<String> replicas = all.stream().filter(c -> !health.isUnhealthy(c)).toList();
+        String known = leaderHints.getOrDefault(partition, "");
         if (turn == 0 && !known.isEmpty() && !health.isUnhealthy(known)) {
             return known;
         }
-        List<String> from = copies.isEmpty() ? all : copies;
+        List<String> from = replicas.isEmpty() ? all : replicas;
         return from.isEmpty() ? "" : from.get(turn % from.size());
     }
 
-    /**
-     * Goes on until the limit. The answer is definite only if no try before it was left unknown.
-     */
-    public <T> Mono<T> call(String part, RepeatableRequest body, Class<T> type, Duration limit) {
+    /** Goes on until the limit. The answer is definite only if no try before it was left unknown. */
+    public <T> Mono<T> call(String partition, RepeatableRequest body, Class<T> type, Duration limit) {
         Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding =
-                new Forwarding<>(part, to -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
+                new Forwarding<>(partition, to -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
         return attempt(forwarding, 0, false, "");
     }
 
-    /** Whether asks of the part failed lately: whoever comes now need not wait long to know. */
-    public boolean isUnhealthy(String part) {
-        return health.hasFailed(part);
+    /** Whether asks of the partition failed lately: whoever comes now need not wait long to know. */
+    public boolean isUnhealthy(String partition) {
+        return health.hasFailed(partition);
     }
 
     /**
      * The same, but nothing that is delayed on its way beyond the limit is accepted then (docs/design.md, section 9.7).
      */
     public <T> Mono<T> callWithDeadline(
-            String part,
+            String partition,
             Function<MessageCommands.RemoteDeadline, RepeatableRequest> body,
             Class<T> type,
             Duration limit) {
-        return callWithDeadline(part, body, type, limit, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
+        return callWithDeadline(partition, body, type, limit, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
     }
 
     /** The same for a request that is not sent again once its outcome is unknown. */
     public <T> Mono<T> callOnceWithDeadline(
-            String part,
+            String partition,
             Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
             Class<T> type,
             Duration limit) {
-        return callWithDeadline(part, body, type, limit, ResendPolicy.IF_NOT_EXECUTED);
+        return callWithDeadline(partition, body, type, limit, ResendPolicy.IF_NOT_EXECUTED);
     }
 
     private <T> Mono<T> callWithDeadline(
-            String part,
+            String partition,
             Function<MessageCommands.RemoteDeadline, ? extends RpcRequest> body,
             Class<T> type,
             Duration limit,
             ResendPolicy policy) {
         Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding = new Forwarding<>(
-                part,
+                partition,
                 to -> clocks.deadline(to, until, ATTEMPT_TIMEOUT)
                         .<RpcRequest>map(body)
                         .onErrorMap(SubmitForwarder::notSent),
@@ -161,10 +159,10 @@
             String part, Function<String, Mono<RpcRequest>> body, Class<T> type, Duration until, ResendPolicy policy) {}
 
     private <T> Mono<T> attempt(Forwarding<T> forwarding, int turn, boolean unknown, String hint) {
-        String part = forwarding.part();
-        String to = hint.isEmpty() ? likelyLeader(part, turn) : hint;
+        String partition = forwarding.part();
+        String to = hint.isEmpty() ? likelyLeader(partition, turn) : hint;
         if (to.isEmpty()) {
-            return Mono.error(new UnavailableException("No store is placed for the part " + part + "."));
+            return Mono.error(new UnavailableException("No store is placed for the part " + partition + "."));
         }
         return forwarding
                 .body()
@@ -172,14 +170,14 @@
                 .flatMap(rpcRequest ->
                         health.tracked(to, environment.rpc().call(to, rpcRequest, forwarding.type(), ATTEMPT_TIMEOUT)))
                 .doOnNext(t -> {
-                    leaderHints.put(part, to);
-                    health.onSuccess(part, to);
+                    leaderHints.put(partition, to);
+                    health.onSuccess(partition, to);
                 })
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
-                    leaderHints.remove(part, to);
+                    leaderHints.remove(partition, to);
                     clocks.forget(to);
-                    health.onFailure(part, to, failure);
+                    health.onFailure(partition, to, failure);
                     boolean nowUnknown = unknown || !failure.kind().definite();
                     if (!forwarding.policy().allows(failure.kind())
                             || environment.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
@@ -195,7 +193,7 @@
                 });
     }
 
-    /** A definite refusal after an unknown try says nothing of that try (docs/design.md, section 9.6). */
+    /** A definite refusal after an unknown attempt says nothing of that try (docs/design.md, section 9.6). */
     private static ServiceException onSettled(ServiceException last, boolean unknown) {
         if (unknown) {
             return new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.");
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -21,7 +21,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Fetches that wait at this store until one of its parts has work of their service (docs/design.md, section 9.10). */
+/** Pulls that wait at this store until one of its partitions has work of their service (docs/design.md, section 9.10). */
 final class WaitingPulls {
     private static final int MAX_WAITING = 4096;
 
@@ -55,10 +55,10 @@
                                 .flatMap(deliveryLeases -> deliveryLeases.end(request.end())));
     }
 
-    private Mono<DeliveryLeases> leases(String part) {
-        return Mono.justOrEmpty(
-                        Optional.ofNullable(dispatchersByPartition.get(part)).map(Dispatcher::leases))
-                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
+    private Mono<DeliveryLeases> leases(String partition) {
+        return Mono.justOrEmpty(Optional.ofNullable(dispatchersByPartition.get(partition))
+                        .map(Dispatcher::leases))
+                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + partition + " is not here.")));
     }
 
     private Duration now() {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -31,7 +31,7 @@
 public final class IngressNode {
     /** The longest body of a request, in bytes. */
     public static final int MAX_BODY = SubmitApi.MAX_BODY;
-    /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
+    /** With a view of up to 2 s and the last attempt's own limit still within 5 s of a key's withdrawal. */
     private static final Duration LIMIT = Duration.ofSeconds(2);
 
     private static final int OK = 200;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * By the ordering key, or by the id, which every repeat has. Where a repeat is never handed in anew (lanes with
-     * doors) any part does: one whose owner is near and in touch. (docs/design.md, section 9.13)
+     * By the ordering key, or by the id, which every repeat has. Where a repeat is never submitted anew (lanes with
+     * doors) any partition does: one whose leader is near and in touch. (docs/design.md, section 9.13)
      */
     private String partition(CheckedSubmission checked) {
         Submission submission = checked.submission();
@@ -109,7 +109,7 @@
         localBuckets.returnToken(admitted.bucket(), admitted.token());
     }
 
-    /** Key, lane and token are looked at once more, right before each try (docs/design.md, section 9.7). */
+    /** Key, lane and token are checked once more, right before each attempt (docs/design.md, section 9.7). */
     private Mono<MessageCommands.Accepted> forward(AdmittedSubmission admitted) {
         Duration until = environment
                 .clock()
@@ -203,7 +203,7 @@
                 : Optional.empty();
     }
 
-    /** A definite refusal now says nothing of an earlier unknown try. */
+    /** A definite refusal now says nothing of an earlier unknown attempt. */
     private static Throwable definite(Throwable error, boolean outcomeUnknown) {
         return outcomeUnknown && ServiceException.of(error).kind().definite()
                 ? new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.")
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -26,11 +26,11 @@
     }
 
     static String partOf(String handle) throws ServiceException {
-        String part = handle.replaceAll("-.*", "");
-        if (!handle.matches(HANDLE) || !ServiceNames.messageParts().contains(part)) {
+        String partition = handle.replaceAll("-.*", "");
+        if (!handle.matches(HANDLE) || !ServiceNames.messageParts().contains(partition)) {
             throw new NotFoundException("No such message.");
         }
-        return part;
+        return partition;
     }
 
     /** The message, if it is of the secret's tenant; NOT_FOUND else, the same as for one that never was. */
@@ -42,9 +42,12 @@
                         .key(secret)
                         .filter(k -> k.role() == Configuration.Role.CALLER)
                         .orElseThrow(() -> new UnauthorizedException("The key is missing, wrong or withdrawn."));
-                String part = partOf(handle);
+                String partition = partOf(handle);
                 return forwarder.call(
-                        part, new MessageCommands.StatusRequest(part, handle, key.tenant()), Message.class, LIMIT);
+                        partition,
+                        new MessageCommands.StatusRequest(partition, handle, key.tenant()),
+                        Message.class,
+                        LIMIT);
             } catch (ServiceException failure) {
                 return Mono.error(failure);
             }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -27,7 +27,7 @@
  * The HTTP requests of processors: pulls of messages and reports of their outcomes. (docs/design.md, section 9.3, 9.6)
  */
 final class ProcessorApi {
-    /** With a view of up to 2 s and the last try's own limit still within 5 s of a key's withdrawal. */
+    /** With a view of up to 2 s and the last attempt's own limit still within 5 s of a key's withdrawal. */
     private static final Duration OUTCOME_LIMIT = Duration.ofSeconds(2);
 
     private static final Duration PULL_LIMIT = Duration.ofMillis(200);
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -6,9 +6,8 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * One message as its part knows it. Done ones keep no body. The envelope is opaque here: whoever processors in and
- * whoever
- * delivers agree on it. Ends: a bit for each attempt whose end was taken, up to the 62nd.
+ * One message as its partition knows it. Done ones keep no body. The envelope is opaque here: whoever submits and
+ * whoever delivers agree on it. Ends: a bit for each attempt whose end was taken, up to the 62nd.
  */
 public record Message(
         String handle,
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -9,7 +9,7 @@
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.Since;
 
-/** What is written in the logs of message parts, and asked between data plane nodes. */
+/** What is written in the logs of message partitions, and asked between data plane nodes. */
 public final class MessageCommands {
     private MessageCommands() {}
 
@@ -136,13 +136,13 @@
     /** The messages that were handed out. */
     public record FetchResponse(List<Message> messages) {}
 
-    /** Also how a deposed owner gives an answer to the new one. */
+    /** Also how a deposed leader gives an answer to the new one. */
     public record OutcomeReport(String partition, End end, String processor, String service)
             implements RepeatableRequest {}
 
     /**
-     * A fetch that waits at a store for work of a service, from any of the parts owned there. (docs/design.md, section
-     * 9.10)
+     * A pull that waits at a store for work of a service, from any of the partitions led there. (docs/design.md,
+     * section 9.10)
      */
     public record LongPullRequest(
             String service,
@@ -156,7 +156,8 @@
     public record LongPullResponse(List<Message> messages) {}
 
     /**
-     * The processor needs longer: the last word of a lease, kept by the owner in memory. (docs/design.md, section 9.10)
+     * The processor needs longer: the last word of a lease, kept by the leader in memory. (docs/design.md, section
+     * 9.10)
      */
     public record ExtendLeaseRequest(String partition, String handle, int attempt) implements RepeatableRequest {}
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -30,7 +30,7 @@
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 import reactor.core.publisher.Mono;
 
-/** The message parts of a store, opened as the placement says (docs/design.md, section 9.1). */
+/** The message partitions of a store, opened as the placement says (docs/design.md, section 9.1). */
 public final class MessagePartitions {
     private static final Logger LOG = LogManager.getLogger(MessagePartitions.class);
     private static final int UNIT_BYTES = 1024;
@@ -38,7 +38,7 @@
     private static final Duration OUTCOME_UNKNOWN_RETENTION = Duration.ofDays(1);
     private static final int MAX_EXPIRY_LAG_S = 5;
 
-    /** One part here: its replica, its machine and its own bucket in size units. */
+    /** One partition here: its replica, its machine and its own bucket in size units. */
     public record MessagePartition(
             String id,
             Replica<MessageCommand, MessageResult> replica,
@@ -57,12 +57,12 @@
     private final String incarnation;
     private final Duration retention;
 
-    /** A part takes no more beyond its size; and its view, with room for the log's tail, must fit into a ring file. */
+    /** A partition takes no more beyond its size; and its snapshot, with room for the log's tail, must fit into a ring file. */
     public MessagePartitions(
             NodeEnvironment environment,
             ViewSubscriptions subscriptions,
             RateLimit node,
-            RateLimit part,
+            RateLimit partition,
             long partBytes,
             Duration retention) {
         this.retention = retention;
@@ -70,7 +70,7 @@
         this.environment = environment;
         this.subscriptions = subscriptions;
         this.nodeUnits = Bucket.full(node, environment.clock().monotonicTime());
-        this.partitionLimit = part;
+        this.partitionLimit = partition;
         this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
@@ -81,7 +81,7 @@
 
     /** What this store answers as a replica, and as the leader of a partition. */
     public void route(RpcRouter router) {
-        ReplicationMessages.route(router, part -> partition(part).map(MessagePartition::replica))
+        ReplicationMessages.route(router, partition -> partition(partition).map(MessagePartition::replica))
                 .on(
                         MessageCommands.AcceptRequest.class,
                         (f, request) -> partition(request.partition())
@@ -108,9 +108,9 @@
     }
 
     /** A partition that is open here; fails with NOT_OWNER for others. */
-    public Mono<MessagePartition> partition(String part) {
-        return Mono.justOrEmpty(partitions.get(part))
-                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + part + " is not here.")));
+    public Mono<MessagePartition> partition(String partition) {
+        return Mono.justOrEmpty(partitions.get(partition))
+                .switchIfEmpty(Mono.error(new NotLeaderException("The part " + partition + " is not here.")));
     }
 
     /**
@@ -130,7 +130,7 @@
                         < Math.min(maxPartitionBytes, environment.wal().largestRecordBytes() / 2)
                 && !environment.wal().nearlyFull();
         if (!partition.replica().isActiveLeader()) {
-            // it may own the part a moment later: then all of this is looked at again
+            // it may own the partition a moment later: then all of this is checked again
             return partition.replica().read(i -> i).flatMap(i -> accept(partition, accept));
         }
         if (!room) {
@@ -142,7 +142,7 @@
         return partition.replica().propose(withLeaderTime(accept), MessageCommands.Accepted.class);
     }
 
-    /** Clock are the owner's: the intake's calendar clock may be off. (docs/design.md, section 9.1) */
+    /** Clock are the leader's: the intake's calendar clock may be off. (docs/design.md, section 9.1) */
     private MessageCommands.Accept withLeaderTime(MessageCommands.Accept accept) {
         Instant now = environment.clock().wallTime();
         return new MessageCommands.Accept(
@@ -158,7 +158,7 @@
                 accept.envelope());
     }
 
-    /** Draws size units of the node and of the part, or of neither. */
+    /** Draws size units of the node and of the partition, or of neither. */
     public boolean spend(MessagePartition partition, int units) {
         synchronized (nodeUnits) {
             Duration now = environment.clock().monotonicTime();
@@ -185,9 +185,9 @@
 
     /** Opens the partitions that are on disk, and those that the placement names from now on. */
     public void start() throws ServiceException {
-        for (String part : environment.wal().recovered().keySet()) {
-            if (part.startsWith("m")) {
-                open(part, List.of());
+        for (String partition : environment.wal().recovered().keySet()) {
+            if (partition.startsWith("m")) {
+                open(partition, List.of());
             }
         }
         subscriptions.onView((service, view) -> {
@@ -198,31 +198,31 @@
         ticking = environment.timers().every(TICK, this::onTick);
     }
 
-    private void open(String part, List<String> wanted) throws ServiceException {
-        MessageStateMachine stateMachine = new MessageStateMachine(part, environment.codec());
-        Replica<MessageCommand, MessageResult> replica = new Replica<>(part, wanted, stateMachine, environment);
-        replica.start(environment.wal().recovered().getOrDefault(part, List.of()));
+    private void open(String string, List<String> desired) throws ServiceException {
+        MessageStateMachine stateMachine = new MessageStateMachine(string, environment.codec());
+        Replica<MessageCommand, MessageResult> replica = new Replica<>(string, desired, stateMachine, environment);
+        replica.start(environment.wal().recovered().getOrDefault(string, List.of()));
         MessagePartition partition = new MessagePartition(
-                part,
+                string,
                 replica,
                 stateMachine,
                 Bucket.full(partitionLimit, environment.clock().monotonicTime()));
-        partitions.put(part, partition);
+        partitions.put(string, partition);
         onOpen.accept(partition);
     }
 
     private synchronized void onTick() {
         Map<String, List<String>> placement =
                 new HashMap<>(subscriptions.latest(ServiceNames.STORES).placement());
-        placement.forEach((part, copies) -> {
-            Optional<MessagePartition> open = Optional.ofNullable(partitions.get(part));
+        placement.forEach((partition, replicas) -> {
+            Optional<MessagePartition> open = Optional.ofNullable(partitions.get(partition));
             if (open.isPresent()) {
-                open.get().replica().setDesiredMembers(copies);
-            } else if (copies.contains(environment.self())) {
+                open.get().replica().setDesiredMembers(replicas);
+            } else if (replicas.contains(environment.self())) {
                 try {
-                    open(part, copies);
+                    open(partition, replicas);
                 } catch (ServiceException failure) {
-                    LOG.error("Partition {} did not open: {}", part, failure.getMessage());
+                    LOG.error("Partition {} did not open: {}", partition, failure.getMessage());
                 }
             }
         });
@@ -251,14 +251,14 @@
     }
 
     /** The first of the placement owns once it is up to date; a draining node gives all away. */
-    private void balanceLeader(MessagePartition partition, List<String> copies) {
+    private void balanceLeader(MessagePartition partition, List<String> replicas) {
         if (partition.replica().role() != Role.LEADER) {
             return;
         }
         partition
                 .replica()
                 .successor()
-                .filter(node -> draining || (!copies.isEmpty() && node.equals(copies.get(0))))
+                .filter(node -> draining || (!replicas.isEmpty() && node.equals(replicas.get(0))))
                 .ifPresent(node -> {
                     if (partition.replica().transferLeadership(node)) {
                         LOG.info("Transfers leadership of {} to {}.", partition.id(), node);
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -25,8 +25,8 @@
     private long lastSequence;
 
     /** Without any message. */
-    public MessageStateMachine(String part, Codec codec) {
-        this.partition = part;
+    public MessageStateMachine(String partition, Codec codec) {
+        this.partition = partition;
         this.codec = codec;
     }
 
@@ -40,7 +40,7 @@
         return index.liveBytes();
     }
 
-    /** About what a view of the part weighs, ended messages included. */
+    /** About what a snapshot of the partition weighs, ended messages included. */
     public long storedBytes() {
         return index.liveBytes() + index.endedBytes();
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
@@ -44,14 +44,14 @@
     }
 
     /** The due ones of a lane, one of each tenant in turn: a long line of one tenant hides nobody's. */
-    public List<Message> due(String lane, Instant now, int most, int turn, Predicate<Message> wanted) {
+    public List<Message> due(String lane, Instant now, int most, int turn, Predicate<Message> desired) {
         List<List<Message>> lines = new ArrayList<>();
         Map<String, TreeSet<Message>> tenants = lanes.getOrDefault(lane, Map.of());
         int each = Math.max(1, most / Math.max(1, tenants.size()));
         tenants.values()
                 .forEach(line -> lines.add(line.stream()
                         .takeWhile(message -> !message.due().isAfter(now))
-                        .filter(wanted)
+                        .filter(desired)
                         .limit(each)
                         .toList()));
         // the first place goes round, for when there is room for one only
--- a/operator/src/main/java/org/woadvale/operator/Runbook.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbook.java
@@ -18,7 +18,7 @@
         @NotEmpty List<@NotNull @Valid Step> steps) {
     static final String WORD = "[a-zA-Z][a-zA-Z0-9]{0,31}";
 
-    /** Absent parts are empty. */
+    /** Absent components are empty. */
     public Runbook {
         needs = needs == null ? Map.of() : needs;
         steps = steps == null ? List.of() : List.copyOf(steps);
@@ -40,7 +40,7 @@
 
     /** What an answer must show; an empty pointer looks at the status only. */
     public record Expect(@Min(0) @Max(599) int status, String pointer, String equals) {
-        /** Absent parts are not looked at; the status is 200 unless told otherwise. */
+        /** Absent components are not looked at; the status is 200 unless told otherwise. */
         public Expect {
             status = status == 0 ? Status.OK : status;
             pointer = pointer == null ? "" : pointer;
@@ -64,7 +64,7 @@
             String pointer) {
         private static final long USUAL_MS = 30000;
 
-        /** Absent parts are empty. */
+        /** Absent components are empty. */
         public Step {
             method = method == null ? "GET" : method;
             url = url == null ? "" : url;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -11,9 +11,8 @@
 
 /**
  * Whole shipped nodes (8 intakes, 3 stores, 3 control nodes) under mixed traffic: what one event costs in frames, syncs
- * and
- * processor time over all of them. The time holds the simulator and the stand-ins too, and no sockets. (docs/design.md,
- * section 12.1)
+ * and processor time over all of them. The time holds the simulator and the stand-ins too, and no sockets.
+ * (docs/design.md, section 12.1)
  */
 final class Events implements Mechanism {
     private static final Duration WINDOW = Duration.ofSeconds(20);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Fit.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Fit.java
@@ -4,10 +4,9 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points by least squares (commons-math3): figure = intercept + slope x size.
- * Spread is the largest distance of a point from the line, as a share of the point; r2 of a figure that does not move
- * is
- * taken as one.
+ * A straight line through measured points by least squares (commons-math3): figure = intercept + slope x size. Spread
+ * is the largest distance of a point from the line, as a share of the point; r2 of a figure that does not move is taken
+ * as one.
  */
 record Fit(double slope, double intercept, double r2, double spread, double error) {
     static final int FEWEST = 4;
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -13,8 +13,7 @@
 /**
  * One hollow machine on the fake clock: it counts what it sends and gets, and the processor time of all that runs on
  * it. (docs/design.md, section 12.1) The time is the thread's own (ThreadMXBean); asking for it costs about a
- * microsecond a task, which
- * is not taken off. Sockets cost nothing here: see {@link Wires}.
+ * microsecond a task, which is not taken off. Sockets cost nothing here: see {@link Wires}.
  */
 final class HollowHost implements Clock, Timers {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -28,8 +28,7 @@
 
 /**
  * What a pilot does for control and nothing else: the shipped subscriptions, passes and leases, put together as
- * DataPlaneNode does
- * (design 6.3, 7, 8), without callers' HTTP, messages or a disk.
+ * DataPlaneNode does (design 6.3, 7, 8), without callers' HTTP, messages or a disk.
  */
 final class HollowNode {
     private static final Duration LEARN = Duration.ofSeconds(2);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
@@ -21,8 +21,7 @@
 
 /**
  * LeaseManager renewed over the shipped TCP rpc on loopback, both ends in this process: what the sockets cost that
- * hollow
- * machines do not have. Real time; the processor time is the whole process's. (docs/design.md, section 3)
+ * hollow machines do not have. Real time; the processor time is the whole process's. (docs/design.md, section 3)
  */
 final class Wires implements Mechanism {
     private static final Duration LIMIT = Duration.ofSeconds(10);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/ClientLoad.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/ClientLoad.java
@@ -11,8 +11,8 @@
 import org.woadvale.client.model.Taken;
 
 /**
- * A caller that uses the client generated from our schema and keeps to docs/api.md: where a refusal carries
- * {@code Retry-After}, it asks again with the same id after that time.
+ * A caller that uses the client generated from our schema and keeps to docs/api.md: where a refusal carries {@code
+ * Retry-After}, it asks again with the same id after that time.
  */
 public final class ClientLoad {
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(8);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * A free port that no one else was given, below the range from which the kernel takes ports for outgoing
-     * streams: one of those may otherwise sit on it before its process starts.
+     * A free port that no one else was given, below the range from which the kernel takes ports for outgoing streams:
+     * one of those may otherwise sit on it before its process starts.
      */
     public static synchronized String free() throws IOException {
         for (int i = 0; i < 1000; i++) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -65,8 +65,7 @@
 
     /**
      * The folders of a control node and a store that lost their disks under traffic, so that they hold a snapshot from
-     * a
-     * leader and entries after it.
+     * a leader and entries after it.
      */
     public static Folders folders() throws ServiceException {
         PlatformSimulation day = new PlatformSimulation(SEED, 3, 3, FleetOverrides.none()).startAll();
--- a/testkit/src/main/java/org/woadvale/testkit/stub/OrderRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/OrderRules.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * Checks the operators' history: the configuration is a register with compare-and-set, and each order, told by its
- * text and base, has one decision however often it is sent. Revisions tell the order of the configurations.
+ * Checks the operators' history: the configuration is a register with compare-and-set, and each order, told by its text
+ * and base, has one decision however often it is sent. Revisions tell the order of the configurations.
  */
 final class OrderRules {
     private static final int REQUEST_TIMEOUT = 408;
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -73,8 +73,7 @@
 
     /**
      * Before: the machine kept orders for 2.5 s and more before it said anything, and was ready throughout. Machine 0
-     * is
-     * the leader of part c0.
+     * is the leader of part c0.
      */
     @ParameterizedTest
     @MethodSource("days")
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -25,11 +25,10 @@
 /** The seeds are needed at the first start only. */
 class SeedsTest {
     /**
-     * One seed after the other is lost for good and replaced; nobody who runs is told where the new ones are.
-     * 2, 3, 4: the new control node was asked for the exchange and gave a false conflict. 2, 3 again: a control node
-     * that
-     * had joined knew the others by luck only, and found no owner for seconds; and the operator of the test spent its
-     * time on control nodes that were lost for good, so it asks those that are there now, for 5 s instead of 8.
+     * One seed after the other is lost for good and replaced; nobody who runs is told where the new ones are. 2, 3, 4:
+     * the new control node was asked for the exchange and gave a false conflict. 2, 3 again: a control node that had
+     * joined knew the others by luck only, and found no owner for seconds; and the operator of the test spent its time
+     * on control nodes that were lost for good, so it asks those that are there now, for 5 s instead of 8.
      */
     @ParameterizedTest
     @ValueSource(longs = {5, 2, 3, 4})
