--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -50,7 +50,7 @@
 
     /** Runs the program; see {@code --help}. */
     public static void main(String[] args) {
-        System.exit(new Program("control plane", ControlPlaneProgram::check, ControlPlaneProgram::build, DRAIN::get)
+        System.exit(new Program("controlplane", ControlPlaneProgram::check, ControlPlaneProgram::build, DRAIN::get)
                 .main(args));
     }
 
@@ -128,7 +128,7 @@
         operators.route(router);
         DRAIN.set(() -> drain(node));
         Supervisor supervisor =
-                new Supervisor("control plane", timers, onGiveUp).with(rpc).with(node);
+                new Supervisor("controlplane", timers, onGiveUp).with(rpc).with(node);
         processors.ifPresent(processorSource ->
                 supervisor.with(new ProcessorRegistry(environment, node, processorSource, REGISTRY_PERIOD)));
         gateways.apply(operators).forEach(supervisor::with);
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -32,7 +32,7 @@
 import org.woadvale.dataplane.ingress.PullService;
 import reactor.core.publisher.Mono;
 
-/** A pilot: intake, store or both, as its boot file says. (docs/design.md, section 1) */
+/** A data plane node: intake, store or both, as its boot file says. (docs/design.md, section 1) */
 public final class DataPlaneNode implements Component {
     private final NodeEnvironment environment;
     private final Settings settings;
@@ -90,7 +90,7 @@
 
     @Override
     public String name() {
-        return "pilot";
+        return "dataplane";
     }
 
     /** What this node answers to other nodes. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -53,7 +53,7 @@
 
     /** Runs the program; see {@code --help}. */
     public static void main(String[] args) {
-        System.exit(new Program("pilot", DataPlaneProgram::check, DataPlaneProgram::grow, DRAIN::get).main(args));
+        System.exit(new Program("dataplane", DataPlaneProgram::check, DataPlaneProgram::grow, DRAIN::get).main(args));
     }
 
     /** The running node's orderly way out; nothing before it runs. */
@@ -113,7 +113,7 @@
         DataPlaneNode node = new DataPlaneNode(environment, settings, core, new HttpDeliveryClient(), protocol);
         node.route(router);
         Supervisor supervisor =
-                new Supervisor("pilot", timers, onGivenUp).with(rpc).with(node);
+                new Supervisor("dataplane", timers, onGivenUp).with(rpc).with(node);
         List<Component> gateways = function.apply(node);
         gateways.forEach(supervisor::with);
         DRAIN.set(() -> drain(node, gateways, Duration.ofMillis(settings.lingerMs())));
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -8,7 +8,7 @@
 
 /** The operator's tool: runbooks that can be executed. It starts no process. */
 @Cli(
-        name = "tender",
+        name = "operator",
         description = "Lists, checks and runs runbooks",
         defaultCommand = Help.class,
         commands = {
@@ -34,9 +34,9 @@
             ((Runnable) object).run();
             return 0;
         } catch (ParseException e) {
-            out.accept("tender: " + e.getMessage());
+            out.accept("operator: " + e.getMessage());
         } catch (ServiceException failure) {
-            out.accept("tender: " + failure.getMessage());
+            out.accept("operator: " + failure.getMessage());
             failure.details().forEach(detail -> out.accept("  " + detail));
         }
         return 2;
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -50,7 +50,7 @@
             }
             return Files.readAllBytes(Path.of(nameOrFile));
         } catch (IOException e) {
-            throw new NotFoundException("There is no runbook " + nameOrFile + "; see tender list.");
+            throw new NotFoundException("There is no runbook " + nameOrFile + "; see operator list.");
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -42,7 +42,7 @@
     private final HollowNet net = new HollowNet(sim);
     private final Shape shape;
     private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
-    private final Codec pilotCodec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
+    private final Codec dataPlaneCodec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private final List<String> seeds = List.of("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1");
     private final Map<String, HollowHost> controlNodes = new LinkedHashMap<>();
     private final Map<String, HollowHost> hosts = new LinkedHashMap<>();
@@ -113,8 +113,8 @@
         net.add(host);
         hosts.put(address, host);
         String role = i % Shape.STORE_EVERY == 0 ? ServiceNames.STORES : ServiceNames.INTAKES;
-        HollowNode node =
-                new HollowNode(host, net.rpc(host, pilotCodec), pilotCodec, sim, "hall" + i % Shape.ZONES, seeds, role);
+        HollowNode node = new HollowNode(
+                host, net.rpc(host, dataPlaneCodec), dataPlaneCodec, sim, "hall" + i % Shape.ZONES, seeds, role);
         nodes.put(address, node);
         host.work(() -> node.start(List.of(LIST)));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -27,7 +27,7 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What a pilot does for control and nothing else: the shipped subscriptions, passes and leases, put together as
+ * What a data node does for control and nothing else: the shipped subscriptions, passes and leases, put together as
  * DataPlaneNode does (design 6.3, 7, 8), without callers' HTTP, messages or a disk.
  */
 final class HollowNode {
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -49,10 +49,10 @@
                     false));
         }
         for (int i = 0; i < shape.stores; i++) {
-            stores.add(pilot("store" + i, zone(i, shape), "store"));
+            stores.add(dataNode("store" + i, zone(i, shape), "store"));
         }
         for (int i = 0; i < shape.intakes; i++) {
-            intakes.add(pilot("intake" + i, zone(i, shape), "intake"));
+            intakes.add(dataNode("intake" + i, zone(i, shape), "intake"));
         }
     }
 
@@ -60,7 +60,7 @@
         return "hall" + i % shape.zones;
     }
 
-    public NodeProcess pilot(String name, String zone, String role) throws IOException {
+    public NodeProcess dataNode(String name, String zone, String role) throws IOException {
         return new NodeProcess(
                 name,
                 DataPlaneProgram.class.getName(),
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -58,7 +58,7 @@
             repair();
             return;
         }
-        System.out.println("| fleet | when | message parts owned by each store | control parts by each lighthouse "
+        System.out.println("| fleet | when | message parts owned by each store | control partitions by each node "
                 + "| buckets by each intake | message part terms in all |");
         System.out.println("|---|---|---|---|---|---|");
         for (int[] shape : new int[][] {{8, 3}, {7, 4}}) {
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -225,7 +225,7 @@
     private void replaceStore() throws Exception {
         allReady();
         fleet.stores.get(2).kill();
-        NodeProcess fresh = fleet.pilot("store3", "hall2", "store");
+        NodeProcess fresh = fleet.dataNode("store3", "hall2", "store");
         fleet.stores.set(2, fresh);
         runbooks.byHand(step -> fresh.start());
         runbooks.run("replace-store", Map.of("lighthouse", http(fleet.controlNodes.get(0)), "store", http(fresh)));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -65,7 +65,7 @@
                 simulation.w.seen.versions.stream()
                         .filter(nodeVersion -> nodeVersion.version() == 2)
                         .count(),
-                "on every pilot");
+                "on every data node");
         assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
         assertEquals(List.of(), simulation.violations());
     }
