--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -1,41 +1,39 @@
 package org.woadvale.dataplane.delivery;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
-import java.util.Deque;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 import org.woadvale.common.error.NotLeaderException;
 import org.woadvale.common.error.QueueFullException;
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.rpc.RpcRouter;
+import org.woadvale.dataplane.delivery.PullQueue.WaitingPull;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
+import org.woadvale.dataplane.queue.MessageCommands.LongPullResponse;
 import reactor.core.publisher.Mono;
-import reactor.core.publisher.Sinks;
 
-/** Pulls that wait at this store until one of its partitions has work of their service (docs/design.md, section 9.10). */
+/** Hands messages that become due here to the long pulls that wait for them (docs/design.md, section 9.10). */
 final class WaitingPulls {
-    private static final int MAX_WAITING = 4096;
-
-    private record WaitingPull(MessageCommands.LongPullRequest request, Duration until, Sinks.One<Object> response) {}
+    private static final LongPullResponse NO_MESSAGE = new LongPullResponse(List.of());
 
     private final DispatchContext context;
     private final Map<String, Dispatcher> dispatchersByPartition;
-    private final Map<String, Deque<WaitingPull>> waiting = new HashMap<>();
+    private final PullQueue queue;
+    /** Handles of the messages whose delivery lease is being begun. */
     private final Set<String> starting = ConcurrentHashMap.newKeySet();
+
     private int turn;
 
-    WaitingPulls(DispatchContext context, Map<String, Dispatcher> dispatchersByPart) {
+    WaitingPulls(DispatchContext context, Map<String, Dispatcher> dispatchersByPartition) {
         this.context = context;
-        this.dispatchersByPartition = dispatchersByPart;
+        this.dispatchersByPartition = dispatchersByPartition;
+        this.queue = new PullQueue(context.zone());
     }
 
     void route(RpcRouter router) {
@@ -65,63 +63,37 @@
         return context.environment().clock().monotonicTime();
     }
 
-    private Mono<Object> await(MessageCommands.LongPullRequest request) {
-        WaitingPull waitingPull = new WaitingPull(request, now().plusMillis(request.waitMs()), Sinks.one());
-        synchronized (this) {
-            Deque<WaitingPull> line = waiting.computeIfAbsent(request.service(), s -> new ArrayDeque<>());
-            if (line.size() >= MAX_WAITING) {
-                return Mono.error(new QueueFullException("Too many fetches wait here."));
-            }
-            line.add(waitingPull);
+    private Mono<LongPullResponse> await(MessageCommands.LongPullRequest request) {
+        Optional<WaitingPull> pull = queue.add(request, now());
+        if (pull.isEmpty()) {
+            return Mono.error(new QueueFullException("Too many fetches wait here."));
         }
         serve(request.service());
-        return waitingPull.response().asMono();
+        return pull.get().awaitResponse();
     }
 
-    /** Called by the store's one schedule: serves what is due now, and lets go of those whose time is over. */
+    /** Called by the store's one schedule: answers expired pulls with no message and serves the others. */
     void onTick() {
-        List<WaitingPull> over = new ArrayList<>();
-        Set<String> services;
-        synchronized (this) {
-            waiting.values()
-                    .forEach(line ->
-                            line.removeIf(waiting -> now().compareTo(waiting.until()) >= 0 && over.add(waiting)));
-            waiting.values().removeIf(Deque::isEmpty);
-            services = new TreeSet<>(waiting.keySet());
-        }
-        over.forEach(waiting -> waiting.response().tryEmitValue(new MessageCommands.LongPullResponse(List.of())));
+        List<WaitingPull> expired = queue.removeExpired(now());
+        Set<String> services = queue.services();
+        expired.forEach(pull -> pull.respond(NO_MESSAGE));
         services.forEach(this::serve);
     }
 
-    /** Those of our own zone first: bytes between zones are dear. */
-    private synchronized Optional<WaitingPull> take(String service) {
-        Deque<WaitingPull> line = waiting.getOrDefault(service, new ArrayDeque<>());
-        Optional<WaitingPull> near = line.stream()
-                .filter(waiting -> waiting.request().zone().equals(context.zone()))
-                .findFirst();
-        near.ifPresent(line::remove);
-        return near.or(() -> Optional.ofNullable(line.poll()));
-    }
-
-    private synchronized void requeue(WaitingPull waitingPull) {
-        waiting.computeIfAbsent(waitingPull.request().service(), s -> new ArrayDeque<>())
-                .addFirst(waitingPull);
-    }
-
-    private synchronized int count(String service) {
-        return Optional.ofNullable(waiting.get(service)).map(Deque::size).orElse(0);
-    }
-
+    /** Gives due messages to the waiting pulls of a service; each time another partition comes first. */
     private void serve(String service) {
-        List<Dispatcher> all = new ArrayList<>(dispatchersByPartition.values());
-        Collections.rotate(all, turn++);
-        for (Dispatcher dispatcher : all) {
-            int most = count(service);
-            if (most == 0) {
+        List<Dispatcher> dispatchers = new ArrayList<>(dispatchersByPartition.values());
+        Collections.rotate(dispatchers, turn++);
+        for (Dispatcher dispatcher : dispatchers) {
+            int wanted = queue.count(service);
+            if (wanted == 0) {
                 return;
             }
             if (dispatcher.isLeader()) {
-                dispatcher.leases().due(service, most, turn).forEach(message -> deliver(service, dispatcher, message));
+                dispatcher
+                        .leases()
+                        .due(service, wanted, turn)
+                        .forEach(message -> deliver(service, dispatcher, message));
             }
         }
     }
@@ -130,22 +102,23 @@
         if (!starting.add(message.handle())) {
             return;
         }
-        Optional<WaitingPull> pull = take(service);
+        Optional<WaitingPull> pull = queue.take(service);
         if (pull.isEmpty()) {
             starting.remove(message.handle());
             return;
         }
+        beginLease(pull.get(), dispatcher, message);
+    }
+
+    private void beginLease(WaitingPull pull, Dispatcher dispatcher, Message message) {
         dispatcher
                 .leases()
-                .begin(message, pull.get().request().processor())
+                .begin(message, pull.request().processor())
                 .map(Optional::of)
                 .defaultIfEmpty(Optional.empty())
                 .onErrorReturn(Optional.empty())
                 .doFinally(signal -> starting.remove(message.handle()))
-                .subscribe(handedOut -> handedOut.ifPresentOrElse(
-                        begun -> pull.get()
-                                .response()
-                                .tryEmitValue(new MessageCommands.LongPullResponse(List.of(begun))),
-                        () -> requeue(pull.get())));
+                .subscribe(leased -> leased.ifPresentOrElse(
+                        begun -> pull.respond(new LongPullResponse(List.of(begun))), () -> queue.putBack(pull)));
     }
 }
