--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -114,7 +114,7 @@
 
     private void onPrepareResponse(BootstrapProposal asked, String node, PrepareResponse response) {
         if (response.founded()) {
-            voter.found(response.accepted());
+            voter.completeBootstrap(response.accepted());
             return;
         }
         if (response.initialized()) {
@@ -147,7 +147,7 @@
     }
 
     private void onAgreed(Map<String, String> members) {
-        voter.found(members);
+        voter.completeBootstrap(members);
         members.forEach((node, identity) -> {
             if (!node.equals(state.self())) {
                 call(
--- a/common/src/main/java/org/woadvale/common/replication/BootstrapVoter.java
+++ b/common/src/main/java/org/woadvale/common/replication/BootstrapVoter.java
@@ -29,7 +29,7 @@
 
     /** Promises to take no earlier proposal, unless a later one was promised or the replica has a log already. */
     Mono<PrepareResponse> onPrepare(PrepareRequest request) {
-        if (!state.isBlank() || request.ballot().isBefore(state.bootstrap().promised())) {
+        if (!state.canBootstrap() || request.ballot().isBefore(state.bootstrap().promised())) {
             return Mono.just(prepareResponse(request.ballot()));
         }
         state.setBootstrap(state.bootstrap().withPromise(request.ballot()));
@@ -40,8 +40,8 @@
     private PrepareResponse prepareResponse(BootstrapBallot ballot) {
         BootstrapState bootstrap = state.bootstrap();
         return new PrepareResponse(
-                state.isBlank() && bootstrap.promised().equals(ballot),
-                !state.isBlank(),
+                state.canBootstrap() && bootstrap.promised().equals(ballot),
+                !state.canBootstrap(),
                 bootstrap.promised(),
                 state.identity(),
                 bootstrap.acceptedIn(),
@@ -52,7 +52,7 @@
     /** Accepts the members, unless a later proposal was promised or they name another identity. */
     Mono<AcceptResponse> onAccept(AcceptRequest request) {
         boolean named = state.identity().equals(request.members().get(state.self()));
-        if (!state.isBlank()
+        if (!state.canBootstrap()
                 || !named
                 || request.ballot().isBefore(state.bootstrap().promised())) {
             return Mono.just(new AcceptResponse(false, state.bootstrap().promised()));
@@ -74,25 +74,26 @@
 
     /** Accepted only by the very identity that the members name. */
     Mono<Acknowledgement> onBootstrap(BootstrapRequest request) {
-        boolean accepted = request.identity().equals(state.identity()) && found(request.members());
+        boolean accepted = request.identity().equals(state.identity()) && completeBootstrap(request.members());
         return Mono.just(new Acknowledgement(accepted));
     }
 
     /** Of builds that found a group without agreement: whether nothing is stored here. */
     Mono<BootstrapStatusResponse> onStatusRequest() {
-        boolean nothingStored = state.isBlank() && state.bootstrap().accepted().isEmpty();
+        boolean nothingStored =
+                state.canBootstrap() && state.bootstrap().accepted().isEmpty();
         return Mono.just(new BootstrapStatusResponse(nothingStored, state.identity()));
     }
 
     /** The group has these first members: votes from here on, if they name this replica and it does not vote yet. */
-    boolean found(Map<String, String> members) {
+    boolean completeBootstrap(Map<String, String> members) {
         boolean waiting = state.role() == Role.UNINITIALIZED
                 && state.membership().committed().isEmpty();
         if (!waiting || !state.identity().equals(members.get(state.self()))) {
             return false;
         }
         state.setBootstrap(state.bootstrap().withFounded(members));
-        state.membership().found(members);
+        state.membership().setInitialMembers(members);
         state.expireLeaderLease();
         promotion.promote("bootstrapped");
         return true;
--- a/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
+++ b/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
@@ -12,7 +12,7 @@
     private final Map<String, Departure> departures = new TreeMap<>();
 
     /** The entry at this index tells those followers that do not stay that they are removed. */
-    void addAllBut(Set<String> staying, Set<String> followers, long confirmedIndex, Duration now) {
+    void addAllExcept(Set<String> staying, Set<String> followers, long confirmedIndex, Duration now) {
         followers.stream()
                 .filter(node -> !staying.contains(node))
                 .forEach(node -> departures.put(node, new Departure(confirmedIndex, now)));
--- a/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
+++ b/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
@@ -12,7 +12,7 @@
         LOST_ACKNOWLEDGED
     }
 
-    private final Duration since;
+    private final Duration replicatingSince;
     private String identity = "";
     private boolean electable;
     private long matchIndex;
@@ -22,12 +22,12 @@
 
     /** Nothing is known yet of a follower that is sent to from now on. */
     FollowerProgress(Duration now) {
-        this.since = now;
+        this.replicatingSince = now;
     }
 
     /** Since when the leader sends to this follower, by the leader's clock. */
-    Duration since() {
-        return since;
+    Duration replicatingSince() {
+        return replicatingSince;
     }
 
     /** Under which it answered last; empty before the first answer, and while it does not count. */
@@ -58,12 +58,12 @@
         return !lastContact.isZero() && lastContact.compareTo(time) >= 0;
     }
 
-    boolean upToDateAs(String memberIdentity) {
+    boolean isUpToDateUnder(String memberIdentity) {
         return hasMatched() && identity.equals(memberIdentity);
     }
 
     /** It had synced all that was committed when the latest answered request was sent: only then may it join. */
-    boolean caughtUp() {
+    boolean isCaughtUp() {
         return !identity.isEmpty() && hasMatched() && matchIndex >= commitIndexAtResponse && commitIndexAtResponse > 0;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** The commit index in the request that was answered last. */
-    void onCommitIndexTold(long commitIndex) {
+    void onCommitIndexAcknowledged(long commitIndex) {
         commitIndexAtResponse = commitIndex;
     }
 
@@ -107,7 +107,7 @@
         matchIndex = Math.max(matchIndex, index);
     }
 
-    boolean hasTheCommitTold() {
+    boolean hasAcknowledgedCommitIndex() {
         return matchIndex >= commitIndexAtResponse;
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/Followers.java
+++ b/common/src/main/java/org/woadvale/common/replication/Followers.java
@@ -74,9 +74,9 @@
     }
 
     /** Since when the leader sends to the one it has sent to for longest; zero if there is none. */
-    Duration since() {
+    Duration replicatingSince() {
         return appenders.values().stream()
-                .map(appender -> appender.progress().since())
+                .map(appender -> appender.progress().replicatingSince())
                 .min(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
     }
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -45,7 +45,7 @@
     }
 
     /** The group's first members, also if its leader's change of them has been heard of already. */
-    void found(Map<String, String> members) {
+    void setInitialMembers(Map<String, String> members) {
         committed = new TreeMap<>(members);
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -141,7 +141,7 @@
         Set<String> staying = new TreeSet<>(members.keySet());
         staying.addAll(state.desiredMembers());
         long confirmedIndex = state.log().lastIndex() + 1;
-        departingMembers.addAllBut(staying, followers.nodes(), confirmedIndex, state.now());
+        departingMembers.addAllExcept(staying, followers.nodes(), confirmedIndex, state.now());
         appendMembers(members);
     }
 
@@ -155,7 +155,7 @@
     private boolean isUpToDate(Map.Entry<String, String> member) {
         return followers
                 .progress(member.getKey())
-                .filter(progress -> progress.upToDateAs(member.getValue()))
+                .filter(progress -> progress.isUpToDateUnder(member.getValue()))
                 .isPresent();
     }
 
@@ -179,7 +179,7 @@
     private boolean isWithoutMajority() {
         Duration lapse = state.timing().lease();
         return state.now().compareTo(lease.end().plus(lapse)) > 0
-                && state.now().compareTo(followers.since().plus(lapse)) > 0;
+                && state.now().compareTo(followers.replicatingSince().plus(lapse)) > 0;
     }
 
     /** Removed from its group: another member takes over at once, or the others elect one. */
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -132,7 +132,7 @@
             voteForItself(request);
         } else {
             state.transitionTo(Role.LEADER, "elected");
-            state.leadItself();
+            state.setSelfAsLeader();
             onElected.run();
         }
     }
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -13,17 +13,17 @@
 
     private LegacyFormat() {}
 
-    static WalRecord upgraded(WalRecord record, Codec codec) throws ServiceException {
+    static WalRecord upgrade(WalRecord record, Codec codec) throws ServiceException {
         if (record.format() > FIRST_FORMAT) {
             return record;
         }
         Object value = codec.readFirst(record.bytes(), Object.class);
         if (value instanceof LogEntry logEntry) {
-            value = upgraded(logEntry, codec);
+            value = upgrade(logEntry, codec);
         } else if (value instanceof ReplicationMessages.ReplicaSnapshot snapshot) {
             List<LogEntry> tail = new ArrayList<>();
             for (LogEntry entry : snapshot.entries()) {
-                tail.add(upgraded(entry, codec));
+                tail.add(upgrade(entry, codec));
             }
             value = new ReplicationMessages.ReplicaSnapshot(
                     snapshot.identity(),
@@ -40,7 +40,7 @@
         return new WalRecord(record.partition(), record.kind(), record.index(), record.term(), codec.write(value));
     }
 
-    private static LogEntry upgraded(LogEntry entry, Codec codec) throws ServiceException {
+    private static LogEntry upgrade(LogEntry entry, Codec codec) throws ServiceException {
         return new LogEntry(entry.term(), entry.kind(), codec.upgrade(entry.bytes()));
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -45,7 +45,7 @@
     /** The latest request had no answer in time. */
     private boolean unresponsive;
     /** Bytes of entries in one request: fewer after a request without an answer. */
-    private int batchBytes = ReplicatedLog.BATCH_BYTES;
+    private int batchBytes = ReplicatedLog.MAX_BATCH_BYTES;
     /** Its latest response named entries that it has and has not synced. */
     private boolean holdsUnsynced;
 
@@ -108,7 +108,7 @@
     private boolean isJoining() {
         return state.desiredMembers().contains(follower)
                 && !state.membership().committed().containsKey(follower)
-                && state.now().compareTo(progress.since().plus(JOIN_PERIOD)) < 0;
+                && state.now().compareTo(progress.replicatingSince().plus(JOIN_PERIOD)) < 0;
     }
 
     private void send(boolean desired) {
@@ -152,7 +152,7 @@
     private void onLost() {
         inFlight = false;
         unresponsive = true;
-        batchBytes = Math.max(ReplicatedLog.SMALLEST_BATCH, batchBytes / 2);
+        batchBytes = Math.max(ReplicatedLog.MIN_BATCH_BYTES, batchBytes / 2);
         snapshotSender.ifPresent(SnapshotSender::onLost);
     }
 
@@ -238,15 +238,15 @@
         if (progress.check(response) == FollowerProgress.Finding.LOST_ACKNOWLEDGED) {
             revokeIdentity(response.identity());
         }
-        progress.onCommitIndexTold(commitIndexSent);
+        progress.onCommitIndexAcknowledged(commitIndexSent);
         if (response.success()) {
             progress.onMatch(response.matchIndex());
             holdsUnsynced = response.matchIndex() < lastIndexSent;
-            catchingUp = catchingUp && !progress.hasTheCommitTold();
+            catchingUp = catchingUp && !progress.hasAcknowledgedCommitIndex();
             // what it holds and has not synced is not sent again: the next responses tell when it is
             nextIndex =
                     Math.max(lastIndexSent + 1, Math.min(nextIndex, state.log().lastIndex() + 1));
-            batchBytes = Math.min(ReplicatedLog.BATCH_BYTES, batchBytes * 2);
+            batchBytes = Math.min(ReplicatedLog.MAX_BATCH_BYTES, batchBytes * 2);
         } else {
             nextIndex = Math.min(nextIndex, response.matchIndex() + 1);
         }
@@ -290,8 +290,9 @@
 
     /** The index from which the log must be kept for a follower that is catching up, if it still answers. */
     Optional<Long> firstIndexNeeded() {
-        Duration heardAt =
-                progress.lastContact().compareTo(progress.since()) > 0 ? progress.lastContact() : progress.since();
+        Duration heardAt = progress.lastContact().compareTo(progress.replicatingSince()) > 0
+                ? progress.lastContact()
+                : progress.replicatingSince();
         Duration patience = state.timing().lease().multipliedBy(2);
         if (!catchingUp || state.now().compareTo(heardAt.plus(patience)) > 0) {
             return Optional.empty();
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -16,7 +16,7 @@
     static Optional<MembershipChange> next(
             Map<String, String> members, List<String> desired, Map<String, FollowerProgress> followers) {
         return followers.entrySet().stream()
-                .filter(follower -> follower.getValue().caughtUp())
+                .filter(follower -> follower.getValue().isCaughtUp())
                 .flatMap(follower ->
                         joining(
                                 members,
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -269,7 +269,7 @@
         } else if (request instanceof SnapshotMessages.SnapshotChunkRequest chunk) {
             return snapshotHandler.onChunk(from, chunk);
         } else if (request instanceof ReplicationMessages.InstallSnapshotRequest install) {
-            return snapshotHandler.onWholeSnapshot(from, install);
+            return snapshotHandler.onInstallSnapshot(from, install);
         } else if (request instanceof SnapshotMessages.RevokeIdentityRequest revoke) {
             return revocationHandler.onRevokeIdentity(from, revoke);
         } else if (request instanceof BootstrapMessages.PrepareRequest prepare) {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
@@ -38,7 +38,7 @@
             return;
         }
         for (WalRecord record : records) {
-            replay(LegacyFormat.upgraded(record, state.environment().codec()));
+            replay(LegacyFormat.upgrade(record, state.environment().codec()));
         }
         storage.onRecovered();
         if (!ReplicaIdentity.belongsTo(state.identity(), state.self())) {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -170,7 +170,7 @@
     }
 
     /** This replica was elected. */
-    void leadItself() {
+    void setSelfAsLeader() {
         leaderId = self();
     }
 
@@ -232,7 +232,7 @@
     }
 
     /** Neither a log nor members: this replica may still agree on the first members of its group. */
-    boolean isBlank() {
+    boolean canBootstrap() {
         return role == Role.UNINITIALIZED && membership.latest().isEmpty();
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -126,7 +126,7 @@
         ReplicationMessages.ReplicaSnapshot snapshot = snapshot();
         long index = snapshot.index();
         boolean manyBytes = state.log().bytes() > KEPT_FOR_FOLLOWERS_BYTES;
-        state.log().compacted(index, manyBytes ? index : retention.firstIndexNeeded(index));
+        state.log().onCompacted(index, manyBytes ? index : retention.firstIndexNeeded(index));
         WalRecord record = new WalRecord(
                 state.partition(),
                 WalRecord.Kind.SNAPSHOT,
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -5,11 +5,11 @@
 
 /** The log of a partition in memory, from the end of a snapshot on. */
 final class ReplicatedLog {
-    static final int BATCH_BYTES = 512 << 10;
+    static final int MAX_BATCH_BYTES = 512 << 10;
     /** What an entry takes in a request beside its bytes. */
     private static final int ENTRY_OVERHEAD_BYTES = 32;
 
-    static final int SMALLEST_BATCH = 16 << 10;
+    static final int MIN_BATCH_BYTES = 16 << 10;
     private long baseIndex;
     private long baseTerm;
     private final List<LogEntry> items = new ArrayList<>();
@@ -44,7 +44,7 @@
     }
 
     /** A snapshot on disk covers all up to the index; entries from the other index on are kept in memory. */
-    void compacted(long index, long keptFrom) {
+    void onCompacted(long index, long keptFrom) {
         discardTo(Math.max(baseIndex, Math.min(index, keptFrom)));
         compactedIndex = index;
         bytesAfterCompacted = bytesAfter(index);
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
@@ -41,7 +41,7 @@
         return leaderTracker.afterVoteStored(receive(from, chunk));
     }
 
-    Mono<AppendEntriesResponse> onWholeSnapshot(String from, InstallSnapshotRequest request) {
+    Mono<AppendEntriesResponse> onInstallSnapshot(String from, InstallSnapshotRequest request) {
         return leaderTracker.afterVoteStored(installWhole(from, request));
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
@@ -8,13 +8,13 @@
     /** A response within this fraction of the time-out is fast: the next chunk may be larger. */
     private static final int FAST_FRACTION = 4;
 
-    static final int LARGEST_CHUNK = 256 << 10;
-    static final int SMALLEST_CHUNK = 16 << 10;
+    static final int MAX_CHUNK_BYTES = 256 << 10;
+    static final int MIN_CHUNK_BYTES = 16 << 10;
 
     private final SnapshotContent content;
     private final Duration requestTimeout;
     private int offset;
-    private int chunkBytes = LARGEST_CHUNK;
+    private int chunkBytes = MAX_CHUNK_BYTES;
 
     SnapshotSender(SnapshotContent content, Duration callTime) {
         this.content = content;
@@ -37,11 +37,11 @@
         boolean inside = response.nextOffset() >= 0 && response.nextOffset() < content.bytes().length;
         offset = inside ? (int) response.nextOffset() : 0;
         if (took.multipliedBy(FAST_FRACTION).compareTo(requestTimeout) < 0) {
-            chunkBytes = Math.min(LARGEST_CHUNK, chunkBytes * 2);
+            chunkBytes = Math.min(MAX_CHUNK_BYTES, chunkBytes * 2);
         }
     }
 
     void onLost() {
-        chunkBytes = Math.max(SMALLEST_CHUNK, chunkBytes / 2);
+        chunkBytes = Math.max(MIN_CHUNK_BYTES, chunkBytes / 2);
     }
 }
--- a/common/src/test/java/org/woadvale/common/replication/FollowerProgressTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/FollowerProgressTest.java
@@ -21,20 +21,20 @@
 
     private void matched(String identity, long index) {
         progress.onContact(identity, true, at(2000));
-        progress.onCommitIndexTold(index);
+        progress.onCommitIndexAcknowledged(index);
         progress.onMatch(index);
     }
 
     @Test
     void countsOnlyOnceItHasWhatWasCommittedWhenItWasAsked() {
         progress.onContact("x", true, at(2000));
-        progress.onCommitIndexTold(5);
+        progress.onCommitIndexAcknowledged(5);
         progress.onMatch(4);
-        assertFalse(progress.caughtUp());
+        assertFalse(progress.isCaughtUp());
         progress.onMatch(5);
-        assertTrue(progress.caughtUp());
-        assertTrue(progress.upToDateAs("x"));
-        assertFalse(progress.upToDateAs("y"));
+        assertTrue(progress.isCaughtUp());
+        assertTrue(progress.isUpToDateUnder("x"));
+        assertFalse(progress.isUpToDateUnder("y"));
     }
 
     @Test
@@ -71,6 +71,6 @@
         assertEquals(0, progress.matchIndex());
         assertEquals(FollowerProgress.Finding.LOST_ACKNOWLEDGED, progress.check(response(true, 9, "x")));
         matched("y", 9);
-        assertTrue(progress.caughtUp());
+        assertTrue(progress.isCaughtUp());
     }
 }
--- a/common/src/test/java/org/woadvale/common/replication/ReplicatedLogTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/ReplicatedLogTest.java
@@ -35,7 +35,7 @@
     void aSnapshotOnDiskLeavesTheEntriesThatFollowersNeed() {
         append(5, 1);
         append(1, 2);
-        log.compacted(4, 2);
+        log.onCompacted(4, 2);
         assertEquals(2, log.baseIndex());
         assertEquals(4, log.compactedIndex());
         assertEquals(2 * ENTRY_BYTES, log.bytesAfterCompacted());
--- a/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesProperties.java
+++ b/common/src/test/java/org/woadvale/common/replication/SnapshotChunksProperties.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
 
 /** Pieces of two snapshots, repeated, out of turn, cut and with wrong bytes: never another whole than was sent. */
-class SnapshotPiecesProperties {
+class SnapshotChunksProperties {
     private static final int STEPS = 60;
 
     private static SnapshotChunkRequest spoiled(SnapshotChunkRequest piece, Random random) {
--- a/common/src/test/java/org/woadvale/common/replication/SnapshotPiecesTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/SnapshotChunksTest.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
 
 /** One answer for each piece, in turn or not, and the whole only if it is the whole that was sent. */
-class SnapshotPiecesTest {
+class SnapshotChunksTest {
     private static final Duration CALL = Duration.ofMillis(500);
     private static final long LARGEST = 4 << 20;
     private final Random random = new Random(17);
@@ -49,7 +49,7 @@
         while (true) {
             calls++;
             SnapshotChunkRequest piece = sender.nextChunk("p", 1);
-            assertTrue(piece.bytes().length <= SnapshotSender.LARGEST_CHUNK);
+            assertTrue(piece.bytes().length <= SnapshotSender.MAX_CHUNK_BYTES);
             if (calls % 4 == 1) {
                 sender.onLost();
                 continue;
@@ -102,7 +102,7 @@
     @Test
     void whatCannotBeStoredIsRefusedAtOnce() {
         SnapshotChunkRequest piece = new SnapshotChunkRequest(
-                "p", 1, new SnapshotId(40, 3, LARGEST + 1, 0), 0, new byte[SnapshotSender.SMALLEST_CHUNK]);
+                "p", 1, new SnapshotId(40, 3, LARGEST + 1, 0), 0, new byte[SnapshotSender.MIN_CHUNK_BYTES]);
         assertEquals(ChunkStatus.TOO_LARGE, receiver.receive(piece).status());
     }
 
@@ -115,9 +115,9 @@
         tell(former, receiver.receive(former.nextChunk("p", 1)));
         SnapshotSender next = new SnapshotSender(sent, CALL);
         SnapshotReceiver.ReceivedChunk progress = receiver.receive(next.nextChunk("p", 2));
-        assertEquals(2L * SnapshotSender.LARGEST_CHUNK, progress.nextOffset());
+        assertEquals(2L * SnapshotSender.MAX_CHUNK_BYTES, progress.nextOffset());
         tell(next, progress);
-        assertEquals(2L * SnapshotSender.LARGEST_CHUNK, next.nextChunk("p", 2).offset());
+        assertEquals(2L * SnapshotSender.MAX_CHUNK_BYTES, next.nextChunk("p", 2).offset());
     }
 
     @Test
@@ -126,10 +126,10 @@
         for (int i = 0; i < 20; i++) {
             sender.onLost();
         }
-        assertEquals(SnapshotSender.SMALLEST_CHUNK, sender.nextChunk("p", 1).bytes().length);
+        assertEquals(SnapshotSender.MIN_CHUNK_BYTES, sender.nextChunk("p", 1).bytes().length);
         for (int i = 0; i < 5; i++) {
             tell(sender, receiver.receive(sender.nextChunk("p", 1)));
         }
-        assertEquals(SnapshotSender.LARGEST_CHUNK, sender.nextChunk("p", 1).bytes().length);
+        assertEquals(SnapshotSender.MAX_CHUNK_BYTES, sender.nextChunk("p", 1).bytes().length);
     }
 }
--- a/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
+++ b/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
@@ -12,17 +12,17 @@
             long term,
             String identity,
             boolean voter,
-            boolean acting,
-            long commit,
-            long applied,
+            boolean activeLeader,
+            long commitIndex,
+            long appliedIndex,
             long baseIndex,
             List<LogEntry> log,
-            Map<String, String> group) {
+            Map<String, String> members) {
         public long lastIndex() {
             return baseIndex + log.size();
         }
 
-        public boolean holds(long index) {
+        public boolean contains(long index) {
             return index > baseIndex && index <= lastIndex();
         }
 
@@ -52,7 +52,7 @@
     }
 
     /** Appends a membership entry at the leader without any of the rules of membership change; for mutants only. */
-    public static void forceGroup(Replica<?, ?> replica, Map<String, String> members) {
+    public static void forceMembers(Replica<?, ?> replica, Map<String, String> members) {
         ReplicaState state = replica.state();
         byte[] bytes = state.environment().codec().write(new TreeMap<>(members));
         state.shard().run(() -> replica.leader().append(new LogEntry(state.term(), LogEntry.Kind.MEMBERSHIP, bytes)));
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ActionMenu.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ActionMenu.java
@@ -99,7 +99,7 @@
         }
         add(Action.of(node.frozen() ? ActionKind.THAW : ActionKind.FREEZE, node.name()));
         ReplicaProbe.Snapshot state = node.state();
-        if (!node.frozen() && !node.disk().hasPending() && state.applied() > state.baseIndex()) {
+        if (!node.frozen() && !node.disk().hasPending() && state.appliedIndex() > state.baseIndex()) {
             add(Action.of(ActionKind.COMPACT, node.name()));
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/CommittedLog.java
@@ -38,25 +38,25 @@
         observeFounders(node, state);
         String life = node.name() + node.life();
         long from = Math.max(verified.getOrDefault(life, 0L), state.baseIndex());
-        for (long index = from + 1; index <= state.commit() && state.holds(index); index++) {
+        for (long index = from + 1; index <= state.commitIndex() && state.contains(index); index++) {
             observe(node, index, state.entry(index), state.term());
         }
-        verified.put(life, state.commit());
+        verified.put(life, state.commitIndex());
     }
 
     private void observeFounders(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
-        boolean founding = state.commit() == 0
+        boolean founding = state.commitIndex() == 0
                 && state.baseIndex() == 0
                 && state.log().stream().noneMatch(entry -> entry.kind() == LogEntry.Kind.MEMBERSHIP);
-        if (!founding || state.group().isEmpty()) {
+        if (!founding || state.members().isEmpty()) {
             return;
         }
         if (founders.isEmpty()) {
-            founders = state.group();
+            founders = state.members();
             group = founders;
-        } else if (!state.group().equals(founders)) {
+        } else if (!state.members().equals(founders)) {
             throw new BrokenInvariant(
-                    Invariant.GROUPS_INTERSECT, node.name() + " founded " + state.group() + " beside " + founders);
+                    Invariant.GROUPS_INTERSECT, node.name() + " founded " + state.members() + " beside " + founders);
         }
     }
 
@@ -115,7 +115,7 @@
         for (Map.Entry<Long, Committed> committed : entries.entrySet()) {
             long index = committed.getKey();
             boolean concerned = committed.getValue().committedInTerm() <= leader.term() && index > leader.baseIndex();
-            boolean held = leader.holds(index) && committed.getValue().same(leader.entry(index));
+            boolean held = leader.contains(index) && committed.getValue().same(leader.entry(index));
             if (concerned && !held) {
                 throw new BrokenInvariant(
                         Invariant.COMMITTED_ENTRIES_STAY,
--- a/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
@@ -42,7 +42,7 @@
     private static void checkActing(Map<ModelNode, ReplicaProbe.Snapshot> states) throws BrokenInvariant {
         List<String> acting = new ArrayList<>();
         states.forEach((node, state) -> {
-            if (state.acting()) {
+            if (state.activeLeader()) {
                 acting.add(node.name() + " in term " + state.term());
             }
         });
@@ -55,11 +55,11 @@
         committed.observe(node, state);
         committed.checkChanges(node, state);
         String content = node.machine().content();
-        String before = contents.putIfAbsent(state.applied(), content);
+        String before = contents.putIfAbsent(state.appliedIndex(), content);
         if (before != null && !before.equals(content)) {
             throw new BrokenInvariant(
                     Invariant.STATE_MACHINES_AGREE,
-                    node.name() + " has " + content + " after entry " + state.applied() + ", another " + before);
+                    node.name() + " has " + content + " after entry " + state.appliedIndex() + ", another " + before);
         }
         boolean candidate = state.role() == Role.CANDIDATE || state.role() == Role.LEADER;
         if (candidate && !state.voter()) {
@@ -78,7 +78,7 @@
         }
         committed.checkLeader(node, state);
         long acknowledged = cluster.clients().acknowledged();
-        if (state.acting() && node.machine().accepted() < acknowledged) {
+        if (state.activeLeader() && node.machine().accepted() < acknowledged) {
             throw new BrokenInvariant(
                     Invariant.NO_STALE_READ,
                     node.name() + " reads state " + node.machine().accepted() + ", acknowledged was " + acknowledged);
--- a/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
@@ -62,15 +62,15 @@
                 cluster.actingLeader()
                         .filter(leader -> cluster.membershipChanges() > 0)
                         .filter(leader -> changeUnderWay(cluster, leader))
-                        .ifPresent(leader -> ReplicaProbe.forceGroup(
-                                leader.replica(), leader.state().group()));
+                        .ifPresent(leader -> ReplicaProbe.forceMembers(
+                                leader.replica(), leader.state().members()));
             }
         };
     }
 
     private static boolean changeUnderWay(ModelCluster cluster, ModelNode leader) {
         ReplicaProbe.Snapshot state = leader.state();
-        return state.lastIndex() > state.commit()
+        return state.lastIndex() > state.commitIndex()
                 && state.entry(state.lastIndex()).kind() == LogEntry.Kind.MEMBERSHIP;
     }
 
@@ -84,7 +84,7 @@
                 boolean changed = cluster.membershipChanges() > exchanges;
                 cluster.actingLeader().filter(leader -> changed).ifPresent(leader -> {
                     exchanges = cluster.membershipChanges();
-                    ReplicaProbe.forceGroup(leader.replica(), leaderWithNewcomers(cluster, leader));
+                    ReplicaProbe.forceMembers(leader.replica(), leaderWithNewcomers(cluster, leader));
                 });
             }
         };
@@ -137,7 +137,7 @@
             public void afterStep(ModelCluster cluster) {
                 cluster.nodes().stream()
                         .filter(node -> node.state().role() == Role.UNINITIALIZED)
-                        .filter(node -> !node.state().group().isEmpty())
+                        .filter(node -> !node.state().members().isEmpty())
                         .forEach(node -> ReplicaProbe.followWithoutVote(node.replica()));
             }
         };
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -85,7 +85,7 @@
     /** As if a leader had confirmed all that is stored. */
     private static void applyLog(ReplicaProbe.Snapshot recovered, StateMachine state, Codec codec)
             throws ServiceException {
-        for (long index = recovered.applied() + 1; index <= recovered.lastIndex(); index++) {
+        for (long index = recovered.appliedIndex() + 1; index <= recovered.lastIndex(); index++) {
             LogEntry entry = recovered.entry(index);
             if (entry.kind() == LogEntry.Kind.COMMAND) {
                 state.apply(index, codec.read(entry.bytes(), Object.class));
@@ -102,10 +102,10 @@
                 "term=" + recovered.term(),
                 "identity=" + recovered.identity(),
                 "voter=" + recovered.voter(),
-                "applied=" + recovered.applied(),
+                "applied=" + recovered.appliedIndex(),
                 "last=" + recovered.lastIndex(),
                 "log=" + checksum(CanonicalText.of(recovered.log())),
-                "members=" + recovered.group(),
+                "members=" + recovered.members(),
                 "state=" + checksum(CanonicalText.of(state)));
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
@@ -41,7 +41,7 @@
                 .findFirst()
                 .ifPresent(n -> replicas.hosts.get(n).kill());
         assertEquals("after", replicas.propose("after"));
-        assertTrue(replicas.words.get(replicas.awaitLeader()).words.containsAll(accepted));
+        assertTrue(replicas.stateMachines.get(replicas.awaitLeader()).words.containsAll(accepted));
     }
 
     /** With two full disks nothing can be confirmed; what was under way is decided once there is room. */
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicaGroupFixture.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicaGroupFixture.java
@@ -24,11 +24,11 @@
 
 /** One part on three (or more) simulated hosts, with a machine that keeps a list of words. */
 final class ReplicaGroupFixture {
-    static final class Words implements StateMachine<String, String> {
+    static final class WordListStateMachine implements StateMachine<String, String> {
         final List<String> words = new ArrayList<>();
         private final Codec codec;
 
-        Words(Codec codec) {
+        WordListStateMachine(Codec codec) {
             this.codec = codec;
         }
 
@@ -61,14 +61,14 @@
         }
     }
 
-    static final String PART = "m0";
+    static final String PARTITION = "m0";
     private final int ringFileSize;
     final Simulator sim;
     final SimNet net;
     final Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
     final Map<String, Harness> hosts = new LinkedHashMap<>();
     final Map<String, Replica<String, String>> replicas = new LinkedHashMap<>();
-    final Map<String, Words> words = new LinkedHashMap<>();
+    final Map<String, WordListStateMachine> stateMachines = new LinkedHashMap<>();
     List<String> desiredMembers = List.of("a:1", "b:1", "c:1");
 
     ReplicaGroupFixture(long seed) throws ServiceException {
@@ -103,12 +103,12 @@
                 wal,
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
-        Words m = new Words(codec);
-        Replica<String, String> replica = new Replica<>(PART, desiredMembers, m, environment);
+        WordListStateMachine m = new WordListStateMachine(codec);
+        Replica<String, String> replica = new Replica<>(PARTITION, desiredMembers, m, environment);
         ReplicationMessages.route(router, part -> Mono.just(replica));
-        words.put(n, m);
+        stateMachines.put(n, m);
         replicas.put(n, replica);
-        replica.start(wal.recovered().getOrDefault(PART, List.of()));
+        replica.start(wal.recovered().getOrDefault(PARTITION, List.of()));
     }
 
     void setDesiredMembers(List<String> members) {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -29,7 +29,7 @@
         assertEquals("two", replicas.propose("two"));
         replicas.start(first);
         replicas.sim.run(Duration.ofSeconds(3));
-        assertEquals(List.of("one", "two"), replicas.words.get(first).words);
+        assertEquals(List.of("one", "two"), replicas.stateMachines.get(first).words);
     }
 
     @Test
@@ -96,7 +96,7 @@
         }
         replicas.start(behind);
         replicas.sim.run(Duration.ofSeconds(4));
-        assertEquals(said, replicas.words.get(behind).words);
+        assertEquals(said, replicas.stateMachines.get(behind).words);
     }
 
     /** The disk is blank: the replica must not vote until the others have voting it anew. */
@@ -109,7 +109,7 @@
         replicas.start("a:1");
         replicas.awaitLeader();
         replicas.sim.run(Duration.ofSeconds(5));
-        assertTrue(replicas.words.get("b:1").words.contains("precious"));
+        assertTrue(replicas.stateMachines.get("b:1").words.contains("precious"));
         assertEquals(Role.FOLLOWER, replicas.replicas.get("c:1").role());
         assertFalse(replicas.replicas.get("b:1").role() == Role.UNINITIALIZED, "b must be sworn again");
     }
@@ -125,7 +125,7 @@
         replicas.awaitLeader();
         replicas.start("a:1");
         replicas.sim.run(Duration.ofSeconds(5));
-        assertFalse(replicas.words.get(replicas.awaitLeader()).words.contains("precious"));
+        assertFalse(replicas.stateMachines.get(replicas.awaitLeader()).words.contains("precious"));
     }
 
     /** Accepted by a and b while c is away; then b's disk is lost, a is down, and c is back. */
@@ -148,7 +148,7 @@
                     identity, 0, "", true, 0, 0, group, new byte[0], List.of(), new byte[0]);
             wal.append(
                     List.of(new WalRecord(
-                            ReplicaGroupFixture.PART, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
+                            ReplicaGroupFixture.PARTITION, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
                     () -> {});
             replicas.sim.run(Duration.ofMillis(100));
             replicas.hosts.get("b:1").kill();
@@ -170,7 +170,7 @@
                 replicas.replicas.get(replicas.awaitLeader()).members().keySet());
         replicas.hosts.get(replicas.awaitLeader()).kill();
         assertEquals("two", replicas.propose("two"));
-        assertTrue(replicas.words.get("d:1").words.containsAll(List.of("one", "two")));
+        assertTrue(replicas.stateMachines.get("d:1").words.containsAll(List.of("one", "two")));
     }
 
     @Test
@@ -203,7 +203,7 @@
         assertEquals("not_owner", replicas.proposeAt(owner, "never"));
         replicas.net.heal();
         replicas.sim.run(Duration.ofSeconds(5));
-        assertFalse(replicas.words.values().stream().anyMatch(words -> words.words.contains("never")));
+        assertFalse(replicas.stateMachines.values().stream().anyMatch(words -> words.words.contains("never")));
     }
 
     @Test
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -86,7 +86,7 @@
                 took + " with " + lostPieces + " pieces sent again");
         replicas.net.setLossAndDuplication(0, 0);
         replicas.sim.run(Duration.ofSeconds(2));
-        assertEquals(replicas.words.get(replicas.awaitLeader()).words, replicas.words.get(wiped).words);
+        assertEquals(replicas.stateMachines.get(replicas.awaitLeader()).words, replicas.stateMachines.get(wiped).words);
     }
 
     /** Before: the whole went as one frame, and its owner's next snapshot moved on with each 4 MB of changes. */
@@ -165,7 +165,7 @@
         replicas.sim.run(Duration.ofSeconds(3));
         assertFalse(identity.equals(group(replicas).get(old)), "it counts under the identity that lost its word");
         assertTrue(counts(replicas, old));
-        assertTrue(replicas.words.get(old).words.containsAll(accepted));
+        assertTrue(replicas.stateMachines.get(old).words.containsAll(accepted));
         assertEquals(Set.copyOf(replicas.hosts.keySet()), group(replicas).keySet());
     }
 
