--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -153,7 +153,7 @@
 
     /** Whole partitions must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
     static Optional<String> sizes(Settings settings, long heapMb) {
-        int parts = ServiceNames.MESSAGE_PARTS;
+        int parts = ServiceNames.MESSAGE_PARTITIONS;
         if (settings.partMb() * 2 > settings.ringFileMb()) {
             return Optional.of("partMb: a part of " + settings.partMb() + " MB needs ringFileMb of at least "
                     + 2 * settings.partMb());
--- a/common/src/main/java/org/woadvale/common/discovery/SubscribedView.java
+++ b/common/src/main/java/org/woadvale/common/discovery/SubscribedView.java
@@ -14,6 +14,6 @@
     Duration bypassHomeUntil = Duration.ZERO;
 
     SubscribedView(String service) {
-        view = ServiceView.blank(service);
+        view = ServiceView.empty(service);
     }
 }
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -107,7 +107,7 @@
 
     private void fetch(String service, Map<String, Long> known) {
         Duration sent = now();
-        pollCore(ServiceNames.controlPart(service), known).subscribe(response -> adopt(response, sent), e -> {});
+        pollCore(ServiceNames.controlPartition(service), known).subscribe(response -> adopt(response, sent), e -> {});
     }
 
     private SubscribedView touch(String service) {
@@ -128,7 +128,7 @@
         Map<String, MemberLease> members = new HashMap<>(members(ServiceNames.INTAKES));
         members.putAll(members(ServiceNames.STORES));
         return ServiceNames.rendezvousOwner(
-                "home/" + ServiceNames.controlPart(service),
+                "home/" + ServiceNames.controlPartition(service),
                 members.entrySet().stream()
                         .filter(entry -> entry.getValue().zone().equals(zone))
                         .map(Map.Entry::getKey)
@@ -158,7 +158,7 @@
         subscriptions.forEach((service, subscription) -> {
             Optional<String> home = homeNode(service);
             Map<String, Long> known = isPolledDirectly(subscription, home)
-                    ? polls.byPartition().computeIfAbsent(ServiceNames.controlPart(service), k -> new HashMap<>())
+                    ? polls.byPartition().computeIfAbsent(ServiceNames.controlPartition(service), k -> new HashMap<>())
                     : polls.byHome().computeIfAbsent(home.orElseThrow(), k -> new HashMap<>());
             known.put(service, subscription.received ? subscription.view.version() : -1L);
         });
--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -173,7 +173,7 @@
     public record ChangeCore(List<String> members, long epoch) implements ControlCommand {}
 
     /** Types that came after the first build: numbered after all others, only ever add at the end. */
-    public static List<Class<?>> later() {
+    public static List<Class<?>> typesAddedLater() {
         return List.of(
                 PutProcessors.class,
                 AnnounceStandbyRequest.class,
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -58,14 +58,14 @@
      * section 6.10)
      */
     public void adopt(CoreMembers heard) {
-        CoreMembers before = members.getAndUpdate(now -> now.later(heard));
-        if (before.later(heard) != before) {
+        CoreMembers before = members.getAndUpdate(now -> now.newerOf(heard));
+        if (before.newerOf(heard) != before) {
             persist.accept(members.get());
         }
     }
 
     /** The boot values changed while we run. */
-    public void reseed(List<String> other) {
+    public void updateSeeds(List<String> other) {
         seeds = List.copyOf(other);
     }
 
--- a/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
@@ -21,7 +21,7 @@
     }
 
     /** The later of two lists; this one when neither is later, or when the other names nobody. */
-    public CoreMembers later(CoreMembers other) {
+    public CoreMembers newerOf(CoreMembers other) {
         return other.epoch > epoch && !other.members.isEmpty() ? other : this;
     }
 }
--- a/common/src/main/java/org/woadvale/common/membership/FaultTolerance.java
+++ b/common/src/main/java/org/woadvale/common/membership/FaultTolerance.java
@@ -54,7 +54,7 @@
     }
 
     /** Orders zones for one more member: those first that lose least with it, given the zones of the other members. */
-    public Comparator<String> leastUsedZone(Collection<String> used) {
+    public Comparator<String> byLeastUsedZone(Collection<String> used) {
         Comparator<String> byZone = Comparator.comparingLong(zone -> count(used, zone::equals));
         if (regions == 0) {
             return byZone;
@@ -73,7 +73,7 @@
     }
 
     /** Whether members in these zones are spread at least as well as members in those before. */
-    public boolean spreadAsWell(Collection<String> before, Collection<String> after) {
+    public boolean isAtLeastAsSpread(Collection<String> before, Collection<String> after) {
         boolean zonesAsWell = isSpreadAsWell(before, after, zone -> zone);
         return zonesAsWell && (regions == 0 || isSpreadAsWell(before, after, this::region));
     }
--- a/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
+++ b/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
@@ -33,7 +33,7 @@
         shared.addAll(ReplicationMessages.types());
         shared.addAll(ControlMessages.types());
         shared.addAll(TokenMessages.types());
-        shared.addAll(ControlMessages.later());
+        shared.addAll(ControlMessages.typesAddedLater());
         return Map.of(
                 SHARED,
                 shared,
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -18,9 +18,9 @@
     /** The service whose members are the stores, and whose view holds the placement. */
     public static final String STORES = "role/store";
     /** Control partitions beside c0. */
-    public static final int CONTROL_PARTS = 8;
+    public static final int CONTROL_PARTITIONS = 8;
     /** Message partitions. */
-    public static final int MESSAGE_PARTS = 8;
+    public static final int MESSAGE_PARTITIONS = 8;
 
     // constants of well-known hash functions; a change would move every partition
     private static final long HASH_SEED = 1125899906842597L;
@@ -52,25 +52,27 @@
     }
 
     /** The control partition that a service is in. */
-    public static String controlPart(String service) {
+    public static String controlPartition(String service) {
         return service.equals(CONFIGURATION) || service.equals(CORE)
                 ? "c0"
-                : "c" + (1 + Math.floorMod(mix(service.hashCode()), CONTROL_PARTS));
+                : "c" + (1 + Math.floorMod(mix(service.hashCode()), CONTROL_PARTITIONS));
     }
 
     /** All control partitions. */
-    public static List<String> controlParts() {
-        return IntStream.rangeClosed(0, CONTROL_PARTS).mapToObj(i -> "c" + i).toList();
+    public static List<String> controlPartitions() {
+        return IntStream.rangeClosed(0, CONTROL_PARTITIONS)
+                .mapToObj(i -> "c" + i)
+                .toList();
     }
 
     /** The message partition of a lane and an ordering key, or a message id. */
-    public static String messagePart(String lane, String key) {
-        return "m" + Math.floorMod(mix((lane + "/" + key).hashCode()), MESSAGE_PARTS);
+    public static String messagePartition(String lane, String key) {
+        return "m" + Math.floorMod(mix((lane + "/" + key).hashCode()), MESSAGE_PARTITIONS);
     }
 
     /** All message partitions. */
-    public static List<String> messageParts() {
-        return IntStream.range(0, MESSAGE_PARTS).mapToObj(i -> "m" + i).toList();
+    public static List<String> messagePartitions() {
+        return IntStream.range(0, MESSAGE_PARTITIONS).mapToObj(i -> "m" + i).toList();
     }
 
     /** Rendezvous draw: losing a node moves only what it had. */
--- a/common/src/main/java/org/woadvale/common/membership/ServiceView.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceView.java
@@ -15,7 +15,7 @@
         @FirstFormatName("layout") byte[] configuration,
         @FirstFormatName("layoutVersion") long configurationVersion) {
     /** A service that nothing is known of. */
-    public static ServiceView blank(String service) {
+    public static ServiceView empty(String service) {
         return new ServiceView(service, 0, Map.of(), Map.of(), SingletonLease.none(), Map.of(), new byte[0], 0);
     }
 
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -134,7 +134,7 @@
         }
         Duration sent = now();
         shard.afterUnlock(() -> core.ask(
-                        ServiceNames.controlPart(bucketName),
+                        ServiceNames.controlPartition(bucketName),
                         new ControlMessages.SingletonLeaseRequest(
                                 bucketName, environment.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
                         ControlMessages.SingletonLeaseResponse.class)
@@ -178,7 +178,7 @@
                 bucketName, environment.self(), ownedBucket.bucket.term(), ownedBucket.bucket.level(now()));
         LOG.info("Released {} with {} tokens left.", bucketName, request.level());
         shard.afterUnlock(
-                () -> core.ask(ServiceNames.controlPart(bucketName), request, ControlMessages.UpdateResult.class)
+                () -> core.ask(ServiceNames.controlPartition(bucketName), request, ControlMessages.UpdateResult.class)
                         .subscribe(result -> {}, e -> {}));
     }
 
--- a/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
+++ b/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
@@ -24,8 +24,8 @@
     private final ViewCompression compression = new ViewCompression();
 
     private static ControlMessages.ServiceViewResponse reply(byte[] configuration) {
-        ServiceView large = ServiceView.blank(CONFIGURATION).withConfiguration(7, configuration, 3);
-        return new ControlMessages.ServiceViewResponse(List.of(large, ServiceView.blank("other")), AGES, 17);
+        ServiceView large = ServiceView.empty(CONFIGURATION).withConfiguration(7, configuration, 3);
+        return new ControlMessages.ServiceViewResponse(List.of(large, ServiceView.empty("other")), AGES, 17);
     }
 
     private static byte[] text(int bytes) {
--- a/common/src/test/java/org/woadvale/common/membership/FaultToleranceTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/FaultToleranceTest.java
@@ -39,16 +39,16 @@
     }
 
     private static String first(FaultTolerance tolerance, List<String> used, String... zones) {
-        return List.of(zones).stream().min(tolerance.leastUsedZone(used)).orElseThrow();
+        return List.of(zones).stream().min(tolerance.byLeastUsedZone(used)).orElseThrow();
     }
 
     /** Guards against a move that leaves a majority in one zone although the number of zones is the same. */
     @Test
     void spreadCountsThePlaceWithMost() {
         FaultTolerance two = FaultTolerance.machines(2);
-        assertTrue(two.spreadAsWell(List.of("x", "x", "y"), List.of("x", "y", "z")));
-        assertFalse(two.spreadAsWell(List.of("x", "y", "z"), List.of("x", "x", "y")));
-        assertFalse(two.spreadAsWell(List.of("x", "x", "y", "y", "z"), List.of("x", "x", "x", "y", "z")));
-        assertFalse(ONE_REGION.spreadAsWell(List.of("a1", "b1", "c1"), List.of("a1", "b1", "a2")));
+        assertTrue(two.isAtLeastAsSpread(List.of("x", "x", "y"), List.of("x", "y", "z")));
+        assertFalse(two.isAtLeastAsSpread(List.of("x", "y", "z"), List.of("x", "x", "y")));
+        assertFalse(two.isAtLeastAsSpread(List.of("x", "x", "y", "y", "z"), List.of("x", "x", "x", "y", "z")));
+        assertFalse(ONE_REGION.isAtLeastAsSpread(List.of("a1", "b1", "c1"), List.of("a1", "b1", "a2")));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
@@ -28,7 +28,7 @@
 
 /** Reads and updates of the configuration from any control node; the leader of its partition decides. */
 public final class ConfigurationService {
-    private static final String PARTITION = ServiceNames.controlPart(ServiceNames.CONFIGURATION);
+    private static final String PARTITION = ServiceNames.controlPartition(ServiceNames.CONFIGURATION);
 
     /** So many updates wait for the one before them to be decided. */
     private static final int UPDATES_WAITING = 32;
@@ -60,12 +60,14 @@
     }
 
     private Optional<ServiceException> refusal(ControlMessages.PutConfiguration update, long unappliedBytes) {
-        return node.machine(PARTITION).configurations().refusal(update, node.largestRecordBytes(), unappliedBytes);
+        return node.stateMachine(PARTITION)
+                .configurations()
+                .rejectionReason(update, node.largestRecordBytes(), unappliedBytes);
     }
 
     private Mono<List<ConfigurationRevision>> revisions() {
         return node.replica(PARTITION)
-                .read(index -> node.machine(PARTITION).configurations().revisions());
+                .read(index -> node.stateMachine(PARTITION).configurations().revisions());
     }
 
     private static Mono<ConfigurationResponse> find(List<ConfigurationRevision> revisions, long version) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/CoreHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/CoreHttpHandler.java
@@ -24,7 +24,7 @@
 final class CoreHttpHandler {
     private static final int OK = 200;
     private static final String ADDRESS = "[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}";
-    private static final String PARTITION = ServiceNames.controlPart(ServiceNames.CORE);
+    private static final String PARTITION = ServiceNames.controlPartition(ServiceNames.CORE);
     /** The field of the body that lists the members. */
     private static final String FIELD = "lighthouses";
 
@@ -40,7 +40,7 @@
 
     private Mono<Response> put(Request request) throws ServiceException {
         List<String> members = members(request);
-        List<String> present = node.listedControlNodes();
+        List<String> present = node.committedControlNodes();
         if (node.replica(PARTITION).members().isEmpty()) {
             throw new UnavailableException("This control node has not joined yet; ask another.");
         }
@@ -54,7 +54,7 @@
                     + String.join(", ", present) + ".");
         }
         boolean another = !Set.copyOf(members).equals(Set.copyOf(present));
-        if (another && node.isExchangingControlNode()) {
+        if (another && node.isMembershipChanging()) {
             throw exchangeUnderWay();
         }
         return node.call(PARTITION, new ControlMessages.PutCore(members, present), ControlMessages.UpdateResult.class)
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
@@ -34,9 +34,9 @@
     }
 
     private Mono<ProcessorsResponse> read(String service) {
-        String partition = ServiceNames.controlPart(service);
+        String partition = ServiceNames.controlPartition(service);
         return node.replica(partition).read(index -> {
-            ServiceView view = node.machine(partition).service(service);
+            ServiceView view = node.stateMachine(partition).service(service);
             return new ProcessorsResponse(view.processors(), view.version());
         });
     }
@@ -44,7 +44,7 @@
     /** The list of a service, by its internal name. */
     public Mono<ProcessorsResponse> get(String service) {
         return node.call(
-                ServiceNames.controlPart(service), new GetProcessorsRequest(service), ProcessorsResponse.class);
+                ServiceNames.controlPartition(service), new GetProcessorsRequest(service), ProcessorsResponse.class);
     }
 
     /** Writes one processor, new or not. */
@@ -68,7 +68,7 @@
     public Mono<Boolean> replace(String service, ProcessorsResponse read, Map<String, Processor> processors) {
         ControlMessages.PutProcessors command = new ControlMessages.PutProcessors(
                 service, new HashMap<>(processors), read.version() + 1, ControlMessages.newRequestId());
-        return node.call(ServiceNames.controlPart(service), command, UpdateResult.class)
+        return node.call(ServiceNames.controlPartition(service), command, UpdateResult.class)
                 .map(UpdateResult::accepted);
     }
 
@@ -76,7 +76,7 @@
     private Mono<Boolean> change(String service, LongFunction<RepeatableRequest> command, int attemptsLeft) {
         return get(service)
                 .flatMap(read -> node.call(
-                        ServiceNames.controlPart(service), command.apply(read.version() + 1), UpdateResult.class))
+                        ServiceNames.controlPartition(service), command.apply(read.version() + 1), UpdateResult.class))
                 .flatMap(result -> {
                     if (result.accepted()) {
                         return Mono.just(true);
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -162,7 +162,7 @@
      * @param largestRecordBytes the most bytes that a snapshot with the entries after it can have; 0 for no bound
      * @param unappliedBytes bytes of the entries that are in the log and not applied
      */
-    public Optional<ServiceException> refusal(
+    public Optional<ServiceException> rejectionReason(
             ControlMessages.PutConfiguration update, int largestRecordBytes, long unappliedBytes) {
         if (repeatOf(update, digest(update.configuration(), update.original())).isPresent()) {
             return Optional.empty();
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
@@ -68,7 +68,7 @@
                 .map(member -> running.get(member).zone())
                 .toList();
         Comparator<Map.Entry<String, Announcement>> byZone =
-                Comparator.comparing(machine -> machine.getValue().zone(), faultTolerance.leastUsedZone(zones));
+                Comparator.comparing(machine -> machine.getValue().zone(), faultTolerance.byLeastUsedZone(zones));
         return standbys(present).min(byZone.thenComparing(Map.Entry::getKey)).map(Map.Entry::getKey);
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreAnnouncer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreAnnouncer.java
@@ -20,7 +20,7 @@
     static final Duration LEAVE_ANSWER_TIMEOUT = Duration.ofMillis(500);
 
     private static final Duration LEAVE_REPEAT_INTERVAL = Duration.ofMillis(200);
-    private static final String PARTITION = ServiceNames.controlPart(ServiceNames.CORE);
+    private static final String PARTITION = ServiceNames.controlPartition(ServiceNames.CORE);
 
     private final NodeEnvironment environment;
     private final CoreClient core;
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderSightings.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderAvailability.java
@@ -10,7 +10,7 @@
 import org.woadvale.common.replication.Replica;
 
 /** Remembers when each control partition last had a known leader. Safe for use by several threads. */
-public final class LeaderSightings {
+public final class LeaderAvailability {
     /** A transfer of leadership leaves a partition without a leader for a moment. */
     private static final Duration TRANSFER_GRACE = Duration.ofSeconds(1);
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -30,7 +30,7 @@
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.controlplane.lease.LeaseManager;
 import org.woadvale.controlplane.membership.CoreMembership;
-import org.woadvale.controlplane.membership.LeaderSightings;
+import org.woadvale.controlplane.membership.LeaderAvailability;
 import org.woadvale.controlplane.membership.MajorityContact;
 import org.woadvale.controlplane.membership.RetryingCoreClient;
 import org.woadvale.controlplane.placement.PlacementDriver;
@@ -59,7 +59,7 @@
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final Map<String, ControlPartition> partitions = new LinkedHashMap<>();
-    private final LeaderSightings leaders = new LeaderSightings();
+    private final LeaderAvailability leaders = new LeaderAvailability();
     private final RetryingCoreClient retryingClient;
     private final PlacementDriver placement;
     private final CoreMembership membership;
@@ -84,13 +84,13 @@
             FaultTolerance faultTolerance) {
         this.environment = environment;
         this.core = core;
-        for (String id : ServiceNames.controlParts()) {
+        for (String id : ServiceNames.controlPartitions()) {
             partitions.put(id, newPartition(id, desiredMembers));
         }
-        ControlPartition c0 = partitions.get(ServiceNames.controlPart(ServiceNames.CORE));
+        ControlPartition c0 = partitions.get(ServiceNames.controlPartition(ServiceNames.CORE));
         this.membership = new CoreMembership(
                 environment, core, zone, faultTolerance, c0.replica(), c0.stateMachine(), this::replicas);
-        ControlPartition stores = partitions.get(ServiceNames.controlPart(ServiceNames.STORES));
+        ControlPartition stores = partitions.get(ServiceNames.controlPartition(ServiceNames.STORES));
         this.placement = new PlacementDriver(environment, stores.replica(), stores.stateMachine(), faultTolerance);
         this.contact = new MajorityContact(environment, core, c0.replica(), membership::announcementAnsweredAt);
         this.retryingClient = new RetryingCoreClient(environment, core, contact::isInContact);
@@ -155,8 +155,8 @@
     }
 
     /** The settings changed while the node runs. */
-    public void reseed(List<String> seeds) {
-        core.reseed(seeds);
+    public void updateSeeds(List<String> seeds) {
+        core.updateSeeds(seeds);
     }
 
     private void onLeaseRenewed(String service) {
@@ -171,17 +171,17 @@
     }
 
     private Mono<LeaseManager> leases(String service) {
-        return partition(ServiceNames.controlPart(service)).map(ControlPartition::leases);
+        return partition(ServiceNames.controlPartition(service)).map(ControlPartition::leases);
     }
 
     private Mono<UpdateResult> update(String service, ControlCommand command) {
-        return partition(ServiceNames.controlPart(service))
+        return partition(ServiceNames.controlPartition(service))
                 .flatMap(partition -> partition.replica().propose(command, UpdateResult.class));
     }
 
     /** Every service asked for is of one partition; the age is nothing, since the lease was checked just now. */
     private Mono<ControlMessages.ServiceViewResponse> changedViews(ControlMessages.ServiceViewRequest request) {
-        String id = ServiceNames.controlPart(
+        String id = ServiceNames.controlPartition(
                 request.knownVersions().keySet().stream().findFirst().orElse(ServiceNames.CONFIGURATION));
         return partition(id)
                 .flatMap(partition -> partition
@@ -211,13 +211,13 @@
      * The members by the committed list, as far as that is applied here; while an exchange is under way that is not
      * what every group has. Those of the groups while no list was committed.
      */
-    public List<String> listedControlNodes() {
+    public List<String> committedControlNodes() {
         List<String> listed = membership.committed().members();
         return listed.isEmpty() ? controlNodes() : listed;
     }
 
     /** Whether some group does not have the members of the committed list yet, as far as known here. */
-    public boolean isExchangingControlNode() {
+    public boolean isMembershipChanging() {
         return membership.isChanging();
     }
 
@@ -323,7 +323,7 @@
     }
 
     /** The state of a partition on this node; to be used within {@link Replica#read} or {@link Replica#inspect}. */
-    public ControlStateMachine machine(String partition) {
+    public ControlStateMachine stateMachine(String partition) {
         return partitions.get(partition).stateMachine();
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -69,7 +69,7 @@
                                 && !entry.getValue().contains(least))
                         .map(entry -> new Change(
                                 entry.getKey(), replaced(entry.getValue(), fuller, least), Optional.of(least)))
-                        .filter(change -> faultTolerance.spreadAsWell(
+                        .filter(change -> faultTolerance.isAtLeastAsSpread(
                                 zones(view.members(), view.placement().get(change.partition())),
                                 zones(view.members(), change.replicas()))))
                 .findFirst();
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -59,7 +59,7 @@
         balancer.observe(view.members().keySet(), now);
         noteSucceeded(view);
         Map<String, List<String>> next = new TreeMap<>(present);
-        for (String partition : ServiceNames.messageParts()) {
+        for (String partition : ServiceNames.messagePartitions()) {
             if (!moving.containsKey(partition)) {
                 repaired(view, partition, next, now)
                         .or(() -> grown(view, partition, next))
@@ -193,7 +193,7 @@
         }
         int groupSize = faultTolerance.attainableGroupSize(members.size());
         Map<String, List<String>> placement = new TreeMap<>();
-        for (String partition : ServiceNames.messageParts()) {
+        for (String partition : ServiceNames.messagePartitions()) {
             List<String> replicas = new ArrayList<>();
             while (replicas.size() < groupSize) {
                 replicas.add(candidates(members, replicas, placement).get(0));
@@ -220,7 +220,7 @@
                 .map(store -> members.get(store).zone())
                 .toList();
         Map<String, Integer> load = ReplicaBalancer.load(placement);
-        Comparator<String> byZone = faultTolerance.leastUsedZone(zones);
+        Comparator<String> byZone = faultTolerance.byLeastUsedZone(zones);
         return members.keySet().stream()
                 .filter(store -> !used.contains(store))
                 .sorted(Comparator.<String, String>comparing(
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -74,7 +74,7 @@
     /** Services that have a list; none as long as no configuration was accepted. */
     private Set<String> listedServices() {
         byte[] kept = node.replica("c0")
-                .inspect(i -> node.machine("c0").service(ServiceNames.CONFIGURATION))
+                .inspect(i -> node.stateMachine("c0").service(ServiceNames.CONFIGURATION))
                 .configuration();
         Set<String> names = new TreeSet<>();
         if (kept.length > 0) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -47,7 +47,7 @@
 
     /** A service by its internal name; one without members or processors if it is not known. */
     public ServiceView service(String name) {
-        return services.getOrDefault(name, ServiceView.blank(name));
+        return services.getOrDefault(name, ServiceView.empty(name));
     }
 
     /** All services by their internal names. */
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ServiceViewQuery.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ServiceViewQuery.java
@@ -22,7 +22,7 @@
         List<ServiceView> views = new ArrayList<>();
         Map<String, Duration> ages = new HashMap<>();
         request.knownVersions().forEach((service, knownVersion) -> {
-            if (ServiceNames.controlPart(service).equals(partition)) {
+            if (ServiceNames.controlPartition(service).equals(partition)) {
                 ServiceView view = machine.service(service);
                 ages.put(service, Duration.ZERO);
                 if (view.version() != knownVersion) {
--- a/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
@@ -178,20 +178,23 @@
         ConfigurationLog log = new ConfigurationLog(100 << 10);
         ControlMessages.PutConfiguration first =
                 new ControlMessages.PutConfiguration("first", 0, new byte[30 << 10], "me");
-        assertEquals(Optional.empty(), log.refusal(first, largest, 0));
+        assertEquals(Optional.empty(), log.rejectionReason(first, largest, 0));
         log.put(first);
-        assertEquals(Optional.empty(), log.refusal(first, largest, largest));
+        assertEquals(Optional.empty(), log.rejectionReason(first, largest, largest));
         assertEquals(ErrorKind.STALE_BASE, refusal(log, 0, 10 << 10, 0));
         assertEquals(ErrorKind.UNAVAILABLE, refusal(log, 1, 30 << 10, 150 << 10));
         assertEquals(ErrorKind.INVALID_LAYOUT, refusal(log, 1, 70 << 10, 0));
         assertEquals(
                 Optional.empty(),
-                log.refusal(new ControlMessages.PutConfiguration("next", 1, new byte[50 << 10], "me"), largest, 0));
+                log.rejectionReason(
+                        new ControlMessages.PutConfiguration("next", 1, new byte[50 << 10], "me"), largest, 0));
     }
 
     private static ErrorKind refusal(ConfigurationLog log, long base, int bytes, long unappliedBytes) {
         ControlMessages.PutConfiguration update =
                 new ControlMessages.PutConfiguration("other", base, new byte[bytes], "me");
-        return log.refusal(update, 200 << 10, unappliedBytes).orElseThrow().kind();
+        return log.rejectionReason(update, 200 << 10, unappliedBytes)
+                .orElseThrow()
+                .kind();
     }
 }
--- a/controlplane/src/test/java/org/woadvale/controlplane/placement/ReplicaPlacementTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/placement/ReplicaPlacementTest.java
@@ -47,7 +47,7 @@
             MemberLease lease = members.get(reporter);
             members.put(reporter, new MemberLease(lease.zone(), "", "1", List.of(), false, false, groups));
         }
-        return ServiceView.blank(ServiceNames.STORES).withMembers(1, members).withPlacement(1, placed);
+        return ServiceView.empty(ServiceNames.STORES).withMembers(1, members).withPlacement(1, placed);
     }
 
     private void run(int seconds) {
@@ -66,7 +66,7 @@
     void groupsHaveAsManyReplicasAsTheFaultToleranceAsksFor() {
         stores(6, "x", "y", "z");
         run(5);
-        assertEquals(ServiceNames.messageParts().size(), placed.size());
+        assertEquals(ServiceNames.messagePartitions().size(), placed.size());
         assertEquals(new TreeSet<>(List.of(5)), sizes());
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -141,7 +141,7 @@
 
     /** The boot values changed while we run. */
     public void reseed(List<String> seeds) {
-        core.reseed(seeds);
+        core.updateSeeds(seeds);
     }
 
     /** Whether callers and processors may be sent here. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -111,7 +111,7 @@
         settings.roles().stream().filter(this::renews).forEach(role -> {
             String service = "role/" + role;
             core.ask(
-                            ServiceNames.controlPart(service),
+                            ServiceNames.controlPartition(service),
                             new ControlMessages.RenewLeaseRequest(service, environment.self(), lease),
                             ControlMessages.UpdateResult.class)
                     .subscribe(done -> announced.set(lease), e -> {});
@@ -141,7 +141,7 @@
     private void giveUp(String role) {
         String service = "role/" + role;
         core.ask(
-                        ServiceNames.controlPart(service),
+                        ServiceNames.controlPartition(service),
                         new ControlMessages.LeaveRequest(service, environment.self()),
                         ControlMessages.UpdateResult.class)
                 .subscribe(done -> {}, e -> {});
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -66,8 +66,8 @@
         });
         List<String> from = near.isEmpty() ? sound : near;
         return from.isEmpty()
-                ? ServiceNames.messagePart("", id)
-                : ServiceNames.rendezvousOwner(id, from).orElse(ServiceNames.messagePart("", id));
+                ? ServiceNames.messagePartition("", id)
+                : ServiceNames.rendezvousOwner(id, from).orElse(ServiceNames.messagePartition("", id));
     }
 
     /** The known leader first, then the copies in turn; those that do not answer only if there are no others. */
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -150,7 +150,7 @@
                 .noneMatch(messageState -> messageState.name().equals(state))) {
             throw new InvalidRequestException("state must be waiting, running, done or failed.");
         }
-        return Flux.fromIterable(ServiceNames.messageParts())
+        return Flux.fromIterable(ServiceNames.messagePartitions())
                 .flatMap(partition -> forwarder.call(
                         partition,
                         new MessageCommands.ListRequest(partition, key.tenant(), state, MOST_LISTED),
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -100,11 +100,11 @@
     private String partition(CheckedSubmission checked) {
         Submission submission = checked.submission();
         if (!submission.orderKey().isEmpty()) {
-            return ServiceNames.messagePart(submission.lane(), submission.orderKey());
+            return ServiceNames.messagePartition(submission.lane(), submission.orderKey());
         }
         return checked.anyPartition()
                 ? forwarder.anyPartition(submission.id())
-                : ServiceNames.messagePart(submission.lane(), submission.id());
+                : ServiceNames.messagePartition(submission.lane(), submission.id());
     }
 
     private void putBack(AdmittedSubmission admitted) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -27,7 +27,7 @@
 
     static String partOf(String handle) throws ServiceException {
         String partition = handle.replaceAll("-.*", "");
-        if (!handle.matches(HANDLE) || !ServiceNames.messageParts().contains(partition)) {
+        if (!handle.matches(HANDLE) || !ServiceNames.messagePartitions().contains(partition)) {
             throw new NotFoundException("No such message.");
         }
         return partition;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -54,7 +54,7 @@
     Mono<Response> pull(Request request, String service) throws ServiceException {
         checkKey(request, service);
         PullRequest terms = matcher.body(request, PullRequest.class);
-        int first = (int) Math.floorMod(environment.random().getAsLong(), (long) ServiceNames.MESSAGE_PARTS);
+        int first = (int) Math.floorMod(environment.random().getAsLong(), (long) ServiceNames.MESSAGE_PARTITIONS);
         Mono<Response> fresh = Mono.defer(() -> pullRound(
                 new PendingPull(
                         request,
@@ -65,7 +65,7 @@
         if (!terms.again() || terms.fetch().isEmpty()) {
             return fresh;
         }
-        return Flux.fromIterable(ServiceNames.messageParts())
+        return Flux.fromIterable(ServiceNames.messagePartitions())
                 .concatMap(partition -> pullFrom(partition, service, terms, true))
                 .concatMapIterable(MessageCommands.FetchResponse::messages)
                 .collectList()
@@ -80,8 +80,8 @@
             } catch (ServiceException failure) {
                 return Mono.error(failure);
             }
-            return Flux.range(0, ServiceNames.MESSAGE_PARTS)
-                    .map(i -> "m" + (first + i) % ServiceNames.MESSAGE_PARTS)
+            return Flux.range(0, ServiceNames.MESSAGE_PARTITIONS)
+                    .map(i -> "m" + (first + i) % ServiceNames.MESSAGE_PARTITIONS)
                     .concatMap(partition -> pullFrom(partition, pull.service(), pull.terms(), false), 1)
                     .filter(fetched -> !fetched.messages().isEmpty())
                     .next()
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -55,7 +55,7 @@
             LeaseId leaseId = new LeaseId(
                     word.substring(0, word.indexOf('.')), Integer.parseInt(word.substring(word.indexOf('.') + 1)));
             return Optional.of(leaseId)
-                    .filter(lease -> ServiceNames.messageParts().contains(lease.part()));
+                    .filter(lease -> ServiceNames.messagePartitions().contains(lease.part()));
         }
 
         String part() {
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -31,13 +31,13 @@
     private OperatorCommands() {}
 
     interface Command {
-        int go(Consumer<String> out) throws ServiceException;
+        int execute(Consumer<String> out) throws ServiceException;
     }
 
     @com.github.rvesse.airline.annotations.Command(name = "list", description = "Lists the shipped runbooks")
     public static final class ListRunbooks implements Command {
         @Override
-        public int go(Consumer<String> out) throws ServiceException {
+        public int execute(Consumer<String> out) throws ServiceException {
             for (String name : Runbooks.SHIPPED) {
                 Runbook runbook = Runbooks.load(name);
                 out.accept(name + ": " + runbook.purpose() + " Needs: " + new TreeMap<>(runbook.needs()));
@@ -53,7 +53,7 @@
         private String book;
 
         @Override
-        public int go(Consumer<String> out) throws ServiceException {
+        public int execute(Consumer<String> out) throws ServiceException {
             out.accept(Runbooks.load(book).name() + ": "
                     + Runbooks.load(book).steps().size() + " steps, valid.");
             return 0;
@@ -82,7 +82,7 @@
         private String key = "";
 
         @Override
-        public int go(Consumer<String> out) throws ServiceException {
+        public int execute(Consumer<String> out) throws ServiceException {
             RunbookRunner runbookRunner = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dry);
             boolean ok = runbookRunner.run(Runbooks.load(book), values());
             if (!record.isEmpty()) {
@@ -145,7 +145,7 @@
 
     private record Terminal(Consumer<String> out, boolean yes) implements OperatorIo {
         @Override
-        public boolean done(String what) {
+        public boolean confirmDone(String what) {
             out.accept("BY HAND: " + what + (yes ? "" : "  [press Enter when done, n to stop]"));
             return yes || !"n".equals(new Scanner(System.in).nextLine().trim());
         }
--- a/operator/src/main/java/org/woadvale/operator/OperatorIo.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorIo.java
@@ -5,7 +5,7 @@
 /** Seam to the person at the terminal and to time. */
 interface OperatorIo {
     /** False: the person says no, and the run stops. */
-    boolean done(String what);
+    boolean confirmDone(String what);
 
     void print(String line);
 
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -29,7 +29,7 @@
         try {
             Object object = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
             if (object instanceof OperatorCommands.Command command) {
-                return command.go(out);
+                return command.execute(out);
             }
             ((Runnable) object).run();
             return 0;
--- a/operator/src/main/java/org/woadvale/operator/Runbook.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbook.java
@@ -14,9 +14,9 @@
 public record Runbook(
         @NotNull @Pattern(regexp = "[a-z0-9-]{1,64}") String name,
         @NotNull String purpose,
-        Map<@Pattern(regexp = Runbook.WORD) String, @NotNull String> needs,
+        Map<@Pattern(regexp = Runbook.NAME_PATTERN) String, @NotNull String> needs,
         @NotEmpty List<@NotNull @Valid Step> steps) {
-    static final String WORD = "[a-zA-Z][a-zA-Z0-9]{0,31}";
+    static final String NAME_PATTERN = "[a-zA-Z][a-zA-Z0-9]{0,31}";
 
     /** Absent components are empty. */
     public Runbook {
@@ -57,7 +57,7 @@
             Map<String, String> headers,
             String body,
             @Valid Expect expect,
-            Map<@Pattern(regexp = Runbook.WORD) String, String> keep,
+            Map<@Pattern(regexp = Runbook.NAME_PATTERN) String, String> keep,
             @Min(0) @Max(3600000) long withinMs,
             String each,
             String from,
@@ -78,7 +78,7 @@
             pointer = pointer == null ? "" : pointer;
         }
 
-        boolean asks() {
+        boolean sendsRequest() {
             return kind == Kind.REQUIRE || kind == Kind.ASK || kind == Kind.WAIT;
         }
     }
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -87,7 +87,7 @@
                 try {
                     step(step, here);
                 } catch (ServiceException failure) {
-                    note("STOP at \"" + here.fill(step.title()) + "\": " + failure.getMessage());
+                    note("STOP at \"" + here.substitute(step.title()) + "\": " + failure.getMessage());
                     return false;
                 }
             }
@@ -96,9 +96,10 @@
     }
 
     private void step(Runbook.Step step, Variables variables) throws ServiceException {
-        String what = step.kind() + " " + variables.fill(step.title());
+        String what = step.kind() + " " + variables.substitute(step.title());
         if (dry && step.kind() != Runbook.Kind.REQUIRE) {
-            note("would " + what + (step.asks() ? ": " + step.method() + " " + variables.fill(step.url()) : ""));
+            note("would " + what
+                    + (step.sendsRequest() ? ": " + step.method() + " " + variables.substitute(step.url()) : ""));
             return;
         }
         switch (step.kind()) {
@@ -106,7 +107,7 @@
             case ASK, WAIT -> keep(step, waitUntil(step, variables), variables);
             case REMOVE -> remove(step, variables);
             case PERSON -> {
-                if (!processors.done(variables.fill(step.title()))) {
+                if (!processors.confirmDone(variables.substitute(step.title()))) {
                     throw new ConflictException("not confirmed");
                 }
             }
@@ -117,7 +118,7 @@
 
     private HttpTransport.HttpResult runOnce(Runbook.Step step, Variables variables) throws ServiceException {
         Map<String, String> headers = new TreeMap<>();
-        step.headers().forEach((k, x) -> headers.put(k, variables.fill(x)));
+        step.headers().forEach((k, x) -> headers.put(k, variables.substitute(x)));
         if (!key.isEmpty()) {
             headers.put("Authorization", "Bearer " + key);
         }
@@ -125,17 +126,17 @@
         try {
             result = wire.send(
                     step.method(),
-                    variables.fill(step.url()),
+                    variables.substitute(step.url()),
                     headers,
-                    variables.fill(step.body()).getBytes(StandardCharsets.UTF_8));
+                    variables.substitute(step.body()).getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UnreachableException(
-                    "no answer from " + variables.fill(step.url()) + " (" + e.getMessage() + ")");
+                    "no answer from " + variables.substitute(step.url()) + " (" + e.getMessage() + ")");
         }
         String found = step.expect().pointer().isEmpty()
                 ? ""
                 : json(result.body())
-                        .at(variables.fill(step.expect().pointer()))
+                        .at(variables.substitute(step.expect().pointer()))
                         .asText("");
         if (result.status() != step.expect().status()) {
             boolean later = result.status() == Status.TOO_MANY_REQUESTS || result.status() >= Status.INTERNAL_ERROR;
@@ -146,9 +147,9 @@
                     List.of());
         }
         if (!step.expect().pointer().isEmpty()
-                && !found.equals(variables.fill(step.expect().equals()))) {
-            throw new ConflictException(variables.fill(step.expect().pointer()) + " is \"" + found + "\", expected \""
-                    + variables.fill(step.expect().equals()) + "\"");
+                && !found.equals(variables.substitute(step.expect().equals()))) {
+            throw new ConflictException(variables.substitute(step.expect().pointer()) + " is \"" + found
+                    + "\", expected \"" + variables.substitute(step.expect().equals()) + "\"");
         }
         return result;
     }
@@ -192,7 +193,7 @@
 
     private static void remove(Runbook.Step step, Variables variables) throws ServiceException {
         JsonNode doc = json(variables.get(step.from()).getBytes(StandardCharsets.UTF_8));
-        JsonPointer pointer = JsonPointer.compile(variables.fill(step.pointer()));
+        JsonPointer pointer = JsonPointer.compile(variables.substitute(step.pointer()));
         JsonNode parent = doc.at(pointer.head());
         if (!(parent instanceof ObjectNode object) || !object.has(pointer.last().getMatchingProperty())) {
             throw new NotFoundException("there is nothing at " + pointer);
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -65,14 +65,14 @@
                 here.add("it");
             }
             String at = "steps[" + i + "]";
-            if (step.asks() && step.url().isEmpty()) {
+            if (step.sendsRequest() && step.url().isEmpty()) {
                 out.add(at + ".url: missing");
             }
             if (step.kind() == Runbook.Kind.REMOVE
                     && (step.from().isEmpty() || step.pointer().isEmpty())) {
                 out.add(at + ": REMOVE needs from and pointer");
             }
-            Matcher matcher = Variables.USE.matcher(step.url()
+            Matcher matcher = Variables.REFERENCE.matcher(step.url()
                     + step.body()
                     + step.headers().values()
                     + step.expect().equals()
--- a/operator/src/main/java/org/woadvale/operator/Variables.java
+++ b/operator/src/main/java/org/woadvale/operator/Variables.java
@@ -7,7 +7,7 @@
 
 /** The values of one run: given ones and kept ones. */
 final class Variables {
-    static final Pattern USE = Pattern.compile("\\$\\{([a-zA-Z][a-zA-Z0-9]*)}");
+    static final Pattern REFERENCE = Pattern.compile("\\$\\{([a-zA-Z][a-zA-Z0-9]*)}");
     private final Map<String, String> values;
 
     Variables(Map<String, String> given) {
@@ -28,7 +28,7 @@
         return variables;
     }
 
-    String fill(String text) {
-        return USE.matcher(text).replaceAll(match -> Matcher.quoteReplacement(get(match.group(1))));
+    String substitute(String text) {
+        return REFERENCE.matcher(text).replaceAll(match -> Matcher.quoteReplacement(get(match.group(1))));
     }
 }
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public boolean done(String what) {
+        public boolean confirmDone(String what) {
             return willing;
         }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -92,7 +92,7 @@
 
     private void lease() {
         core.ask(
-                        ServiceNames.controlPart(role),
+                        ServiceNames.controlPartition(role),
                         new ControlMessages.RenewLeaseRequest(role, environment.self(), memberLease),
                         ControlMessages.UpdateResult.class)
                 .subscribe(result -> {}, e -> {});
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
@@ -43,7 +43,7 @@
         ControlMessages.PutConfiguration put =
                 new ControlMessages.PutConfiguration("change" + changes++, configurationVersion, json, "capacity");
         core.ask(
-                        ServiceNames.controlPart(ServiceNames.CONFIGURATION),
+                        ServiceNames.controlPartition(ServiceNames.CONFIGURATION),
                         new ControlApiMessages.PutConfigurationRequest(put),
                         ControlMessages.ConfigurationAccepted.class)
                 .subscribe(taken -> configurationVersion = taken.version(), error -> {});
@@ -56,7 +56,7 @@
                 + number % ADDRESSES_PER_NETWORK + ":8080";
         Processor processor = new Processor(address, leaving);
         core.ask(
-                        ServiceNames.controlPart(list),
+                        ServiceNames.controlPartition(list),
                         new ControlMessages.PutProcessor(list, "processor-" + number, processor, 0, 0),
                         ControlMessages.UpdateResult.class)
                 .subscribe(done -> processorsPut++, error -> {});
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -70,7 +70,7 @@
 
     /** Whether a control node is a voting member of all control partitions, by its own knowledge. */
     public static boolean votesEverywhere(SimulatedFleet world, String node) {
-        return ServiceNames.controlParts().stream()
+        return ServiceNames.controlPartitions().stream()
                 .map(p -> world.controlNode(node).replica(p))
                 .allMatch(replica -> replica.role() != Role.UNINITIALIZED
                         && replica.members().containsKey(node));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -281,7 +281,7 @@
                                             .substring(0, submitted.handle().indexOf('-')))
                             .distinct()
                             .count();
-                    return seen >= (long) ServiceNames.MESSAGE_PARTS * simulation.w.testConfiguration.tenants();
+                    return seen >= (long) ServiceNames.MESSAGE_PARTITIONS * simulation.w.testConfiguration.tenants();
                 },
                 Duration.ofSeconds(40));
         simulation.w.seen.saw(simulation.w.seen.outages, new Observations.Outage(restarted, simulation.w.sim.now()));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
@@ -211,7 +211,7 @@
                                         && dataPlaneNodes.get(s).groups().values().stream()
                                                 .noneMatch(g -> g.stream().anyMatch(this::lost)))
                 && presentControlNodes().stream()
-                        .allMatch(l -> ServiceNames.controlParts().stream()
+                        .allMatch(l -> ServiceNames.controlPartitions().stream()
                                 .allMatch(p ->
                                         controlNodesByAddress.get(l).replica(p).role() != Role.UNINITIALIZED
                                                 && controlNodesByAddress
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -100,7 +100,7 @@
         for (String l : simulation.w.controlNodes) {
             controlNodes.add(
                     simulation.w.host(l).alive()
-                            ? ServiceNames.controlParts().stream()
+                            ? ServiceNames.controlPartitions().stream()
                                     .filter(p -> simulation
                                                     .w
                                                     .controlNode(l)
@@ -116,7 +116,7 @@
                             ? simulation.w.dataPlaneNode(i).ownedBuckets().size()
                             : 0);
         }
-        for (String p : ServiceNames.messageParts()) {
+        for (String p : ServiceNames.messagePartitions()) {
             terms += simulation.w.stores.stream()
                     .filter(s -> simulation.w.host(s).alive())
                     .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -136,9 +136,10 @@
         Set<String> expected = new TreeSet<>(fleet.w.presentStores());
         return fleet.w.dataPlaneNode(successor).notVotingCount() == 0
                 && fleet.w.presentStores().stream()
-                        .allMatch(store -> fleet.w.dataPlaneNode(store).groups().size() == ServiceNames.MESSAGE_PARTS
-                                && fleet.w.dataPlaneNode(store).groups().values().stream()
-                                        .allMatch(expected::equals))
+                        .allMatch(
+                                store -> fleet.w.dataPlaneNode(store).groups().size() == ServiceNames.MESSAGE_PARTITIONS
+                                        && fleet.w.dataPlaneNode(store).groups().values().stream()
+                                                .allMatch(expected::equals))
                 && fleet.w.dataPlaneNode(successor).promotedEverywhere();
     }
 
@@ -168,7 +169,7 @@
         return fleet.w.presentStores().stream()
                         .mapToLong(store -> fleet.w.dataPlaneNode(store).ledCount())
                         .sum()
-                == ServiceNames.MESSAGE_PARTS;
+                == ServiceNames.MESSAGE_PARTITIONS;
     }
 
     /** Arguments: the first seed and how many; prints the distribution of each kind of departure. */
--- a/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
+++ b/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
@@ -23,7 +23,7 @@
 
     private final class ScriptedOperator implements OperatorIo {
         @Override
-        public boolean done(String instruction) {
+        public boolean confirmDone(String instruction) {
             transcript.add(instruction);
             try {
                 manualStep.run(instruction);
--- a/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
@@ -48,7 +48,7 @@
         out.addAll(SnapshotMessages.types());
         out.addAll(BootstrapMessages.types());
         out.addAll(ControlMessages.types());
-        out.addAll(ControlMessages.later());
+        out.addAll(ControlMessages.typesAddedLater());
         out.addAll(TokenMessages.types());
         out.addAll(MessageCommands.types());
         out.addAll(ControlApiMessages.types());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -155,7 +155,7 @@
         simulation.w.sim.run(Duration.ofSeconds(3));
         assertTrue(!simulation.w.controlNode(removed).members().members().contains(removed), "it does not know");
         assertTrue(simulation.w.controlNode(successor).members().members().contains(successor));
-        assertTrue(ServiceNames.controlParts().stream()
+        assertTrue(ServiceNames.controlPartitions().stream()
                 .noneMatch(p -> simulation.w.controlNode(removed).replica(p).role() == Role.LEADER));
         simulation.w.lose(simulation.w.controlNodes.get(1));
         simulation.w.sim.run(Duration.ofSeconds(4));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -71,7 +71,7 @@
                 RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
         CoreClient core = new CoreClient(lossy, () -> 1L, fixture.r.controlNodes, CoreMembers.unknown(), members -> {});
         AtomicReference<T> out = new AtomicReference<>();
-        core.ask(ServiceNames.controlPart(service), body, type).subscribe(out::set, e -> {
+        core.ask(ServiceNames.controlPartition(service), body, type).subscribe(out::set, e -> {
             throw new AssertionError(e);
         });
         assertTrue(fixture.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no answer");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -17,7 +17,7 @@
         FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        String part = ServiceNames.controlPart("service/" + FleetSimulation.service(0));
+        String part = ServiceNames.controlPartition("service/" + FleetSimulation.service(0));
         String owner = simulation.w.controlNodes.stream()
                 .filter(l -> simulation.w.controlNode(l).replica(part).isActiveLeader())
                 .findFirst()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -96,7 +96,7 @@
         return fixture.r
                 .controlNode(node)
                 .replica("c0")
-                .inspect(i -> fixture.r.controlNode(node).machine("c0").snapshot().length);
+                .inspect(i -> fixture.r.controlNode(node).stateMachine("c0").snapshot().length);
     }
 
     private void restartAfter(String node, long ms) throws ServiceException {
@@ -171,7 +171,7 @@
                     .replica("c0")
                     .inspect(i -> fixture.r
                             .controlNode(name)
-                            .machine("c0")
+                            .stateMachine("c0")
                             .configurations()
                             .version());
             assertEquals(version, applied, name + " has applied everything");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -17,7 +17,7 @@
     private static final String AT = "10.9.0.1:8080";
 
     private static ServiceView view(PlatformFixture fixture) {
-        String part = ServiceNames.controlPart(KEY);
+        String part = ServiceNames.controlPartition(KEY);
         String owner = fixture.r.controlNodes.stream()
                 .filter(l -> fixture.r.host(l).alive()
                         && fixture.r.controlNode(l).replica(part).isActiveLeader())
@@ -26,7 +26,7 @@
         return fixture.r
                 .controlNode(owner)
                 .replica(part)
-                .inspect(i -> fixture.r.controlNode(owner).machine(part).service(KEY));
+                .inspect(i -> fixture.r.controlNode(owner).stateMachine(part).service(KEY));
     }
 
     @Test
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -81,7 +81,7 @@
     }
 
     private static long terms(FleetSimulation simulation) {
-        return ServiceNames.messageParts().stream()
+        return ServiceNames.messagePartitions().stream()
                 .mapToLong(p -> simulation.w.stores.stream()
                         .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
                         .max()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
@@ -54,7 +54,7 @@
         return storeGroupsHave(fleet, GROUP)
                 && fleet.w.presentStores().stream()
                         .map(fleet.w::dataPlaneNode)
-                        .allMatch(store -> store.groups().size() == ServiceNames.MESSAGE_PARTS
+                        .allMatch(store -> store.groups().size() == ServiceNames.MESSAGE_PARTITIONS
                                 && store.notVotingCount() == 0
                                 && store.promotedEverywhere());
     }
@@ -184,7 +184,7 @@
     private static boolean coreIsWhole(FleetSimulation fleet) {
         return fleet.w.presentControlNodes().stream()
                 .allMatch(node -> CoreExchange.votesEverywhere(fleet.w, node)
-                        && ServiceNames.controlParts().stream()
+                        && ServiceNames.controlPartitions().stream()
                                 .allMatch(partition -> fleet.w
                                                 .controlNode(node)
                                                 .replica(partition)
