--- a/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
@@ -67,7 +67,7 @@
     }
 
     void start() throws ServiceException {
-        partitions.onOpen(dispatchers::opened);
+        partitions.onOpen(dispatchers::onPartitionOpened);
         partitions.start();
         dispatchers.start();
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -43,7 +43,7 @@
         Duration begun = context.environment().clock().monotonicTime();
         SendGuard sendGuard = new SendGuard();
         DeliveryClient.DeliveryRequest request = context.protocol()
-                .push(message, target, timeout(), () -> sendGuard.leave(() -> mayStillSend() && permit.spend()));
+                .push(message, target, timeout(), () -> sendGuard.trySend(() -> mayStillSend() && permit.spend()));
         return context.deliveryClient()
                 .send(request)
                 .map(response -> context.protocol().read(message, response))
@@ -52,7 +52,7 @@
                 .flatMap(verdict -> {
                     Duration took =
                             context.environment().clock().monotonicTime().minus(begun);
-                    context.targets().ended(target, answeredWell(verdict), took);
+                    context.targets().onCompleted(target, answeredWell(verdict), took);
                     return sendGuard.close() ? notSent(permit, verdict) : commitOutcome(verdict);
                 });
     }
@@ -85,7 +85,7 @@
         return recordEnd(
                 AttemptOutcome.NOT_SENT,
                 "not sent: " + verdict.reason(),
-                wallTime().plus(dispatcher.policy().retrySoon()));
+                wallTime().plus(dispatcher.policy().shortRetryDelay()));
     }
 
     private Mono<Boolean> commitOutcome(Verdict verdict) {
@@ -121,13 +121,13 @@
      */
     Mono<Boolean> resend(String reason) {
         Duration wait = dispatcher.policy().deduplicates(message)
-                ? dispatcher.policy().retrySoon()
+                ? dispatcher.policy().shortRetryDelay()
                 : Duration.between(wallTime(), message.deadline()).plus(GRACE_AFTER_DEADLINE);
         return Delays.pause(dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
                 .then(Mono.defer(() -> recordEnd(
                         AttemptOutcome.OUTCOME_UNKNOWN,
                         "sent again: " + reason,
-                        wallTime().plus(dispatcher.policy().retrySoon()))));
+                        wallTime().plus(dispatcher.policy().shortRetryDelay()))));
     }
 
     /** Running by the log, but begun by an earlier leader, which may still forward the answer that it got. */
@@ -158,9 +158,10 @@
             return outcomeUnknown("no outcome before the deadline");
         }
         if (wallTime().isAfter(dispatcher.policy().expiry(message)) && mayEndUnproven(processor)) {
-            return recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + "time limit reached", wallTime());
+            return recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PREFIX + "time limit reached", wallTime());
         }
-        Optional<DeliveryPermit> permit = processor.canBeAsked() ? dispatcher.mayInquire(message) : Optional.empty();
+        Optional<DeliveryPermit> permit =
+                processor.canBeAsked() ? dispatcher.acquireInquiryPermit(message) : Optional.empty();
         return permit.isPresent() ? inquire(processor, permit.get(), late) : inquireLater();
     }
 
@@ -198,7 +199,7 @@
         LOG.warn("The outcome of {} stays unknown: {}.", message.handle(), reason);
         return dispatcher.policy().terms(message).rerun()
                 ? retry(reason)
-                : recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PROOF + reason, wallTime());
+                : recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PREFIX + reason, wallTime());
     }
 
     private Mono<Boolean> retry(String reason) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -61,7 +61,7 @@
             return Mono.empty();
         }
         String service = dispatcher.policy().terms(message).service();
-        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, message, service);
+        Optional<DeliveryPermit> permit = DeliveryPermit.tryAcquire(context, partition, message, service);
         if (permit.isEmpty()) {
             return Mono.empty();
         }
@@ -71,7 +71,7 @@
                 processor,
                 wallTime().plus(context.leaseTime()),
                 wallTime(),
-                Message.LEASED + processor);
+                Message.LEASE_PREFIX + processor);
         return partition
                 .replica()
                 .propose(start, MessageCommands.TransitionResult.class)
@@ -192,7 +192,7 @@
                     }
                     if (message.isEmpty()
                             || message.get().attempt() != end.attempt()
-                            || message.get().state().ended()) {
+                            || message.get().state().isTerminal()) {
                         return Mono.error(gone());
                     }
                     return partition
@@ -213,7 +213,7 @@
                 && !dispatcher.policy().attemptsLeft(message);
         Instant due = end.outcome() == MessageCommands.AttemptOutcome.RETRY
                 ? wallTime().plus(dispatcher.policy().backoff(message.attemptsMade()))
-                : wallTime().plus(dispatcher.policy().retrySoon());
+                : wallTime().plus(dispatcher.policy().shortRetryDelay());
         return new MessageCommands.End(
                 end.handle(),
                 end.attempt(),
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -19,9 +19,9 @@
         this.token = pass;
     }
 
-    static Optional<DeliveryPermit> draw(
+    static Optional<DeliveryPermit> tryAcquire(
             DispatchContext context, MessagePartition partition, Message message, String service) {
-        Optional<DeliveryPermit> optional = draw(context, service);
+        Optional<DeliveryPermit> optional = tryAcquire(context, service);
         if (optional.isEmpty()) {
             return optional;
         }
@@ -34,7 +34,7 @@
     }
 
     /** None where the token is missing, or where it is not known whether one is needed. */
-    static Optional<DeliveryPermit> draw(DispatchContext context, String service) {
+    static Optional<DeliveryPermit> tryAcquire(DispatchContext context, String service) {
         return context.configurations().deliveryBucket(service).flatMap(bucket -> {
             Optional<LocalBucket.AdmissionToken> pass = bucket.flatMap(context.localBuckets()::tryTake);
             return bucket.isPresent() && pass.isEmpty()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
@@ -57,7 +57,7 @@
 
     /** Whether an attempt of unknown outcome is sent again rather than inquired after. */
     boolean resends(Message message) {
-        return terms(message).resend() && !context.protocol().inquires();
+        return terms(message).resend() && !context.protocol().supportsInquiry();
     }
 
     /** Whether the service answers a repeated message with its first success. */
@@ -68,7 +68,7 @@
     }
 
     /** The delay before a message that was not run is tried elsewhere: short, with jitter. */
-    Duration retrySoon() {
+    Duration shortRetryDelay() {
         return RETRY_SOON.plusNanos(Math.floorMod(context.environment().random().getAsLong(), RETRY_SOON.toNanos()));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -14,5 +14,5 @@
     Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse);
 
     /** Whether a back end can be asked what became of an attempt. */
-    boolean inquires();
+    boolean supportsInquiry();
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -27,7 +27,7 @@
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
 
     /** One back end that may get work. */
-    public record Target(String key, String id, String address, boolean near) {}
+    public record Target(String key, String id, String address, boolean sameZone) {}
 
     private static final class Liveness {
         int inFlight;
@@ -50,12 +50,12 @@
     }
 
     /** The least busy of those that may be tried now; its place in flight is taken. */
-    public Optional<Target> draw(List<Target> from, ToIntFunction<Target> most) {
+    public Optional<Target> tryAcquire(List<Target> from, ToIntFunction<Target> most) {
         return shard.get(() -> {
             Optional<Target> optional = from.stream()
                     .filter(target -> open(of(target), most.applyAsInt(target)))
-                    .min(Comparator.comparingDouble(
-                            target -> (of(target).inFlight + 1) * (1 + of(target).slowMs) * (target.near() ? 1 : FAR)));
+                    .min(Comparator.comparingDouble(target ->
+                            (of(target).inFlight + 1) * (1 + of(target).slowMs) * (target.sameZone() ? 1 : FAR)));
             optional.ifPresent(target -> of(target).inFlight++);
             return optional;
         });
@@ -72,7 +72,7 @@
     }
 
     /** A delivery to the target is over. */
-    public void ended(Target target, boolean answered, Duration took) {
+    public void onCompleted(Target target, boolean answered, Duration took) {
         shard.run(() -> {
             Liveness liveness = of(target);
             liveness.inFlight = Math.max(0, liveness.inFlight - 1);
@@ -92,7 +92,7 @@
     }
 
     /** Drawn, but nothing was sent. */
-    public void unused(Target target) {
+    public void release(Target target) {
         shard.run(() -> of(target).inFlight = Math.max(0, of(target).inFlight - 1));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -93,8 +93,8 @@
     }
 
     /** Asking an outside endpoint counts as one of its requests, so it spends a leaving pass. */
-    Optional<DeliveryPermit> mayInquire(Message message) {
-        return DeliveryPermit.draw(context, policy.terms(message).service());
+    Optional<DeliveryPermit> acquireInquiryPermit(Message message) {
+        return DeliveryPermit.tryAcquire(context, policy.terms(message).service());
     }
 
     /** Called by the store's one schedule. */
@@ -158,20 +158,21 @@
             return true;
         }
         Optional<DeliveryTargets.Target> target = context.targets()
-                .draw(
+                .tryAcquire(
                         ProcessorSelector.targets(this, policy.terms(message).service()),
-                        ProcessorSelector.most(this, policy.terms(message).service()));
+                        ProcessorSelector.maxInFlight(
+                                this, policy.terms(message).service()));
         if (target.isEmpty()) {
             return false;
         }
         if (message.attemptsMade() > 0 && !retryAllowed(message.lane() + "/" + message.tenant())) {
-            context.targets().unused(target.get());
+            context.targets().release(target.get());
             return true;
         }
-        Optional<DeliveryPermit> permit = DeliveryPermit.draw(
+        Optional<DeliveryPermit> permit = DeliveryPermit.tryAcquire(
                 context, partition, message, policy.terms(message).service());
         if (permit.isEmpty()) {
-            context.targets().unused(target.get());
+            context.targets().release(target.get());
             return false;
         }
         busy.add(message.handle());
@@ -220,13 +221,13 @@
                 .propose(start, MessageCommands.TransitionResult.class)
                 .doOnError(e -> {
                     permit.release();
-                    context.targets().unused(target);
+                    context.targets().release(target);
                 })
                 .flatMap(result -> {
                     DeliveryAttempt run = new DeliveryAttempt(this, result.message(), target);
                     if (!result.applied()) {
                         permit.release();
-                        context.targets().unused(target);
+                        context.targets().release(target);
                         return Mono.just(false);
                     }
                     return run.push(permit);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -27,7 +27,7 @@
     }
 
     /** A partition was opened on this store. */
-    public void opened(MessagePartition partition) {
+    public void onPartitionOpened(MessagePartition partition) {
         Dispatcher dispatcher = new Dispatcher(context, partition);
         dispatchersByPartition.put(partition.id(), dispatcher);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
@@ -72,7 +72,7 @@
                 .replica()
                 .inspect(i -> partition.stateMachine().running().stream()
                         .filter(message -> message.processor().equals(request.processor())
-                                && message.destination().equals(ProcessorStatus.PULLED + request.fetchId())
+                                && message.destination().equals(ProcessorStatus.FETCH_PREFIX + request.fetchId())
                                 && message.deadline().isAfter(now))
                         .toList());
     }
@@ -105,7 +105,7 @@
                 || context.configurations().fresh().isEmpty()) {
             return Mono.empty();
         }
-        Optional<DeliveryPermit> permit = DeliveryPermit.draw(context, partition, message, request.service());
+        Optional<DeliveryPermit> permit = DeliveryPermit.tryAcquire(context, partition, message, request.service());
         if (permit.isEmpty()) {
             return Mono.empty();
         }
@@ -115,7 +115,7 @@
                 request.processor(),
                 now.plusMillis(policy.terms(message).attemptMs()),
                 now,
-                ProcessorStatus.PULLED + request.fetchId());
+                ProcessorStatus.FETCH_PREFIX + request.fetchId());
         return partition
                 .replica()
                 .propose(start, TransitionResult.class)
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public boolean inquires() {
+    public boolean supportsInquiry() {
         return true;
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
@@ -19,7 +19,7 @@
      * How much one back end may have in flight from this store: its connections shared out among the stores, and not
      * much more than its slots. 0 where nothing is said.
      */
-    static ToIntFunction<DeliveryTargets.Target> most(Dispatcher dispatcher, String service) {
+    static ToIntFunction<DeliveryTargets.Target> maxInFlight(Dispatcher dispatcher, String service) {
         int stores = (int) Math.max(
                 1,
                 dispatcher.context().subscriptions().latest(ServiceNames.STORES).placement().values().stream()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
@@ -15,7 +15,7 @@
     }
 
     /** An attempt that was fetched has this before the id of the fetch, where a pushed one has the address. */
-    static final String PULLED = "fetch:";
+    static final String FETCH_PREFIX = "fetch:";
 
     static ProcessorStatus of(Kind kind) {
         return new ProcessorStatus(kind, "");
@@ -23,7 +23,7 @@
 
     /** The one that has the attempt; whoever is listed under its id at another address now is not. */
     static ProcessorStatus listed(Message message, String address) {
-        if (message.destination().startsWith(PULLED)) {
+        if (message.destination().startsWith(FETCH_PREFIX)) {
             return of(Kind.PULLS);
         }
         if (message.destination().isEmpty()) {
@@ -35,7 +35,8 @@
     }
 
     static ProcessorStatus gone(Message message) {
-        return new ProcessorStatus(Kind.GONE, message.destination().startsWith(PULLED) ? "" : message.destination());
+        return new ProcessorStatus(
+                Kind.GONE, message.destination().startsWith(FETCH_PREFIX) ? "" : message.destination());
     }
 
     boolean canBeAsked() {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
@@ -13,7 +13,7 @@
     private State state = State.OPEN;
 
     /** Sent once, and only if the last look at everything says so. */
-    synchronized boolean leave(BooleanSupplier lastLook) {
+    synchronized boolean trySend(BooleanSupplier lastLook) {
         if (state == State.OPEN && lastLook.getAsBoolean()) {
             state = State.SENT;
             return true;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -68,7 +68,7 @@
         return now().compareTo(failures.getOrDefault(partition, Duration.ZERO)) < 0;
     }
 
-    boolean isSilent(String store) {
+    boolean isUnresponsive(String store) {
         Duration limit = now().minus(SILENT_AFTER);
         return isUnhealthy(store)
                 || inFlight.getOrDefault(store, Map.of()).values().stream().anyMatch(t -> t.compareTo(limit) < 0);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -48,7 +48,7 @@
      * A partition for a message that any may hold: among those whose leader answers, by preference one in this zone;
      * drawn by the given id. (docs/design.md, section 9.13)
      */
-    public String anyPartition(String id) {
+    public String selectHealthyPartition(String id) {
         Map<String, List<String>> placement =
                 subscriptions.latest(ServiceNames.STORES).placement();
         Map<String, MemberLease> members =
@@ -57,7 +57,7 @@
         List<String> near = new ArrayList<>();
         placement.forEach((partition, replicas) -> {
             String leader = leaderHints.getOrDefault(partition, replicas.isEmpty() ? "" : replicas.get(0));
-            if (!health.hasFailed(partition) && !health.isSilent(leader) && members.containsKey(leader)) {
+            if (!health.hasFailed(partition) && !health.isUnresponsive(leader) && members.containsKey(leader)) {
                 sound.add(partition);
                 if (members.get(leader).zone().equals(zone)) {
                     near.add(partition);
@@ -134,7 +134,7 @@
     }
 
     /** One ask to one store, not taken later than the limit; its answer may take as long as the limit. */
-    public <T> Mono<T> at(
+    public <T> Mono<T> callStore(
             String store,
             Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
             Class<T> type,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -135,7 +135,7 @@
         json.put("processor", message.processor());
         json.put(message.state() == MessageState.DONE ? "proof" : "note", message.proof());
         json.put("accepted", message.accepted().toString());
-        if (message.state().ended()) {
+        if (message.state().isTerminal()) {
             json.put("ended", message.ended().toString());
         }
         return json;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -103,7 +103,7 @@
             return ServiceNames.messagePartition(submission.lane(), submission.orderKey());
         }
         return checked.anyPartition()
-                ? forwarder.anyPartition(submission.id())
+                ? forwarder.selectHealthyPartition(submission.id())
                 : ServiceNames.messagePartition(submission.lane(), submission.id());
     }
 
@@ -201,7 +201,8 @@
                 && submission.orderKey().isEmpty()
                 && failure.kind() == ErrorKind.UNAVAILABLE;
         return movable
-                ? Optional.of(forwarder.anyPartition(submission.id())).filter(p -> !p.equals(admitted.partition()))
+                ? Optional.of(forwarder.selectHealthyPartition(submission.id()))
+                        .filter(p -> !p.equals(admitted.partition()))
                 : Optional.empty();
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -128,7 +128,7 @@
         String store = stores.get((n - first) % stores.size());
         Duration here = least(left, near(store) ? NEAR : TURN);
         return forwarder
-                .at(
+                .callStore(
                         store,
                         deadline -> new MessageCommands.LongPullRequest(
                                 service, processor, deadline, here.toMillis(), zone),
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -47,9 +47,9 @@
     /** The processor of a message that no processor has had. */
     public static final String NO_PROCESSOR = "";
     /** Every reason of an end that nobody could prove starts like this. */
-    public static final String OUTCOME_UNKNOWN_PROOF = "unclear: ";
+    public static final String OUTCOME_UNKNOWN_PREFIX = "unclear: ";
     /** The destination of an attempt under a lease begins with this. (docs/design.md, section 9.10) */
-    public static final String LEASED = "lease:";
+    public static final String LEASE_PREFIX = "lease:";
 
     /** The attempts of which {@code ends} has a bit; the bit of attempt zero is not used. */
     private static final int FIRST_ENDS = 62;
@@ -114,7 +114,7 @@
                 newProcessor,
                 newDeadline,
                 newProof,
-                next.ended() ? at : Instant.MAX,
+                next.isTerminal() ? at : Instant.MAX,
                 newWhere,
                 next == MessageState.DONE ? Map.of() : envelope,
                 ends,
@@ -168,12 +168,12 @@
 
     /** Whether a processor has it under a lease. */
     public boolean leased() {
-        return destination.startsWith(LEASED);
+        return destination.startsWith(LEASE_PREFIX);
     }
 
     /** Ended without anybody knowing whether it was done. */
     public boolean outcomeUnknown() {
-        return state == MessageState.FAILED && proof.startsWith(OUTCOME_UNKNOWN_PROOF);
+        return state == MessageState.FAILED && proof.startsWith(OUTCOME_UNKNOWN_PREFIX);
     }
 
     /** Whether it has an ordering key. */
@@ -185,7 +185,7 @@
         return tenant + "\n" + lane + "\n" + orderKey;
     }
 
-    String idempotencyGroup() {
+    String idempotencyKey() {
         return tenant + "\n" + lane + "\n" + id;
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
@@ -76,7 +76,7 @@
 
     /** Adds a message that was just accepted. */
     void add(Message message) {
-        handlesById.put(message.idempotencyGroup(), message.handle());
+        handlesById.put(message.idempotencyKey(), message.handle());
         queueByOrder(message);
         put(Optional.empty(), message);
     }
@@ -93,7 +93,7 @@
     void put(Optional<Message> before, Message message) {
         before.ifPresent(this::removeLive);
         messages.put(message.handle(), message);
-        if (message.state().ended()) {
+        if (message.state().isTerminal()) {
             keepEnded(message);
             leaveOrder(message);
             return;
@@ -163,7 +163,7 @@
 
     private void drop(Message message) {
         messages.remove(message.handle());
-        handlesById.remove(message.idempotencyGroup());
+        handlesById.remove(message.idempotencyKey());
         endedBytes -= message.size();
     }
 
@@ -172,13 +172,13 @@
         clear();
         List<Message> all = new ArrayList<>(restored);
         all.sort(Comparator.comparing(Message::seq));
-        all.stream().filter(message -> !message.state().ended()).forEach(this::queueByOrder);
+        all.stream().filter(message -> !message.state().isTerminal()).forEach(this::queueByOrder);
         all.forEach(this::restore);
     }
 
     private void restore(Message message) {
-        handlesById.put(message.idempotencyGroup(), message.handle());
-        if (message.state().ended()) {
+        handlesById.put(message.idempotencyKey(), message.handle());
+        if (message.state().isTerminal()) {
             messages.put(message.handle(), message);
             keepEnded(message);
         } else {
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -46,7 +46,7 @@
             String id,
             Replica<MessageCommand, MessageResult> replica,
             MessageStateMachine stateMachine,
-            Bucket units) {}
+            Bucket unitBucket) {}
 
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
@@ -175,8 +175,8 @@
         synchronized (nodeUnits) {
             Duration now = environment.clock().monotonicTime();
             nodeUnits.fill(now, 0);
-            partition.units().fill(now, 0);
-            if (nodeUnits.level() < units || !partition.units().take(units)) {
+            partition.unitBucket().fill(now, 0);
+            if (nodeUnits.level() < units || !partition.unitBucket().take(units)) {
                 return false;
             }
             return nodeUnits.take(units);
@@ -252,7 +252,7 @@
                         .replica()
                         .inspect(i -> partition
                                 .stateMachine()
-                                .anyEndedBefore(
+                                .hasExpired(
                                         limit.minusSeconds(MAX_EXPIRY_LAG_S),
                                         unclear.minusSeconds(MAX_EXPIRY_LAG_S)))) {
             partition
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
@@ -26,7 +26,7 @@
     }
 
     /** Whether no other state follows. */
-    public boolean ended() {
+    public boolean isTerminal() {
         return this == DONE || this == FAILED;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -74,7 +74,7 @@
     }
 
     /** When ended messages before a time are to be forgotten: is there any? */
-    public boolean anyEndedBefore(Instant before, Instant unclearBefore) {
+    public boolean hasExpired(Instant before, Instant unclearBefore) {
         return index.hasExpired(before, unclearBefore);
     }
 
@@ -107,7 +107,7 @@
         long sequence = lastSequence + 1;
         String handle = partition + "-" + sequence;
         Message message = Message.accepted(handle, sequence, accept);
-        Optional<Message> known = index.findById(message.idempotencyGroup());
+        Optional<Message> known = index.findById(message.idempotencyKey());
         if (known.isPresent()) {
             return repeated(known.get(), accept);
         }
@@ -178,7 +178,7 @@
     /** Of two leases only the later one may end a message. */
     private static boolean isLateSuccess(Message message, MessageCommands.End end) {
         return end.outcome() == AttemptOutcome.SUCCEEDED
-                && !message.state().ended()
+                && !message.state().isTerminal()
                 && end.attempt() <= message.attempt()
                 && (end.attempt() == message.attempt() || !message.leased());
     }
--- a/dataplane/src/test/java/org/woadvale/dataplane/delivery/SendGuardTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/delivery/SendGuardTest.java
@@ -11,19 +11,19 @@
     @Test
     void whatWasClosedIsNeverSent() {
         assertTrue(guard.close());
-        assertFalse(guard.leave(() -> true));
+        assertFalse(guard.trySend(() -> true));
     }
 
     @Test
     void whatWasSentCannotBeClosed() {
-        assertTrue(guard.leave(() -> true));
+        assertTrue(guard.trySend(() -> true));
         assertFalse(guard.close());
-        assertFalse(guard.leave(() -> true), "sent once only");
+        assertFalse(guard.trySend(() -> true), "sent once only");
     }
 
     @Test
     void aRefusedLastCheckSendsNothingAndMayBeTriedAgain() {
-        assertFalse(guard.leave(() -> false));
-        assertTrue(guard.leave(() -> true));
+        assertFalse(guard.trySend(() -> false));
+        assertTrue(guard.trySend(() -> true));
     }
 }
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageStateMachineTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageStateMachineTest.java
@@ -107,9 +107,9 @@
         assertTrue(end(pushed, 1, AttemptOutcome.SUCCEEDED));
         assertEquals(MessageState.DONE, message(pushed).state());
         String leased = accept("leased", "", "b");
-        start(leased, 1, Message.LEASED + "processor");
+        start(leased, 1, Message.LEASE_PREFIX + "processor");
         end(leased, 1, AttemptOutcome.OUTCOME_UNKNOWN);
-        start(leased, 2, Message.LEASED + "processor");
+        start(leased, 2, Message.LEASE_PREFIX + "processor");
         assertFalse(end(leased, 1, AttemptOutcome.SUCCEEDED));
         assertTrue(end(leased, 2, AttemptOutcome.SUCCEEDED));
     }
