--- a/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
+++ b/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
@@ -28,7 +28,7 @@
 
     /** The settings from the file and the flags; flags go first. */
     public Settings boot() throws ServiceException {
-        return Settings.read(boot).with(address, http, zone, data);
+        return Settings.read(boot).withFlags(address, http, zone, data);
     }
 
     /** Whether help was asked for. */
--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -19,20 +19,18 @@
 
 /** All that operators configure; its JSON has the names of the components. */
 public record Configuration(
-        @NotNull @Size(max = Configuration.MOST_ENTRIES)
+        @NotNull @Size(max = Configuration.MAX_ENTRIES)
         Map<@Pattern(regexp = NAME) String, @NotNull @Valid Tenant> tenants,
 
-        @NotNull @Size(max = Configuration.MOST_ENTRIES)
+        @NotNull @Size(max = Configuration.MAX_ENTRIES)
         Map<@Pattern(regexp = NAME) String, @NotNull @Valid Service> services,
 
-        @NotNull @Size(max = Configuration.MOST_ENTRIES)
-        Map<@Pattern(regexp = NAME) String, @NotNull @Valid Lane> lanes,
+        @NotNull @Size(max = Configuration.MAX_ENTRIES) Map<@Pattern(regexp = NAME) String, @NotNull @Valid Lane> lanes,
 
-        @NotNull @Size(max = Configuration.MOST_ENTRIES)
-        Map<@Pattern(regexp = NAME) String, @NotNull @Valid Key> keys) {
+        @NotNull @Size(max = Configuration.MAX_ENTRIES) Map<@Pattern(regexp = NAME) String, @NotNull @Valid Key> keys) {
 
     /** So many tenants, services, lanes or keys at the most. */
-    static final int MOST_ENTRIES = 10_000;
+    static final int MAX_ENTRIES = 10_000;
 
     /** What fits into one header field: printable ASCII without a space at either end. */
     public static final String GIVEN_NAME = "([!-~]([ -~]{0,253}[!-~])?)?";
@@ -122,7 +120,7 @@
      * What becomes of a message when nobody can say whether it was executed; RESEND is for processors that deduplicate
      * (docs/design.md, section 9.11).
      */
-    public enum IfUnclear {
+    public enum UnknownOutcomePolicy {
         /** It ends as failed, with a reason of its own. */
         FAIL,
         /** It runs again. */
@@ -134,7 +132,7 @@
     /**
      * A host and the beginning of a path by which a lane is addressed, besides its name. (docs/design.md, section 9.12)
      */
-    public record Door(
+    public record HttpRoute(
             @NotNull @Pattern(regexp = "[!-~]{1,255}") String host,
             @NotNull @Pattern(regexp = "/[!-~]{0,1023}") String prefix) {}
 
@@ -148,8 +146,8 @@
 
             @JsonProperty(required = true) @Min(1) @Max(100) int attempts,
             @Min(0) @Max(600000) long attemptMs,
-            IfUnclear ifUnclear,
-            @Size(max = 100) List<@NotNull @Valid Door> doors,
+            UnknownOutcomePolicy ifUnclear,
+            @Size(max = 100) List<@NotNull @Valid HttpRoute> doors,
             boolean keyless) {
         private static final long USUAL_ATTEMPT_MS = 5000;
 
@@ -157,7 +155,7 @@
         public Lane {
             attemptMs = attemptMs == 0 ? USUAL_ATTEMPT_MS : attemptMs;
             ordering = ordering == null ? Ordering.NONE : ordering;
-            ifUnclear = ifUnclear == null ? IfUnclear.FAIL : ifUnclear;
+            ifUnclear = ifUnclear == null ? UnknownOutcomePolicy.FAIL : ifUnclear;
             doors = doors == null ? List.of() : List.copyOf(doors);
         }
 
@@ -168,7 +166,7 @@
                 long timeLimitMs,
                 int attempts,
                 long attemptMs,
-                IfUnclear ifUnclear) {
+                UnknownOutcomePolicy ifUnclear) {
             this(service, ordering, timeLimitMs, attempts, attemptMs, ifUnclear, List.of(), false);
         }
 
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -44,7 +44,7 @@
     private Configurations() {}
 
     /** A configuration that keeps all rules; fails with every fault by its path. */
-    public static Configuration configuration(byte[] json) throws ServiceException {
+    public static Configuration parseAndValidate(byte[] json) throws ServiceException {
         Configuration configuration = read(json, Configuration.class, ErrorKind.INVALID_LAYOUT);
         List<String> faults = new ArrayList<>(faults(configuration));
         if (faults.isEmpty()) {
@@ -57,7 +57,7 @@
     }
 
     /** A configuration that was taken: it is used as the core keeps it, whatever this build would say of it. */
-    public static Configuration taken(byte[] kept) throws ServiceException {
+    public static Configuration readAccepted(byte[] kept) throws ServiceException {
         byte[] json = PackedConfiguration.unpack(kept);
         try {
             return JSON.readerFor(Configuration.class)
@@ -139,7 +139,7 @@
     }
 
     private static void laneFaults(Configuration configuration, List<String> faults) {
-        Map<Configuration.Door, String> byDoor = new HashMap<>();
+        Map<Configuration.HttpRoute, String> byDoor = new HashMap<>();
         configuration.lanes().forEach((name, lane) -> {
             String path = "lanes." + name;
             lane.doors()
--- a/common/src/main/java/org/woadvale/common/config/PackedConfiguration.java
+++ b/common/src/main/java/org/woadvale/common/config/PackedConfiguration.java
@@ -9,7 +9,7 @@
  */
 public final class PackedConfiguration {
     /** Shorter texts are kept as they are. */
-    public static final int WORTHWHILE_BYTES = 256 << 10;
+    public static final int COMPRESSION_THRESHOLD_BYTES = 256 << 10;
 
     private static final byte MARK = 0;
 
@@ -17,7 +17,7 @@
 
     /** The form to keep. */
     public static byte[] pack(byte[] json) {
-        if (json.length < WORTHWHILE_BYTES) {
+        if (json.length < COMPRESSION_THRESHOLD_BYTES) {
             return json;
         }
         byte[] deflated = Deflation.deflate(json);
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -143,7 +143,8 @@
             faults.add("data: a store needs a data folder");
         }
         if (faults.isEmpty() && settings.roles().contains("store")) {
-            sizes(settings, Runtime.getRuntime().maxMemory() >> MEBIBYTE_SHIFT).ifPresent(faults::add);
+            sizeFault(settings, Runtime.getRuntime().maxMemory() >> MEBIBYTE_SHIFT)
+                    .ifPresent(faults::add);
         }
         if (!faults.isEmpty()) {
             throw new InvalidRequestException("invalid", faults);
@@ -152,7 +153,7 @@
     }
 
     /** Whole partitions must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
-    static Optional<String> sizes(Settings settings, long heapMb) {
+    static Optional<String> sizeFault(Settings settings, long heapMb) {
         int parts = ServiceNames.MESSAGE_PARTITIONS;
         if (settings.partMb() * 2 > settings.ringFileMb()) {
             return Optional.of("partMb: a part of " + settings.partMb() + " MB needs ringFileMb of at least "
@@ -174,12 +175,12 @@
     }
 
     /** Where to listen, if that is not the address by which others know this process. */
-    public String listenAt() {
+    public String listenAddress() {
         return listen.isEmpty() ? address : listen;
     }
 
     /** With the flags that the command line gave; an empty flag changes nothing. */
-    public Settings with(String flagAddress, String flagHttp, String flagZone, String flagData)
+    public Settings withFlags(String flagAddress, String flagHttp, String flagZone, String flagData)
             throws ServiceException {
         return checked(new Settings(
                 or(flagAddress, address),
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -16,14 +16,14 @@
  * once, however many nodes ask for it. Thread-safe. (docs/design.md, section 7.3)
  */
 public final class ViewCompression {
-    static final int WORTHWHILE_BYTES = 512;
+    static final int COMPRESSION_THRESHOLD_BYTES = 512;
 
     private record Deflated(long version, byte[] bytes) {}
 
     private volatile Deflated latest = new Deflated(-1, new byte[0]);
 
     /** The reply as {@link #pack} makes it, or its failure. */
-    public Mono<ControlMessages.ServiceViewResponse> reply(
+    public Mono<ControlMessages.ServiceViewResponse> packOrError(
             ControlMessages.ServiceViewRequest request, ControlMessages.ServiceViewResponse response) {
         try {
             return Mono.just(pack(request, response));
@@ -90,7 +90,7 @@
     }
 
     private static boolean isWorthwhile(ServiceView view) {
-        return view.configuration().length >= WORTHWHILE_BYTES;
+        return view.configuration().length >= COMPRESSION_THRESHOLD_BYTES;
     }
 
     private byte[] deflated(ServiceView view) {
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -82,7 +82,7 @@
     }
 
     /** ControlMessages the core for one service at once, when waiting for the next poll would refuse somebody. */
-    public void pollSoon(String service) {
+    public void pollEarly(String service) {
         Map<String, Long> known = shard.get(() -> {
             SubscribedView subscribedView = touch(service);
             if (!subscribedView.lastEarlyPoll.isZero()
@@ -255,7 +255,8 @@
 
     /** As a home node: answers with the views that are here and their age, and subscribes to those that are not. */
     public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest request) {
-        return Mono.fromSupplier(() -> byService(request)).flatMap(response -> compression.reply(request, response));
+        return Mono.fromSupplier(() -> byService(request))
+                .flatMap(response -> compression.packOrError(request, response));
     }
 
     private ControlMessages.ServiceViewResponse byService(ControlMessages.ServiceViewRequest request) {
--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -36,7 +36,7 @@
     private record Requester(Duration last, int largestRequest) {}
 
     private final long term;
-    private final Bucket bucket;
+    private final TokenBucket bucket;
     private final Map<String, Grant> byId = new HashMap<>();
     private final Deque<Grant> byEnd = new ArrayDeque<>();
     private final Map<String, Requester> requesters = new HashMap<>();
@@ -56,7 +56,7 @@
         double level = first ? limit.burst() : Math.max(0, Math.min(limit.burst(), handedLevel));
         this.formerOutstanding = first || clear ? 0 : limit.burst() - level;
         this.formerOutstandingUntil = now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN);
-        this.bucket = new Bucket(limit, level, now);
+        this.bucket = new TokenBucket(limit, level, now);
     }
 
     private void fill(Duration to) {
@@ -84,14 +84,14 @@
     }
 
     /** The nodes that have asked lately. */
-    public int active() {
+    public int activeRequesters() {
         return Math.max(1, requesters.size());
     }
 
     /** Another limit applies from now on. */
-    public void change(RateLimit limit, Duration now) {
+    public void setLimit(RateLimit limit, Duration now) {
         expireGrants(now);
-        bucket.change(limit);
+        bucket.setLimit(limit);
     }
 
     /** Step by step: the time in which passes were out is not counted as time of filling once they are dead. */
@@ -142,11 +142,11 @@
         // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted.
         // (docs/design.md, section 8.3)
         RateLimit mine = bucket.limit();
-        int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / active());
+        int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / activeRequesters());
         int want = Math.max(Math.min(batch, most), request.minimum());
-        int tokens = (int) Math.min(want, Math.floor(bucket.level() + Bucket.ROUNDING));
+        int tokens = (int) Math.min(want, Math.floor(bucket.level() + TokenBucket.ROUNDING));
         if (tokens <= 0 || !bucket.take(tokens)) {
-            return new TokenMessages.TokenResponse(request.grant(), 0, bucket.until(1), term, lifetime);
+            return new TokenMessages.TokenResponse(request.grant(), 0, bucket.timeUntil(1), term, lifetime);
         }
         Grant grant = new Grant(
                 requester,
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBucket.java
@@ -42,7 +42,7 @@
     private int lastBatch;
 
     /** Tokens that may be taken right now. */
-    public int left(Duration now) {
+    public int available(Duration now) {
         return batches.stream().mapToInt(batch -> batch.left(now)).sum();
     }
 
@@ -87,7 +87,7 @@
 
     /** Ahead of need: below half a batch; a batch of one is asked for only on demand. */
     public boolean isLow(Duration now) {
-        int left = left(now);
+        int left = available(now);
         return left == 0 || (lastBatch >= 2 && left * 2 <= lastBatch);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** Whether batches are so small that each token counts. */
-    public boolean isTiny() {
+    public boolean hasSingleTokenBatches() {
         return lastBatch < 2;
     }
 
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -180,7 +180,7 @@
     private void refill(String bucket, BucketState bucketState) {
         boolean need = !bucketState.waiting.isEmpty()
                 || bucketState.requestLost
-                || (bucketState.localBucket.isLow(now()) && !bucketState.localBucket.isTiny());
+                || (bucketState.localBucket.isLow(now()) && !bucketState.localBucket.hasSingleTokenBatches());
         if (!need || bucketState.requestInFlight || now().compareTo(bucketState.notBefore) < 0) {
             return;
         }
@@ -188,7 +188,7 @@
                 Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
         if (owner.isEmpty()) {
             bucketState.notBefore = now().plus(RETRY_PAUSE);
-            shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
+            shard.afterUnlock(() -> subscriptions.pollEarly(bucket));
             return;
         }
         if (bucketState.pending == 0
@@ -214,7 +214,7 @@
                             bucketState.requestInFlight = false;
                             bucketState.notBefore = now().plus(RETRY_PAUSE);
                             // the owner may be another by now
-                            shard.afterUnlock(() -> subscriptions.pollSoon(bucket));
+                            shard.afterUnlock(() -> subscriptions.pollEarly(bucket));
                         })));
     }
 
--- a/common/src/main/java/org/woadvale/common/ratelimit/Bucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenBucket.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** A plain token bucket on a given clock; the base of every other bucket here. (docs/design.md, section 8.1) */
-public final class Bucket {
+public final class TokenBucket {
     /** A level that is short of a whole number by less than this counts as that number. */
     static final double ROUNDING = 1e-9;
 
@@ -14,19 +14,19 @@
     private Duration filled;
 
     /** A bucket with so many tokens at a time. */
-    public Bucket(RateLimit allowance, double level, Duration from) {
+    public TokenBucket(RateLimit allowance, double level, Duration from) {
         this.limit = allowance;
         this.level = Math.min(level, allowance.burst());
         this.filled = from;
     }
 
     /** A bucket with as many tokens as it can hold. */
-    public static Bucket full(RateLimit limit, Duration now) {
-        return new Bucket(limit, limit.burst(), now);
+    public static TokenBucket full(RateLimit limit, Duration now) {
+        return new TokenBucket(limit, limit.burst(), now);
     }
 
     /** Another limit applies from now on; what is above it is lost. */
-    public void change(RateLimit rateLimit) {
+    public void setLimit(RateLimit rateLimit) {
         limit = rateLimit;
         level = Math.min(level, rateLimit.burst());
     }
@@ -65,7 +65,7 @@
     }
 
     /** How long until so many tokens are there, if nobody else takes any. */
-    public Duration until(double tokens) {
+    public Duration timeUntil(double tokens) {
         double missing = Math.max(0, tokens - level);
         return Duration.ofNanos((long) (missing / limit.ratePerS() * NANOS_PER_SECOND));
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -201,7 +201,7 @@
             if (allowance.isEmpty()) {
                 return Mono.error(new StaleViewException("The layout here is not proven fresh."));
             }
-            ownedBucket.bucket.change(allowance.get(), now());
+            ownedBucket.bucket.setLimit(allowance.get(), now());
             TokenMessages.TokenResponse response =
                     ownedBucket.bucket.grant(requester, request, ownedBucket.leaseEnd, now());
             requests++;
--- a/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
+++ b/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
@@ -18,7 +18,7 @@
     private static List<String> faults(String json) {
         return assertThrows(
                         ServiceException.class,
-                        () -> Configurations.configuration(json.getBytes(StandardCharsets.UTF_8)))
+                        () -> Configurations.parseAndValidate(json.getBytes(StandardCharsets.UTF_8)))
                 .details();
     }
 
@@ -60,7 +60,7 @@
                 faults(json.replace(",\"later\":1", "")));
         assertEquals(
                 2,
-                Configurations.taken(json.getBytes(StandardCharsets.UTF_8))
+                Configurations.readAccepted(json.getBytes(StandardCharsets.UTF_8))
                         .services()
                         .size());
     }
@@ -75,16 +75,16 @@
     /** Each bound, and the usual sizes within all of them. */
     @Test
     void partsThatRingOrHeapCannotCarryAreRefused() throws ServiceException {
-        assertEquals(Optional.empty(), Settings.sizes(store(16, 16, 8), 160));
+        assertEquals(Optional.empty(), Settings.sizeFault(store(16, 16, 8), 160));
         assertEquals(
                 "partMb: a part of 16 MB needs ringFileMb of at least 32",
-                Settings.sizes(store(16, 16, 16), 4096).get());
+                Settings.sizeFault(store(16, 16, 16), 4096).get());
         assertEquals(
                 "partMb: 8 parts of 8 MB need a ring of 176 MB, it has 128",
-                Settings.sizes(store(8, 16, 8), 4096).get());
+                Settings.sizeFault(store(8, 16, 8), 4096).get());
         assertEquals(
                 "partMb: 8 parts of 8 MB need a heap of 160 MB, it has 159",
-                Settings.sizes(store(16, 16, 8), 159).get());
+                Settings.sizeFault(store(16, 16, 8), 159).get());
     }
 
     private static Settings store(int files, int fileMb, int partMb) {
--- a/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
+++ b/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
@@ -59,7 +59,7 @@
     /** Large ones are kept deflated by the core: askers get the same bytes, or the text if they cannot inflate. */
     @Test
     void keptDeflatedOneIsSentAsItIsKeptOrAsText() throws ServiceException {
-        byte[] text = text(PackedConfiguration.WORTHWHILE_BYTES);
+        byte[] text = text(PackedConfiguration.COMPRESSION_THRESHOLD_BYTES);
         byte[] kept = PackedConfiguration.pack(text);
         assertTrue(kept.length < text.length / 2);
         ControlMessages.ServiceViewResponse packed = compression.pack(ASK, reply(kept));
--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -103,7 +103,7 @@
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, timers);
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAddress(), codec, router, timers);
         RingWriteAheadLog wal;
         try {
             wal = RingWriteAheadLog.open(
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
@@ -37,7 +37,7 @@
     }
 
     private Mono<Response> put(Request request) throws ServiceException {
-        Configurations.configuration(request.body());
+        Configurations.parseAndValidate(request.body());
         long base = request.header("if-match")
                 .map(header -> header.replace("\"", ""))
                 .filter(header -> header.matches(VERSION))
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -124,7 +124,7 @@
         router.on(
                         ControlMessages.ServiceViewRequest.class,
                         (from, request) ->
-                                changedViews(request).flatMap(response -> compression.reply(request, response)))
+                                changedViews(request).flatMap(response -> compression.packOrError(request, response)))
                 .on(ControlMessages.CoreMembersRequest.class, (from, request) -> Mono.just(core.membersResponse()))
                 .on(ControlMessages.AnnounceStandbyRequest.class, (from, request) -> membership.onAnnouncement(request))
                 .on(ControlMessages.LeaveCoreRequest.class, (from, request) -> membership.onLeaveRequest(request));
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -79,7 +79,7 @@
         Set<String> names = new TreeSet<>();
         if (kept.length > 0) {
             try {
-                Configurations.taken(kept).services().forEach((name, service) -> {
+                Configurations.readAccepted(kept).services().forEach((name, service) -> {
                     if (service.kind() == Configuration.Kind.PROCESSORS) {
                         names.add(name);
                     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -27,20 +27,20 @@
     private static final double DELIVERY_BURST_S = 0.4;
 
     /** A configuration, read once. */
-    public record Known(
+    public record IndexedConfiguration(
             long version,
             Configuration configuration,
             Map<String, Configuration.Key> keysByHash,
-            Map<String, RateLimit> allowances,
-            Map<String, TreeMap<String, String>> doors) {
+            Map<String, RateLimit> rateLimits,
+            Map<String, TreeMap<String, String>> lanesByHost) {
         /** The key with a secret, if the configuration has it. */
         public Optional<Configuration.Key> key(String secret) {
             return Optional.ofNullable(keysByHash.get(Configurations.sha256(secret)));
         }
 
         /** The lane whose door has the host and the longest beginning of the path. (docs/design.md, section 9.12) */
-        public Optional<String> laneAt(String host, String path) {
-            TreeMap<String, String> byPrefix = doors.getOrDefault(host, new TreeMap<>());
+        public Optional<String> laneFor(String host, String path) {
+            TreeMap<String, String> byPrefix = lanesByHost.getOrDefault(host, new TreeMap<>());
             return byPrefix.entrySet().stream()
                     .filter(entry -> path.startsWith(entry.getKey()))
                     .max(Comparator.comparingInt(entry -> entry.getKey().length()))
@@ -49,7 +49,7 @@
     }
 
     private final ViewSubscriptions subscriptions;
-    private volatile Known known = read(0, new byte[0]);
+    private volatile IndexedConfiguration known = read(0, new byte[0]);
 
     /** The configuration as the subscription of this node has it. */
     public ConfigurationView(ViewSubscriptions subscriptions) {
@@ -61,7 +61,7 @@
         });
     }
 
-    private synchronized Known onView(ServiceView view) {
+    private synchronized IndexedConfiguration onView(ServiceView view) {
         if (view.configurationVersion() > known.version()) {
             known = read(view.configurationVersion(), view.configuration());
             LOG.info("Configuration {} is in force here.", view.configurationVersion());
@@ -69,10 +69,10 @@
         return known;
     }
 
-    private static Known read(long version, byte[] json) {
+    private static IndexedConfiguration read(long version, byte[] json) {
         Configuration configuration = Configuration.empty();
         try {
-            configuration = json.length == 0 ? configuration : Configurations.taken(json);
+            configuration = json.length == 0 ? configuration : Configurations.readAccepted(json);
         } catch (ServiceException failure) {
             LOG.error("Configuration {} is unreadable here: {}", version, failure.details());
         }
@@ -96,18 +96,18 @@
                 .forEach((n, lane) -> lane.doors()
                         .forEach(door -> doors.computeIfAbsent(door.host(), h -> new TreeMap<>())
                                 .put(door.prefix(), n)));
-        return new Known(version, configuration, keys, allowances, doors);
+        return new IndexedConfiguration(version, configuration, keys, allowances, doors);
     }
 
     /** The configuration in force; empty while what is known here is too old. */
-    public Optional<Known> fresh() {
+    public Optional<IndexedConfiguration> fresh() {
         return subscriptions
                 .fresh(ServiceNames.CONFIGURATION)
                 .map(view -> view.configurationVersion() == known.version() ? known : onView(view));
     }
 
     /** The configuration in force; fails with STALE_VIEW while what is known here is too old. */
-    public Known require() throws ServiceException {
+    public IndexedConfiguration requireFresh() throws ServiceException {
         return fresh().orElseThrow(() -> new StaleViewException("This node is not in touch with the core."));
     }
 
@@ -130,11 +130,11 @@
 
     /** The allowance behind a bucket's name; empty where the configuration has none or is not proven fresh. */
     public Optional<RateLimit> admissionLimit(String bucket) {
-        return fresh().flatMap(known -> Optional.ofNullable(known.allowances().get(bucket)));
+        return fresh().flatMap(known -> Optional.ofNullable(known.rateLimits().get(bucket)));
     }
 
     /** Every shared bucket that the latest configuration calls for. */
-    public Set<String> buckets() {
-        return known.allowances().keySet();
+    public Set<String> bucketNames() {
+        return known.rateLimits().keySet();
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -45,7 +45,7 @@
     private final PartitionReplicas members;
     private final IngressNode ingress;
     private final Intake intake;
-    private final PullService fetches;
+    private final PullService pullService;
     private final MessageQueries queries;
     private final LeaseRenewal lease;
     private TimerHandle refreshing = () -> {};
@@ -72,7 +72,7 @@
         SubmitForwarder forwarder = new SubmitForwarder(environment, subscriptions, boot.zone());
         this.granters = boot.roles().contains("intake")
                 ? Optional.of(new TokenGranters(
-                        environment, core, subscriptions, configurations::admissionLimit, configurations::buckets))
+                        environment, core, subscriptions, configurations::admissionLimit, configurations::bucketNames))
                 : Optional.empty();
         this.store = boot.roles().contains(StoreRole.NAME)
                 ? Optional.of(new StoreRole(
@@ -81,7 +81,7 @@
         this.members = new PartitionReplicas(environment, subscriptions, store.map(StoreRole::partitions));
         this.lease = new LeaseRenewal(environment, boot, core, subscriptions, members);
         this.intake = new Intake(environment, configurations, localBuckets, forwarder);
-        this.fetches =
+        this.pullService =
                 new PullService(environment, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
         this.queries = new MessageQueries(configurations, forwarder);
         this.ingress = new IngressNode(
@@ -127,9 +127,9 @@
             granters.ifPresent(TokenGranters::drain);
             lease.leave();
         }
-        boolean drained = store.map(StoreRole::drain).orElse(true) && !lease.successorAtWork();
+        boolean drained = store.map(StoreRole::drain).orElse(true) && !lease.isSuccessorTakingOver();
         if (drained) {
-            lease.left();
+            lease.leaveStoreRole();
         }
         return drained;
     }
@@ -153,7 +153,7 @@
     }
 
     /** The members of each message partition's group that this store knows. */
-    public Map<String, Set<String>> groups() {
+    public Map<String, Set<String>> partitionGroups() {
         return members.groups();
     }
 
@@ -168,13 +168,13 @@
     }
 
     /** Each message partition here counts in its group. */
-    public boolean promotedEverywhere() {
+    public boolean votingEverywhere() {
         return members.votingEverywhere();
     }
 
     /** How many message partitions this node owns now. */
-    public long ledCount() {
-        return members.ledCount();
+    public long ledPartitionCount() {
+        return members.ledPartitionCount();
     }
 
     /** The term of a message partition as known here; zero where it is not. */
@@ -203,8 +203,8 @@
     }
 
     /** Pulls of processors by way of this node. */
-    public PullService fetches() {
-        return fetches;
+    public PullService pullService() {
+        return pullService;
     }
 
     /** Queries for messages by way of this node. */
@@ -231,7 +231,10 @@
         out.put("draining", draining);
         out.put(
                 "layout",
-                configurations.fresh().map(ConfigurationView.Known::version).orElse(-1L));
+                configurations
+                        .fresh()
+                        .map(ConfigurationView.IndexedConfiguration::version)
+                        .orElse(-1L));
         out.put("passes", localBuckets.counts());
         granters.ifPresent(granters -> out.put(
                 "holds",
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -53,7 +53,8 @@
 
     /** Runs the program; see {@code --help}. */
     public static void main(String[] args) {
-        System.exit(new Program("dataplane", DataPlaneProgram::check, DataPlaneProgram::grow, DRAIN::get).main(args));
+        System.exit(new Program("dataplane", DataPlaneProgram::check, DataPlaneProgram::createSupervisor, DRAIN::get)
+                .main(args));
     }
 
     /** The running node's orderly way out; nothing before it runs. */
@@ -71,8 +72,9 @@
         }
     }
 
-    static Supervisor grow(Settings settings, SystemTimers timers, Runnable onGivenUp) throws ServiceException {
-        return grow(
+    static Supervisor createSupervisor(Settings settings, SystemTimers timers, Runnable onGivenUp)
+            throws ServiceException {
+        return createSupervisor(
                 settings,
                 timers,
                 onGivenUp,
@@ -81,7 +83,7 @@
     }
 
     /** The tree with other doors, and another way of speaking to back ends. (docs/design.md, section 1) */
-    public static Supervisor grow(
+    public static Supervisor createSupervisor(
             Settings settings,
             SystemTimers timers,
             Runnable onGivenUp,
@@ -90,7 +92,7 @@
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
-        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAt(), codec, router, timers);
+        TcpRpcClient rpc = new TcpRpcClient(settings.address(), settings.listenAddress(), codec, router, timers);
         WriteAheadLog wal = wal(settings, timers);
         wal.onFailure(reason -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -131,7 +131,7 @@
     }
 
     /** The node holds nothing more that others need, or its time is over. */
-    void left() {
+    void leaveStoreRole() {
         if (presence != Presence.LEFT) {
             presence = Presence.LEFT;
             settings.roles().stream().filter(role -> role.equals("store")).forEach(this::giveUp);
@@ -148,7 +148,7 @@
     }
 
     /** Another store stands ready to take over the replicas of this one, and has not taken over all of them. */
-    boolean successorAtWork() {
+    boolean isSuccessorTakingOver() {
         Map<String, MemberLease> stores =
                 subscriptions.latest(ServiceNames.STORES).members();
         List<String> others = stores.keySet().stream()
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -82,7 +82,7 @@
                 .orElse(true);
     }
 
-    long ledCount() {
+    long ledPartitionCount() {
         return partitions
                 .map(messagePartitions -> messagePartitions.all().values().stream()
                         .filter(partition -> partition.replica().isActiveLeader())
@@ -122,7 +122,7 @@
                                     "group",
                                     partition.replica().members().keySet())));
             out.put("parts", parts);
-            out.put("owned", ledCount());
+            out.put("owned", ledPartitionCount());
             out.put("seated", !assigned().isEmpty() && notVoting().isEmpty());
             out.put("syncs", environment.wal().syncs());
             out.put("ringFilesWritten", environment.wal().filesWritten());
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.ratelimit.Bucket;
 import org.woadvale.common.ratelimit.RateLimit;
+import org.woadvale.common.ratelimit.TokenBucket;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
@@ -28,7 +28,7 @@
     private final DispatchContext context;
     private final MessagePartition partition;
     private final Set<String> busy = ConcurrentHashMap.newKeySet();
-    private final Map<String, Bucket> retries = new HashMap<>();
+    private final Map<String, TokenBucket> retries = new HashMap<>();
     private final DeliveryPolicy policy;
     private final DeliveryLeases leases;
     private int turn;
@@ -183,8 +183,9 @@
     }
 
     synchronized boolean retryAllowed(String lane) {
-        Bucket bucket = retries.computeIfAbsent(
-                lane, k -> Bucket.full(RETRIES, context.environment().clock().monotonicTime()));
+        TokenBucket bucket = retries.computeIfAbsent(
+                lane,
+                k -> TokenBucket.full(RETRIES, context.environment().clock().monotonicTime()));
         bucket.fill(context.environment().clock().monotonicTime(), 0);
         return bucket.take(1);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -25,7 +25,7 @@
         this.forwarder = forwarder;
     }
 
-    static String partOf(String handle) throws ServiceException {
+    static String partitionOf(String handle) throws ServiceException {
         String partition = handle.replaceAll("-.*", "");
         if (!handle.matches(HANDLE) || !ServiceNames.messagePartitions().contains(partition)) {
             throw new NotFoundException("No such message.");
@@ -38,11 +38,11 @@
         return Mono.defer(() -> {
             try {
                 Configuration.Key key = configurations
-                        .require()
+                        .requireFresh()
                         .key(secret)
                         .filter(k -> k.role() == Configuration.Role.CALLER)
                         .orElseThrow(() -> new UnauthorizedException("The key is missing, wrong or withdrawn."));
-                String partition = partOf(handle);
+                String partition = partitionOf(handle);
                 return forwarder.call(
                         partition,
                         new MessageCommands.StatusRequest(partition, handle, key.tenant()),
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -149,7 +149,7 @@
         if (outcome.outcome().equals("done") && outcome.receipt().isBlank()) {
             throw new InvalidRequestException("Done needs a receipt.");
         }
-        String partition = MessageQueries.partOf(handle);
+        String partition = MessageQueries.partitionOf(handle);
         Instant now = environment.clock().wallTime();
         MessageCommands.End end = new MessageCommands.End(
                 handle, outcome.attempt(), ending(outcome), outcome.receipt(), now.plus(RETRY_DELAY), now);
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -43,22 +43,22 @@
         }
 
         /** The text that a processor is given. */
-        public String word() {
+        public String format() {
             return handle + "." + attempt;
         }
 
         /** Empty where it was never one of ours. */
-        public static Optional<LeaseId> read(String word) {
+        public static Optional<LeaseId> parse(String word) {
             if (!word.matches("m[0-9]{1,4}-[0-9]{1,18}\\.[0-9]{1,9}")) {
                 return Optional.empty();
             }
             LeaseId leaseId = new LeaseId(
                     word.substring(0, word.indexOf('.')), Integer.parseInt(word.substring(word.indexOf('.') + 1)));
             return Optional.of(leaseId)
-                    .filter(lease -> ServiceNames.messagePartitions().contains(lease.part()));
+                    .filter(lease -> ServiceNames.messagePartitions().contains(lease.partition()));
         }
 
-        String part() {
+        String partition() {
             return handle.substring(0, handle.indexOf('-'));
         }
     }
@@ -167,8 +167,8 @@
     public Mono<Boolean> extend(LeaseId lease) {
         return forwarder
                 .call(
-                        lease.part(),
-                        new MessageCommands.ExtendLeaseRequest(lease.part(), lease.handle(), lease.attempt()),
+                        lease.partition(),
+                        new MessageCommands.ExtendLeaseRequest(lease.partition(), lease.handle(), lease.attempt()),
                         ControlMessages.UpdateResult.class,
                         LIMIT)
                 .map(ControlMessages.UpdateResult::accepted)
@@ -181,8 +181,8 @@
         MessageCommands.End end = new MessageCommands.End(lease.handle(), lease.attempt(), ending, word, now, now);
         return forwarder
                 .call(
-                        lease.part(),
-                        new MessageCommands.EndLeaseRequest(lease.part(), end),
+                        lease.partition(),
+                        new MessageCommands.EndLeaseRequest(lease.partition(), end),
                         MessageCommands.TransitionResult.class,
                         LIMIT)
                 .map(MessageCommands.TransitionResult::applied)
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -24,7 +24,7 @@
     }
 
     Configuration.Key key(Request request, Configuration.Role role) throws ServiceException {
-        ConfigurationView.Known known = configurations.require();
+        ConfigurationView.IndexedConfiguration known = configurations.requireFresh();
         Optional<Configuration.Key> key = request.secret().flatMap(known::key);
         if (key.isEmpty()) {
             throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
@@ -37,7 +37,7 @@
 
     /** Empty where the lane asks for no key. */
     Optional<Configuration.Key> callerKey(String secret, String lane) throws ServiceException {
-        ConfigurationView.Known known = configurations.require();
+        ConfigurationView.IndexedConfiguration known = configurations.requireFresh();
         Optional<Configuration.Key> key = known.key(secret).filter(x -> x.role() == Configuration.Role.CALLER);
         if (key.isEmpty() && !lane(lane).keyless()) {
             throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
@@ -48,14 +48,14 @@
     /** What processors are told as the name of a tenant, where it is not its name here; else empty. */
     String givenName(String tenant) throws ServiceException {
         return Optional.ofNullable(
-                        configurations.require().configuration().tenants().get(tenant))
+                        configurations.requireFresh().configuration().tenants().get(tenant))
                 .map(Configuration.Tenant::givenName)
                 .orElse("");
     }
 
     Configuration.Lane lane(String name) throws ServiceException {
         return Optional.ofNullable(
-                        configurations.require().configuration().lanes().get(name))
+                        configurations.requireFresh().configuration().lanes().get(name))
                 .orElseThrow(() -> new UnknownLaneException("There is no lane " + name + "."));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -18,8 +18,8 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.ThrottledException;
 import org.woadvale.common.membership.ServiceNames;
-import org.woadvale.common.ratelimit.Bucket;
 import org.woadvale.common.ratelimit.RateLimit;
+import org.woadvale.common.ratelimit.TokenBucket;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicationMessages;
@@ -46,12 +46,12 @@
             String id,
             Replica<MessageCommand, MessageResult> replica,
             MessageStateMachine stateMachine,
-            Bucket unitBucket) {}
+            TokenBucket unitBucket) {}
 
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final Map<String, MessagePartition> partitions = new ConcurrentHashMap<>();
-    private final Bucket nodeUnits;
+    private final TokenBucket nodeUnits;
     private final RateLimit partitionLimit;
     private final long maxPartitionBytes;
     private Consumer<MessagePartition> onOpen = partition -> {};
@@ -72,7 +72,7 @@
         this.maxPartitionBytes = partBytes;
         this.environment = environment;
         this.subscriptions = subscriptions;
-        this.nodeUnits = Bucket.full(node, environment.clock().monotonicTime());
+        this.nodeUnits = TokenBucket.full(node, environment.clock().monotonicTime());
         this.partitionLimit = partition;
         this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
@@ -218,7 +218,7 @@
                 string,
                 replica,
                 stateMachine,
-                Bucket.full(partitionLimit, environment.clock().monotonicTime()));
+                TokenBucket.full(partitionLimit, environment.clock().monotonicTime()));
         partitions.put(string, partition);
         onOpen.accept(partition);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
@@ -26,7 +26,7 @@
                 lane.timeLimitMs(),
                 lane.attempts(),
                 lane.attemptMs(),
-                lane.ifUnclear() == Configuration.IfUnclear.RERUN,
-                lane.ifUnclear() == Configuration.IfUnclear.RESEND);
+                lane.ifUnclear() == Configuration.UnknownOutcomePolicy.RERUN,
+                lane.ifUnclear() == Configuration.UnknownOutcomePolicy.RESEND);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -63,7 +63,7 @@
         this.localBuckets = new LocalBuckets(environment, subscriptions);
         this.holders = role.equals(ServiceNames.INTAKES)
                 ? Optional.of(new TokenGranters(
-                        environment, core, subscriptions, configurations::admissionLimit, configurations::buckets))
+                        environment, core, subscriptions, configurations::admissionLimit, configurations::bucketNames))
                 : Optional.empty();
         RpcRouter router = new RpcRouter();
         router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
@@ -124,7 +124,10 @@
 
     /** The configuration that this node may use now; -1 where none is proven fresh. (docs/design.md, section 7.2) */
     long configurationVersion() {
-        return configurations.fresh().map(ConfigurationView.Known::version).orElse(-1L);
+        return configurations
+                .fresh()
+                .map(ConfigurationView.IndexedConfiguration::version)
+                .orElse(-1L);
     }
 
     int members() {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -37,7 +37,7 @@
                         30000,
                         5,
                         3000,
-                        Configuration.IfUnclear.FAIL));
+                        Configuration.UnknownOutcomePolicy.FAIL));
         return new Configuration(configuration.tenants(), configuration.services(), lanes, configuration.keys());
     }
 
@@ -173,7 +173,12 @@
         lanes.put(
                 "broken",
                 new Configuration.Lane(
-                        "nowhere", Configuration.Ordering.NONE, 30000, 5, 3000, Configuration.IfUnclear.FAIL));
+                        "nowhere",
+                        Configuration.Ordering.NONE,
+                        30000,
+                        5,
+                        3000,
+                        Configuration.UnknownOutcomePolicy.FAIL));
         simulation.put(
                 new Configuration(
                         simulation.configuration.tenants(),
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -148,7 +148,7 @@
                     Optional<Configuration> configuration = optional.filter(response -> response.status() == 200)
                             .flatMap(response -> {
                                 try {
-                                    return Optional.of(Configurations.configuration(response.body()));
+                                    return Optional.of(Configurations.parseAndValidate(response.body()));
                                 } catch (ServiceException failure) {
                                     return Optional.empty();
                                 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -143,7 +143,7 @@
 
     private static boolean valid(byte[] json) {
         try {
-            Configurations.configuration(json);
+            Configurations.parseAndValidate(json);
             return true;
         } catch (ServiceException failure) {
             return false;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
@@ -208,7 +208,7 @@
                 && presentStores().stream()
                         .allMatch(s ->
                                 dataPlaneNodes.get(s).status().get("seated").equals(true)
-                                        && dataPlaneNodes.get(s).groups().values().stream()
+                                        && dataPlaneNodes.get(s).partitionGroups().values().stream()
                                                 .noneMatch(g -> g.stream().anyMatch(this::lost)))
                 && presentControlNodes().stream()
                         .allMatch(l -> ServiceNames.controlPartitions().stream()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -95,7 +95,7 @@
         long terms = 0;
         for (String s : simulation.w.stores) {
             stores.add(
-                    simulation.w.host(s).alive() ? simulation.w.dataPlaneNode(s).ledCount() : 0);
+                    simulation.w.host(s).alive() ? simulation.w.dataPlaneNode(s).ledPartitionCount() : 0);
         }
         for (String l : simulation.w.controlNodes) {
             controlNodes.add(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -136,11 +136,11 @@
         Set<String> expected = new TreeSet<>(fleet.w.presentStores());
         return fleet.w.dataPlaneNode(successor).notVotingCount() == 0
                 && fleet.w.presentStores().stream()
-                        .allMatch(
-                                store -> fleet.w.dataPlaneNode(store).groups().size() == ServiceNames.MESSAGE_PARTITIONS
-                                        && fleet.w.dataPlaneNode(store).groups().values().stream()
+                        .allMatch(store ->
+                                fleet.w.dataPlaneNode(store).partitionGroups().size() == ServiceNames.MESSAGE_PARTITIONS
+                                        && fleet.w.dataPlaneNode(store).partitionGroups().values().stream()
                                                 .allMatch(expected::equals))
-                && fleet.w.dataPlaneNode(successor).promotedEverywhere();
+                && fleet.w.dataPlaneNode(successor).votingEverywhere();
     }
 
     /** Any of the stores that count, the successor too; its disk is lost with it. */
@@ -167,7 +167,7 @@
 
     private boolean everyPartitionIsLed() {
         return fleet.w.presentStores().stream()
-                        .mapToLong(store -> fleet.w.dataPlaneNode(store).ledCount())
+                        .mapToLong(store -> fleet.w.dataPlaneNode(store).ledPartitionCount())
                         .sum()
                 == ServiceNames.MESSAGE_PARTITIONS;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
@@ -69,7 +69,7 @@
                         TIME_LIMIT_MS,
                         ATTEMPTS,
                         3000,
-                        Configuration.IfUnclear.FAIL));
+                        Configuration.UnknownOutcomePolicy.FAIL));
         l.put(
                 "accept",
                 new Configuration.Lane(
@@ -78,7 +78,7 @@
                         TIME_LIMIT_MS,
                         ATTEMPTS,
                         3000,
-                        Configuration.IfUnclear.FAIL));
+                        Configuration.UnknownOutcomePolicy.FAIL));
         for (int i = 0; i < endpoints; i++) {
             s.put(
                     endpoint(i),
@@ -91,7 +91,7 @@
                             TIME_LIMIT_MS,
                             ATTEMPTS,
                             3000,
-                            Configuration.IfUnclear.FAIL));
+                            Configuration.UnknownOutcomePolicy.FAIL));
         }
         return new Configuration(t, s, l, k);
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -27,7 +27,7 @@
     private static boolean allParts(FleetSimulation simulation, String store, boolean voting) {
         return simulation.w.stores.stream()
                 .filter(s -> simulation.w.host(s).alive())
-                .allMatch(s -> simulation.w.dataPlaneNode(s).groups().values().stream()
+                .allMatch(s -> simulation.w.dataPlaneNode(s).partitionGroups().values().stream()
                         .allMatch(g -> g.contains(store) == voting));
     }
 
@@ -41,7 +41,12 @@
         String spare = simulation.w.newStore();
         assertTrue(
                 simulation.w.sim.runUntil(
-                        () -> simulation.w.dataPlaneNode(spare).groups().size() == 8
+                        () -> simulation
+                                                .w
+                                                .dataPlaneNode(spare)
+                                                .partitionGroups()
+                                                .size()
+                                        == 8
                                 && allParts(simulation, lost, false),
                         Duration.ofSeconds(60)),
                 "the spare is not seated everywhere");
@@ -62,17 +67,22 @@
         String fresh = simulation.w.newStore();
         assertTrue(
                 simulation.w.sim.runUntil(
-                        () -> simulation.w.dataPlaneNode(fresh).groups().size() == 4
-                                && simulation.w.dataPlaneNode(fresh).ledCount() == 2,
+                        () -> simulation
+                                                .w
+                                                .dataPlaneNode(fresh)
+                                                .partitionGroups()
+                                                .size()
+                                        == 4
+                                && simulation.w.dataPlaneNode(fresh).ledPartitionCount() == 2,
                         Duration.ofSeconds(120)),
-                "it has " + simulation.w.dataPlaneNode(fresh).groups().keySet() + ", owns "
-                        + simulation.w.dataPlaneNode(fresh).ledCount());
+                "it has " + simulation.w.dataPlaneNode(fresh).partitionGroups().keySet() + ", owns "
+                        + simulation.w.dataPlaneNode(fresh).ledPartitionCount());
         simulation.w.sim.run(Duration.ofSeconds(20));
         long terms = terms(simulation);
         simulation.w.sim.run(Duration.ofSeconds(60));
         assertEquals(terms, terms(simulation), "parts go on changing hands");
         for (String s : simulation.w.stores) {
-            assertEquals(2, simulation.w.dataPlaneNode(s).ledCount(), s);
+            assertEquals(2, simulation.w.dataPlaneNode(s).ledPartitionCount(), s);
         }
         assertFalse(
                 simulation.kinds().containsKey("unavailable"),
@@ -95,13 +105,13 @@
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
         Map<String, ?> before =
-                simulation.w.dataPlaneNode(simulation.w.stores.get(1)).groups();
+                simulation.w.dataPlaneNode(simulation.w.stores.get(1)).partitionGroups();
         simulation.w.kill(simulation.w.stores.get(0));
         simulation.w.sim.run(Duration.ofSeconds(6));
         simulation.w.restart(simulation.w.stores.get(0));
         simulation.w.sim.run(Duration.ofSeconds(10));
         assertEquals(
-                before, simulation.w.dataPlaneNode(simulation.w.stores.get(1)).groups());
+                before, simulation.w.dataPlaneNode(simulation.w.stores.get(1)).partitionGroups());
         ended(simulation);
     }
 
@@ -238,7 +248,7 @@
             simulation.w.sim.run(Duration.ofSeconds(6));
         }
         for (String s : simulation.w.stores) {
-            long owned = simulation.w.dataPlaneNode(s).ledCount();
+            long owned = simulation.w.dataPlaneNode(s).ledPartitionCount();
             assertTrue(owned >= 2 && owned <= 3, s + " owns " + owned + " of 8 parts");
         }
         assertFalse(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
@@ -69,7 +69,7 @@
         return fleet.w.presentStores().stream()
                 .map(fleet.w::dataPlaneNode)
                 .allMatch(store ->
-                        !store.groups().isEmpty() && store.notVotingCount() == 0 && store.promotedEverywhere());
+                        !store.partitionGroups().isEmpty() && store.notVotingCount() == 0 && store.votingEverywhere());
     }
 
     @ParameterizedTest
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
@@ -46,7 +46,7 @@
 
     private static boolean storeGroupsHave(FleetSimulation fleet, int members) {
         return fleet.w.presentStores().stream()
-                .map(store -> fleet.w.dataPlaneNode(store).groups())
+                .map(store -> fleet.w.dataPlaneNode(store).partitionGroups())
                 .allMatch(groups -> groups.values().stream().allMatch(group -> group.size() == members));
     }
 
@@ -54,9 +54,9 @@
         return storeGroupsHave(fleet, GROUP)
                 && fleet.w.presentStores().stream()
                         .map(fleet.w::dataPlaneNode)
-                        .allMatch(store -> store.groups().size() == ServiceNames.MESSAGE_PARTITIONS
+                        .allMatch(store -> store.partitionGroups().size() == ServiceNames.MESSAGE_PARTITIONS
                                 && store.notVotingCount() == 0
-                                && store.promotedEverywhere());
+                                && store.votingEverywhere());
     }
 
     private static void loseDisks(FleetSimulation fleet, List<String> machines) throws ServiceException {
@@ -143,7 +143,11 @@
                 SimulatedFleet.SMALL_RING,
                 FleetOverrides.none().withFaultTolerance(TWO));
         assertTrue(fleet.w.sim.runUntil(
-                () -> !fleet.w.dataPlaneNode(fleet.w.stores.get(1)).groups().isEmpty(), Duration.ofSeconds(20)));
+                () -> !fleet.w
+                        .dataPlaneNode(fleet.w.stores.get(1))
+                        .partitionGroups()
+                        .isEmpty(),
+                Duration.ofSeconds(20)));
         fleet.w.lose(fleet.w.stores.get(2));
         fleet.startAll();
         fleet.traffic(MESSAGES_PER_SECOND);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -67,7 +67,7 @@
                         hold.timeLimitMs(),
                         hold.attempts(),
                         hold.attemptMs(),
-                        Configuration.IfUnclear.RERUN));
+                        Configuration.UnknownOutcomePolicy.RERUN));
         simulation.put(
                 new Configuration(
                         simulation.configuration.tenants(),
