--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -28,33 +28,33 @@
 
     /** Builds the supervisor tree of the program. */
     @FunctionalInterface
-    public interface Tree {
+    public interface SupervisorFactory {
         /** The components of the program, in the order of their start; none is started yet. */
-        Supervisor grow(Settings boot, SystemTimers timers, Runnable onGivenUp) throws ServiceException;
+        Supervisor create(Settings boot, SystemTimers timers, Runnable onGivenUp) throws ServiceException;
     }
 
     /** Refuses a boot file that this program cannot use. */
     @FunctionalInterface
-    public interface Check {
+    public interface SettingsValidator {
         /** Refuses settings that this program cannot run with. */
-        void check(Settings boot) throws ServiceException;
+        void validate(Settings boot) throws ServiceException;
     }
 
     /** Where the settings come from: the command line and its file, or the platform. */
     @FunctionalInterface
-    public interface Source {
+    public interface SettingsSource {
         /** The settings that the command line names. */
-        Settings boot(String[] args) throws ServiceException;
+        Settings load(String[] args) throws ServiceException;
     }
 
     private final String name;
-    private final Check check;
-    private final Tree tree;
+    private final SettingsValidator check;
+    private final SupervisorFactory tree;
     private final Supplier<Runnable> onStop;
-    private Source source = args -> options(args).boot();
+    private SettingsSource source = args -> options(args).boot();
 
     /** A program that reads its settings itself. */
-    public Program(String name, Check check, Tree tree, Supplier<Runnable> onStop) {
+    public Program(String name, SettingsValidator check, SupervisorFactory tree, Supplier<Runnable> onStop) {
         this.name = name;
         this.check = check;
         this.tree = tree;
@@ -62,7 +62,7 @@
     }
 
     /** With boot values from elsewhere. */
-    public Program from(Source other) {
+    public Program withSettingsSource(SettingsSource other) {
         source = other;
         return this;
     }
@@ -79,9 +79,9 @@
         try {
             switch (verb) {
                 case "run":
-                    return help(rest) ? 0 : run(source.boot(rest));
+                    return help(rest) ? 0 : run(source.load(rest));
                 case "check-boot":
-                    check.check(source.boot(rest));
+                    check.validate(source.load(rest));
                     System.out.println("The boot file is valid.");
                     return 0;
                 case "--version":
@@ -128,11 +128,11 @@
     }
 
     private int run(Settings boot) throws ServiceException {
-        check.check(boot);
+        check.validate(boot);
         SystemTimers timers = new SystemTimers(THREADS);
         CountDownLatch end = new CountDownLatch(1);
         boolean[] failed = {false};
-        Supervisor root = tree.grow(boot, timers, () -> {
+        Supervisor root = tree.create(boot, timers, () -> {
             failed[0] = true;
             end.countDown();
         });
--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -100,7 +100,7 @@
                     out.status(response.status());
                     response.headers().forEach(out::header);
                     out.header("Content-Length", Integer.toString(response.body().length));
-                    if (MalformedRequestHandler.is(in)) {
+                    if (MalformedRequestHandler.isMalformed(in)) {
                         out.header("Connection", "close");
                     }
                     return out.send(Mono.just(Unpooled.wrappedBuffer(response.body())))
@@ -124,7 +124,7 @@
                     return all;
                 })
                 .onErrorMap(Exceptions::unwrap)
-                .flatMap(buffer -> MalformedRequestHandler.is(in)
+                .flatMap(buffer -> MalformedRequestHandler.isMalformed(in)
                         ? Mono.error(new InvalidRequestException("The request cannot be read whole."))
                         : Mono.just(buffer));
     }
@@ -146,7 +146,7 @@
     }
 
     /** From now on every answer is the last of its stream: callers go elsewhere. (docs/design.md, section 10.2) */
-    public void closeSoon() {
+    public void closeAfterNextResponse() {
         closing = true;
     }
 
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -15,7 +15,7 @@
 final class MalformedRequestHandler extends ChannelInboundHandlerAdapter {
     private static final AttributeKey<Boolean> KEY = AttributeKey.valueOf("woadvale.broken");
 
-    static boolean is(HttpServerRequest in) {
+    static boolean isMalformed(HttpServerRequest in) {
         AtomicBoolean out = new AtomicBoolean();
         in.withConnection(connection -> out.set(connection.channel().hasAttr(KEY)));
         return out.get();
--- a/common/src/main/java/org/woadvale/common/http/Request.java
+++ b/common/src/main/java/org/woadvale/common/http/Request.java
@@ -20,7 +20,7 @@
     }
 
     /** The secret of a bearer key. */
-    public Optional<String> secret() {
+    public Optional<String> bearerToken() {
         return header("authorization")
                 .filter(value -> value.startsWith(BEARER))
                 .map(value -> value.substring(BEARER.length()).trim());
--- a/common/src/main/java/org/woadvale/common/http/Response.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -17,7 +17,7 @@
     }
 
     /** The same response with one more header. */
-    public Response with(String header, String value) {
+    public Response withHeader(String header, String value) {
         Map<String, String> copy = new LinkedHashMap<>(headers);
         copy.put(header, value);
         return new Response(status, copy, body);
@@ -30,7 +30,9 @@
         body.put("message", String.valueOf(failure.getMessage()));
         body.put("details", failure.details());
         Response response = json(failure.kind().status(), body);
-        return retryAfter(failure).map(s -> response.with("Retry-After", s)).orElse(response);
+        return retryAfter(failure)
+                .map(s -> response.withHeader("Retry-After", s))
+                .orElse(response);
     }
 
     private static Optional<String> retryAfter(ServiceException failure) {
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -17,7 +17,7 @@
         if (record.format() > FIRST_FORMAT) {
             return record;
         }
-        Object value = codec.readFirst(record.bytes(), Object.class);
+        Object value = codec.readFirstFormat(record.bytes(), Object.class);
         if (value instanceof LogEntry logEntry) {
             value = upgrade(logEntry, codec);
         } else if (value instanceof ReplicationMessages.ReplicaSnapshot snapshot) {
--- a/common/src/main/java/org/woadvale/common/rpc/Codec.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Codec.java
@@ -86,11 +86,11 @@
 
     /** What a build of the first format stored, said again in the present one. (docs/design.md, section 3.4) */
     public byte[] upgrade(byte[] firstFormatBytes) throws ServiceException {
-        return firstFormatBytes.length == 0 ? firstFormatBytes : write(readFirst(firstFormatBytes, Object.class));
+        return firstFormatBytes.length == 0 ? firstFormatBytes : write(readFirstFormat(firstFormatBytes, Object.class));
     }
 
     /** The value in bytes of the first format. */
-    public <T> T readFirst(byte[] firstFormatBytes, Class<T> type) throws ServiceException {
+    public <T> T readFirstFormat(byte[] firstFormatBytes, Class<T> type) throws ServiceException {
         return read(firstFormat.get(), firstFormatBytes, type);
     }
 
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -52,7 +52,7 @@
                 open.remove(id);
                 return Mono.error(notSent());
             }
-            return Delays.limit(timers, sink.asMono(), limit, new OutcomeUnknownException("No answer in time."))
+            return Delays.timeout(timers, sink.asMono(), limit, new OutcomeUnknownException("No answer in time."))
                     .doFinally(signal -> open.remove(id));
         });
     }
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -155,19 +155,20 @@
 
     private void onFrame(Frame frame) {
         if (frame.kind() == Frame.Kind.REQUEST) {
-            timers.soon(() -> PendingCalls.serve(router, peer, frame).subscribe(this::respond));
+            timers.execute(() -> PendingCalls.serve(router, peer, frame).subscribe(this::respond));
         } else {
-            pendingCalls.onResponse(frame, timers::soon);
+            pendingCalls.onResponse(frame, timers::execute);
         }
     }
 
     Mono<Object> call(Object body, Duration limit) {
         ServiceException notSent = new UnreachableException("The handshake took too long.");
-        return Delays.limit(timers, handshake.asMono(), limit, notSent).then(Mono.defer(() -> callOpened(body, limit)));
+        return Delays.timeout(timers, handshake.asMono(), limit, notSent)
+                .then(Mono.defer(() -> callOpened(body, limit)));
     }
 
     private Mono<Object> callOpened(Object body, Duration limit) {
-        long receptionsAtSending = silence.receptions();
+        long receptionsAtSending = silence.receiveCount();
         return pendingCalls
                 .call(body, limit, this::send)
                 .doOnError(OutcomeUnknownException.class, e -> silence.onUnanswered(receptionsAtSending, limit));
--- a/common/src/main/java/org/woadvale/common/rpc/SilenceDetector.java
+++ b/common/src/main/java/org/woadvale/common/rpc/SilenceDetector.java
@@ -18,7 +18,7 @@
     private final Timers timers;
     private final Executor eventLoop;
     private final Runnable onSilent;
-    private final AtomicLong receptions = new AtomicLong();
+    private final AtomicLong receiveCount = new AtomicLong();
 
     /**
      * The detector of one connection.
@@ -33,12 +33,12 @@
 
     /** Bytes of any kind have come. */
     public void onReceived() {
-        receptions.incrementAndGet();
+        receiveCount.incrementAndGet();
     }
 
     /** How often bytes have come so far; to be taken when a call is sent. */
-    public long receptions() {
-        return receptions.get();
+    public long receiveCount() {
+        return receiveCount.get();
     }
 
     /**
@@ -47,7 +47,7 @@
      * @param receptionsAtSending the number of receptions when it was sent
      */
     public void onUnanswered(long receptionsAtSending, Duration callLimit) {
-        if (receptions.get() != receptionsAtSending) {
+        if (receiveCount.get() != receptionsAtSending) {
             return;
         }
         Duration left = LIMIT.minus(callLimit);
@@ -61,7 +61,7 @@
     /** On the event loop: in a process that was paused, what came meanwhile has not been taken in before. */
     private void decide(long receptionsAtSending) {
         eventLoop.execute(() -> {
-            if (receptions.get() == receptionsAtSending) {
+            if (receiveCount.get() == receptionsAtSending) {
                 onSilent.run();
             }
         });
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -105,7 +105,7 @@
     }
 
     private Mono<Object> local(Object body, Duration limit) {
-        return Delays.limit(
+        return Delays.timeout(
                 timers,
                 Mono.<Object>from(router.handle(self, body)),
                 limit,
--- a/common/src/main/java/org/woadvale/common/runtime/Delays.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Delays.java
@@ -10,7 +10,7 @@
     private Delays() {}
 
     /** Fails with the fault after the limit, unless the work has ended. */
-    public static <T> Mono<T> limit(Timers timers, Mono<T> work, Duration limit, ServiceException fault) {
+    public static <T> Mono<T> timeout(Timers timers, Mono<T> work, Duration limit, ServiceException fault) {
         return Mono.create(sink -> {
             TimerHandle timer = timers.after(limit, () -> sink.error(fault));
             Disposable delay =
@@ -23,7 +23,7 @@
     }
 
     /** Completes after the time. */
-    public static Mono<Boolean> pause(Timers timers, Duration delay) {
+    public static Mono<Boolean> delay(Timers timers, Duration delay) {
         return Mono.create(sink -> {
             TimerHandle timer = timers.after(delay, () -> sink.success(Boolean.TRUE));
             sink.onCancel(timer::cancel);
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -18,7 +18,7 @@
     private final int depth;
     private final int width;
     private final Function<I, Mono<O>> work;
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejectedCount = new AtomicLong();
     private int running;
 
     /** Work of which so many run at once and so many wait. */
@@ -47,7 +47,7 @@
                 return true;
             });
             if (!taken) {
-                refused.incrementAndGet();
+                rejectedCount.incrementAndGet();
                 onRefused.run();
                 return Mono.error(new QueueFullException("The stage " + name + " is full."));
             }
@@ -76,12 +76,12 @@
     }
 
     /** How many wait now. */
-    public int waiting() {
+    public int queueLength() {
         return shard.get(queue::size);
     }
 
     /** How many were refused so far. */
-    public long refused() {
-        return refused.get();
+    public long rejectedCount() {
+        return rejectedCount.get();
     }
 }
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         try {
             pool.execute(guarded(task));
         } catch (RejectedExecutionException e) {
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void onDisk(Runnable task) {
+    public void executeDiskTask(Runnable task) {
         try {
             disk.execute(guarded(task));
         } catch (RejectedExecutionException e) {
--- a/common/src/main/java/org/woadvale/common/runtime/Timers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Timers.java
@@ -8,10 +8,10 @@
     TimerHandle after(Duration delay, Runnable task);
 
     /** As soon as a thread is free. */
-    void soon(Runnable task);
+    void execute(Runnable task);
 
     /** For tasks that block on a disk; never on an event loop. */
-    void onDisk(Runnable task);
+    void executeDiskTask(Runnable task);
 
     /** Repeats until cancelled; the next run is set after the former one ended. */
     default TimerHandle every(Duration period, Runnable task) {
--- a/common/src/main/java/org/woadvale/common/wal/Disk.java
+++ b/common/src/main/java/org/woadvale/common/wal/Disk.java
@@ -6,7 +6,7 @@
 /** Seam to the data folder; bytes last only once synced. */
 public interface Disk {
     /** No caller needs more at once than this, or than one record. */
-    int CHUNK = 64 << 10;
+    int CHUNK_BYTES = 64 << 10;
 
     /** One file of the folder. */
     interface DiskFile {
--- a/common/src/main/java/org/woadvale/common/wal/FolderFile.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderFile.java
@@ -43,9 +43,9 @@
             if (file.size() >= wantedSize) {
                 return;
             }
-            byte[] zeros = new byte[Disk.CHUNK];
-            for (long at = file.size(); at < wantedSize; at += Disk.CHUNK) {
-                write(at, zeros, (int) Math.min(Disk.CHUNK, wantedSize - at));
+            byte[] zeros = new byte[Disk.CHUNK_BYTES];
+            for (long at = file.size(); at < wantedSize; at += Disk.CHUNK_BYTES) {
+                write(at, zeros, (int) Math.min(Disk.CHUNK_BYTES, wantedSize - at));
             }
             file.force(true);
             FolderDisk.syncFolder(path.getParent());
@@ -58,7 +58,7 @@
     public void write(long pos, byte[] bytes, int length) throws IOException {
         try {
             for (int at = 0; at < length; ) {
-                ByteBuffer piece = ByteBuffer.wrap(bytes, at, Math.min(Disk.CHUNK, length - at));
+                ByteBuffer piece = ByteBuffer.wrap(bytes, at, Math.min(Disk.CHUNK_BYTES, length - at));
                 at += opened().write(piece, pos + at);
             }
         } catch (IOException e) {
@@ -70,7 +70,7 @@
     public void read(long pos, byte[] into, int length) throws IOException {
         int at = 0;
         while (at < length && Files.exists(path)) {
-            ByteBuffer piece = ByteBuffer.wrap(into, at, Math.min(Disk.CHUNK, length - at));
+            ByteBuffer piece = ByteBuffer.wrap(into, at, Math.min(Disk.CHUNK_BYTES, length - at));
             int read = opened().read(piece, pos + at);
             if (read < 0) {
                 break;
--- a/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
+++ b/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
@@ -7,7 +7,7 @@
 final class ReadWindow {
     private final Disk.DiskFile file;
     private final int size;
-    private byte[] bytes = new byte[Disk.CHUNK];
+    private byte[] bytes = new byte[Disk.CHUNK_BYTES];
     private int from;
     private int bufferedBytes;
 
@@ -50,9 +50,9 @@
 
     /** No leftover may ever be read as a record (docs/design.md, section 4.3). What is zero already costs no write. */
     void blank(int start) throws IOException {
-        byte[] zeros = new byte[Disk.CHUNK];
-        for (int at = start; at < size; at += Disk.CHUNK) {
-            int end = Math.min(at + Disk.CHUNK, size);
+        byte[] zeros = new byte[Disk.CHUNK_BYTES];
+        for (int at = start; at < size; at += Disk.CHUNK_BYTES) {
+            int end = Math.min(at + Disk.CHUNK_BYTES, size);
             if (!zero(at, end)) {
                 file.write(at, zeros, end - at);
             }
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -120,7 +120,7 @@
     private synchronized void flushSoon() {
         if (!flushing && !failed && !pending.isEmpty()) {
             flushing = true;
-            timers.onDisk(this::flush);
+            timers.executeDiskTask(this::flush);
         }
     }
 
@@ -162,7 +162,7 @@
             fail(e.getMessage());
             return;
         }
-        batch.forEach(group -> timers.soon(group.done()));
+        batch.forEach(group -> timers.execute(group.done()));
         measureSpace();
         requestSnapshots();
         written();
@@ -177,7 +177,7 @@
             LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", reason);
         }
         diskFull = true;
-        timers.after(FULL_DISK_RETRY, () -> timers.onDisk(() -> write(batch)));
+        timers.after(FULL_DISK_RETRY, () -> timers.executeDiskTask(() -> write(batch)));
     }
 
     private synchronized void written() {
@@ -217,7 +217,7 @@
         if (spaceNeeded && (snapshotsFreeFiles || ringFull)) {
             writer.retention()
                     .partitionsToSnapshot(writer.segment())
-                    .forEach(partition -> timers.soon(pressure.getOrDefault(partition, () -> {})));
+                    .forEach(partition -> timers.execute(pressure.getOrDefault(partition, () -> {})));
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteBatch.java
@@ -7,7 +7,7 @@
  * 4.2)
  */
 final class WriteBatch {
-    private final byte[] bytes = new byte[Disk.CHUNK];
+    private final byte[] bytes = new byte[Disk.CHUNK_BYTES];
     private int length;
 
     /** Bytes that follow those before; large ones go straight to the file. */
--- a/common/src/test/java/org/woadvale/common/http/GatewayStopTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayStopTest.java
@@ -175,7 +175,7 @@
         clients.add(client);
         client.sendTogether("/submit", "/which");
         assertTrue(submitted.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        gateway.closeSoon();
+        gateway.closeAfterNextResponse();
         submissionAnswer.tryEmitValue(new Response(Status.ACCEPTED, Map.of(), NOTHING));
         assertEquals("HTTP/1.1 202 Accepted", client.read().get(0));
         assertEquals("HTTP/1.1 200 OK", client.read().get(0));
--- a/common/src/test/java/org/woadvale/common/rpc/SilenceDetectorTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/SilenceDetectorTest.java
@@ -29,12 +29,12 @@
                 }
 
                 @Override
-                public void soon(Runnable task) {
+                public void execute(Runnable task) {
                     task.run();
                 }
 
                 @Override
-                public void onDisk(Runnable task) {
+                public void executeDiskTask(Runnable task) {
                     task.run();
                 }
             },
@@ -48,7 +48,7 @@
 
     @Test
     void nothingUntilASecondAfterTheSendingIsSilence() {
-        detector.onUnanswered(detector.receptions(), CALL_LIMIT);
+        detector.onUnanswered(detector.receiveCount(), CALL_LIMIT);
         assertEquals(List.of(SilenceDetector.LIMIT.minus(CALL_LIMIT)), delays);
         assertEquals(0, silences);
         runAll();
@@ -57,7 +57,7 @@
 
     @Test
     void anyBytesSinceTheSendingAreNoSilence() {
-        long atSending = detector.receptions();
+        long atSending = detector.receiveCount();
         detector.onReceived();
         detector.onUnanswered(atSending, CALL_LIMIT);
         runAll();
@@ -67,7 +67,7 @@
     /** Guards against a paused process that closes its connections before it reads what came in the pause. */
     @Test
     void bytesThatTheEventLoopTakesInBeforeTheVerdictAreNoSilence() {
-        detector.onUnanswered(detector.receptions(), CALL_LIMIT);
+        detector.onUnanswered(detector.receiveCount(), CALL_LIMIT);
         due.forEach(Runnable::run);
         detector.onReceived();
         eventLoop.forEach(Runnable::run);
--- a/common/src/test/java/org/woadvale/common/wal/NoTimers.java
+++ b/common/src/test/java/org/woadvale/common/wal/NoTimers.java
@@ -12,12 +12,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         // nothing runs
     }
 
     @Override
-    public void onDisk(Runnable task) {
+    public void executeDiskTask(Runnable task) {
         // nothing runs
     }
 }
--- a/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
@@ -36,12 +36,12 @@
         }
 
         @Override
-        public void soon(Runnable task) {
+        public void execute(Runnable task) {
             tasks.add(task);
         }
 
         @Override
-        public void onDisk(Runnable task) {
+        public void executeDiskTask(Runnable task) {
             tasks.add(task);
         }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
@@ -58,7 +58,7 @@
                                         "version", accepted.version(),
                                         "repeated", accepted.repeated(),
                                         "requestId", requestId))
-                        .with("ETag", tag(accepted.version())));
+                        .withHeader("ETag", tag(accepted.version())));
     }
 
     /** What is no version asks for the newest. */
@@ -66,7 +66,7 @@
         return configurations
                 .get(version.matches(VERSION) ? Long.parseLong(version) : NEWEST)
                 .map(found -> new Response(OK, Map.of("Content-Type", "application/json"), found.configuration())
-                        .with("ETag", tag(found.version())));
+                        .withHeader("ETag", tag(found.version())));
     }
 
     private static String tag(long version) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
@@ -95,7 +95,7 @@
 
     private void requireOperatorKey(Request request) throws UnauthorizedException {
         boolean allowed = operatorKeySha256.isEmpty()
-                || request.secret()
+                || request.bearerToken()
                         .map(Configurations::sha256)
                         .filter(operatorKeySha256::equals)
                         .isPresent();
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -74,7 +74,7 @@
                 return Mono.error(new UnavailableException(
                         "This machine has no contact with a majority of the core; nothing was changed."));
             }
-            return Delays.pause(environment.timers(), CONTACT_CHECK).then(awaitContact(until));
+            return Delays.delay(environment.timers(), CONTACT_CHECK).then(awaitContact(until));
         });
     }
 
@@ -95,7 +95,7 @@
             if (late || !inContact.getAsBoolean()) {
                 return Mono.error(progress.maybeApplied ? unknownOutcome() : noLeader());
             }
-            return Delays.pause(environment.timers(), CONTACT_CHECK).then(contactLost(until, progress));
+            return Delays.delay(environment.timers(), CONTACT_CHECK).then(contactLost(until, progress));
         });
     }
 
@@ -113,7 +113,7 @@
             if (now().compareTo(until) >= 0) {
                 return Mono.error(unknownByNow ? unknownOutcome() : failure);
             }
-            return Delays.pause(environment.timers(), RETRY_PAUSE)
+            return Delays.delay(environment.timers(), RETRY_PAUSE)
                     .then(Mono.defer(() -> attempt(partition, request, responseType, until, progress)));
         });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -144,7 +144,7 @@
     private static void drain(DataPlaneNode node, List<Component> gateways, Duration linger) {
         gateways.stream()
                 .filter(HttpGateway.class::isInstance)
-                .forEach(component -> ((HttpGateway) component).closeSoon());
+                .forEach(component -> ((HttpGateway) component).closeAfterNextResponse());
         await(MOVES, node::drain);
         await(RUNS, node::idle);
         pause(linger.isZero() ? SHORTEST_LINGER : linger);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -123,7 +123,7 @@
         Duration wait = dispatcher.policy().deduplicates(message)
                 ? dispatcher.policy().shortRetryDelay()
                 : Duration.between(wallTime(), message.deadline()).plus(GRACE_AFTER_DEADLINE);
-        return Delays.pause(dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
+        return Delays.delay(dispatcher.context().environment().timers(), wait.isNegative() ? Duration.ZERO : wait)
                 .then(Mono.defer(() -> recordEnd(
                         AttemptOutcome.OUTCOME_UNKNOWN,
                         "sent again: " + reason,
@@ -133,13 +133,13 @@
     /** Running by the log, but begun by an earlier leader, which may still forward the answer that it got. */
     Mono<Boolean> resumeAfterAdoption() {
         return dispatcher.policy().resends(message)
-                ? Delays.pause(dispatcher.context().environment().timers(), ADOPTION_DELAY)
+                ? Delays.delay(dispatcher.context().environment().timers(), ADOPTION_DELAY)
                         .then(Mono.defer(() -> resend("the leader changed")))
                 : inquire();
     }
 
     private Mono<Boolean> inquireLater() {
-        return Delays.pause(dispatcher.context().environment().timers(), INQUIRY_INTERVAL)
+        return Delays.delay(dispatcher.context().environment().timers(), INQUIRY_INTERVAL)
                 .then(Mono.defer(this::inquire));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -45,7 +45,7 @@
                         LOG.error("Gave up recording the outcome of {}: {}", end.handle(), failure.getMessage());
                         return Mono.just(false);
                     }
-                    return Delays.pause(environment.timers(), RETRY_PAUSE)
+                    return Delays.delay(environment.timers(), RETRY_PAUSE)
                             .then(Mono.defer(() -> record(partition, end, processor, until)));
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -188,7 +188,7 @@
                             : "";
                     Mono<T> more = Mono.defer(() -> attempt(forwarding, turn + 1, nowUnknown, next));
                     return next.isEmpty()
-                            ? Delays.pause(environment.timers(), RETRY_PAUSE).then(more)
+                            ? Delays.delay(environment.timers(), RETRY_PAUSE).then(more)
                             : more;
                 });
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -116,7 +116,7 @@
     }
 
     private Mono<Response> getMessage(Request request, String handle) {
-        return queries.message(request.secret().orElse(""), handle)
+        return queries.message(request.bearerToken().orElse(""), handle)
                 .map(message -> Response.json(OK, messageJson(message)));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -177,7 +177,7 @@
         if (!mayRepeat || localBuckets.isValid(admitted.token()) || !inTime) {
             return Mono.error(definite(failure, unknownByNow));
         }
-        return Delays.pause(environment.timers(), RETRY_PAUSE)
+        return Delays.delay(environment.timers(), RETRY_PAUSE)
                 .then(admit(checked, admitted.partition()))
                 .flatMap(next -> attempt(next, until, unknownByNow))
                 .onErrorMap(error -> definite(error, unknownByNow));
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -94,7 +94,7 @@
         if (environment.clock().monotonicTime().compareTo(pull.until()) >= 0) {
             return Mono.just(answer(List.of()));
         }
-        return Delays.pause(environment.timers(), PULL_INTERVAL).then(pullRound(pull, first + 1));
+        return Delays.delay(environment.timers(), PULL_INTERVAL).then(pullRound(pull, first + 1));
     }
 
     private Mono<MessageCommands.FetchResponse> pullFrom(
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -123,7 +123,7 @@
                 .isPresent();
         Mono<Message> next = Mono.defer(() -> pullRound(service, processor, until, first, n + 1, gone));
         if (!known || stores.isEmpty()) {
-            return Delays.pause(environment.timers(), least(left, AGAIN)).then(next);
+            return Delays.delay(environment.timers(), least(left, AGAIN)).then(next);
         }
         String store = stores.get((n - first) % stores.size());
         Duration here = least(left, near(store) ? NEAR : TURN);
@@ -138,7 +138,7 @@
                         ? Mono.<Message>empty()
                         : Mono.just(response.messages().get(0)))
                 .onErrorResume(e ->
-                        Delays.pause(environment.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
+                        Delays.delay(environment.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
                 .switchIfEmpty(next);
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -25,7 +25,7 @@
 
     Configuration.Key key(Request request, Configuration.Role role) throws ServiceException {
         ConfigurationView.IndexedConfiguration known = configurations.requireFresh();
-        Optional<Configuration.Key> key = request.secret().flatMap(known::key);
+        Optional<Configuration.Key> key = request.bearerToken().flatMap(known::key);
         if (key.isEmpty()) {
             throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
@@ -41,7 +41,7 @@
         matcher.lane(lane);
         SubmitRequest body = matcher.body(request, SubmitRequest.class);
         return new Submission(
-                request.secret().orElse(""),
+                request.bearerToken().orElse(""),
                 lane,
                 body.id(),
                 body.orderingKey(),
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/FirstFormatTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/FirstFormatTest.java
@@ -20,7 +20,7 @@
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
 
     private static <T> T read(String hex, Class<T> type) throws ServiceException {
-        return CODEC.readFirst(HexFormat.of().parseHex(hex), type);
+        return CODEC.readFirstFormat(HexFormat.of().parseHex(hex), type);
     }
 
     @Test
@@ -63,7 +63,7 @@
     void renamedComponentsAreReadInTheirFormerOrder() throws ServiceException {
         Codec codec = new Codec(Map.of(100, List.of(Renamed.class)));
         byte[] stored = HexFormat.of().parseHex("668261" + "8267" + "827a");
-        assertEquals(new Renamed("a", "z", "g"), codec.readFirst(stored, Renamed.class));
+        assertEquals(new Renamed("a", "z", "g"), codec.readFirstFormat(stored, Renamed.class));
     }
 
     /** One build knows a component more than the other; either reads what the other wrote. */
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -99,12 +99,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         after(sim.between(1, 50), task);
     }
 
     @Override
-    public void onDisk(Runnable task) {
+    public void executeDiskTask(Runnable task) {
         after(DISK, task);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         after(Duration.ZERO, task);
     }
 
     @Override
-    public void onDisk(Runnable task) {
+    public void executeDiskTask(Runnable task) {
         after(Duration.ZERO, task);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
@@ -49,7 +49,7 @@
                     @Override
                     public void append(List<WalRecord> entries, Runnable done) {
                         super.append(entries, () -> {});
-                        node.timers().soon(done);
+                        node.timers().execute(done);
                     }
                 };
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -124,12 +124,12 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         after(sim.between(1, 50), task);
     }
 
     @Override
-    public void onDisk(Runnable task) {
+    public void executeDiskTask(Runnable task) {
         after(sim.between(500, 4000).multipliedBy(diskFactor), () -> {
             writtenBefore = disk.written();
             inDiskTask = true;
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -172,7 +172,7 @@
                 sim.after(CONNECT, () -> once.accept(Optional.empty()));
                 return;
             }
-            host.soon(() -> door.get().subscribe(response -> {
+            host.execute(() -> door.get().subscribe(response -> {
                 sim.trace().add(sim.now(), to + " " + response.status());
                 answers.accept(request, response);
                 sim.after(net.delay(), () -> once.accept(Optional.of(response)));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorSimulation.java
@@ -73,7 +73,7 @@
                     new Request(call.method(), rest.substring(rest.indexOf('/')), lower(call.headers()), call.body());
             network.sim.after(
                     network.net.delay().plus(slowStreams.getOrDefault(address, Duration.ZERO)),
-                    () -> host.soon(() -> {
+                    () -> host.execute(() -> {
                         if (!at.containsKey(address) || !call.stillPermitted().getAsBoolean()) {
                             sink.tryEmitError(new UnreachableException("refused"));
                             return;
@@ -93,7 +93,7 @@
     private void arrive(Host host, String address, Request request, Sinks.One<DeliveryClient.DeliveryResponse> sink) {
         Optional<Function<Request, Mono<Response>>> p = Optional.ofNullable(at.get(address));
         if (p.isEmpty()) {
-            host.soon(() -> sink.tryEmitError(new OutcomeUnknownException("reset")));
+            host.execute(() -> sink.tryEmitError(new OutcomeUnknownException("reset")));
             return;
         }
         p.get()
@@ -103,7 +103,7 @@
                             if (!silent.contains(address) && !network.sim.chance(answerLoss)) {
                                 network.sim.after(
                                         network.net.delay(),
-                                        () -> host.soon(() -> {
+                                        () -> host.execute(() -> {
                                             if (sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
                                                             response.status(),
                                                             lower(response.headers()),
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
@@ -71,7 +71,7 @@
 
     private Response answer(Request request, int status, boolean notRun) {
         Response response = new Response(status, Map.of("X-Attempt-Id", header(request, "x-attempt-id")), new byte[0]);
-        return notRun ? response.with("X-Not-Executed", "1") : response;
+        return notRun ? response.withHeader("X-Not-Executed", "1") : response;
     }
 
     Mono<Response> take(Request request) {
@@ -89,7 +89,7 @@
             return Mono.just(answer(request, 400, true));
         }
         if (dedupes && table.seals.containsKey(message)) {
-            return Mono.just(answer(request, 200, false).with("X-Server-Seal", table.seals.get(message)));
+            return Mono.just(answer(request, 200, false).withHeader("X-Server-Seal", table.seals.get(message)));
         }
         if (dedupes && table.running.contains(message)) {
             return Mono.just(answer(request, 409, true));
@@ -130,7 +130,7 @@
             seen.ended.add(new ObservationLog.Ended(message, outcome, seal, began, network.sim.now()));
             if (outcome > 0) {
                 Response response = answer(request, outcome, false);
-                sink.success(seal.isEmpty() ? response : response.with("X-Server-Seal", seal));
+                sink.success(seal.isEmpty() ? response : response.withHeader("X-Server-Seal", seal));
             }
         }));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryClient.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryClient.java
@@ -72,12 +72,12 @@
             }
 
             @Override
-            public void soon(Runnable task) {
+            public void execute(Runnable task) {
                 fleet.sim.after(Duration.ZERO, task);
             }
 
             @Override
-            public void onDisk(Runnable task) {
+            public void executeDiskTask(Runnable task) {
                 fleet.sim.after(Duration.ZERO, task);
             }
         };
@@ -94,7 +94,7 @@
             if (middlebox && names.getOrDefault(address, "").startsWith("registry")) {
                 fleet.sim.after(
                         fleet.net.delay(),
-                        () -> host.soon(() -> {
+                        () -> host.execute(() -> {
                             if (call.stillPermitted().getAsBoolean()) {
                                 sink.tryEmitValue(new DeliveryClient.DeliveryResponse(200, new byte[] {'{', '}'}));
                             }
@@ -103,7 +103,7 @@
             }
             fleet.sim.after(
                     fleet.net.delay().plus(slowStreams.getOrDefault(id, Duration.ZERO)),
-                    () -> host.soon(() -> {
+                    () -> host.execute(() -> {
                         if (b.isEmpty()
                                 || down.contains(id)
                                 || !call.stillPermitted().getAsBoolean()) {
@@ -138,7 +138,7 @@
                             if (!fleet.sim.chance(answerLoss) && !down.contains(id)) {
                                 fleet.sim.after(
                                         fleet.net.delay(),
-                                        () -> host.soon(() -> sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
+                                        () -> host.execute(() -> sink.tryEmitValue(new DeliveryClient.DeliveryResponse(
                                                 response.status(), response.body()))));
                             }
                         },
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -178,7 +178,7 @@
                     return;
                 }
                 target.get()
-                        .soon(() -> PendingCalls.serve(target.get().router(), self.address, read(bytes))
+                        .execute(() -> PendingCalls.serve(target.get().router(), self.address, read(bytes))
                                 .subscribe(frame -> reply(target.get(), frame, sink, life)));
             });
         }
@@ -205,7 +205,7 @@
 
         private void onCaller(long life, Runnable task) {
             if (self.life() == life && self.alive()) {
-                self.soon(task);
+                self.execute(task);
             }
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
@@ -85,8 +85,8 @@
                     net.delay(),
                     () -> pages.apply(path)
                             .subscribe(
-                                    b -> sim.after(net.delay(), () -> host.soon(() -> sink.tryEmitValue(b))),
-                                    e -> sim.after(net.delay(), () -> host.soon(() -> sink.tryEmitError(e)))));
+                                    b -> sim.after(net.delay(), () -> host.execute(() -> sink.tryEmitValue(b))),
+                                    e -> sim.after(net.delay(), () -> host.execute(() -> sink.tryEmitError(e)))));
             return sink.asMono();
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -143,7 +143,7 @@
                         clock.monotonicTime()));
         running.merge(handle, 1, Integer::sum);
         int begunIn = life;
-        Mono<Response> answer = Delays.pause(timers, now.work())
+        Mono<Response> answer = Delays.delay(timers, now.work())
                 .flatMap(x -> worked(handle, attempt, now, begunIn))
                 .cache();
         // once begun, the work goes on though whoever asked for it has gone
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingDiskAccessTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingDiskAccessTest.java
@@ -132,7 +132,7 @@
     @Test
     void anUnusedRingCostsSmallReadsAndNoWrites() throws ServiceException {
         open();
-        assertTrue(disk.largestRead() <= Disk.CHUNK);
+        assertTrue(disk.largestRead() <= Disk.CHUNK_BYTES);
         assertEquals(List.of(), disk.writes);
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -59,7 +59,7 @@
         PlatformFixture fixture = new PlatformFixture(3, 1);
         fixture.processor("i-1", "same", AT, request -> {
             int n = fixture.got.size();
-            Response notRun = PlatformFixture.answer(request, 503).with("X-Not-Executed", "1");
+            Response notRun = PlatformFixture.answer(request, 503).withHeader("X-Not-Executed", "1");
             return Mono.just(
                     n <= 5
                             ? PlatformFixture.answer(request, 502)
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
@@ -95,7 +95,7 @@
                     return Mono.error(new OutcomeUnknownException("The connection was reset."));
                 }
                 if (connection == null && dark.contains(to)) {
-                    return Delays.pause(timers(), CONNECT_TIMEOUT)
+                    return Delays.delay(timers(), CONNECT_TIMEOUT)
                             .then(Mono.error(new UnreachableException("No connection to " + to + ".")));
                 }
                 return callOn(connection == null ? open(to) : connection, to, body, answer, limit);
@@ -122,11 +122,11 @@
         }
 
         private <T> Mono<T> callOn(Connection connection, String to, Object body, Class<T> answer, Duration limit) {
-            long receptionsAtSending = connection.silence.receptions();
+            long receptionsAtSending = connection.silence.receiveCount();
             Mono<T> work = isDead(to, connection)
                     ? Mono.<T>never().doOnSubscribe(lost -> noteLost(connection))
                     : calls.call(to, body, answer, limit).doOnNext(received -> connection.silence.onReceived());
-            return Delays.limit(timers(), work, limit, new OutcomeUnknownException("No answer in time."))
+            return Delays.timeout(timers(), work, limit, new OutcomeUnknownException("No answer in time."))
                     .doOnError(
                             OutcomeUnknownException.class,
                             e -> connection.silence.onUnanswered(receptionsAtSending, limit));
--- a/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
@@ -42,12 +42,12 @@
         }
 
         @Override
-        public void soon(Runnable task) {
+        public void execute(Runnable task) {
             timers.add(task);
         }
 
         @Override
-        public void onDisk(Runnable task) {
+        public void executeDiskTask(Runnable task) {
             timers.add(task);
         }
     }
