--- a/common/src/main/java/org/woadvale/common/replication/AppendEntriesHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/AppendEntriesHandler.java
@@ -7,7 +7,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A follower's answer to the entries and heartbeats of its leader. */
+/** Handles the entries and heartbeats of the leader on a follower. */
 final class AppendEntriesHandler {
     private final ReplicaState state;
     private final CommitTracker<?, ?> commits;
@@ -22,7 +22,7 @@
         this.leaderTracker = leaderTracker;
     }
 
-    /** Answers with the last index that matches the leader's log and is synced here. */
+    /** Appends the entries and responds with the last index that matches the leader's log and is synced here. */
     Mono<AppendEntriesResponse> onAppendEntries(String from, AppendEntriesRequest request) {
         return leaderTracker.afterVoteStored(append(from, request));
     }
@@ -56,7 +56,7 @@
         return sink.asMono();
     }
 
-    /** The entries that the log does not hold yet; where the log has others, those are dropped. */
+    /** Returns the entries that the log lacks, and drops the entries that conflict with them. */
     private List<LogEntry> truncateConflicts(AppendEntriesRequest request) {
         ReplicatedLog log = state.log();
         long index = request.prevIndex();
--- a/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
+++ b/common/src/main/java/org/woadvale/common/replication/Bootstrap.java
@@ -12,16 +12,16 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Founds a group: a desired member proposes the first members, and they are the group once every one of them has
- * accepted that on its disk. Usually the preferred leader proposes; any other desired member does after a while, and
- * carries on what was begun. (docs/design.md, section 5.7)
+ * Bootstraps a group: a desired member proposes the initial members, and they form the group once every one of them has
+ * durably accepted them. Usually the preferred leader proposes; after a delay any other desired member does, and
+ * completes a proposal that was begun. (docs/design.md, section 5.7)
  */
 final class Bootstrap {
     private static final Duration RETRY_PERIOD = Duration.ofMillis(300);
-    /** Each further desired member waits so much longer, so that one proposal is usually alone. */
+    /** Each further desired member waits this much longer, so that usually only one proposal is active. */
     private static final Duration DELAY_BY_RANK = Duration.ofMillis(600);
 
-    /** Where a group exists already, its leader is waited for; it is asked again in case it does not come. */
+    /** How long to wait for the leader of an existing group before the members are asked again. */
     private static final Duration WAIT_FOR_LEADER = Duration.ofSeconds(3);
 
     private final ReplicaState state;
@@ -35,7 +35,7 @@
         this.voter = voter;
     }
 
-    /** Proposes, again and again, until the group is founded or this replica is a member of a running one. */
+    /** Proposes repeatedly until the group is bootstrapped or this replica is a member of a running group. */
     void onTick() {
         List<String> desired = desiredMembers();
         if (!state.membership().committed().isEmpty() || !desired.contains(state.self())) {
@@ -50,7 +50,10 @@
         }
     }
 
-    /** Who is to be asked: as told, or else as this replica was told before a restart. */
+    /**
+     * The members to ask: the current list, or else the list stored before a restart, or else the members accepted
+     * last.
+     */
     private List<String> desiredMembers() {
         if (!state.desiredMembers().isEmpty()) {
             return state.desiredMembers();
@@ -60,22 +63,22 @@
     }
 
     private void propose(List<String> desired) {
-        if (proposal.filter(present -> present.isFor(desired)).isEmpty()) {
+        if (proposal.filter(currentProposal -> currentProposal.isFor(desired)).isEmpty()) {
             highest = highest.later(state.bootstrap().promised());
             BootstrapBallot ballot = new BootstrapBallot(highest.round() + 1, state.self());
             proposal = Optional.of(new BootstrapProposal(ballot, desired));
         }
-        BootstrapProposal present = proposal.orElseThrow();
-        if (present.members().isEmpty()) {
-            present.promisesMissing().forEach(node -> askForPromise(present, node));
+        BootstrapProposal currentProposal = proposal.orElseThrow();
+        if (currentProposal.members().isEmpty()) {
+            currentProposal.promisesMissing().forEach(node -> askForPromise(currentProposal, node));
         } else {
-            askForAcceptances(present);
+            askForAcceptances(currentProposal);
         }
     }
 
-    private void askForPromise(BootstrapProposal asked, String node) {
-        PrepareRequest request = new PrepareRequest(state.partition(), asked.ballot());
-        Consumer<PrepareResponse> onResponse = response -> onPrepareResponse(asked, node, response);
+    private void askForPromise(BootstrapProposal sentProposal, String node) {
+        PrepareRequest request = new PrepareRequest(state.partition(), sentProposal.ballot());
+        Consumer<PrepareResponse> onResponse = response -> onPrepareResponse(sentProposal, node, response);
         if (node.equals(state.self())) {
             receive(voter.onPrepare(request), onResponse);
         } else {
@@ -83,10 +86,10 @@
         }
     }
 
-    private void askForAcceptances(BootstrapProposal asked) {
-        AcceptRequest request = new AcceptRequest(state.partition(), asked.ballot(), asked.members());
-        for (String node : asked.acceptancesMissing()) {
-            Consumer<AcceptResponse> onResponse = response -> onAcceptResponse(asked, node, response);
+    private void askForAcceptances(BootstrapProposal sentProposal) {
+        AcceptRequest request = new AcceptRequest(state.partition(), sentProposal.ballot(), sentProposal.members());
+        for (String node : sentProposal.acceptancesMissing()) {
+            Consumer<AcceptResponse> onResponse = response -> onAcceptResponse(sentProposal, node, response);
             if (node.equals(state.self())) {
                 receive(voter.onAccept(request), onResponse);
             } else {
@@ -108,11 +111,12 @@
         response.subscribe(value -> state.shard().run(() -> onResponse.accept(value)), e -> {});
     }
 
-    private boolean isPresent(BootstrapProposal asked) {
-        return proposal.filter(present -> present == asked).isPresent();
+    private boolean isCurrent(BootstrapProposal sentProposal) {
+        return proposal.filter(currentProposal -> currentProposal == sentProposal)
+                .isPresent();
     }
 
-    private void onPrepareResponse(BootstrapProposal asked, String node, PrepareResponse response) {
+    private void onPrepareResponse(BootstrapProposal sentProposal, String node, PrepareResponse response) {
         if (response.founded()) {
             voter.completeBootstrap(response.accepted());
             return;
@@ -121,28 +125,28 @@
             nextAttempt = state.now().plus(WAIT_FOR_LEADER);
             return;
         }
-        if (!isPresent(asked) || !asked.members().isEmpty()) {
+        if (!isCurrent(sentProposal) || !sentProposal.members().isEmpty()) {
             return;
         }
         if (!response.promised()) {
-            giveWayTo(response.highest());
+            yieldTo(response.highest());
             return;
         }
-        asked.onPromise(node, response);
-        if (!asked.members().isEmpty()) {
-            askForAcceptances(asked);
+        sentProposal.onPromise(node, response);
+        if (!sentProposal.members().isEmpty()) {
+            askForAcceptances(sentProposal);
         }
     }
 
-    private void onAcceptResponse(BootstrapProposal asked, String node, AcceptResponse response) {
-        if (!isPresent(asked)) {
+    private void onAcceptResponse(BootstrapProposal sentProposal, String node, AcceptResponse response) {
+        if (!isCurrent(sentProposal)) {
             return;
         }
         if (!response.accepted()) {
-            giveWayTo(response.highest());
-        } else if (asked.onAccepted(node)) {
+            yieldTo(response.highest());
+        } else if (sentProposal.onAccepted(node)) {
             proposal = Optional.empty();
-            onAgreed(asked.members());
+            onAgreed(sentProposal.members());
         }
     }
 
@@ -159,21 +163,21 @@
         });
     }
 
-    /** This replica's proposal is not taken any more; the next one is later than the one that was promised. */
-    private void giveWayTo(BootstrapBallot promised) {
+    /** Abandons this replica's proposal because another one was promised; the next proposal is later than that one. */
+    private void yieldTo(BootstrapBallot promised) {
         proposal = Optional.empty();
         highest = highest.later(promised);
         deferToAnother();
     }
 
-    /** Another member proposes: it is given the time for it. */
+    /** Delays the next attempt to give another member time to complete its proposal. */
     private void deferToAnother() {
         int rank = Math.max(0, desiredMembers().indexOf(state.self()));
         Duration until = state.now().plus(RETRY_PERIOD).plus(DELAY_BY_RANK.multipliedBy(rank));
         nextAttempt = nextAttempt.compareTo(until) < 0 ? until : nextAttempt;
     }
 
-    /** A prepare request of another member. */
+    /** Handles a prepare request of another member. */
     Mono<PrepareResponse> onPrepare(PrepareRequest request) {
         if (state.bootstrap().promised().isBefore(request.ballot())) {
             deferToAnother();
--- a/common/src/main/java/org/woadvale/common/replication/BootstrapBallot.java
+++ b/common/src/main/java/org/woadvale/common/replication/BootstrapBallot.java
@@ -2,9 +2,9 @@
 
 import java.util.Comparator;
 
-/** Orders the proposals of first members: by round, and within a round by the node that proposes. */
+/** Orders the proposals of initial members: by round, and within a round by the proposing node. */
 public record BootstrapBallot(long round, String proposer) implements Comparable<BootstrapBallot> {
-    /** Lower than every proposal's. */
+    /** Lower than the ballot of every proposal. */
     static final BootstrapBallot NONE = new BootstrapBallot(0, "");
 
     private static final Comparator<BootstrapBallot> ORDER =
--- a/common/src/main/java/org/woadvale/common/replication/BootstrapProposal.java
+++ b/common/src/main/java/org/woadvale/common/replication/BootstrapProposal.java
@@ -9,9 +9,7 @@
 import java.util.TreeSet;
 import org.woadvale.common.replication.BootstrapMessages.PrepareResponse;
 
-/**
- * One proposal of first members: who has promised, which members follow from the promises, and who has accepted them.
- */
+/** One proposal of initial members: tracks the promises, the members chosen from them, and the acceptances. */
 final class BootstrapProposal {
     private final BootstrapBallot ballot;
     private final List<String> desiredMembers;
@@ -44,7 +42,7 @@
                 .toList();
     }
 
-    /** Members that have not accepted yet, without those that answered under another identity. */
+    /** Members that have not accepted yet, excluding those that responded under another identity. */
     List<String> acceptancesMissing() {
         return members.keySet().stream()
                 .filter(node -> !acceptedBy.contains(node) && !hasLostDisk(node))
@@ -57,7 +55,7 @@
                 .isPresent();
     }
 
-    /** Takes a promise; the members follow from the last one. */
+    /** Records a promise; the members are chosen once all desired members have promised. */
     void onPromise(String node, PrepareResponse promise) {
         promises.put(node, promise);
         if (members.isEmpty() && promisesMissing().isEmpty()) {
@@ -65,7 +63,7 @@
         }
     }
 
-    /** What may have been agreed on before, or else the nodes that have promised. */
+    /** Chooses the members that an earlier proposal may have agreed on, or else the nodes that have promised. */
     private Map<String, String> chooseMembers() {
         return promises.values().stream()
                 .filter(promise -> !promise.accepted().isEmpty())
@@ -75,7 +73,10 @@
                 .orElseGet(this::promisedIdentities);
     }
 
-    /** Members are agreed on once each of them has accepted: not if one of them says that it has not. */
+    /**
+     * Members are agreed on once each of them has accepted, so an earlier proposal cannot have been agreed on if one of
+     * its members reports that it has not accepted it.
+     */
     private boolean mayBeAgreed(Map<String, String> earlier) {
         return promises.entrySet().stream()
                 .filter(promise -> promise.getValue().identity().equals(earlier.get(promise.getKey())))
@@ -88,11 +89,11 @@
         return identities;
     }
 
-    /** Takes an acceptance; true once the members are agreed on. */
+    /** Records an acceptance; returns true once the members are agreed on. */
     boolean onAccepted(String node) {
         acceptedBy.add(node);
-        boolean allAsked = promises.keySet().stream()
+        boolean noneMissing = promises.keySet().stream()
                 .noneMatch(asked -> acceptancesMissing().contains(asked));
-        return allAsked && acceptedBy.size() * 2 > members.size();
+        return noneMissing && acceptedBy.size() * 2 > members.size();
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/BootstrapState.java
+++ b/common/src/main/java/org/woadvale/common/replication/BootstrapState.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * What a replica keeps on disk of the agreement on its group's first members.
+ * The stored state of a replica in the agreement on its group's initial members.
  *
  * @param desiredMembers the list that the replica was started with, the preferred leader first; empty for none
- * @param promised no proposal before this one is taken any more
+ * @param promised the promised proposal; earlier ones are rejected
  * @param acceptedIn the proposal in which members were accepted last
  * @param accepted the proposed members that were accepted last, node to identity; empty for none
- * @param founded whether the group was founded with the accepted members, as far as this replica knows
+ * @param founded whether the group was bootstrapped with the accepted members, as far as this replica knows
  */
 public record BootstrapState(
         List<String> desiredMembers,
--- a/common/src/main/java/org/woadvale/common/replication/BootstrapVoter.java
+++ b/common/src/main/java/org/woadvale/common/replication/BootstrapVoter.java
@@ -13,8 +13,8 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * This replica's part in the agreement on the first members of its group: promises and acceptances are on disk before
- * they are answered, and the replica votes only once the group is founded. (docs/design.md, section 5.7)
+ * Handles proposals of the group's initial members: promises and acceptances are on disk before the response is sent,
+ * and the replica votes only once the group is bootstrapped. (docs/design.md, section 5.7)
  */
 final class BootstrapVoter {
     private final ReplicaState state;
@@ -27,16 +27,16 @@
         this.promotion = promotion;
     }
 
-    /** Promises to take no earlier proposal, unless a later one was promised or the replica has a log already. */
+    /** Promises to accept no earlier proposal, unless a later one was promised or the replica already has a log. */
     Mono<PrepareResponse> onPrepare(PrepareRequest request) {
         if (!state.canBootstrap() || request.ballot().isBefore(state.bootstrap().promised())) {
             return Mono.just(prepareResponse(request.ballot()));
         }
         state.setBootstrap(state.bootstrap().withPromise(request.ballot()));
-        return answerWhenStored(() -> prepareResponse(request.ballot()));
+        return respondWhenStored(() -> prepareResponse(request.ballot()));
     }
 
-    /** Promised only as long as no later proposal has come while the promise was written. */
+    /** Reports a promise only if no later proposal was promised while this one was being written. */
     private PrepareResponse prepareResponse(BootstrapBallot ballot) {
         BootstrapState bootstrap = state.bootstrap();
         return new PrepareResponse(
@@ -51,19 +51,19 @@
 
     /** Accepts the members, unless a later proposal was promised or they name another identity. */
     Mono<AcceptResponse> onAccept(AcceptRequest request) {
-        boolean named = state.identity().equals(request.members().get(state.self()));
+        boolean namesThisReplica = state.identity().equals(request.members().get(state.self()));
         if (!state.canBootstrap()
-                || !named
+                || !namesThisReplica
                 || request.ballot().isBefore(state.bootstrap().promised())) {
             return Mono.just(new AcceptResponse(false, state.bootstrap().promised()));
         }
         state.setBootstrap(state.bootstrap().withAccepted(request.ballot(), request.members()));
-        return answerWhenStored(() -> new AcceptResponse(
+        return respondWhenStored(() -> new AcceptResponse(
                 state.bootstrap().acceptedIn().equals(request.ballot()),
                 state.bootstrap().promised()));
     }
 
-    private <T> Mono<T> answerWhenStored(Supplier<T> answer) {
+    private <T> Mono<T> respondWhenStored(Supplier<T> answer) {
         Sinks.One<T> response = Sinks.one();
         storage.storeSnapshot(() -> {
             T value = answer.get();
@@ -72,24 +72,27 @@
         return response.asMono();
     }
 
-    /** Accepted only by the very identity that the members name. */
+    /** Accepts the request only if it is for this replica's identity and the members name that identity. */
     Mono<Acknowledgement> onBootstrap(BootstrapRequest request) {
         boolean accepted = request.identity().equals(state.identity()) && completeBootstrap(request.members());
         return Mono.just(new Acknowledgement(accepted));
     }
 
-    /** Of builds that found a group without agreement: whether nothing is stored here. */
+    /** Responds to builds that bootstrap a group without this agreement: whether nothing is stored here. */
     Mono<BootstrapStatusResponse> onStatusRequest() {
         boolean nothingStored =
                 state.canBootstrap() && state.bootstrap().accepted().isEmpty();
         return Mono.just(new BootstrapStatusResponse(nothingStored, state.identity()));
     }
 
-    /** The group has these first members: votes from here on, if they name this replica and it does not vote yet. */
+    /**
+     * Completes the bootstrap with the agreed members: if they include this replica's identity and it is in no group
+     * yet, it votes from now on. Returns whether it does.
+     */
     boolean completeBootstrap(Map<String, String> members) {
-        boolean waiting = state.role() == Role.UNINITIALIZED
+        boolean awaitsBootstrap = state.role() == Role.UNINITIALIZED
                 && state.membership().committed().isEmpty();
-        if (!waiting || !state.identity().equals(members.get(state.self()))) {
+        if (!awaitsBootstrap || !state.identity().equals(members.get(state.self()))) {
             return false;
         }
         state.setBootstrap(state.bootstrap().withFounded(members));
--- a/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/CommitTracker.java
@@ -6,7 +6,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Applies what is committed to the state machine, and completes the proposals that wait for it. */
+/** Applies committed entries to the state machine and completes the proposals that wait for them. */
 final class CommitTracker<C, R> {
     private record PendingProposal<R>(long term, Sinks.One<R> sink) {}
 
@@ -35,25 +35,25 @@
         return appliedIndex;
     }
 
-    /** Bytes of the entries that the log holds and that are not applied. */
+    /** Bytes of the log entries that are not applied yet. */
     long unappliedBytes() {
         return state.log().bytesAfter(appliedIndex);
     }
 
-    /** The result of the command that is proposed at an index in a term. */
+    /** Completes with the result of the command proposed at an index in a term. */
     Mono<R> awaitCommit(long index, long term) {
         Sinks.One<R> sink = Sinks.one();
         pending.put(index, new PendingProposal<>(term, sink));
         return sink.asMono();
     }
 
-    /** The state machine was restored from a snapshot up to the index. */
+    /** Sets the applied index after the state machine was restored from a snapshot up to the index. */
     void resetTo(long index) {
         commitIndex = Math.max(commitIndex, index);
         appliedIndex = index;
     }
 
-    /** Applies all entries up to the index; an earlier index changes nothing. */
+    /** Applies all entries up to the index; an earlier index has no effect. */
     void advanceTo(long index) {
         if (index <= commitIndex) {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** The leadership is over: what is pending may still be committed by the next leader, or not. */
+    /** Fails all pending proposals after leadership was lost: the next leader may or may not commit them. */
     void failPending() {
         pending.values().forEach(proposal -> fail(proposal, outcomeUnknown()));
         pending.clear();
--- a/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
+++ b/common/src/main/java/org/woadvale/common/replication/DepartingMembers.java
@@ -5,20 +5,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Members that a committed change has removed: the leader goes on sending to them until they know of it. */
+/**
+ * Members removed by a committed change, to which the leader keeps sending until they have been notified of the
+ * removal.
+ */
 final class DepartingMembers {
     private record Departure(long confirmedIndex, Duration since) {}
 
     private final Map<String, Departure> departures = new TreeMap<>();
 
-    /** The entry at this index tells those followers that do not stay that they are removed. */
+    /** Adds the followers that do not stay; the entry at the given index notifies them of their removal. */
     void addAllExcept(Set<String> staying, Set<String> followers, long confirmedIndex, Duration now) {
         followers.stream()
                 .filter(node -> !staying.contains(node))
                 .forEach(node -> departures.put(node, new Departure(confirmedIndex, now)));
     }
 
-    /** Those that have not synced the entry, and left after the given time; the others are forgotten. */
+    /**
+     * The members that were removed after the given time and have not synced the notifying entry; all others are
+     * dropped.
+     */
     Set<String> notNotified(Followers followers, Duration oldest) {
         departures
                 .entrySet()
--- a/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
+++ b/common/src/main/java/org/woadvale/common/replication/FollowerProgress.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** What the leader knows of one follower, from the answers of its own term. */
+/** What the leader knows about one follower from the responses in its own term. */
 final class FollowerProgress {
-    /** What a response led to. */
+    /** The result of checking a response. */
     enum Finding {
-        /** The response counts. */
+        /** The response is consistent with what the follower acknowledged before. */
         CURRENT,
-        /** The follower's disk has lost entries that it had acknowledged: it counts for nothing under this identity. */
+        /** The follower's disk has lost entries that it had acknowledged: it no longer counts under this identity. */
         LOST_ACKNOWLEDGED
     }
 
@@ -20,27 +20,27 @@
     private long commitIndexAtResponse;
     private String revokedIdentity = "";
 
-    /** Nothing is known yet of a follower that is sent to from now on. */
+    /** Starts tracking a follower about which nothing is known yet. */
     FollowerProgress(Duration now) {
         this.replicatingSince = now;
     }
 
-    /** Since when the leader sends to this follower, by the leader's clock. */
+    /** When the leader began to send to this follower, by the leader's clock. */
     Duration replicatingSince() {
         return replicatingSince;
     }
 
-    /** Under which it answered last; empty before the first answer, and while it does not count. */
+    /** The identity in the latest response; empty before the first response and while the identity is revoked. */
     String identity() {
         return identity;
     }
 
-    /** Whether it may succeed the leader, by its own word. */
+    /** Whether the follower reported that leadership may be transferred to it. */
     boolean isElectable() {
         return electable;
     }
 
-    /** Up to this index its log is known to match and to be synced. */
+    /** The index up to which the follower's log is known to match and to be synced. */
     long matchIndex() {
         return matchIndex;
     }
@@ -49,7 +49,7 @@
         return matchIndex > 0;
     }
 
-    /** When the latest request was sent that it answered, by the leader's clock; zero before the first answer. */
+    /** When the latest answered request was sent, by the leader's clock; zero before the first response. */
     Duration lastContact() {
         return lastContact;
     }
@@ -62,19 +62,22 @@
         return hasMatched() && identity.equals(memberIdentity);
     }
 
-    /** It had synced all that was committed when the latest answered request was sent: only then may it join. */
+    /**
+     * Whether the follower had synced every entry that was committed when the latest answered request was sent; only
+     * then may it join.
+     */
     boolean isCaughtUp() {
         return !identity.isEmpty() && hasMatched() && matchIndex >= commitIndexAtResponse && commitIndexAtResponse > 0;
     }
 
-    /** The latest word of the follower: its identity, whether it may succeed, and that it was there at the time. */
-    void onContact(String answeredIdentity, boolean answeredElectable, Duration sentAt) {
-        String counted = answeredIdentity.equals(revokedIdentity) ? "" : answeredIdentity;
-        if (!counted.equals(identity)) {
+    /** Records a response: the follower's identity, whether it is electable, and when the answered request was sent. */
+    void onContact(String reportedIdentity, boolean reportedElectable, Duration sentAt) {
+        String effectiveIdentity = reportedIdentity.equals(revokedIdentity) ? "" : reportedIdentity;
+        if (!effectiveIdentity.equals(identity)) {
             matchIndex = 0;
         }
-        identity = counted;
-        electable = answeredElectable;
+        identity = effectiveIdentity;
+        electable = reportedElectable;
         lastContact = sentAt.compareTo(lastContact) > 0 ? sentAt : lastContact;
     }
 
@@ -84,7 +87,7 @@
         return lost || response.identity().equals(revokedIdentity) ? Finding.LOST_ACKNOWLEDGED : Finding.CURRENT;
     }
 
-    /** From now on the identity counts for nothing; true if it counted until now. */
+    /** Stops counting the identity; returns true if it was not revoked before. */
     boolean revoke(String reportedIdentity) {
         boolean changed = !reportedIdentity.equals(revokedIdentity);
         revokedIdentity = reportedIdentity;
@@ -93,12 +96,12 @@
         return changed;
     }
 
-    /** The commit index in the request that was answered last. */
+    /** Records the commit index of the request that was answered last. */
     void onCommitIndexAcknowledged(long commitIndex) {
         commitIndexAtResponse = commitIndex;
     }
 
-    /** The log matches up to the index; an index below the known one changes nothing. */
+    /** Records that the log matches up to the index; a lower index has no effect. */
     void onMatch(long index) {
         matchIndex = identity.isEmpty() ? 0 : Math.max(matchIndex, index);
     }
--- a/common/src/main/java/org/woadvale/common/replication/Followers.java
+++ b/common/src/main/java/org/woadvale/common/replication/Followers.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The appenders of a leader, one for each node that it sends to. */
+/** The log appenders of a leader, one for each node that it sends to. */
 final class Followers {
     private final Function<String, LogAppender> newAppender;
     private final Map<String, LogAppender> appenders = new TreeMap<>();
@@ -27,7 +27,7 @@
         appenders.keySet().retainAll(nodes);
     }
 
-    /** The appender of a node; a new one if the node was not sent to so far. */
+    /** The appender of a node, created on first use. */
     LogAppender appender(String node) {
         return appenders.computeIfAbsent(node, newAppender);
     }
@@ -44,14 +44,14 @@
         return Optional.ofNullable(appenders.get(node)).map(LogAppender::progress);
     }
 
-    /** What is known of each, by node. */
+    /** The progress of each follower, by node. */
     Map<String, FollowerProgress> progress() {
         Map<String, FollowerProgress> progress = new TreeMap<>();
         appenders.forEach((node, appender) -> progress.put(node, appender.progress()));
         return progress;
     }
 
-    /** The identities of those for which the condition holds, by node: to be counted for a majority. */
+    /** The identities, by node, of the followers that satisfy the condition: used to count a majority. */
     Map<String, String> identitiesWhere(Predicate<FollowerProgress> condition) {
         Map<String, String> identities = new TreeMap<>();
         appenders.forEach((node, appender) -> {
@@ -62,7 +62,9 @@
         return identities;
     }
 
-    /** When each follower was last sent something that it answered; those that never answered are left out. */
+    /**
+     * When the latest answered request was sent to each follower, by node; followers that never responded are left out.
+     */
     Map<String, Duration> contacts() {
         Map<String, Duration> contacts = new TreeMap<>();
         appenders.forEach((node, appender) -> {
@@ -73,7 +75,7 @@
         return contacts;
     }
 
-    /** Since when the leader sends to the one it has sent to for longest; zero if there is none. */
+    /** The earliest time at which the leader began to send to one of the followers; zero if there is none. */
     Duration replicatingSince() {
         return appenders.values().stream()
                 .map(appender -> appender.progress().replicatingSince())
--- a/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
+++ b/common/src/main/java/org/woadvale/common/replication/GroupMembership.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * The members of a group, node to identity. While a change is not committed, a majority is one of the former members
- * and one of the new ones.
+ * The members of a group, node to identity. While a change is uncommitted, a majority means one of the old members and
+ * one of the new members.
  */
 final class GroupMembership {
     private record Change(long index, Map<String, String> members) {}
@@ -44,12 +44,15 @@
         change = Optional.empty();
     }
 
-    /** The group's first members, also if its leader's change of them has been heard of already. */
+    /** Sets the group's initial members, even if a change of them has already been received from its leader. */
     void setInitialMembers(Map<String, String> members) {
         committed = new TreeMap<>(members);
     }
 
-    /** A leader starts a change only after the former one was committed. */
+    /**
+     * Records a change as pending. A leader starts one only after the previous change was committed, so the previous
+     * change is adopted as committed here.
+     */
     void onAppended(long index, Map<String, String> members) {
         change.ifPresent(change -> committed = change.members());
         change = Optional.of(new Change(index, new TreeMap<>(members)));
--- a/common/src/main/java/org/woadvale/common/replication/IdentityRevocationHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/IdentityRevocationHandler.java
@@ -7,7 +7,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Gives a replica another identity when its leader has found that its disk lost entries which it had acknowledged. */
+/** Replaces the identity of a replica whose leader has detected that its disk lost acknowledged entries. */
 final class IdentityRevocationHandler {
     private static final Logger LOG = LogManager.getLogger(IdentityRevocationHandler.class);
 
@@ -19,13 +19,13 @@
         this.storage = storage;
     }
 
-    /** Only the leader of this term can revoke, and only the identity that it heard. */
+    /** Accepts a revocation only from the leader of this term, and only of the current identity. */
     Mono<Acknowledgement> onRevokeIdentity(String from, RevokeIdentityRequest request) {
-        boolean concerned = request.term() == state.term()
+        boolean applies = request.term() == state.term()
                 && from.equals(state.leaderId())
                 && request.identity().equals(state.identity());
-        boolean follows = state.role() == Role.FOLLOWER || state.role() == Role.UNINITIALIZED;
-        if (!concerned || !follows) {
+        boolean isFollowing = state.role() == Role.FOLLOWER || state.role() == Role.UNINITIALIZED;
+        if (!applies || !isFollowing) {
             return Mono.just(new Acknowledgement(false));
         }
         LOG.error(
--- a/common/src/main/java/org/woadvale/common/replication/Leader.java
+++ b/common/src/main/java/org/woadvale/common/replication/Leader.java
@@ -12,8 +12,8 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The leader's work in one term. Entered by {@link #onElected} and left by {@link #onDeposed}; in between it appends
- * and replicates entries, advances the commit index, renews its lease and changes the members of the group.
+ * The leader role for one term. Between {@link #onElected} and {@link #onDeposed} it appends and replicates entries,
+ * advances the commit index, renews its lease and changes the members of the group.
  */
 final class Leader implements ReplicaStorage.LogRetention {
     private static final Logger LOG = LogManager.getLogger(Leader.class);
@@ -25,7 +25,7 @@
     private final LeaderLease lease;
     private final DepartingMembers departingMembers = new DepartingMembers();
     private long firstIndexOfTerm;
-    /** The entry that changes the members and is not known to be committed; zero for none. */
+    /** Index of the membership entry that is not known to be committed; zero for none. */
     private long membershipChangeIndex;
 
     Leader(ReplicaState state, CommitTracker<?, ?> commits, ReplicaStorage storage, VoteStore votes) {
@@ -37,7 +37,7 @@
         this.lease = new LeaderLease(state, followers);
     }
 
-    /** Appends an entry of the new term: only with it entries of earlier terms are committed. */
+    /** Appends an entry of the new term: entries of earlier terms are committed only along with it. */
     void onElected() {
         followers.clear();
         departingMembers.clear();
@@ -69,12 +69,15 @@
         return lease.isRunning();
     }
 
-    /** The lease runs and an entry of the own term is committed: reads and effects are allowed right now. */
+    /**
+     * Whether the lease is running and an entry of the current term is committed, so that reads and side effects are
+     * allowed.
+     */
     boolean isActive() {
         return lease.isRunning() && commits.commitIndex() >= firstIndexOfTerm;
     }
 
-    /** Adds an entry to the log, here and on all followers. */
+    /** Appends an entry to the local log and sends it to all followers. */
     void append(LogEntry entry) {
         storage.append(List.of(entry), this::advanceCommit);
         followerNodes().forEach(node -> followers.appender(node).sendEntries());
@@ -86,14 +89,14 @@
     }
 
     @Override
-    public long firstIndexNeeded(long otherwise) {
+    public long firstIndexNeeded(long defaultIndex) {
         return followers.appenders().stream()
                 .flatMap(appender -> appender.firstIndexNeeded().stream())
                 .mapToLong(Long::longValue)
-                .reduce(otherwise, Math::min);
+                .reduce(defaultIndex, Math::min);
     }
 
-    /** The group, those that are to join it, and those that do not know yet that they have left it. */
+    /** The members of the group, the nodes that are to join it, and removed members that are not notified yet. */
     private Set<String> followerNodes() {
         Set<String> nodes = new TreeSet<>(state.membership().membersExcept(state.self()));
         state.desiredMembers().stream()
@@ -104,7 +107,7 @@
         return nodes;
     }
 
-    /** Committed is what a majority has synced, from the first entry of the own term on. */
+    /** Commits the highest index of the current term that a majority has synced. */
     private void advanceCommit() {
         if (!state.isLeader()) {
             return;
@@ -131,7 +134,10 @@
         return state.membership().hasMajority(synced);
     }
 
-    /** A committed change is appended again: whoever holds that entry knows of the commit, also after a restart. */
+    /**
+     * Appends the members of a committed change again: a replica that has this second entry knows that the change is
+     * committed, even after a restart.
+     */
     private void confirmMembershipChange() {
         if (membershipChangeIndex == 0 || commits.commitIndex() < membershipChangeIndex) {
             return;
@@ -145,7 +151,9 @@
         appendMembers(members);
     }
 
-    /** No change is under way, and each other member was brought up to date under the identity that counts. */
+    /**
+     * Whether no membership change is in progress and every other member has caught up under its committed identity.
+     */
     boolean isStable() {
         return !state.membership().isChanging()
                 && state.membership().committed().entrySet().stream()
@@ -160,7 +168,7 @@
     }
 
     /**
-     * Sends heartbeats, and leaves the role if the replica is no member or has been without a majority for too long.
+     * Sends heartbeats; steps down if this replica is no longer a member or has been without a majority for too long.
      */
     void onTick() {
         Set<String> nodes = followerNodes();
@@ -177,12 +185,15 @@
     }
 
     private boolean isWithoutMajority() {
-        Duration lapse = state.timing().lease();
-        return state.now().compareTo(lease.end().plus(lapse)) > 0
-                && state.now().compareTo(followers.replicatingSince().plus(lapse)) > 0;
+        Duration leaseDuration = state.timing().lease();
+        return state.now().compareTo(lease.end().plus(leaseDuration)) > 0
+                && state.now().compareTo(followers.replicatingSince().plus(leaseDuration)) > 0;
     }
 
-    /** Removed from its group: another member takes over at once, or the others elect one. */
+    /**
+     * Steps down after the removal from the group: transfers leadership if possible, otherwise the other members elect
+     * a leader.
+     */
     private void leaveGroup() {
         boolean transferred = lease.isRelinquished()
                 || successor().map(this::transferLeadership).orElse(false);
@@ -191,7 +202,7 @@
         }
     }
 
-    /** One change at a time. */
+    /** Starts the next membership change; called only while none is in progress. */
     private void changeMembership() {
         MembershipChange.next(state.membership().committed(), state.desiredMembers(), followers.progress())
                 .ifPresent(change -> {
@@ -201,7 +212,7 @@
                 });
     }
 
-    /** The member that would lead next: up to date, electable, and the first of those by preference. */
+    /** The preferred successor: the first member in order of preference that is up to date and electable. */
     Optional<String> successor() {
         Map<String, String> members = state.membership().committed();
         List<String> preference = state.desiredMembers();
@@ -214,7 +225,10 @@
                         node -> preference.contains(node) ? preference.indexOf(node) : Integer.MAX_VALUE));
     }
 
-    /** Gives up the lease first; only then may the successor start its election. False if it is not up to date. */
+    /**
+     * Relinquishes the lease before the successor may start its election. Returns false if the successor is not up to
+     * date or this replica cannot transfer leadership now.
+     */
     boolean transferLeadership(String successor) {
         boolean upToDate = followers
                 .progress(successor)
--- a/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderElection.java
@@ -11,9 +11,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Candidacy of this replica, and its votes for others. */
+/** Runs the candidacies of this replica and handles vote requests from other candidates. */
 final class LeaderElection {
-    /** The preferred leader waits this part of the jitter at most, so that it usually stands first. */
+    /** The preferred leader waits at most the jitter divided by this, so that it is usually the first candidate. */
     private static final int PREFERRED_FRACTION = 8;
 
     private final ReplicaState state;
@@ -24,9 +24,9 @@
     private Map<String, String> votesReceived = new TreeMap<>();
 
     /**
-     * Elections of one replica.
+     * Creates the elections of one replica.
      *
-     * @param ownLeaseRunning whether the lease of this replica runs, while it leads
+     * @param ownLeaseRunning whether this replica's own lease is running, while it leads
      * @param onElected runs when this replica has become leader
      */
     LeaderElection(ReplicaState state, VoteStore votes, BooleanSupplier ownLeaseRunning, Runnable onElected) {
@@ -36,7 +36,7 @@
         this.onElected = onElected;
     }
 
-    /** On a follower: starts an election once no lease can run and the election time-out is over. */
+    /** Called on a follower: starts an election once no lease can be running and the election timeout has passed. */
     void onTick() {
         boolean member = state.membership().latest().containsKey(state.self());
         if (!member || state.leaderLeaseMayRun() && !wasLastLeader()) {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * After a restart: the lease that was confirmed here last was this node's own, and ended with its former
-     * incarnation, so nobody else can hold one.
+     * True after a restart if the lease confirmed last was this node's own: it ended with the node's previous process,
+     * so no other node can hold one.
      */
     private boolean wasLastLeader() {
         return state.term() > 0
@@ -64,7 +64,10 @@
                 && state.leaderId().isEmpty();
     }
 
-    /** The preferred leader stands first and the others leave it time, so that leaders are spread by placement. */
+    /**
+     * Shorter for the preferred leader, which usually becomes a candidate first, so that leaders are distributed as the
+     * placement asks.
+     */
     private Duration electionTimeout() {
         Duration jitter = state.timing().electionJitter();
         long random = Math.floorMod(state.environment().random().getAsLong(), jitter.toNanos());
@@ -73,7 +76,7 @@
                 : jitter.dividedBy(2).plusNanos(random);
     }
 
-    /** A pre-vote comes first, so that a replica that nobody would elect does not raise the term. */
+    /** Starts with a pre-vote, so that a replica that cannot win does not raise the term. */
     private void startElection(boolean leadershipTransferred) {
         electionDueAt = Duration.ZERO;
         state.transitionTo(Role.CANDIDATE, leadershipTransferred ? "leadership transferred" : "no leader");
@@ -107,7 +110,7 @@
         environment.timers().after(timeout, () -> state.shard().run(() -> onTimeout(request)));
     }
 
-    /** The term of a running round of votes: a pre-vote asks for the term after the present one. */
+    /** The term that the current round of votes asks for: a pre-vote asks for the term after the current one. */
     private long requestedTerm(VoteRequest request) {
         return request.preVote() ? state.term() + 1 : state.term();
     }
@@ -120,8 +123,8 @@
 
     private void onVoteResponse(String from, VoteRequest request, VoteResponse response) {
         votes.adoptTerm(response.term(), "a peer is in a later term");
-        boolean current = state.role() == Role.CANDIDATE && request.term() == requestedTerm(request);
-        if (!current || !response.granted()) {
+        boolean isCurrentRound = state.role() == Role.CANDIDATE && request.term() == requestedTerm(request);
+        if (!isCurrentRound || !response.granted()) {
             return;
         }
         votesReceived.put(from, response.identity());
@@ -129,7 +132,7 @@
             return;
         }
         if (request.preVote()) {
-            voteForItself(request);
+            voteForSelf(request);
         } else {
             state.transitionTo(Role.LEADER, "elected");
             state.setSelfAsLeader();
@@ -137,7 +140,7 @@
         }
     }
 
-    private void voteForItself(VoteRequest preVote) {
+    private void voteForSelf(VoteRequest preVote) {
         long term = preVote.term();
         state.voteFor(term, state.self());
         votes.store(() -> {
@@ -147,7 +150,7 @@
         });
     }
 
-    /** Answers a candidate; a vote that is granted is on disk before the answer leaves. */
+    /** Handles a vote request; a granted vote is on disk before the response is sent. */
     Mono<VoteResponse> onVoteRequest(String from, VoteRequest request) {
         if (!mayGrant(from, request)) {
             return Mono.just(new VoteResponse(state.term(), false, state.identity()));
@@ -172,24 +175,24 @@
 
     private boolean mayGrant(String from, VoteRequest request) {
         boolean leaseRuns = state.leaderLeaseMayRun() || state.isLeader() && ownLeaseRunning.getAsBoolean();
-        // the last leader itself: it has given its lease up, or lost it with its former incarnation
+        // the candidate is the last leader: it relinquished its lease, or lost it with its previous process
         boolean formerLeader = from.equals(state.votedFor()) && !state.isLeader();
         if (leaseRuns && !request.leadershipTransferred() && !formerLeader) {
             return false;
         }
-        boolean voteIsFree = request.term() > state.term()
+        boolean voteAvailable = request.term() > state.term()
                 || request.term() == state.term() && state.votedFor().equals(from);
-        return state.isVoter() && voteIsFree && isComplete(request);
+        return state.isVoter() && voteAvailable && isLogComplete(request);
     }
 
-    /** Whether the candidate's log has all that may be committed, as far as this replica can tell. */
-    private boolean isComplete(VoteRequest request) {
+    /** Whether the candidate's log has every entry that may be committed, as far as this replica can tell. */
+    private boolean isLogComplete(VoteRequest request) {
         ReplicatedLog log = state.log();
         return request.lastTerm() > log.lastTerm()
                 || request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex();
     }
 
-    /** The leader has given up its lease in this replica's favour. */
+    /** Handles a leadership transfer: the leader has relinquished its lease in favour of this replica. */
     Mono<Acknowledgement> onStartElection(String from, StartElectionRequest request) {
         boolean accepted = state.role() == Role.FOLLOWER
                 && state.isVoter()
--- a/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderLease.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The lease under which a leader acts: as long as it runs, no other replica is elected. It is counted from the sending
- * of the latest heartbeat that a majority has confirmed, and ends for the leader a little earlier than for the voters.
+ * The lease under which a leader acts: while it is running, no other replica can be elected. It starts when the latest
+ * heartbeat confirmed by a majority was sent, and expires for the leader a little earlier than for the voters.
  */
 final class LeaderLease {
     private final ReplicaState state;
@@ -24,7 +24,7 @@
         relinquished = false;
     }
 
-    /** Given up for good, in favour of a successor. */
+    /** Gives up the lease for the rest of the term, in favour of a successor. */
     void relinquish() {
         relinquished = true;
     }
@@ -37,7 +37,7 @@
         return !relinquished && state.now().compareTo(end()) < 0;
     }
 
-    /** Zero if no majority has confirmed anything yet. */
+    /** When the lease expires, by this node's clock; zero if no majority has confirmed a heartbeat yet. */
     Duration end() {
         List<Duration> contacts = new ArrayList<>(followers.appenders().stream()
                 .map(appender -> appender.progress().lastContact())
@@ -54,7 +54,7 @@
         return Duration.ZERO;
     }
 
-    /** When a majority was last in contact, by this node's clock; far back if it never was. */
+    /** When a majority was last in contact, by this node's clock; negative if it never was. */
     Duration lastMajorityContact() {
         return end().minus(state.timing().leaderLease());
     }
--- a/common/src/main/java/org/woadvale/common/replication/LeaderTracker.java
+++ b/common/src/main/java/org/woadvale/common/replication/LeaderTracker.java
@@ -4,11 +4,11 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Which leader this replica follows, and when that is on disk. */
+/** Tracks which leader this replica follows and whether that is on disk. */
 final class LeaderTracker {
     private final ReplicaState state;
     private final VoteStore votes;
-    /** Completes when the leader that was accepted last is on disk; there only until the first answer to it. */
+    /** Completes when the leader accepted last is on disk; present only until the first response to it. */
     private Optional<Sinks.One<Boolean>> voteBeingStored = Optional.empty();
 
     LeaderTracker(ReplicaState state, VoteStore votes) {
@@ -16,15 +16,16 @@
         this.votes = votes;
     }
 
-    /** Follows the sender, which leads the term; false if the term is over. */
+    /** Follows the leader of the given term; returns false if the term is outdated. */
     boolean accept(String leader, long term) {
         if (term < state.term()) {
             return false;
         }
         votes.adoptTerm(term, "a new leader");
-        // what the leader sent before it gave up its lease may arrive late, and does not end the candidacy it asked for
+        // a request that the leader sent before it relinquished its lease may arrive late; it must not end the
+        // candidacy that the leader asked for
         if (state.role() == Role.CANDIDATE && !state.isCandidateByTransfer()) {
-            state.transitionTo(Role.FOLLOWER, "another was elected");
+            state.transitionTo(Role.FOLLOWER, "another replica was elected");
         }
         if (!state.votedFor().equals(leader)) {
             state.voteFor(state.term(), leader);
@@ -37,8 +38,8 @@
     }
 
     /**
-     * Delays an answer until it is on disk whose lease it confirms: after a restart this replica must know that nobody
-     * else's lease may run.
+     * Delays a response until the leader whose lease it confirms is on disk: after a restart this replica must know
+     * that no other node's lease can be running.
      */
     <T> Mono<T> afterVoteStored(Mono<T> response) {
         Optional<Sinks.One<Boolean>> stored = voteBeingStored;
--- a/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
+++ b/common/src/main/java/org/woadvale/common/replication/LegacyFormat.java
@@ -6,9 +6,9 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.wal.WalRecord;
 
-/** What an older build wrote to the write-ahead log, in the present format. */
+/** Converts records that an older build wrote to the write-ahead log to the current format. */
 final class LegacyFormat {
-    /** Records without the count of their components. */
+    /** The format of records without the count of their components. */
     private static final int FIRST_FORMAT = 1;
 
     private LegacyFormat() {}
--- a/common/src/main/java/org/woadvale/common/replication/LogAppender.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogAppender.java
@@ -14,19 +14,21 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
 
-/** Brings one follower up to the leader's log in one term: entries, heartbeats and snapshots, one request at a time. */
+/**
+ * Replicates the leader's log to one follower in one term: entries, heartbeats and snapshots, one request at a time.
+ */
 final class LogAppender {
-    /** Is notified when a follower has acknowledged more of the log. */
+    /** Notified when a follower has acknowledged more of the log. */
     interface ProgressListener {
         void onProgress();
     }
 
     private static final Logger LOG = LogManager.getLogger(LogAppender.class);
 
-    /** After so many chunks in a row without an answer the snapshot is tried once in a single request. */
-    private static final int LOST_CHUNKS_BEFORE_WHOLE = 6;
+    /** After this many consecutive chunks without a response, the snapshot is sent once in a single request. */
+    private static final int LOST_CHUNKS_BEFORE_SINGLE_REQUEST = 6;
 
-    /** So long a node that is to join is asked often, since it opens its replica at any moment. */
+    /** How long heartbeats to a joining node are sent at every tick, because it may open its replica at any moment. */
     private static final Duration JOIN_PERIOD = Duration.ofSeconds(5);
 
     private final ReplicaState state;
@@ -42,18 +44,18 @@
     private boolean inFlight;
     private Duration lastSent = Duration.ZERO;
     private long commitIndexSent;
-    /** The latest request had no answer in time. */
+    /** The latest request got no response in time. */
     private boolean unresponsive;
-    /** Bytes of entries in one request: fewer after a request without an answer. */
+    /** Maximum bytes of entries in one request: halved after a request without a response. */
     private int batchBytes = ReplicatedLog.MAX_BATCH_BYTES;
-    /** Its latest response named entries that it has and has not synced. */
-    private boolean holdsUnsynced;
+    /** The latest response shows that the follower has entries that it has not synced. */
+    private boolean hasUnsyncedEntries;
 
     private Optional<SnapshotSender> snapshotSender = Optional.empty();
-    /** From the first chunk of a snapshot until the follower has all that is committed. */
+    /** True from the first chunk of a snapshot until the follower has all committed entries. */
     private boolean catchingUp;
-    /** The follower is of a build that does not know chunks. */
-    private boolean needsWholeSnapshot;
+    /** Sends the snapshot in a single request, because the follower may run a build that does not support chunks. */
+    private boolean needsSingleRequest;
 
     private int lostChunks;
 
@@ -86,8 +88,8 @@
     /** Sends a heartbeat if one is due. */
     void onTick() {
         boolean due = isHeartbeatDue();
-        boolean entriesWait = hasEntriesToSend() && (progress.hasMatched() || due);
-        send(due || entriesWait);
+        boolean entriesDue = hasEntriesToSend() && (progress.hasMatched() || due);
+        send(due || entriesDue);
     }
 
     /** Sends new entries at once, unless a request is in flight. */
@@ -96,9 +98,9 @@
     }
 
     private boolean isHeartbeatDue() {
-        boolean often = !progress.hasMatched() && isJoining() || holdsUnsynced && !unresponsive;
-        Duration pause = often ? state.timing().tick() : state.timing().heartbeat();
-        return lastSent.isZero() || state.now().compareTo(lastSent.plus(pause)) >= 0;
+        boolean frequent = !progress.hasMatched() && isJoining() || hasUnsyncedEntries && !unresponsive;
+        Duration interval = frequent ? state.timing().tick() : state.timing().heartbeat();
+        return lastSent.isZero() || state.now().compareTo(lastSent.plus(interval)) >= 0;
     }
 
     private boolean hasEntriesToSend() {
@@ -111,8 +113,8 @@
                 && state.now().compareTo(progress.replicatingSince().plus(JOIN_PERIOD)) < 0;
     }
 
-    private void send(boolean desired) {
-        if (inFlight || !inLeaderTerm() || !desired) {
+    private void send(boolean due) {
+        if (inFlight || !inLeaderTerm() || !due) {
             return;
         }
         inFlight = true;
@@ -136,7 +138,7 @@
         call(request, AppendEntriesResponse.class, response -> onResponse(response, sentAt, lastIndex), e -> onLost());
     }
 
-    /** What runs on the shard when a response, or none, has come. */
+    /** Sends a request to the follower; the callbacks run on the shard. */
     private <T> void call(
             ReplicationRequest request, Class<T> responseType, Consumer<T> onResponse, Consumer<Throwable> onError) {
         state.shard()
@@ -148,7 +150,7 @@
                                 error -> state.shard().run(() -> onError.accept(error))));
     }
 
-    /** No answer in time: the next request is smaller, so that a slow disk or link can keep up with it. */
+    /** Handles a request without a response: the next request is smaller, so that a slow disk or link can keep up. */
     private void onLost() {
         inFlight = false;
         unresponsive = true;
@@ -161,8 +163,8 @@
                 storage.snapshotForFollowers(), state.timing().requestTimeout()));
         snapshotSender = Optional.of(sender);
         catchingUp = true;
-        if (needsWholeSnapshot) {
-            sendWholeSnapshot();
+        if (needsSingleRequest) {
+            sendSnapshotInSingleRequest();
             return;
         }
         SnapshotChunkRequest chunk = sender.nextChunk(state.partition(), term);
@@ -174,19 +176,22 @@
                 error -> onChunkLost(ServiceException.of(error).kind()));
     }
 
-    /** A build that does not know chunks refuses the first one, or drops the connection for it. */
+    /**
+     * Handles a chunk without a response. A build without chunk support rejects the first chunk or drops the
+     * connection.
+     */
     private void onChunkLost(ErrorKind kind) {
         lostChunks++;
-        needsWholeSnapshot = kind == ErrorKind.BAD_REQUEST || lostChunks % LOST_CHUNKS_BEFORE_WHOLE == 0;
+        needsSingleRequest = kind == ErrorKind.BAD_REQUEST || lostChunks % LOST_CHUNKS_BEFORE_SINGLE_REQUEST == 0;
         onLost();
     }
 
-    private void sendWholeSnapshot() {
+    private void sendSnapshotInSingleRequest() {
         InstallSnapshotRequest request =
                 new InstallSnapshotRequest(state.partition(), term, storage.snapshotWithoutIdentity());
         long lastIndex = request.snapshot().index();
         snapshotSender = Optional.empty();
-        needsWholeSnapshot = false;
+        needsSingleRequest = false;
         Duration sentAt = lastSent;
         call(request, AppendEntriesResponse.class, response -> onResponse(response, sentAt, lastIndex), e -> onLost());
     }
@@ -208,7 +213,8 @@
                 listener.onProgress();
             }
             case CORRUPT, TOO_LARGE, OUTDATED_TERM -> {
-                // with the next heartbeat and not at once: a snapshot that does not arrive must not fill the link
+                // retried with the next heartbeat and not immediately: a snapshot that cannot be delivered must not
+                // saturate the link
                 snapshotSender = Optional.empty();
                 return;
             }
@@ -220,11 +226,11 @@
         }
     }
 
-    private boolean deposedBy(long answeredTerm) {
-        if (answeredTerm <= term) {
+    private boolean deposedBy(long responseTerm) {
+        if (responseTerm <= term) {
             return false;
         }
-        votes.adoptTerm(answeredTerm, "a follower is in a later term");
+        votes.adoptTerm(responseTerm, "a follower is in a later term");
         return true;
     }
 
@@ -241,9 +247,10 @@
         progress.onCommitIndexAcknowledged(commitIndexSent);
         if (response.success()) {
             progress.onMatch(response.matchIndex());
-            holdsUnsynced = response.matchIndex() < lastIndexSent;
+            hasUnsyncedEntries = response.matchIndex() < lastIndexSent;
             catchingUp = catchingUp && !progress.hasAcknowledgedCommitIndex();
-            // what it holds and has not synced is not sent again: the next responses tell when it is
+            // entries that the follower has but has not synced are not sent again: later responses report when they are
+            // synced
             nextIndex =
                     Math.max(lastIndexSent + 1, Math.min(nextIndex, state.log().lastIndex() + 1));
             batchBytes = Math.min(ReplicatedLog.MAX_BATCH_BYTES, batchBytes * 2);
@@ -262,12 +269,13 @@
         if (!response.success() || nextIndex <= lastIndex && syncedAllSent) {
             sendEntries();
         } else if (commitIndexSent < commits.commitIndex() && commits.commitIndex() >= lastIndex) {
-            // followers learn of commits soon, so that a successor is ready and a promotion is noticed
+            // makes the next heartbeat due, so that followers learn of commits early: a successor is ready and a
+            // promotion is noticed
             lastSent = lastSent.minus(state.timing().heartbeat());
         }
     }
 
-    /** A disk that has less than was acknowledged from it counts for nothing until it has another identity. */
+    /** Stops counting a follower whose disk lost acknowledged entries, until it has another identity. */
     private void revokeIdentity(String reported) {
         if (progress.revoke(reported)) {
             LOG.error(
@@ -288,13 +296,13 @@
                         .subscribe(acknowledgement -> {}, e -> {}));
     }
 
-    /** The index from which the log must be kept for a follower that is catching up, if it still answers. */
+    /** The index from which the log must be kept for a follower that is catching up, if it still responds. */
     Optional<Long> firstIndexNeeded() {
-        Duration heardAt = progress.lastContact().compareTo(progress.replicatingSince()) > 0
+        Duration lastHeardAt = progress.lastContact().compareTo(progress.replicatingSince()) > 0
                 ? progress.lastContact()
                 : progress.replicatingSince();
-        Duration patience = state.timing().lease().multipliedBy(2);
-        if (!catchingUp || state.now().compareTo(heardAt.plus(patience)) > 0) {
+        Duration retentionPeriod = state.timing().lease().multipliedBy(2);
+        if (!catchingUp || state.now().compareTo(lastHeardAt.plus(retentionPeriod)) > 0) {
             return Optional.empty();
         }
         return Optional.of(snapshotSender.map(SnapshotSender::index).orElse(nextIndex - 1));
--- a/common/src/main/java/org/woadvale/common/replication/LogEntry.java
+++ b/common/src/main/java/org/woadvale/common/replication/LogEntry.java
@@ -7,13 +7,13 @@
  * @param bytes the encoded command or members; empty for a NO_OP
  */
 public record LogEntry(long term, Kind kind, byte[] bytes) {
-    /** What the bytes are. Stored by ordinal: only ever add at the end. */
+    /** The type of the payload. Stored by ordinal: append constants only at the end. */
     public enum Kind {
         /** A command of the state machine. */
         COMMAND,
         /** The members of the group from this entry on. */
         MEMBERSHIP,
-        /** Nothing; begins a term. */
+        /** No payload; the first entry of a term. */
         NO_OP
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
+++ b/common/src/main/java/org/woadvale/common/replication/MembershipChange.java
@@ -6,13 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * The next change of a group: a follower that has caught up takes its place in it.
+ * The next membership change of a group, which adds a follower that has caught up.
  *
- * @param joining the node that joins, or that is a member already and comes back with another identity
+ * @param joining the node that joins, or a member that returns with another identity
  * @param members all members after the change, node to identity
  */
 record MembershipChange(String joining, Map<String, String> members) {
-    /** A lost disk's new identity, or a wanted member for one not wanted; empty if there is nothing to change. */
+    /**
+     * Returns the next change: the new identity of a member that lost its disk, or a desired member in place of one
+     * that is no longer desired; empty if there is nothing to change.
+     */
     static Optional<MembershipChange> next(
             Map<String, String> members, List<String> desired, Map<String, FollowerProgress> followers) {
         return followers.entrySet().stream()
@@ -37,8 +40,8 @@
             Optional<String> leaving = members.keySet().stream()
                     .filter(member -> !desired.contains(member))
                     .findFirst();
-            boolean grows = members.size() < desired.size();
-            if (!desired.contains(node) || leaving.isEmpty() && !grows) {
+            boolean hasVacancy = members.size() < desired.size();
+            if (!desired.contains(node) || leaving.isEmpty() && !hasVacancy) {
                 return Optional.empty();
             }
             leaving.ifPresent(next::remove);
--- a/common/src/main/java/org/woadvale/common/replication/NodeEnvironment.java
+++ b/common/src/main/java/org/woadvale/common/replication/NodeEnvironment.java
@@ -8,7 +8,7 @@
 import org.woadvale.common.wal.WriteAheadLog;
 
 /**
- * What the components of a node need of the outside; each has a fake for tests.
+ * The external dependencies of a node's components; each has a fake for tests.
  *
  * @param clock monotonic and wall-clock time
  * @param timers delayed, repeated and disk tasks
@@ -16,7 +16,7 @@
  * @param codec messages and stored records as bytes
  * @param wal the write-ahead log of this node
  * @param random random numbers, seeded in tests
- * @param timing the times of the replication engine
+ * @param timing the timeouts and intervals of the replication engine
  */
 public record NodeEnvironment(
         Clock clock,
@@ -26,7 +26,7 @@
         WriteAheadLog wal,
         LongSupplier random,
         ReplicationTiming timing) {
-    /** The internal address of this node, which is its name. */
+    /** The internal address of this node, which is also its name. */
     public String self() {
         return rpc.self();
     }
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -17,8 +17,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One replica of one partition. This class is what the rest of the program sees of the engine: it joins the engine's
- * components and runs each call on the replica's shard.
+ * One replica of one partition: the public interface of the replication engine. It wires the engine's components
+ * together and runs each call on the replica's shard.
  *
  * @param <C> the commands of the state machine
  * @param <R> the results of commands
@@ -38,10 +38,10 @@
     private final BootstrapVoter bootstrapVoter;
     private final Bootstrap bootstrap;
     private volatile Runnable onChange = () -> {};
-    private TimerHandle ticking = () -> {};
+    private TimerHandle tickTimer = () -> {};
 
     /**
-     * A replica that takes part in nothing before {@link #start}.
+     * Creates a replica that stays passive until {@link #start}.
      *
      * @param desiredMembers the nodes that should be in the group, the preferred leader first
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Recovers from the records of the write-ahead log and takes part from then on.
+     * Recovers from the records of the write-ahead log and then participates in the group.
      *
      * @throws ServiceException if a record is unreadable; the replica must not be used then
      */
@@ -88,7 +88,7 @@
         }
         NodeEnvironment environment = state.environment();
         environment.wal().onSpaceNeeded(state.partition(), () -> state.shard().run(storage::storeSnapshot));
-        ticking = environment
+        tickTimer = environment
                 .timers()
                 .every(state.timing().tick(), () -> state.shard().run(this::onTick));
     }
@@ -104,76 +104,79 @@
         storage.compactIfNeeded();
     }
 
-    /** Takes part in nothing any more; what is stored stays. */
+    /** Stops participating in the group; stored data is kept. */
     public void stop() {
-        ticking.cancel();
+        tickTimer.cancel();
         state.shard().run(() -> state.transitionTo(Role.STOPPED, "stop"));
     }
 
-    private void onRoleChange(Role before, Role now) {
-        if (before == Role.LEADER) {
+    private void onRoleChange(Role previous, Role current) {
+        if (previous == Role.LEADER) {
             leader.onDeposed();
             commits.failPending();
         }
-        if (now == Role.LEADER) {
+        if (current == Role.LEADER) {
             LOG.info("Partition {} is led by {} in term {}.", state.partition(), state.self(), state.term());
         }
         state.shard().afterUnlock(onChange);
     }
 
-    /** The task runs after each change of role; one task at a time, the latest given. */
+    /** Sets the task that runs after each role change, replacing the previous task. */
     public void onChange(Runnable task) {
         onChange = task;
     }
 
-    /** True while the lease runs and an entry of the own term is committed; ask right before each effect. */
+    /**
+     * Whether the lease is running and an entry of the current term is committed; check it right before each side
+     * effect.
+     */
     public boolean isActiveLeader() {
         return state.shard().get(() -> state.isLeader() && leader.isActive());
     }
 
-    /** The term as far as it is known here. */
+    /** The latest term that this replica knows of. */
     public long term() {
         return state.shard().get(state::term);
     }
 
-    /** The present role; it may be another as soon as this returns. */
+    /** The current role; it may change as soon as this method returns. */
     public Role role() {
         return state.shard().get(state::role);
     }
 
-    /** The leader that was heard last, or this node; empty while none is known. */
+    /** The leader last heard from, which may be this node; empty if none is known. */
     public Optional<String> leaderId() {
         return state.shard().get(() -> state.leaderId().isEmpty() ? Optional.empty() : Optional.of(state.leaderId()));
     }
 
-    /** The committed members, node to identity, as far as they are known here. */
+    /** The committed members, node to identity, as far as this replica knows them. */
     public Map<String, String> members() {
         return state.shard().get(state.membership()::committed);
     }
 
-    /** What this replica knows of its group. */
+    /** This replica's view of its group. */
     public GroupStatus status() {
         return state.shard().get(() -> {
             Map<String, String> members = state.membership().committed();
-            boolean counts = state.identity().equals(members.get(state.self()));
+            boolean isMember = state.identity().equals(members.get(state.self()));
             return new GroupStatus(
                     state.term(),
                     List.copyOf(members.keySet()),
                     state.isLeader() && leader.isActive(),
-                    state.isVoter() && counts,
+                    state.isVoter() && isMember,
                     state.isLeader() && leader.isStable());
         });
     }
 
-    /** The leader's last contact with each follower, by its monotonic clock; empty on any other replica. */
+    /** When the leader was last in contact with each follower, by its monotonic clock; empty on any other replica. */
     public Map<String, Duration> followerContacts() {
         return state.shard().get(() -> state.isLeader() ? leader.followerContacts() : Map.of());
     }
 
     /**
-     * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can know
-     * without asking: a leader when the latest heartbeat was sent that a majority has confirmed, others when a leader
-     * was heard.
+     * When this replica was last in contact with a majority, by the local monotonic clock, as far as it can tell
+     * without a request: on a leader, when the latest heartbeat confirmed by a majority was sent; on other replicas,
+     * when the leader was last heard from.
      */
     public Duration lastMajorityContact() {
         return state.shard()
@@ -182,17 +185,19 @@
                         : state.leaderLeaseUntil().minus(state.timing().lease()));
     }
 
-    /** Bytes of commands that are in the log and not applied yet: what they add to the state is not counted there. */
+    /** Bytes of log entries that are not applied yet; the size of the state does not include them. */
     public long unappliedBytes() {
         return state.shard().get(commits::unappliedBytes);
     }
 
-    /** Changes who should be in the group, the preferred leader first; a leader acts on it with its next tick. */
+    /** Sets the nodes that should be in the group, the preferred leader first; a leader acts on it at its next tick. */
     public void setDesiredMembers(List<String> members) {
         state.shard().run(() -> state.setDesiredMembers(members));
     }
 
-    /** From now on this replica is no successor of a leader; it goes on voting. */
+    /**
+     * Reports this replica as not electable from now on, so that no leader picks it as its successor; it still votes.
+     */
     public void declineLeadership() {
         state.shard().run(state::declineLeadership);
     }
@@ -202,10 +207,10 @@
     }
 
     /**
-     * Reads the state machine under the lease, so never older than what was acknowledged.
+     * Reads the state machine under the leader lease, so the result reflects every acknowledged command.
      *
-     * @param reader is given the applied index
-     * @return fails with NOT_OWNER, and the leader if it is known, where this replica may not act
+     * @param reader receives the applied index
+     * @return fails with NOT_OWNER, naming the leader if it is known, if this replica is not the active leader
      */
     public <T> Mono<T> read(LongFunction<T> reader) {
         return Mono.defer(() -> state.shard()
@@ -213,16 +218,17 @@
                         isActiveLeader() ? Mono.just(reader.apply(commits.appliedIndex())) : Mono.error(notLeader())));
     }
 
-    /** Looks at the state machine as it is here, leader or not. */
+    /** Reads the local state machine, whether or not this replica leads; the result may be stale. */
     public <T> T inspect(LongFunction<T> reader) {
         return state.shard().get(() -> reader.apply(commits.appliedIndex()));
     }
 
     /**
-     * Appends a command to the log and answers with its result once it is committed and applied.
+     * Appends a command to the log and completes with its result once it is committed and applied.
      *
-     * @return fails with NOT_OWNER, or with BAD_REQUEST if it is too large, before anything is written, with UNKNOWN_OUTCOME if the leadership is lost while the
-     *     command is in the log, and with the state machine's own failure if it rejects the command
+     * @return fails with NOT_OWNER, or with BAD_REQUEST if the command is too large, before anything is written; with
+     *     UNKNOWN_OUTCOME if leadership is lost while the command is in the log; and with the state machine's own
+     *     failure if it rejects the command
      */
     public <T extends R> Mono<T> propose(C command, Class<T> resultType) {
         Function<R, T> cast = resultType::cast;
@@ -241,17 +247,17 @@
                 .map(cast);
     }
 
-    /** Gives the leadership to a replica that is up to date; false if this is not possible right now. */
+    /** Transfers leadership to an up-to-date replica; false if that is not possible right now. */
     public boolean transferLeadership(String successor) {
         return state.shard().get(() -> state.isLeader() && leader.transferLeadership(successor));
     }
 
-    /** The replica best placed to take over, if this one leads and any is up to date. */
+    /** The preferred successor, if this replica leads and any follower is up to date. */
     public Optional<String> successor() {
         return state.shard().get(() -> state.isLeader() ? leader.successor() : Optional.empty());
     }
 
-    /** Answers another replica of the partition. */
+    /** Handles a request from another replica of the partition. */
     public Mono<?> handle(String from, ReplicationRequest request) {
         return Mono.defer(() -> state.shard()
                 .get(() -> state.isStopped()
@@ -276,14 +282,14 @@
             return bootstrap.onPrepare(prepare);
         } else if (request instanceof BootstrapMessages.AcceptRequest accept) {
             return bootstrapVoter.onAccept(accept);
-        } else if (request instanceof ReplicationMessages.BootstrapRequest found) {
-            return bootstrapVoter.onBootstrap(found);
+        } else if (request instanceof ReplicationMessages.BootstrapRequest bootstrapRequest) {
+            return bootstrapVoter.onBootstrap(bootstrapRequest);
         } else {
             return bootstrapVoter.onStatusRequest();
         }
     }
 
-    /** For model checking: the components of the engine, to be used on the shard. */
+    /** The engine's state, for model checking; use it on the shard only. */
     ReplicaState state() {
         return state;
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaIdentity.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The name of one incarnation of a disk: random, and with the node that created it, so that a disk that was copied from
- * another member is noticed.
+ * The identity of one incarnation of a replica's disk: a random number and the node that created it, so that a disk
+ * copied from another member is detected.
  */
 final class ReplicaIdentity {
     private static final String NODE_SEPARATOR = "@";
@@ -15,7 +15,7 @@
         return Long.toHexString(random.getAsLong()) + NODE_SEPARATOR + node;
     }
 
-    /** Identities of earlier builds have no node: they count as the node's own. */
+    /** Identities of earlier builds do not name a node and count as the node's own. */
     static boolean belongsTo(String identity, String node) {
         return !identity.contains(NODE_SEPARATOR) || identity.endsWith(NODE_SEPARATOR + node);
     }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaRecovery.java
@@ -7,7 +7,7 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.wal.WalRecord;
 
-/** Brings a replica to what its disk holds, once, before it takes part in anything. */
+/** Restores a replica from its disk, once, before it participates in the group. */
 final class ReplicaRecovery {
     private static final Logger LOG = LogManager.getLogger(ReplicaRecovery.class);
 
@@ -76,7 +76,8 @@
     private void replayEntry(WalRecord record, LogEntry entry) {
         state.truncateInMemory(record.index());
         if (record.term() > state.term()) {
-            // written by a build that did not store its leaders: nobody is known to hold a lease of this term
+            // written by a build that did not store its leaders: the holder of a lease in this term, if any, is not
+            // known
             state.restoreVote(record.term(), "");
         }
         state.appendInMemory(entry);
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaState.java
@@ -11,13 +11,13 @@
 import org.woadvale.common.runtime.LockedShard;
 
 /**
- * What all roles of a replica share: its role, term, vote, identity, log and members, and which leader it follows.
- * Depends on nothing else of the engine; used on the replica's shard only.
+ * The state that all roles of a replica share: role, term, vote, identity, log, members, and the leader it follows. It
+ * depends on no other component of the engine; use it on the replica's shard only.
  */
 final class ReplicaState {
-    /** Is notified after each change of role. */
+    /** Notified after each role change. */
     interface RoleListener {
-        void onRoleChange(Role before, Role now);
+        void onRoleChange(Role previous, Role current);
     }
 
     private static final Logger LOG = LogManager.getLogger(ReplicaState.class);
@@ -27,7 +27,7 @@
     private final LockedShard shard = new LockedShard();
     private final ReplicatedLog log = new ReplicatedLog();
     private final GroupMembership membership = new GroupMembership();
-    private RoleListener roleListener = (before, now) -> {};
+    private RoleListener roleListener = (previous, current) -> {};
 
     private Role role = Role.UNINITIALIZED;
     private long term;
@@ -41,7 +41,10 @@
     private List<String> desiredMembers;
     private BootstrapState bootstrap = BootstrapState.EMPTY;
 
-    /** A lease that was confirmed before a restart may still run: until it has expired, no other node gets a vote. */
+    /**
+     * Assumes that a lease confirmed before a restart may still be running: no other node gets a vote until it has
+     * expired.
+     */
     ReplicaState(String partition, List<String> desiredMembers, NodeEnvironment environment) {
         this.partition = partition;
         this.desiredMembers = List.copyOf(desiredMembers);
@@ -65,7 +68,7 @@
         return environment.timing();
     }
 
-    /** The node that this replica is on. */
+    /** The name of the node that hosts this replica. */
     String self() {
         return environment.self();
     }
@@ -99,44 +102,44 @@
         return role == Role.STOPPED;
     }
 
-    /** The one function for every change of role; nothing happens if the replica is in that role already. */
+    /** Changes the role, and is the only method that does; does nothing if the replica already has that role. */
     void transitionTo(Role next, String reason) {
         if (role == next) {
             return;
         }
         if (!role.successors().contains(next)) {
-            throw new IllegalStateException(partition + ": " + role + " to " + next);
+            throw new IllegalStateException(partition + ": invalid role transition from " + role + " to " + next);
         }
-        Role before = role;
+        Role previous = role;
         role = next;
         candidateByTransfer = false;
-        LOG.debug("Partition {} at {}: {} to {} in term {}, {}.", partition, self(), before, next, term, reason);
-        roleListener.onRoleChange(before, next);
+        LOG.debug("Partition {} at {}: {} to {} in term {}, {}.", partition, self(), previous, next, term, reason);
+        roleListener.onRoleChange(previous, next);
     }
 
     long term() {
         return term;
     }
 
-    /** The node that has this replica's vote in its term, or that leads it; empty for none. */
+    /** The node that this replica voted for in its term, or the leader of that term; empty if neither is known. */
     String votedFor() {
         return votedFor;
     }
 
-    /** As read back from disk. */
+    /** Sets the term and vote recovered from disk. */
     void restoreVote(long storedTerm, String storedVote) {
         term = storedTerm;
         votedFor = storedVote;
     }
 
-    /** A later term, in which no vote is given and no leader is known yet. */
+    /** Enters a later term, with no vote cast and no leader known yet. */
     void enterTerm(long laterTerm) {
         term = laterTerm;
         votedFor = "";
         leaderId = "";
     }
 
-    /** Gives the vote of a term to a candidate, which may be this node. */
+    /** Casts the vote of a term for a candidate, which may be this node. */
     void voteFor(long inTerm, String candidate) {
         term = inTerm;
         votedFor = candidate;
@@ -146,7 +149,7 @@
         return identity;
     }
 
-    /** Whether this replica votes and counts, under its identity. */
+    /** Whether this replica votes and counts towards majorities under its current identity. */
     boolean isVoter() {
         return voter;
     }
@@ -160,7 +163,7 @@
         voter = true;
     }
 
-    /** The leader that was heard last in this term; empty while none is known. */
+    /** The leader last heard from in this term; empty if none is known. */
     String leaderId() {
         return leaderId;
     }
@@ -169,28 +172,28 @@
         leaderId = "";
     }
 
-    /** This replica was elected. */
+    /** Records this replica as the leader after its election. */
     void setSelfAsLeader() {
         leaderId = self();
     }
 
-    /** A leader was heard just now: its lease may run as long from here on. */
+    /** Records contact with the leader; its lease may run for a full lease duration from now. */
     void follow(String leader) {
         leaderId = leader;
         leaderLeaseUntil = now().plus(timing().lease());
     }
 
-    /** The leader of this term has given its lease up in this candidate's favour. */
+    /** Marks this candidacy as requested by the leader of the current term, which has relinquished its lease. */
     void becomeCandidateByTransfer() {
         candidateByTransfer = true;
     }
 
-    /** Whether this replica stands in the term of a leader that wants it as its successor. */
+    /** Whether this candidacy was requested by a leader that is transferring leadership to this replica. */
     boolean isCandidateByTransfer() {
         return candidateByTransfer;
     }
 
-    /** Until when, by this node's clock, the lease of a leader that was heard may run. */
+    /** The time, by this node's clock, until which the lease of the leader last heard from may run. */
     Duration leaderLeaseUntil() {
         return leaderLeaseUntil;
     }
@@ -199,12 +202,14 @@
         return now().compareTo(leaderLeaseUntil) < 0;
     }
 
-    /** Nobody can hold a lease, since the group has just been bootstrapped. */
+    /** Clears the leader lease: no node can hold one right after the bootstrap of the group. */
     void expireLeaderLease() {
         leaderLeaseUntil = now();
     }
 
-    /** Whether this replica may succeed a leader; a draining one follows and votes, and is no successor. */
+    /**
+     * Whether leadership may be transferred to this replica; a draining replica follows and votes but is no successor.
+     */
     boolean isElectable() {
         return electable;
     }
@@ -213,7 +218,7 @@
         electable = false;
     }
 
-    /** Who should be in the group, in the order of preference as leader. */
+    /** The nodes that should be in the group, in order of preference as leader. */
     List<String> desiredMembers() {
         return desiredMembers;
     }
@@ -222,7 +227,7 @@
         desiredMembers = List.copyOf(members);
     }
 
-    /** What was agreed so far on the first members of the group. */
+    /** The progress of the agreement on the group's initial members. */
     BootstrapState bootstrap() {
         return bootstrap;
     }
@@ -231,7 +236,10 @@
         bootstrap = next;
     }
 
-    /** Neither a log nor members: this replica may still agree on the first members of its group. */
+    /**
+     * Whether this replica has neither a log nor members, so that it may still agree on the initial members of its
+     * group.
+     */
     boolean canBootstrap() {
         return role == Role.UNINITIALIZED && membership.latest().isEmpty();
     }
@@ -240,7 +248,7 @@
         return !desiredMembers.isEmpty() && desiredMembers.get(0).equals(self());
     }
 
-    /** Adds an entry in memory; one of kind MEMBERSHIP is in effect from here on. */
+    /** Appends an entry in memory; a MEMBERSHIP entry takes effect immediately. */
     void appendInMemory(LogEntry entry) {
         log.append(entry);
         if (entry.kind() == LogEntry.Kind.MEMBERSHIP) {
@@ -248,7 +256,7 @@
         }
     }
 
-    /** Drops the entries from an index on, and the change of members among them. */
+    /** Drops the entries from an index on, including any membership change among them. */
     void truncateInMemory(long index) {
         log.truncateFrom(index);
         membership.truncateFrom(index);
@@ -263,7 +271,7 @@
                     .forEach((node, memberIdentity) -> members.put((String) node, (String) memberIdentity));
             return members;
         } catch (ServiceException e) {
-            throw new IllegalStateException("unreadable membership entry of " + partition, e);
+            throw new IllegalStateException("cannot decode a membership entry of partition " + partition, e);
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicaStorage.java
@@ -6,35 +6,38 @@
 import org.woadvale.common.wal.WalRecord;
 
 /**
- * What a replica writes to the write-ahead log: entries, and snapshots that replace every earlier record of the
- * partition. Knows up to which index the log in memory is synced.
+ * Writes a replica's entries and snapshots to the write-ahead log; a snapshot replaces every earlier record of the
+ * partition. Tracks the index up to which the in-memory log is synced.
  */
 final class ReplicaStorage {
-    /** Which entries followers still need; the log in memory is kept from there on. */
+    /** Decides which entries followers still need; the in-memory log keeps the entries from there on. */
     interface LogRetention {
-        /** The first index that is still needed, or the given one if that is smaller or nothing is needed. */
-        long firstIndexNeeded(long otherwise);
+        /** Returns the first index still needed, or the default if that is lower or nothing is needed. */
+        long firstIndexNeeded(long defaultIndex);
     }
 
     private static final long COMPACTION_BYTES = 4L << 20;
     private static final int COMPACTION_ENTRIES = 8192;
-    /** The log since the latest snapshot may take this part of the largest record before a snapshot is due. */
+    /** A snapshot is due once the log since the latest one exceeds the largest record size divided by this. */
     private static final int COMPACTION_FRACTION = 4;
-    /** So many bytes of the log are kept for followers that are catching up from a snapshot. */
-    private static final long KEPT_FOR_FOLLOWERS_BYTES = 4L << 20;
+    /**
+     * If the log is larger than this, a snapshot drops all entries that it covers, even if a follower that is catching
+     * up needs them.
+     */
+    private static final long MAX_RETAINED_LOG_BYTES = 4L << 20;
 
-    /** What a snapshot has beside the state and the entries after it: members, identity, and what each entry adds. */
+    /** Bytes of a snapshot besides the state and the entries after it: members, identity and per-entry overhead. */
     private static final long SNAPSHOT_OVERHEAD_BYTES = 16 << 10;
 
-    /** What the record of an entry has beside the command: type numbers, term, kind and lengths. */
+    /** Bytes of an entry's record besides the command: type numbers, term, kind and lengths. */
     private static final int ENTRY_OVERHEAD_BYTES = 64;
 
     private final ReplicaState state;
     private final CommitTracker<?, ?> commits;
     private final StateMachine<?, ?> stateMachine;
-    private LogRetention retention = otherwise -> otherwise;
+    private LogRetention retention = defaultIndex -> defaultIndex;
     private long syncedIndex;
-    /** Shared by all followers that need one; collected with the last of them. */
+    /** Shared by all followers that need it, and garbage-collected after the last of them is done with it. */
     private WeakReference<SnapshotContent> latestSnapshot = new WeakReference<>(null);
 
     ReplicaStorage(ReplicaState state, CommitTracker<?, ?> commits, StateMachine<?, ?> stateMachine) {
@@ -52,18 +55,18 @@
         return syncedIndex;
     }
 
-    /** All that is in memory was read from disk. */
+    /** Marks the in-memory log as synced, because it was read from disk. */
     void onRecovered() {
         syncedIndex = state.log().lastIndex();
     }
 
-    /** Whether an entry of so many bytes could never be stored by any replica, not even alone in its record. */
+    /** Whether an entry of this size exceeds the largest record, so that no replica could ever store it. */
     boolean isTooLarge(int entryBytes) {
         int largest = state.environment().wal().largestRecordBytes();
         return largest > 0 && entryBytes + ENTRY_OVERHEAD_BYTES > largest;
     }
 
-    /** Adds to the log in memory and on disk; the task runs once the entries are synced. */
+    /** Appends entries to the log in memory and on disk; the task runs once they are synced. */
     void append(List<LogEntry> entries, Runnable onSynced) {
         if (entries.isEmpty()) {
             onSynced.run();
@@ -82,7 +85,7 @@
         write(records, onSynced);
     }
 
-    /** An entry that was replaced before its sync ended is not counted as synced. */
+    /** An entry that was replaced before its sync completed is not counted as synced. */
     private void write(List<WalRecord> records, Runnable onSynced) {
         ReplicatedLog log = state.log();
         long last = log.lastIndex();
@@ -107,7 +110,10 @@
         syncedIndex = Math.min(syncedIndex, index - 1);
     }
 
-    /** What is stored may be used to catch up, but this replica neither votes nor counts until it is promoted again. */
+    /**
+     * Takes a new identity. The stored data still helps to catch up, but this replica neither votes nor counts until it
+     * is promoted again.
+     */
     void replaceIdentity(Runnable onSynced) {
         String identity = ReplicaIdentity.create(state.environment().random(), state.self());
         state.setIdentity(identity, false);
@@ -118,15 +124,15 @@
         storeSnapshot(() -> {});
     }
 
-    /** Writes a snapshot of what is applied with the entries after it; the task runs once it is synced. */
+    /** Writes a snapshot of the applied state and the entries after it; the task runs once it is synced. */
     void storeSnapshot(Runnable onSynced) {
         if (state.isStopped()) {
             return;
         }
         ReplicationMessages.ReplicaSnapshot snapshot = snapshot();
         long index = snapshot.index();
-        boolean manyBytes = state.log().bytes() > KEPT_FOR_FOLLOWERS_BYTES;
-        state.log().onCompacted(index, manyBytes ? index : retention.firstIndexNeeded(index));
+        boolean exceedsRetention = state.log().bytes() > MAX_RETAINED_LOG_BYTES;
+        state.log().onCompacted(index, exceedsRetention ? index : retention.firstIndexNeeded(index));
         WalRecord record = new WalRecord(
                 state.partition(),
                 WalRecord.Kind.SNAPSHOT,
@@ -136,7 +142,7 @@
         write(List.of(record), onSynced);
     }
 
-    /** Replaces all that this replica has by a leader's snapshot; the task runs once it is synced. */
+    /** Replaces the entire state of this replica with a leader's snapshot; the task runs once it is synced. */
     void installSnapshot(ReplicationMessages.ReplicaSnapshot snapshot, Runnable onSynced) {
         state.log().reset(snapshot.index(), snapshot.indexTerm(), List.of());
         state.membership().reset(snapshot.members());
@@ -146,7 +152,7 @@
         storeSnapshot(onSynced);
     }
 
-    /** Tells the write-ahead log how much room the next snapshot takes, if that is known. */
+    /** Reports the expected size of the next snapshot to the write-ahead log, if it is known. */
     void announceSnapshotBytes() {
         stateMachine
                 .snapshotBytes()
@@ -160,9 +166,8 @@
     void compactIfNeeded() {
         ReplicatedLog log = state.log();
         long limit = Math.min(COMPACTION_BYTES, state.environment().wal().largestRecordBytes() / COMPACTION_FRACTION);
-        boolean large =
-                log.bytesAfterCompacted() > limit || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
-        if (large && commits.appliedIndex() > log.compactedIndex()) {
+        boolean due = log.bytesAfterCompacted() > limit || log.lastIndex() - log.compactedIndex() > COMPACTION_ENTRIES;
+        if (due && commits.appliedIndex() > log.compactedIndex()) {
             storeSnapshot();
         }
     }
@@ -191,23 +196,26 @@
                 : state.environment().codec().write(bootstrap);
     }
 
-    /** The state up to what is applied, without what only concerns this replica. */
+    /** A snapshot of the applied state without the fields that concern only this replica. */
     ReplicationMessages.ReplicaSnapshot snapshotWithoutIdentity() {
-        ReplicationMessages.ReplicaSnapshot own = snapshot();
+        ReplicationMessages.ReplicaSnapshot local = snapshot();
         return new ReplicationMessages.ReplicaSnapshot(
                 "",
-                own.term(),
+                local.term(),
                 "",
                 false,
-                own.index(),
-                own.indexTerm(),
-                own.members(),
-                own.state(),
+                local.index(),
+                local.indexTerm(),
+                local.members(),
+                local.state(),
                 List.of(),
                 new byte[0]);
     }
 
-    /** The same snapshot as long as the log goes on from it: a follower that is catching up gets no other one. */
+    /**
+     * Returns the same snapshot as long as the log continues from it, so that a follower that is catching up is not
+     * switched to another one.
+     */
     SnapshotContent snapshotForFollowers() {
         SnapshotContent latest = latestSnapshot.get();
         if (latest == null || latest.index() < state.log().baseIndex()) {
--- a/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicatedLog.java
@@ -3,18 +3,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The log of a partition in memory, from the end of a snapshot on. */
+/** The in-memory log of a partition, from the end of a snapshot on. */
 final class ReplicatedLog {
     static final int MAX_BATCH_BYTES = 512 << 10;
-    /** What an entry takes in a request beside its bytes. */
+    /** Bytes that an entry adds to a request besides its payload. */
     private static final int ENTRY_OVERHEAD_BYTES = 32;
 
     static final int MIN_BATCH_BYTES = 16 << 10;
     private long baseIndex;
     private long baseTerm;
-    private final List<LogEntry> items = new ArrayList<>();
+    private final List<LogEntry> entries = new ArrayList<>();
     private long bytes;
-    /** What the latest snapshot on disk covers; followers that are catching up may need entries before it. */
+    /**
+     * The index up to which the latest snapshot on disk covers the log; followers that are catching up may need entries
+     * before it.
+     */
     private long compactedIndex;
 
     private long bytesAfterCompacted;
@@ -24,7 +27,7 @@
     }
 
     long lastIndex() {
-        return baseIndex + items.size();
+        return baseIndex + entries.size();
     }
 
     long lastTerm() {
@@ -43,7 +46,9 @@
         return bytesAfterCompacted;
     }
 
-    /** A snapshot on disk covers all up to the index; entries from the other index on are kept in memory. */
+    /**
+     * Records that a snapshot on disk covers the log up to the index; entries after {@code keptFrom} stay in memory.
+     */
     void onCompacted(long index, long keptFrom) {
         discardTo(Math.max(baseIndex, Math.min(index, keptFrom)));
         compactedIndex = index;
@@ -52,7 +57,7 @@
 
     /** The bytes of the entries after the index. */
     long bytesAfter(long index) {
-        return items.subList((int) (index - baseIndex), items.size()).stream()
+        return entries.subList((int) (index - baseIndex), entries.size()).stream()
                 .mapToLong(entry -> entry.bytes().length)
                 .sum();
     }
@@ -66,18 +71,18 @@
     }
 
     LogEntry get(long index) {
-        return items.get((int) (index - baseIndex - 1));
+        return entries.get((int) (index - baseIndex - 1));
     }
 
-    void append(LogEntry item) {
-        items.add(item);
-        bytes += item.bytes().length;
-        bytesAfterCompacted += item.bytes().length;
+    void append(LogEntry entry) {
+        entries.add(entry);
+        bytes += entry.bytes().length;
+        bytesAfterCompacted += entry.bytes().length;
     }
 
     void truncateFrom(long index) {
         while (lastIndex() >= index) {
-            int removed = items.remove(items.size() - 1).bytes().length;
+            int removed = entries.remove(entries.size() - 1).bytes().length;
             bytes -= removed;
             bytesAfterCompacted -= removed;
         }
@@ -86,26 +91,26 @@
     private void discardTo(long index) {
         baseTerm = termAt(index);
         int count = (int) (index - baseIndex);
-        items.subList(0, count).forEach(entry -> bytes -= entry.bytes().length);
-        items.subList(0, count).clear();
+        entries.subList(0, count).forEach(entry -> bytes -= entry.bytes().length);
+        entries.subList(0, count).clear();
         baseIndex = index;
     }
 
     void reset(long index, long term, List<LogEntry> tail) {
         baseIndex = index;
         baseTerm = term;
-        items.clear();
+        entries.clear();
         bytes = 0;
         compactedIndex = index;
         bytesAfterCompacted = 0;
         tail.forEach(this::append);
     }
 
-    /** Entries after the index, at least one if there is any, until they reach so many bytes. */
-    List<LogEntry> entriesAfter(long index, int enoughBytes) {
+    /** Entries after the index, at least one if there is any, until their total size reaches the given bytes. */
+    List<LogEntry> entriesAfter(long index, int sizeLimit) {
         List<LogEntry> out = new ArrayList<>();
         long size = 0;
-        for (long i = index + 1; i <= lastIndex() && size < enoughBytes; i++) {
+        for (long i = index + 1; i <= lastIndex() && size < sizeLimit; i++) {
             out.add(get(i));
             size += get(i).bytes().length + ENTRY_OVERHEAD_BYTES;
         }
@@ -113,6 +118,6 @@
     }
 
     List<LogEntry> entries() {
-        return List.copyOf(items);
+        return List.copyOf(entries);
     }
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationMessages.java
@@ -8,7 +8,7 @@
 import org.woadvale.common.rpc.Since;
 import reactor.core.publisher.Mono;
 
-/** What the replicas of one partition say to each other; every build must read what another one sends. */
+/** Messages between the replicas of a partition; every build must be able to read what another build sends. */
 public final class ReplicationMessages {
     private static final List<Class<? extends ReplicationRequest>> REQUESTS = List.of(
             VoteRequest.class,
@@ -25,7 +25,8 @@
     private ReplicationMessages() {}
 
     /**
-     * A candidate asks for a vote. A pre-vote changes nothing; a transferred leadership may overrule a running lease.
+     * A candidate's request for a vote. A pre-vote changes no state; a transfer of leadership may override a running
+     * lease.
      */
     public record VoteRequest(
             @FirstFormatName("part") String partition,
@@ -36,15 +37,15 @@
             boolean leadershipTransferred)
             implements ReplicationRequest {}
 
-    /** The answer to a candidate: the term of the voter, and under which identity it counts. */
+    /** The response to a vote request: the voter's term, and the identity under which it counts. */
     public record VoteResponse(long term, boolean granted, String identity) {}
 
-    /** Entries after an index, or none as a heartbeat; with how far the leader has committed. */
+    /** Entries after an index, or none for a heartbeat, and the leader's commit index. */
     public record AppendEntriesRequest(
             String partition, long term, long prevIndex, long prevTerm, List<LogEntry> entries, long commitIndex)
             implements ReplicationRequest {}
 
-    /** Up to where the log of the follower matches and is synced; where it does not match, where to go on from. */
+    /** The index up to which the follower's log matches and is synced; on a mismatch, the index to continue from. */
     public record AppendEntriesResponse(
             long term,
             @FirstFormatName("ok") boolean success,
@@ -52,13 +53,16 @@
             String identity,
             @FirstFormatName("willing") boolean electable) {}
 
-    /** A snapshot in one request, for builds that do not know chunks. */
+    /** A snapshot in a single request, for builds that do not support chunks. */
     public record InstallSnapshotRequest(
             @FirstFormatName("part") String partition,
             long term,
             @FirstFormatName("base") ReplicaSnapshot snapshot) implements ReplicationRequest {}
 
-    /** Asks a desired member whether it has nothing stored; asked by builds that do not know {@link BootstrapMessages}. */
+    /**
+     * Asks a desired member whether it has nothing stored; sent by builds that do not support {@link
+     * BootstrapMessages}.
+     */
     public record BootstrapStatusRequest(String partition) implements ReplicationRequest {}
 
     /** Whether a replica has nothing stored, and its identity. */
@@ -66,7 +70,8 @@
             @FirstFormatName("blank") boolean uninitialized, String identity) {}
 
     /**
-     * Makes the receiver a member of a new group; accepted only by the very identity that reported that it has nothing.
+     * Makes the receiver a member of a new group; accepted only under the identity with which the receiver reported
+     * that it has nothing stored.
      */
     public record BootstrapRequest(
             @FirstFormatName("part") String partition,
@@ -74,14 +79,14 @@
             @FirstFormatName("group") Map<String, String> members)
             implements ReplicationRequest {}
 
-    /** The leader has given up its lease in favour of the receiver. */
+    /** Asks the receiver to start an election: the leader has relinquished its lease in the receiver's favour. */
     public record StartElectionRequest(String partition, long term) implements ReplicationRequest {}
 
     /** Whether a request was accepted. */
     public record Acknowledgement(boolean accepted) {}
 
     /**
-     * All that a replica needs to go on from; on disk it replaces every earlier record of its partition.
+     * The complete state of a replica; on disk it replaces every earlier record of its partition.
      *
      * @param bootstrap the {@link BootstrapState} as the codec writes it, so that builds that do not know it read the
      *     rest; empty for none
@@ -98,7 +103,7 @@
             @FirstFormatName("tail") List<LogEntry> entries,
             @Since(5) byte[] bootstrap) {}
 
-    /** Hands each request to the replica of its partition on this node. */
+    /** Routes each request to the replica of its partition on this node. */
     public static <T extends Replica<?, ?>> RpcRouter route(RpcRouter router, Function<String, Mono<T>> replicaOf) {
         for (Class<? extends ReplicationRequest> type : REQUESTS) {
             routeType(router, type, replicaOf);
@@ -114,7 +119,7 @@
                         replicaOf.apply(request.partition()).flatMap(replica -> replica.handle(from, request)));
     }
 
-    /** All types by their numbers on the wire: only ever add at the end. */
+    /** All types in the order of their numbers on the wire: append only at the end. */
     public static List<Class<?>> types() {
         return List.of(
                 VoteRequest.class,
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationRequest.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationRequest.java
@@ -2,7 +2,7 @@
 
 import org.woadvale.common.rpc.RepeatableRequest;
 
-/** A request from one replica of a partition to another; each may be sent again. */
+/** A request from one replica of a partition to another; each may be repeated. */
 public sealed interface ReplicationRequest extends RepeatableRequest
         permits ReplicationMessages.VoteRequest,
                 ReplicationMessages.AppendEntriesRequest,
@@ -14,6 +14,6 @@
                 SnapshotMessages.RevokeIdentityRequest,
                 BootstrapMessages.PrepareRequest,
                 BootstrapMessages.AcceptRequest {
-    /** The partition whose replica is meant. */
+    /** The partition of the replica that the request is for. */
     String partition();
 }
--- a/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
+++ b/common/src/main/java/org/woadvale/common/replication/ReplicationTiming.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * The times of the engine; one set for all nodes of a fleet.
+ * The timeouts and intervals of the replication engine, the same on all nodes of a fleet.
  *
- * @param lease how long voters elect no other leader after a heartbeat
- * @param heartbeat between two heartbeats to a follower
- * @param tick between two checks of what is due
- * @param requestTimeout for one request to another replica
- * @param electionJitter within which replicas start an election at different times
+ * @param lease how long after a heartbeat the voters elect no other leader
+ * @param heartbeat the interval between two heartbeats to a follower
+ * @param tick the interval between two checks for due work
+ * @param requestTimeout the timeout of one request to another replica
+ * @param electionJitter the range over which replicas spread the start of an election
  */
 public record ReplicationTiming(
         Duration lease, Duration heartbeat, Duration tick, Duration requestTimeout, Duration electionJitter) {
-    /** The leader's lease is shorter by this fraction, for clocks that do not run alike. */
+    /** The leader's lease is shorter by this fraction, to allow for clock drift between nodes. */
     private static final int CLOCK_DRIFT_FRACTION = 20;
 
     private static final ReplicationTiming DEFAULTS = ofMillis(2000, 500, 50, 700, 300);
@@ -29,14 +29,15 @@
                 Duration.ofMillis(electionJitter));
     }
 
-    /** For nodes whose time-outs have no haste. */
+    /** The default timing, for nodes whose timeouts are not urgent. */
     public static ReplicationTiming defaults() {
         return DEFAULTS;
     }
 
     /**
-     * For partitions on control nodes and stores. Control partitions: the next leader must confirm subscriptions before
-     * the views in the fleet are too old to use. Message partitions: what is ordered waits for the next leader.
+     * The timing of partitions on control nodes and stores, where failover is urgent. Control partitions: the next
+     * leader must confirm subscriptions before the views in the fleet are too old to use. Message partitions: ordered
+     * messages wait for the next leader.
      */
     public static ReplicationTiming partitions() {
         return PARTITIONS;
--- a/common/src/main/java/org/woadvale/common/replication/Role.java
+++ b/common/src/main/java/org/woadvale/common/replication/Role.java
@@ -4,17 +4,25 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** What a replica is at present; {@code ReplicaState.transitionTo} is the one place that changes it. */
+/** The role of a replica; changed only by {@code ReplicaState.transitionTo}. */
 public enum Role {
-    /** Has no log that it may count with: neither votes nor counts, but takes entries and snapshots of a leader. */
+    /** Has no log that it may count with: neither votes nor counts, but accepts entries and snapshots from a leader. */
     UNINITIALIZED("BLANK"),
-    /** Votes, and takes entries of a leader. Entered by bootstrap, recovery, promotion, or on leaving another role. */
+    /**
+     * Votes, and accepts entries from a leader. Entered by bootstrap, recovery, promotion, or on leaving another role.
+     */
     FOLLOWER("FOLLOWING"),
-    /** Asks the others for their votes. Entered when no lease runs; left by a majority, a later term or a time-out. */
+    /**
+     * Requests votes from the other members. Entered when no lease is running; left on a majority, a later term or a
+     * timeout.
+     */
     CANDIDATE("STANDING"),
-    /** Elected in its term. Acts only while its lease runs; left when that expired, or in favour of a successor. */
+    /**
+     * Elected in its term. Acts only while its lease is running; left when the lease expires or leadership is
+     * transferred.
+     */
     LEADER("OWNING"),
-    /** The process is stopping: takes and sends nothing. */
+    /** The process is stopping: neither handles nor sends requests. */
     STOPPED("STOPPED");
 
     private final String statusName;
@@ -23,7 +31,7 @@
         this.statusName = statusName;
     }
 
-    /** The word of {@code GET /v1/status}, which is older than the names here. */
+    /** The name in {@code GET /v1/status}, which is older than the names of these constants. */
     @JsonValue
     public String statusName() {
         return statusName;
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotInstallationHandler.java
@@ -12,7 +12,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Installs the snapshot of a leader, in chunks or, from a build that does not know chunks, in one request. */
+/**
+ * Installs a leader's snapshot, received in chunks or, from a build that does not support chunks, in a single request.
+ */
 final class SnapshotInstallationHandler {
     private static final Logger LOG = LogManager.getLogger(SnapshotInstallationHandler.class);
 
@@ -42,7 +44,7 @@
     }
 
     Mono<AppendEntriesResponse> onInstallSnapshot(String from, InstallSnapshotRequest request) {
-        return leaderTracker.afterVoteStored(installWhole(from, request));
+        return leaderTracker.afterVoteStored(installFromSingleRequest(from, request));
     }
 
     private Mono<SnapshotChunkResponse> receive(String from, SnapshotChunkRequest chunk) {
@@ -81,7 +83,7 @@
         return sink.asMono();
     }
 
-    private Mono<AppendEntriesResponse> installWhole(String from, InstallSnapshotRequest request) {
+    private Mono<AppendEntriesResponse> installFromSingleRequest(String from, InstallSnapshotRequest request) {
         if (!leaderTracker.accept(from, request.term())) {
             return Mono.just(appendResponse(false, 0));
         }
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotMessages.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import org.woadvale.common.rpc.FirstFormatName;
 
-/** The transfer of a snapshot in chunks. */
+/** Messages that transfer a snapshot in chunks. */
 public final class SnapshotMessages {
     private SnapshotMessages() {}
 
-    /** Which snapshot a chunk belongs to; a follower that holds chunks of another one drops them. */
+    /** Identifies the snapshot that a chunk belongs to; a follower drops the chunks it has of another snapshot. */
     public record SnapshotId(long index, long indexTerm, long totalBytes, int checksum) {}
 
     /** Bytes of a snapshot, from an offset on. */
@@ -19,23 +19,23 @@
             byte[] bytes)
             implements ReplicationRequest {}
 
-    /** What became of a chunk. */
+    /** The result of receiving a chunk. */
     public enum ChunkStatus {
-        /** Accepted, or received before: the next chunk begins at the offset of the answer. */
+        /** Accepted: the next chunk begins at the offset in the response. */
         ACCEPTED,
-        /** Not the chunk that comes next: nothing changed; the next one begins at the offset of the answer. */
+        /** Not the expected chunk, so nothing changed; the next chunk begins at the offset in the response. */
         UNEXPECTED_OFFSET,
-        /** The snapshot does not have its checksum: all chunks are dropped. */
+        /** The snapshot does not match its checksum or cannot be read: all chunks are dropped. */
         CORRUPT,
-        /** Larger than this replica can store: nothing changed. */
+        /** The snapshot is larger than this replica can store; nothing changed. */
         TOO_LARGE,
-        /** The sender's term is over: nothing changed. */
+        /** The sender's term is outdated; nothing changed. */
         OUTDATED_TERM,
         /** The snapshot, or a later state, is installed and synced. */
         INSTALLED
     }
 
-    /** The answer to a chunk. */
+    /** The response to a chunk. */
     public record SnapshotChunkResponse(
             long term,
             ChunkStatus status,
@@ -44,10 +44,10 @@
             String identity,
             @FirstFormatName("willing") boolean electable) {}
 
-    /** The follower reported less than it had acknowledged: it must take another identity. */
+    /** Tells a follower that reported fewer entries than it had acknowledged to take another identity. */
     public record RevokeIdentityRequest(String partition, long term, String identity) implements ReplicationRequest {}
 
-    /** All types by their numbers on the wire: only ever add at the end. */
+    /** All types in the order of their numbers on the wire: append only at the end. */
     public static List<Class<?>> types() {
         return List.of(
                 SnapshotId.class,
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotReceiver.java
@@ -6,11 +6,11 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkRequest;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
 
-/** Puts the chunks of one snapshot together. What was received outlives a change of the leader, not a restart. */
+/** Assembles the chunks of one snapshot. Received chunks survive a change of the leader, but not a restart. */
 final class SnapshotReceiver {
     private static final int INITIAL_CAPACITY = 64 << 10;
 
-    /** What a chunk led to; the snapshot is there once it is complete and its checksum right. */
+    /** The result of receiving a chunk, with the snapshot once it is complete and its checksum matches. */
     record ReceivedChunk(ChunkStatus status, long nextOffset, Optional<SnapshotContent> snapshot) {
         static ReceivedChunk incomplete(ChunkStatus status, long nextOffset) {
             return new ReceivedChunk(status, nextOffset, Optional.empty());
@@ -22,37 +22,37 @@
     private byte[] bytes = new byte[0];
     private int received;
 
-    SnapshotReceiver(long largest) {
-        this.largestSnapshotBytes = largest;
+    SnapshotReceiver(long largestSnapshotBytes) {
+        this.largestSnapshotBytes = largestSnapshotBytes;
     }
 
-    ReceivedChunk receive(SnapshotChunkRequest piece) {
-        SnapshotId id = piece.snapshot();
+    ReceivedChunk receive(SnapshotChunkRequest chunk) {
+        SnapshotId id = chunk.snapshot();
         if (id.totalBytes() > largestSnapshotBytes || id.totalBytes() <= 0) {
             return ReceivedChunk.incomplete(ChunkStatus.TOO_LARGE, 0);
         }
         if (!current.equals(Optional.of(id))) {
-            if (piece.offset() != 0) {
+            if (chunk.offset() != 0) {
                 return ReceivedChunk.incomplete(ChunkStatus.UNEXPECTED_OFFSET, 0);
             }
             clear();
             current = Optional.of(id);
         }
-        boolean fits = piece.offset() + piece.bytes().length <= id.totalBytes();
-        if (piece.offset() != received || !fits) {
+        boolean fits = chunk.offset() + chunk.bytes().length <= id.totalBytes();
+        if (chunk.offset() != received || !fits) {
             return ReceivedChunk.incomplete(ChunkStatus.UNEXPECTED_OFFSET, received);
         }
-        add(piece.bytes(), (int) id.totalBytes());
+        add(chunk.bytes(), (int) id.totalBytes());
         return received < id.totalBytes() ? ReceivedChunk.incomplete(ChunkStatus.ACCEPTED, received) : finish(id);
     }
 
-    private void add(byte[] piece, int total) {
-        int needed = received + piece.length;
+    private void add(byte[] chunk, int total) {
+        int needed = received + chunk.length;
         if (needed > bytes.length) {
             bytes = Arrays.copyOf(
                     bytes, Math.min(total, Math.max(Math.max(INITIAL_CAPACITY, needed), 2 * bytes.length)));
         }
-        System.arraycopy(piece, 0, bytes, received, piece.length);
+        System.arraycopy(chunk, 0, bytes, received, chunk.length);
         received = needed;
     }
 
--- a/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
+++ b/common/src/main/java/org/woadvale/common/replication/SnapshotSender.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Arrays;
 
-/** Sends one snapshot to one follower in chunks; after a lost request a smaller chunk follows from the same offset. */
+/** Sends one snapshot to one follower in chunks; after a lost request it sends a smaller chunk from the same offset. */
 final class SnapshotSender {
-    /** A response within this fraction of the time-out is fast: the next chunk may be larger. */
+    /** A response within this fraction of the timeout is fast, and the next chunk may be larger. */
     private static final int FAST_FRACTION = 4;
 
     static final int MAX_CHUNK_BYTES = 256 << 10;
@@ -16,9 +16,9 @@
     private int offset;
     private int chunkBytes = MAX_CHUNK_BYTES;
 
-    SnapshotSender(SnapshotContent content, Duration callTime) {
+    SnapshotSender(SnapshotContent content, Duration requestTimeout) {
         this.content = content;
-        this.requestTimeout = callTime;
+        this.requestTimeout = requestTimeout;
     }
 
     long index() {
@@ -33,10 +33,10 @@
                 partition, term, id, offset, Arrays.copyOfRange(content.bytes(), offset, end));
     }
 
-    void onResponse(SnapshotMessages.SnapshotChunkResponse response, Duration took) {
-        boolean inside = response.nextOffset() >= 0 && response.nextOffset() < content.bytes().length;
-        offset = inside ? (int) response.nextOffset() : 0;
-        if (took.multipliedBy(FAST_FRACTION).compareTo(requestTimeout) < 0) {
+    void onResponse(SnapshotMessages.SnapshotChunkResponse response, Duration elapsed) {
+        boolean withinSnapshot = response.nextOffset() >= 0 && response.nextOffset() < content.bytes().length;
+        offset = withinSnapshot ? (int) response.nextOffset() : 0;
+        if (elapsed.multipliedBy(FAST_FRACTION).compareTo(requestTimeout) < 0) {
             chunkBytes = Math.min(MAX_CHUNK_BYTES, chunkBytes * 2);
         }
     }
--- a/common/src/main/java/org/woadvale/common/replication/VoteStore.java
+++ b/common/src/main/java/org/woadvale/common/replication/VoteStore.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.woadvale.common.wal.WalRecord;
 
-/** Keeps a replica's term and vote on disk, so that no restart forgets them. */
+/** Stores a replica's term and vote on disk, so that they survive a restart. */
 final class VoteStore {
     private final ReplicaState state;
 
@@ -11,7 +11,7 @@
         this.state = state;
     }
 
-    /** A later term was seen: leadership and candidacy of the former one are over. Does nothing for other terms. */
+    /** Enters a later term, which ends any leadership or candidacy in the current one; does nothing for other terms. */
     void adoptTerm(long seenTerm, String reason) {
         if (seenTerm <= state.term()) {
             return;
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Writes the present vote; the task runs once it is synced, unless the replica has stopped. */
+    /** Writes the current term and vote; the task runs once they are synced, unless the replica has stopped. */
     void store(Runnable onSynced) {
         NodeEnvironment environment = state.environment();
         WalRecord vote = new WalRecord(
--- a/common/src/main/java/org/woadvale/common/replication/VoterPromotion.java
+++ b/common/src/main/java/org/woadvale/common/replication/VoterPromotion.java
@@ -3,7 +3,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Lets a replica vote and count: after bootstrap, or once a committed change of members names its identity. */
+/** Promotes a replica to a voter: after bootstrap, or once a committed membership change names its identity. */
 final class VoterPromotion {
     private static final Logger LOG = LogManager.getLogger(VoterPromotion.class);
 
@@ -15,12 +15,14 @@
         this.storage = storage;
     }
 
-    /** The entry that names the identity was committed without this replica's own vote. */
+    /**
+     * Promotes this replica if the committed members name its identity; that entry was committed without its own vote.
+     */
     void promoteIfMember() {
         String memberIdentity = state.membership().committed().get(state.self());
         if (state.role() == Role.UNINITIALIZED && state.identity().equals(memberIdentity)) {
             LOG.info("Partition {} at {} has caught up and votes again.", state.partition(), state.self());
-            promote("member by a committed entry");
+            promote("named by a committed membership entry");
         }
     }
 
