--- a/common/src/test/java/org/woadvale/common/replication/FollowerProgressTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/FollowerProgressTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void countsOnlyOnceItHasWhatWasCommittedWhenItWasAsked() {
+    void catchesUpOnlyAfterMatchingTheCommitIndexOfTheRequest() {
         progress.onContact("x", true, at(2000));
         progress.onCommitIndexAcknowledged(5);
         progress.onMatch(4);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anotherIdentityBeginsAnew() {
+    void newIdentityResetsProgress() {
         matched("x", 5);
         progress.onContact("y", true, at(2100));
         assertEquals(0, progress.matchIndex());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void theLatestContactStaysWhenAnOlderAnswerComes() {
+    void olderResponseDoesNotMoveLastContactBack() {
         progress.onContact("x", true, at(2000));
         progress.onContact("x", true, at(1500));
         assertEquals(at(2000), progress.lastContact());
@@ -55,17 +55,17 @@
     }
 
     @Test
-    void aFollowerThatWasNeverHeardWasNotContactedEvenSinceTheBeginning() {
+    void followerWithoutResponseWasNeverContacted() {
         assertFalse(progress.wasContactedSince(Duration.ZERO));
     }
 
     @Test
-    void anIdentityThatLostWhatItHadAcknowledgedCountsForNothing() {
+    void identityThatLostAcknowledgedEntriesDoesNotCount() {
         matched("x", 5);
         assertEquals(FollowerProgress.Finding.CURRENT, progress.check(response(true, 5, "x")));
         assertEquals(FollowerProgress.Finding.LOST_ACKNOWLEDGED, progress.check(response(false, 4, "x")));
         assertTrue(progress.revoke("x"));
-        assertFalse(progress.revoke("x"), "it is known already");
+        assertFalse(progress.revoke("x"), "it was revoked before");
         matched("x", 9);
         assertEquals("", progress.identity());
         assertEquals(0, progress.matchIndex());
--- a/common/src/test/java/org/woadvale/common/replication/GroupMembershipTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/GroupMembershipTest.java
@@ -10,35 +10,35 @@
 import org.junit.jupiter.api.Test;
 
 class GroupMembershipTest {
-    private static final Map<String, String> FORMER = Map.of("a", "1", "b", "2", "c", "3");
-    private static final Map<String, String> NEXT = Map.of("a", "1", "b", "2", "d", "4");
+    private static final Map<String, String> OLD_MEMBERS = Map.of("a", "1", "b", "2", "c", "3");
+    private static final Map<String, String> NEW_MEMBERS = Map.of("a", "1", "b", "2", "d", "4");
     private static final long CHANGE_INDEX = 7;
 
     private final GroupMembership membership = new GroupMembership();
 
     @BeforeEach
-    void begin() {
-        membership.reset(FORMER);
+    void setUp() {
+        membership.reset(OLD_MEMBERS);
     }
 
     @Test
-    void noGroupHasNoMajority() {
-        assertFalse(new GroupMembership().hasMajority(FORMER));
+    void emptyGroupHasNoMajority() {
+        assertFalse(new GroupMembership().hasMajority(OLD_MEMBERS));
     }
 
     @Test
-    void aMemberUnderAnotherIdentityDoesNotCount() {
+    void memberUnderAnotherIdentityDoesNotCount() {
         assertTrue(membership.hasMajority(Map.of("a", "1", "b", "2")));
         assertFalse(membership.hasMajority(Map.of("a", "1", "b", "another")));
     }
 
     @Test
-    void aChangeNeedsBothMajoritiesUntilItIsCommitted() {
-        membership.onAppended(CHANGE_INDEX, NEXT);
+    void uncommittedChangeNeedsBothMajorities() {
+        membership.onAppended(CHANGE_INDEX, NEW_MEMBERS);
         assertTrue(membership.isChanging());
         assertEquals(List.of("b", "c", "d"), membership.membersExcept("a"));
-        assertFalse(membership.hasMajority(Map.of("b", "2", "c", "3")), "one of the next group only");
-        assertFalse(membership.hasMajority(Map.of("b", "2", "d", "4")), "one of the former group only");
+        assertFalse(membership.hasMajority(Map.of("b", "2", "c", "3")), "only one of the new members");
+        assertFalse(membership.hasMajority(Map.of("b", "2", "d", "4")), "only one of the old members");
         assertTrue(membership.hasMajority(Map.of("a", "1", "b", "2")));
         membership.onCommitted(CHANGE_INDEX);
         assertFalse(membership.isChanging());
@@ -46,20 +46,20 @@
     }
 
     @Test
-    void aChangeThatIsCutOffTheLogIsForgotten() {
-        membership.onAppended(CHANGE_INDEX, NEXT);
+    void truncatedChangeIsDiscarded() {
+        membership.onAppended(CHANGE_INDEX, NEW_MEMBERS);
         membership.truncateFrom(CHANGE_INDEX + 1);
-        assertEquals(NEXT, membership.latest());
+        assertEquals(NEW_MEMBERS, membership.latest());
         membership.truncateFrom(CHANGE_INDEX);
-        assertEquals(FORMER, membership.latest());
+        assertEquals(OLD_MEMBERS, membership.latest());
         assertFalse(membership.isChanging());
     }
 
     @Test
-    void aCommitBeforeTheChangeLeavesItOpen() {
-        membership.onAppended(CHANGE_INDEX, NEXT);
+    void earlierCommitLeavesTheChangePending() {
+        membership.onAppended(CHANGE_INDEX, NEW_MEMBERS);
         membership.onCommitted(CHANGE_INDEX - 1);
         assertTrue(membership.isChanging());
-        assertEquals(FORMER, membership.committed());
+        assertEquals(OLD_MEMBERS, membership.committed());
     }
 }
--- a/common/src/test/java/org/woadvale/common/replication/ReplicatedLogTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/ReplicatedLogTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void truncatedEntriesAreGoneAndWeighNothing() {
+    void truncatedEntriesAreRemovedAndNotCounted() {
         append(5, 1);
         log.truncateFrom(3);
         assertEquals(2, log.lastIndex());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aSnapshotOnDiskLeavesTheEntriesThatFollowersNeed() {
+    void compactionRetainsEntriesThatFollowersNeed() {
         append(5, 1);
         append(1, 2);
         log.onCompacted(4, 2);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aBatchHasAtLeastOneEntryAndEndsOnceItIsLargeEnough() {
+    void batchHasAtLeastOneEntryAndStopsAtTheSizeLimit() {
         append(5, 1);
         assertEquals(1, log.entriesAfter(0, 1).size());
         assertEquals(2, log.entriesAfter(3, 1 << 20).size());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aResetLogGoesOnFromItsIndex() {
+    void resetLogContinuesFromItsIndex() {
         append(5, 1);
         log.reset(40, 7, List.of(entry(8)));
         assertEquals(41, log.lastIndex());
--- a/common/src/test/java/org/woadvale/common/replication/SnapshotChunksTest.java
+++ b/common/src/test/java/org/woadvale/common/replication/SnapshotChunksTest.java
@@ -12,12 +12,15 @@
 import org.woadvale.common.replication.SnapshotMessages.SnapshotChunkResponse;
 import org.woadvale.common.replication.SnapshotMessages.SnapshotId;
 
-/** One answer for each piece, in turn or not, and the whole only if it is the whole that was sent. */
+/**
+ * Each chunk gets a response, whether expected or not, and a snapshot is assembled only if it equals the one that was
+ * sent.
+ */
 class SnapshotChunksTest {
-    private static final Duration CALL = Duration.ofMillis(500);
-    private static final long LARGEST = 4 << 20;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(500);
+    private static final long MAX_SNAPSHOT_BYTES = 4 << 20;
     private final Random random = new Random(17);
-    private final SnapshotReceiver receiver = new SnapshotReceiver(LARGEST);
+    private final SnapshotReceiver receiver = new SnapshotReceiver(MAX_SNAPSHOT_BYTES);
 
     private SnapshotContent content(int size) {
         byte[] bytes = new byte[size];
@@ -25,110 +28,112 @@
         return SnapshotContent.of(40, 3, bytes);
     }
 
-    private static SnapshotChunkRequest corrupted(SnapshotChunkRequest piece) {
-        byte[] bytes = piece.bytes().clone();
+    private static SnapshotChunkRequest corrupted(SnapshotChunkRequest chunk) {
+        byte[] bytes = chunk.bytes().clone();
         bytes[bytes.length / 2] ^= 1;
-        return new SnapshotChunkRequest(piece.partition(), piece.term(), piece.snapshot(), piece.offset(), bytes);
+        return new SnapshotChunkRequest(chunk.partition(), chunk.term(), chunk.snapshot(), chunk.offset(), bytes);
     }
 
-    private static SnapshotChunkRequest at(SnapshotChunkRequest piece, long offset) {
-        return new SnapshotChunkRequest(piece.partition(), piece.term(), piece.snapshot(), offset, piece.bytes());
+    private static SnapshotChunkRequest withOffset(SnapshotChunkRequest chunk, long offset) {
+        return new SnapshotChunkRequest(chunk.partition(), chunk.term(), chunk.snapshot(), offset, chunk.bytes());
     }
 
-    private static void tell(SnapshotSender sender, SnapshotReceiver.ReceivedChunk progress) {
+    private static void respond(SnapshotSender sender, SnapshotReceiver.ReceivedChunk received) {
         sender.onResponse(
-                new SnapshotChunkResponse(1, progress.status(), progress.nextOffset(), 0, "x", true),
+                new SnapshotChunkResponse(1, received.status(), received.nextOffset(), 0, "x", true),
                 Duration.ofMillis(20));
     }
 
     @Test
-    void thePiecesMakeTheWholeThroughLossesAndRepeats() {
+    void chunksAreAssembledDespiteLossesAndRepeats() {
         SnapshotContent sent = content(1_500_000);
-        SnapshotSender sender = new SnapshotSender(sent, CALL);
-        int calls = 0;
+        SnapshotSender sender = new SnapshotSender(sent, REQUEST_TIMEOUT);
+        int requests = 0;
         while (true) {
-            calls++;
-            SnapshotChunkRequest piece = sender.nextChunk("p", 1);
-            assertTrue(piece.bytes().length <= SnapshotSender.MAX_CHUNK_BYTES);
-            if (calls % 4 == 1) {
+            requests++;
+            SnapshotChunkRequest chunk = sender.nextChunk("p", 1);
+            assertTrue(chunk.bytes().length <= SnapshotSender.MAX_CHUNK_BYTES);
+            if (requests % 4 == 1) {
                 sender.onLost();
                 continue;
             }
-            SnapshotReceiver.ReceivedChunk progress = receiver.receive(piece);
-            if (progress.snapshot().isPresent()) {
+            SnapshotReceiver.ReceivedChunk received = receiver.receive(chunk);
+            if (received.snapshot().isPresent()) {
                 assertArrayEquals(
-                        sent.bytes(), progress.snapshot().orElseThrow().bytes());
-                assertTrue(calls < 40, "took " + calls + " calls");
+                        sent.bytes(), received.snapshot().orElseThrow().bytes());
+                assertTrue(requests < 40, "took " + requests + " requests");
                 return;
             }
-            if (calls % 4 == 3) {
+            if (requests % 4 == 3) {
                 sender.onLost();
             } else {
-                tell(sender, progress);
+                respond(sender, received);
             }
         }
     }
 
     @Test
-    void aRepeatedOrEarlyPieceChangesNothingAndTellsWhereToGoOn() {
-        SnapshotSender sender = new SnapshotSender(content(600_000), CALL);
+    void unexpectedChunkChangesNothingAndReturnsTheExpectedOffset() {
+        SnapshotSender sender = new SnapshotSender(content(600_000), REQUEST_TIMEOUT);
         SnapshotChunkRequest first = sender.nextChunk("p", 1);
         assertEquals(ChunkStatus.ACCEPTED, receiver.receive(first).status());
-        for (SnapshotChunkRequest wrong : new SnapshotChunkRequest[] {first, at(first, 300_000), at(first, 599_999)}) {
-            SnapshotReceiver.ReceivedChunk progress = receiver.receive(wrong);
-            assertEquals(ChunkStatus.UNEXPECTED_OFFSET, progress.status());
-            assertEquals(first.bytes().length, progress.nextOffset());
+        for (SnapshotChunkRequest wrong :
+                new SnapshotChunkRequest[] {first, withOffset(first, 300_000), withOffset(first, 599_999)}) {
+            SnapshotReceiver.ReceivedChunk received = receiver.receive(wrong);
+            assertEquals(ChunkStatus.UNEXPECTED_OFFSET, received.status());
+            assertEquals(first.bytes().length, received.nextOffset());
         }
     }
 
     @Test
-    void aPieceOfAnUnknownSnapshotStartsAtItsBeginningOnly() {
-        SnapshotChunkRequest piece = new SnapshotSender(content(600_000), CALL).nextChunk("p", 1);
+    void unknownSnapshotStartsAtOffsetZeroOnly() {
+        SnapshotChunkRequest chunk = new SnapshotSender(content(600_000), REQUEST_TIMEOUT).nextChunk("p", 1);
         assertEquals(
-                ChunkStatus.UNEXPECTED_OFFSET, receiver.receive(at(piece, 1000)).status());
-        assertEquals(0, receiver.receive(at(piece, 1000)).nextOffset());
+                ChunkStatus.UNEXPECTED_OFFSET,
+                receiver.receive(withOffset(chunk, 1000)).status());
+        assertEquals(0, receiver.receive(withOffset(chunk, 1000)).nextOffset());
     }
 
     @Test
-    void aWrongChecksumDropsThePiecesAndTheNextTryIsWhole() {
+    void wrongChecksumDropsTheChunksAndARetrySucceeds() {
         SnapshotContent sent = content(100_000);
-        SnapshotChunkRequest piece = new SnapshotSender(sent, CALL).nextChunk("p", 1);
-        SnapshotReceiver.ReceivedChunk progress = receiver.receive(corrupted(piece));
-        assertEquals(ChunkStatus.CORRUPT, progress.status());
-        assertTrue(progress.snapshot().isEmpty());
-        assertTrue(receiver.receive(piece).snapshot().isPresent());
+        SnapshotChunkRequest chunk = new SnapshotSender(sent, REQUEST_TIMEOUT).nextChunk("p", 1);
+        SnapshotReceiver.ReceivedChunk received = receiver.receive(corrupted(chunk));
+        assertEquals(ChunkStatus.CORRUPT, received.status());
+        assertTrue(received.snapshot().isEmpty());
+        assertTrue(receiver.receive(chunk).snapshot().isPresent());
     }
 
     @Test
-    void whatCannotBeStoredIsRefusedAtOnce() {
-        SnapshotChunkRequest piece = new SnapshotChunkRequest(
-                "p", 1, new SnapshotId(40, 3, LARGEST + 1, 0), 0, new byte[SnapshotSender.MIN_CHUNK_BYTES]);
-        assertEquals(ChunkStatus.TOO_LARGE, receiver.receive(piece).status());
+    void tooLargeSnapshotIsRejectedAtItsFirstChunk() {
+        SnapshotChunkRequest chunk = new SnapshotChunkRequest(
+                "p", 1, new SnapshotId(40, 3, MAX_SNAPSHOT_BYTES + 1, 0), 0, new byte[SnapshotSender.MIN_CHUNK_BYTES]);
+        assertEquals(ChunkStatus.TOO_LARGE, receiver.receive(chunk).status());
     }
 
-    /** What one leader began another goes on with, if it is the very same snapshot. */
+    /** A new leader continues the transfer of its predecessor if the snapshot is identical. */
     @Test
-    void anotherLeaderGoesOnWhereTheFollowerStands() {
+    void newLeaderContinuesAtTheFollowersOffset() {
         SnapshotContent sent = content(1_000_000);
-        SnapshotSender former = new SnapshotSender(sent, CALL);
-        tell(former, receiver.receive(former.nextChunk("p", 1)));
-        tell(former, receiver.receive(former.nextChunk("p", 1)));
-        SnapshotSender next = new SnapshotSender(sent, CALL);
-        SnapshotReceiver.ReceivedChunk progress = receiver.receive(next.nextChunk("p", 2));
-        assertEquals(2L * SnapshotSender.MAX_CHUNK_BYTES, progress.nextOffset());
-        tell(next, progress);
+        SnapshotSender former = new SnapshotSender(sent, REQUEST_TIMEOUT);
+        respond(former, receiver.receive(former.nextChunk("p", 1)));
+        respond(former, receiver.receive(former.nextChunk("p", 1)));
+        SnapshotSender next = new SnapshotSender(sent, REQUEST_TIMEOUT);
+        SnapshotReceiver.ReceivedChunk received = receiver.receive(next.nextChunk("p", 2));
+        assertEquals(2L * SnapshotSender.MAX_CHUNK_BYTES, received.nextOffset());
+        respond(next, received);
         assertEquals(2L * SnapshotSender.MAX_CHUNK_BYTES, next.nextChunk("p", 2).offset());
     }
 
     @Test
-    void lostCallsMakeSmallerPiecesAndFastAnswersLargerOnes() {
-        SnapshotSender sender = new SnapshotSender(content(3_000_000), CALL);
+    void chunksShrinkOnLossAndGrowOnFastResponses() {
+        SnapshotSender sender = new SnapshotSender(content(3_000_000), REQUEST_TIMEOUT);
         for (int i = 0; i < 20; i++) {
             sender.onLost();
         }
         assertEquals(SnapshotSender.MIN_CHUNK_BYTES, sender.nextChunk("p", 1).bytes().length);
         for (int i = 0; i < 5; i++) {
-            tell(sender, receiver.receive(sender.nextChunk("p", 1)));
+            respond(sender, receiver.receive(sender.nextChunk("p", 1)));
         }
         assertEquals(SnapshotSender.MAX_CHUNK_BYTES, sender.nextChunk("p", 1).bytes().length);
     }
