--- a/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
+++ b/testkit/src/main/java/org/woadvale/common/replication/ReplicaProbe.java
@@ -4,9 +4,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Read access to the state of a replica for model checking. It lies in the engine's package, outside shipped code. */
+/**
+ * Gives model checking access to the state of a replica. It is in the engine's package, but outside the shipped code.
+ */
 public final class ReplicaProbe {
-    /** A copy of the replica's state that is safe to keep; {@code log} begins after {@code baseIndex}. */
+    /** A copy of the replica's state; {@code log} begins after {@code baseIndex}. */
     public record Snapshot(
             Role role,
             long term,
@@ -26,7 +28,7 @@
             return index > baseIndex && index <= lastIndex();
         }
 
-        /** The entry at an index that the log holds. */
+        /** The entry at an index that {@link #contains} accepts. */
         public LogEntry entry(long index) {
             return log.get((int) (index - baseIndex - 1));
         }
@@ -34,7 +36,7 @@
 
     private ReplicaProbe() {}
 
-    /** The state right now, read inside the replica's shard. */
+    /** The current state, read on the replica's shard. */
     public static Snapshot state(Replica<?, ?> replica) {
         ReplicaState state = replica.state();
         return state.shard()
@@ -51,14 +53,14 @@
                         new TreeMap<>(state.membership().committed())));
     }
 
-    /** Appends a membership entry at the leader without any of the rules of membership change; for mutants only. */
+    /** Appends a membership entry at the leader without the rules of membership changes; for mutants only. */
     public static void forceMembers(Replica<?, ?> replica, Map<String, String> members) {
         ReplicaState state = replica.state();
         byte[] bytes = state.environment().codec().write(new TreeMap<>(members));
         state.shard().run(() -> replica.leader().append(new LogEntry(state.term(), LogEntry.Kind.MEMBERSHIP, bytes)));
     }
 
-    /** Lets a replica without a trusted log go on as if it were a member; for mutants only. */
+    /** Makes a replica without a trusted log act as a follower, as if it were a member; for mutants only. */
     public static void followWithoutVote(Replica<?, ?> replica) {
         replica.state().shard().run(() -> replica.state().transitionTo(Role.FOLLOWER, "not a member"));
     }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskGroupTest.java
@@ -11,55 +11,52 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.error.ServiceException;
 
-/** Three replicas, and disks among them that take no more bytes. */
+/** A group of three replicas, some of which have a full disk. */
 class FullDiskGroupTest {
-    private static final Duration SETTLED = Duration.ofSeconds(3);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
-    private static void setFull(ReplicaGroupFixture replicas, String node, boolean full) {
-        replicas.hosts.get(node).disk().setFull(full);
+    private static void setFull(ReplicaGroupFixture group, String node, boolean full) {
+        group.hosts.get(node).disk().setFull(full);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void oneFullDiskHoldsNothingUpAndCatchesUp(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
-        String leader = replicas.awaitLeader();
-        List<String> names = List.copyOf(replicas.hosts.keySet());
+    void oneFullDiskDelaysNothingAndCatchesUp(long seed) throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed);
+        String leader = group.awaitLeader();
+        List<String> names = List.copyOf(group.hosts.keySet());
         String full = seed % 2 == 0 ? leader : names.get((names.indexOf(leader) + 1) % names.size());
-        setFull(replicas, full, true);
+        setFull(group, full, true);
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            accepted.add(replicas.propose("word" + i));
-            replicas.sim.run(Duration.ofMillis(200));
+            accepted.add(group.propose("word" + i));
+            group.sim.run(Duration.ofMillis(200));
         }
         assertEquals("word19", accepted.get(19));
-        setFull(replicas, full, false);
-        replicas.sim.run(SETTLED);
-        replicas.hosts.values().forEach(harness -> assertTrue(harness.alive()));
-        replicas.hosts.keySet().stream()
-                .filter(n -> !n.equals(full))
+        setFull(group, full, false);
+        group.sim.run(SETTLE_TIME);
+        group.hosts.values().forEach(harness -> assertTrue(harness.alive()));
+        group.hosts.keySet().stream()
+                .filter(node -> !node.equals(full))
                 .findFirst()
-                .ifPresent(n -> replicas.hosts.get(n).kill());
-        assertEquals("after", replicas.propose("after"));
-        assertTrue(replicas.stateMachines.get(replicas.awaitLeader()).words.containsAll(accepted));
+                .ifPresent(node -> group.hosts.get(node).kill());
+        assertEquals("after", group.propose("after"));
+        assertTrue(group.stateMachines.get(group.awaitLeader()).words.containsAll(accepted));
     }
 
-    /** With two full disks nothing can be confirmed; what was under way is decided once there is room. */
+    /** With two full disks nothing can be committed; a pending proposal completes once there is space. */
     @Test
-    void twoFullDisksConfirmNothingUntilThereIsRoom() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
-        String leader = replicas.awaitLeader();
-        replicas.hosts.keySet().stream().filter(n -> !n.equals(leader)).forEach(n -> setFull(replicas, n, true));
-        List<String> answers = new ArrayList<>();
-        replicas.replicas
-                .get(leader)
-                .propose("held", String.class)
-                .subscribe(answers::add, e -> answers.add("unknown"));
-        replicas.sim.run(Duration.ofSeconds(5));
-        assertEquals(List.of(), answers);
-        replicas.hosts.keySet().forEach(n -> setFull(replicas, n, false));
-        replicas.sim.run(SETTLED);
-        assertEquals(List.of("held"), answers);
-        replicas.hosts.values().forEach(harness -> assertTrue(harness.alive()));
+    void twoFullDisksCommitNothingUntilThereIsSpace() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(5);
+        String leader = group.awaitLeader();
+        group.hosts.keySet().stream().filter(node -> !node.equals(leader)).forEach(node -> setFull(group, node, true));
+        List<String> results = new ArrayList<>();
+        group.replicas.get(leader).propose("held", String.class).subscribe(results::add, e -> results.add("unknown"));
+        group.sim.run(Duration.ofSeconds(5));
+        assertEquals(List.of(), results);
+        group.hosts.keySet().forEach(node -> setFull(group, node, false));
+        group.sim.run(SETTLE_TIME);
+        assertEquals(List.of("held"), results);
+        group.hosts.values().forEach(harness -> assertTrue(harness.alive()));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/FullDiskTest.java
@@ -19,11 +19,11 @@
 import org.woadvale.testkit.simulation.SimNet;
 import org.woadvale.testkit.simulation.Simulator;
 
-/** A disk that takes no more bytes for a while: nothing is confirmed, nothing is lost, the process goes on. */
+/** A disk that is full for a while: nothing is confirmed, nothing is lost, and the process keeps running. */
 class FullDiskTest {
     private static final int FILES = 4;
-    private static final int SIZE = 4096;
-    private static final int LARGE_SIZE = 4 << 20;
+    private static final int RING_FILE_BYTES = 4096;
+    private static final int LARGE_RING_FILE_BYTES = 4 << 20;
     private final Simulator sim = new Simulator(31);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
     private final List<String> failures = new ArrayList<>();
@@ -34,9 +34,9 @@
         harness.boot(new RpcRouter());
     }
 
-    private RingWriteAheadLog open(int size) throws ServiceException {
+    private RingWriteAheadLog open(int ringFileBytes) throws ServiceException {
         harness.boot(new RpcRouter());
-        RingWriteAheadLog wal = RingWriteAheadLog.open(harness.disk(), harness.host(), FILES, size);
+        RingWriteAheadLog wal = RingWriteAheadLog.open(harness.disk(), harness.host(), FILES, ringFileBytes);
         wal.onFailure(failures::add);
         return wal;
     }
@@ -52,8 +52,8 @@
     }
 
     @Test
-    void aFullDiskConfirmsNothingAndGoesOnWhereItStopped() throws ServiceException {
-        RingWriteAheadLog wal = open(SIZE);
+    void fullDiskConfirmsNothingAndResumesWhereItStopped() throws ServiceException {
+        RingWriteAheadLog wal = open(RING_FILE_BYTES);
         append(wal, WalRecord.Kind.ENTRY, 1, 100);
         sim.run(Duration.ofMillis(20));
         harness.disk().setFull(true);
@@ -67,31 +67,31 @@
         assertEquals(30, confirmed.size());
         assertEquals(List.of(), failures);
         harness.powerLoss();
-        assertEquals(confirmed.stream().sorted().toList(), recovered(open(SIZE)));
+        assertEquals(confirmed.stream().sorted().toList(), recovered(open(RING_FILE_BYTES)));
     }
 
-    /** Full and killed in the middle of a batch that reaches over two files. */
+    /** The disk fills up and power is lost in the middle of a batch that spans two files. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aKillWhileTheDiskIsFullLosesNothingConfirmed(long killedAfter) throws ServiceException {
-        RingWriteAheadLog wal = open(SIZE);
-        for (long i = 1; i <= killedAfter * 7; i++) {
+    void powerLossWhileTheDiskIsFullLosesNothingConfirmed(long rounds) throws ServiceException {
+        RingWriteAheadLog wal = open(RING_FILE_BYTES);
+        for (long i = 1; i <= rounds * 7; i++) {
             append(wal, WalRecord.Kind.ENTRY, i, 100);
             harness.disk().setFull(i % 5 == 0);
             sim.run(Duration.ofMillis(30));
         }
         harness.powerLoss();
         harness.disk().setFull(true);
-        List<Long> kept = recovered(open(SIZE));
+        List<Long> kept = recovered(open(RING_FILE_BYTES));
         assertTrue(kept.containsAll(confirmed), "confirmed " + confirmed + ", kept " + kept);
         assertEquals(kept.stream().distinct().toList(), kept);
         assertEquals(List.of(), failures);
     }
 
     @Test
-    void aBlankFolderOnAFullDiskIsMadeOnceThereIsRoom() throws ServiceException {
+    void emptyFolderOnAFullDiskIsInitializedOnceThereIsSpace() throws ServiceException {
         harness.disk().setFull(true);
-        RingWriteAheadLog wal = open(SIZE);
+        RingWriteAheadLog wal = open(RING_FILE_BYTES);
         append(wal, WalRecord.Kind.SNAPSHOT, 1, 100);
         sim.run(Duration.ofSeconds(5));
         assertEquals(List.of(), confirmed);
@@ -102,8 +102,8 @@
     }
 
     @Test
-    void newWorkIsRefusedWhileMuchWaitsAndTakenAgainAfterwards() throws ServiceException {
-        RingWriteAheadLog wal = open(LARGE_SIZE);
+    void reportsNearlyFullOnlyWhileManyRecordsArePending() throws ServiceException {
+        RingWriteAheadLog wal = open(LARGE_RING_FILE_BYTES);
         harness.disk().setFull(true);
         for (long i = 1; i <= 20; i++) {
             append(wal, WalRecord.Kind.ENTRY, i, 200_000);
@@ -116,10 +116,10 @@
         assertEquals(20, confirmed.size());
     }
 
-    /** What a snapshot replaces is not kept in memory, but whoever waited for it is told. */
+    /** Records replaced by a later snapshot are not kept in memory, but their callbacks still run. */
     @Test
-    void waitingSnapshotsReplaceWhatWaitsBeforeThem() throws ServiceException {
-        RingWriteAheadLog wal = open(LARGE_SIZE);
+    void pendingSnapshotsReplaceEarlierPendingRecords() throws ServiceException {
+        RingWriteAheadLog wal = open(LARGE_RING_FILE_BYTES);
         harness.disk().setFull(true);
         append(wal, WalRecord.Kind.ENTRY, 1, 100);
         sim.run(Duration.ofMillis(20));
@@ -130,6 +130,6 @@
         sim.run(Duration.ofSeconds(1));
         assertEquals(40, confirmed.size());
         harness.powerLoss();
-        assertEquals(List.of(40L), recovered(open(LARGE_SIZE)));
+        assertEquals(List.of(40L), recovered(open(LARGE_RING_FILE_BYTES)));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/LeaderRestartTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/LeaderRestartTest.java
@@ -13,76 +13,79 @@
 import org.woadvale.common.error.ServiceException;
 
 /**
- * The former owner need not wait for its own lease, and nobody else may take that way. (docs/design.md, section 5.3)
+ * A restarted leader need not wait for its own lease to expire, and no other node may skip that wait. (docs/design.md,
+ * section 5.3)
  */
 class LeaderRestartTest {
-    private static final Duration SOON = Duration.ofMillis(600);
+    private static final Duration ELECTION_WITHOUT_LEASE_WAIT = Duration.ofMillis(600);
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void afterALossOfAllPowerTheFormerOwnerOwnsAtOnce(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
-        assertEquals("one", replicas.propose("one"));
-        String former = replicas.awaitLeader();
-        replicas.sim.run(Duration.ofSeconds(1));
-        for (String h : replicas.hosts.keySet()) {
-            replicas.hosts.get(h).powerLoss();
+    void formerLeaderLeadsAtOnceAfterAFullPowerLoss(long seed) throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed);
+        assertEquals("one", group.propose("one"));
+        String formerLeader = group.awaitLeader();
+        group.sim.run(Duration.ofSeconds(1));
+        for (String node : group.hosts.keySet()) {
+            group.hosts.get(node).powerLoss();
         }
-        for (String h : replicas.hosts.keySet()) {
-            replicas.start(h);
+        for (String node : group.hosts.keySet()) {
+            group.start(node);
         }
-        assertTrue(replicas.sim.runUntil(() -> replicas.leader().isPresent(), SOON), "nobody owns the part in time");
-        assertEquals(former, replicas.leader().orElseThrow());
-        assertEquals("two", replicas.propose("two"));
+        assertTrue(
+                group.sim.runUntil(() -> group.leader().isPresent(), ELECTION_WITHOUT_LEASE_WAIT),
+                "no leader is elected in time");
+        assertEquals(formerLeader, group.leader().orElseThrow());
+        assertEquals("two", group.propose("two"));
     }
 
     @Test
-    void anOwnerOfAnEarlierTermWaitsForThePresentOne() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(7);
-        String old = replicas.awaitLeader();
-        replicas.hosts.get(old).powerLoss();
-        String next = replicas.awaitLeader();
-        assertFalse(next.equals(old));
-        replicas.sim.run(Duration.ofSeconds(1));
-        replicas.start(old);
+    void leaderOfAnEarlierTermDoesNotDisplaceTheCurrentOne() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(7);
+        String formerLeader = group.awaitLeader();
+        group.hosts.get(formerLeader).powerLoss();
+        String newLeader = group.awaitLeader();
+        assertFalse(newLeader.equals(formerLeader));
+        group.sim.run(Duration.ofSeconds(1));
+        group.start(formerLeader);
         for (int i = 0; i < 40; i++) {
-            replicas.sim.run(Duration.ofMillis(50));
-            assertEquals(next, replicas.leader().orElse("none"), "the present owner's claim runs");
+            group.sim.run(Duration.ofMillis(50));
+            assertEquals(newLeader, group.leader().orElse("none"), "the current leader's lease is running");
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void neverTwoOwnersUnderRestartsAndPauses(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
-        replicas.awaitLeader();
-        replicas.net.setLossAndDuplication(0.05, 0.05);
-        List<String> names = new ArrayList<>(replicas.hosts.keySet());
-        long worst = 0;
+    void neverTwoLeadersUnderRestartsAndPauses(long seed) throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed);
+        group.awaitLeader();
+        group.net.setLossAndDuplication(0.05, 0.05);
+        List<String> names = new ArrayList<>(group.hosts.keySet());
+        long maxLeaders = 0;
         for (int i = 0; i < 600; i++) {
-            String n = names.get(replicas.sim.random().nextInt(3));
-            switch (replicas.sim.random().nextInt(12)) {
+            String node = names.get(group.sim.random().nextInt(3));
+            switch (group.sim.random().nextInt(12)) {
                 case 0 -> {
-                    replicas.hosts.get(n).powerLoss();
-                    replicas.start(n);
+                    group.hosts.get(node).powerLoss();
+                    group.start(node);
                 }
                 case 1 ->
-                    replicas.hosts
-                            .get(n)
-                            .pause(Duration.ofMillis(200 + replicas.sim.random().nextInt(4000)));
+                    group.hosts
+                            .get(node)
+                            .pause(Duration.ofMillis(200 + group.sim.random().nextInt(4000)));
                 case 2 -> {
-                    replicas.net.heal();
-                    replicas.net.cutOff(n);
+                    group.net.heal();
+                    group.net.cutOff(node);
                 }
-                case 3 -> replicas.net.heal();
+                case 3 -> group.net.heal();
                 default -> {}
             }
-            replicas.sim.run(Duration.ofMillis(100));
-            worst = Math.max(worst, replicas.leaderCount());
+            group.sim.run(Duration.ofMillis(100));
+            maxLeaders = Math.max(maxLeaders, group.leaderCount());
         }
-        replicas.net.heal();
-        replicas.sim.run(Duration.ofSeconds(8));
-        assertEquals(1, worst);
-        assertEquals("last", replicas.propose("last"));
+        group.net.heal();
+        group.sim.run(Duration.ofSeconds(8));
+        assertEquals(1, maxLeaders);
+        assertEquals("last", group.propose("last"));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicaGroupFixture.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicaGroupFixture.java
@@ -22,7 +22,7 @@
 import org.woadvale.testkit.simulation.Simulator;
 import reactor.core.publisher.Mono;
 
-/** One part on three (or more) simulated hosts, with a machine that keeps a list of words. */
+/** A partition on three or more simulated hosts, with a state machine that keeps a list of words. */
 final class ReplicaGroupFixture {
     static final class WordListStateMachine implements StateMachine<String, String> {
         final List<String> words = new ArrayList<>();
@@ -51,10 +51,10 @@
         }
 
         @Override
-        public void restore(byte[] view) {
+        public void restore(byte[] snapshot) {
             try {
                 words.clear();
-                codec.read(view, List.class).forEach(w -> words.add((String) w));
+                codec.read(snapshot, List.class).forEach(word -> words.add((String) word));
             } catch (ServiceException failure) {
                 throw new IllegalStateException(failure);
             }
@@ -79,22 +79,22 @@
         this.ringFileSize = ringFileSize;
         sim = new Simulator(seed);
         net = new SimNet(sim);
-        for (String n : desiredMembers) {
-            add(n);
+        for (String node : desiredMembers) {
+            add(node);
         }
     }
 
-    void add(String n) throws ServiceException {
-        hosts.put(n, new Harness(n, sim, net));
-        start(n);
+    void add(String node) throws ServiceException {
+        hosts.put(node, new Harness(node, sim, net));
+        start(node);
     }
 
-    void start(String n) throws ServiceException {
-        Harness harness = hosts.get(n);
+    void start(String node) throws ServiceException {
+        Harness harness = hosts.get(node);
         RpcRouter router = new RpcRouter();
         harness.boot(router);
         RingWriteAheadLog wal = RingWriteAheadLog.open(harness.disk(), harness.host(), 4, ringFileSize);
-        wal.onFailure(why -> harness.kill());
+        wal.onFailure(reason -> harness.kill());
         NodeEnvironment environment = new NodeEnvironment(
                 harness.host(),
                 harness.host(),
@@ -103,11 +103,11 @@
                 wal,
                 sim.random()::nextLong,
                 ReplicationTiming.defaults());
-        WordListStateMachine m = new WordListStateMachine(codec);
-        Replica<String, String> replica = new Replica<>(PARTITION, desiredMembers, m, environment);
-        ReplicationMessages.route(router, part -> Mono.just(replica));
-        stateMachines.put(n, m);
-        replicas.put(n, replica);
+        WordListStateMachine stateMachine = new WordListStateMachine(codec);
+        Replica<String, String> replica = new Replica<>(PARTITION, desiredMembers, stateMachine, environment);
+        ReplicationMessages.route(router, partition -> Mono.just(replica));
+        stateMachines.put(node, stateMachine);
+        replicas.put(node, replica);
         replica.start(wal.recovered().getOrDefault(PARTITION, List.of()));
     }
 
@@ -134,21 +134,23 @@
 
     String awaitLeader() {
         if (!sim.runUntil(() -> leader().isPresent(), Duration.ofSeconds(20))) {
-            throw new AssertionError("nobody owns the part");
+            throw new AssertionError("no leader is elected");
         }
         return leader().orElseThrow();
     }
 
-    /** Proposes at the owner; the answer, or the fault's kind. */
+    /** Proposes a word on the leader; returns the result, or the kind of the failure. */
     String propose(String word) {
         return proposeAt(awaitLeader(), word);
     }
 
-    String proposeAt(String n, String word) {
-        String[] out = {"open"};
-        Mono<String> m = replicas.get(n).propose(word, String.class);
-        m.subscribe(x -> out[0] = x, e -> out[0] = ServiceException.of(e).kind().wireName());
-        sim.runUntil(() -> !out[0].equals("open"), Duration.ofSeconds(10));
-        return out[0];
+    String proposeAt(String node, String word) {
+        String[] outcome = {"open"};
+        Mono<String> proposal = replicas.get(node).propose(word, String.class);
+        proposal.subscribe(
+                result -> outcome[0] = result,
+                e -> outcome[0] = ServiceException.of(e).kind().wireName());
+        sim.runUntil(() -> !outcome[0].equals("open"), Duration.ofSeconds(10));
+        return outcome[0];
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -21,196 +21,198 @@
 
 class ReplicationTest {
     @Test
-    void committedWordsOutliveTheOwner() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(1);
-        assertEquals("one", replicas.propose("one"));
-        String first = replicas.awaitLeader();
-        replicas.hosts.get(first).powerLoss();
-        assertEquals("two", replicas.propose("two"));
-        replicas.start(first);
-        replicas.sim.run(Duration.ofSeconds(3));
-        assertEquals(List.of("one", "two"), replicas.stateMachines.get(first).words);
+    void committedWordsSurviveTheLossOfTheLeader() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(1);
+        assertEquals("one", group.propose("one"));
+        String first = group.awaitLeader();
+        group.hosts.get(first).powerLoss();
+        assertEquals("two", group.propose("two"));
+        group.start(first);
+        group.sim.run(Duration.ofSeconds(3));
+        assertEquals(List.of("one", "two"), group.stateMachines.get(first).words);
     }
 
     @Test
-    void pausedOwnerWakesHarmless() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(2);
-        String old = replicas.awaitLeader();
-        replicas.hosts.get(old).pause(Duration.ofSeconds(6));
-        replicas.sim.run(Duration.ofSeconds(5));
-        String next = replicas.awaitLeader();
-        assertFalse(next.equals(old), "another must own while the first is paused");
-        replicas.sim.run(Duration.ofSeconds(1));
+    void pausedLeaderHasNoLeaseWhenItResumes() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(2);
+        String formerLeader = group.awaitLeader();
+        group.hosts.get(formerLeader).pause(Duration.ofSeconds(6));
+        group.sim.run(Duration.ofSeconds(5));
+        String newLeader = group.awaitLeader();
+        assertFalse(newLeader.equals(formerLeader), "another replica must lead while the first is paused");
+        group.sim.run(Duration.ofSeconds(1));
         assertFalse(
-                replicas.replicas.get(old).isActiveLeader(), "the claim of the paused owner must be gone on waking");
+                group.replicas.get(formerLeader).isActiveLeader(),
+                "the lease of the paused leader must have expired when it resumes");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
     void neverTwoOwnersUnderCuts(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed);
-        replicas.awaitLeader();
-        replicas.net.setLossAndDuplication(0.05, 0.05);
-        long worst = 0;
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed);
+        group.awaitLeader();
+        group.net.setLossAndDuplication(0.05, 0.05);
+        long maxLeaders = 0;
         for (int i = 0; i < 400; i++) {
             if (i % 40 == 0) {
-                replicas.net.heal();
-                replicas.net.cutOff(List.copyOf(replicas.hosts.keySet())
-                        .get(replicas.sim.random().nextInt(3)));
+                group.net.heal();
+                group.net.cutOff(
+                        List.copyOf(group.hosts.keySet()).get(group.sim.random().nextInt(3)));
             }
-            replicas.sim.run(Duration.ofMillis(100));
-            worst = Math.max(worst, replicas.leaderCount());
+            group.sim.run(Duration.ofMillis(100));
+            maxLeaders = Math.max(maxLeaders, group.leaderCount());
         }
-        assertEquals(1, worst);
+        assertEquals(1, maxLeaders);
     }
 
     @Test
-    void cutOffReplicaDoesNotUnseatTheOwnerOnReturn() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(3);
-        String owner = replicas.awaitLeader();
-        String other = replicas.hosts.keySet().stream()
-                .filter(h -> !h.equals(owner))
+    void isolatedReplicaDoesNotDisplaceTheLeaderOnReturn() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(3);
+        String leader = group.awaitLeader();
+        String other = group.hosts.keySet().stream()
+                .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        long term = replicas.replicas.get(owner).term();
-        replicas.net.cutOff(other);
-        replicas.sim.run(Duration.ofSeconds(10));
-        replicas.net.heal();
-        replicas.sim.run(Duration.ofSeconds(3));
-        assertEquals(owner, replicas.awaitLeader());
-        assertEquals(term, replicas.replicas.get(owner).term());
+        long term = group.replicas.get(leader).term();
+        group.net.cutOff(other);
+        group.sim.run(Duration.ofSeconds(10));
+        group.net.heal();
+        group.sim.run(Duration.ofSeconds(3));
+        assertEquals(leader, group.awaitLeader());
+        assertEquals(term, group.replicas.get(leader).term());
     }
 
     @Test
     void farBehindReplicaTakesAViewThenFollows() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(4);
-        String owner = replicas.awaitLeader();
-        String behind = replicas.hosts.keySet().stream()
-                .filter(h -> !h.equals(owner))
+        ReplicaGroupFixture group = new ReplicaGroupFixture(4);
+        String leader = group.awaitLeader();
+        String behind = group.hosts.keySet().stream()
+                .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        replicas.hosts.get(behind).kill();
-        List<String> said = new ArrayList<>();
+        group.hosts.get(behind).kill();
+        List<String> proposed = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            said.add(replicas.propose("w" + i + "x".repeat(1500)));
+            proposed.add(group.propose("w" + i + "x".repeat(1500)));
         }
-        replicas.start(behind);
-        replicas.sim.run(Duration.ofSeconds(4));
-        assertEquals(said, replicas.stateMachines.get(behind).words);
+        group.start(behind);
+        group.sim.run(Duration.ofSeconds(4));
+        assertEquals(proposed, group.stateMachines.get(behind).words);
     }
 
-    /** The disk is blank: the replica must not vote until the others have voting it anew. */
+    /** The disk is empty: the replica must not vote until the other members have promoted it again. */
     @Test
     void lostDiskLosesNothing() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
-        loseDiskOfTheOnlyOther(replicas, false);
-        replicas.sim.run(Duration.ofSeconds(10));
-        assertEquals(0, replicas.leaderCount(), "blank b and behind c must not own the part between them");
-        replicas.start("a:1");
-        replicas.awaitLeader();
-        replicas.sim.run(Duration.ofSeconds(5));
-        assertTrue(replicas.stateMachines.get("b:1").words.contains("precious"));
-        assertEquals(Role.FOLLOWER, replicas.replicas.get("c:1").role());
-        assertFalse(replicas.replicas.get("b:1").role() == Role.UNINITIALIZED, "b must be sworn again");
+        ReplicaGroupFixture group = new ReplicaGroupFixture(5);
+        loseDiskOfTheOnlyOtherHolder(group, false);
+        group.sim.run(Duration.ofSeconds(10));
+        assertEquals(0, group.leaderCount(), "b with an empty disk and c, which is behind, must not elect a leader");
+        group.start("a:1");
+        group.awaitLeader();
+        group.sim.run(Duration.ofSeconds(5));
+        assertTrue(group.stateMachines.get("b:1").words.contains("precious"));
+        assertEquals(Role.FOLLOWER, group.replicas.get("c:1").role());
+        assertFalse(group.replicas.get("b:1").role() == Role.UNINITIALIZED, "b must be promoted again");
     }
 
     /**
-     * The naive way, which counts the blank disk at once, loses an accepted entry: why (docs/design.md, section 5.5).
-     * is needed.
+     * If the empty disk counts at once, an accepted entry is lost: this is why a promotion is needed. (docs/design.md,
+     * section 5.5)
      */
     @Test
     void naiveDiskReturnLosesAnAcceptedEntry() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(5);
-        loseDiskOfTheOnlyOther(replicas, true);
-        replicas.awaitLeader();
-        replicas.start("a:1");
-        replicas.sim.run(Duration.ofSeconds(5));
-        assertFalse(replicas.stateMachines.get(replicas.awaitLeader()).words.contains("precious"));
+        ReplicaGroupFixture group = new ReplicaGroupFixture(5);
+        loseDiskOfTheOnlyOtherHolder(group, true);
+        group.awaitLeader();
+        group.start("a:1");
+        group.sim.run(Duration.ofSeconds(5));
+        assertFalse(group.stateMachines.get(group.awaitLeader()).words.contains("precious"));
     }
 
-    /** Accepted by a and b while c is away; then b's disk is lost, a is down, and c is back. */
-    private static void loseDiskOfTheOnlyOther(ReplicaGroupFixture replicas, boolean naive) throws ServiceException {
-        assertEquals("early", replicas.propose("early"));
-        replicas.sim.run(Duration.ofSeconds(1));
-        assertEquals("a:1", replicas.awaitLeader());
-        String identity = replicas.replicas.get("b:1").members().get("b:1");
-        Map<String, String> group = replicas.replicas.get("b:1").members();
-        replicas.net.cutOff("c:1");
-        assertEquals("precious", replicas.propose("precious"));
-        replicas.hosts.get("a:1").kill();
-        replicas.hosts.get("b:1").kill();
-        replicas.hosts.get("b:1").disk().wipe();
+    /** An entry is accepted by a and b while c is unreachable; then b's disk is lost, a is down, and c is back. */
+    private static void loseDiskOfTheOnlyOtherHolder(ReplicaGroupFixture group, boolean naive) throws ServiceException {
+        assertEquals("early", group.propose("early"));
+        group.sim.run(Duration.ofSeconds(1));
+        assertEquals("a:1", group.awaitLeader());
+        String identity = group.replicas.get("b:1").members().get("b:1");
+        Map<String, String> members = group.replicas.get("b:1").members();
+        group.net.cutOff("c:1");
+        assertEquals("precious", group.propose("precious"));
+        group.hosts.get("a:1").kill();
+        group.hosts.get("b:1").kill();
+        group.hosts.get("b:1").disk().wipe();
         if (naive) {
-            replicas.hosts.get("b:1").boot(new RpcRouter());
+            group.hosts.get("b:1").boot(new RpcRouter());
             RingWriteAheadLog wal = RingWriteAheadLog.open(
-                    replicas.hosts.get("b:1").disk(), replicas.hosts.get("b:1").host(), 4, 512 << 10);
-            ReplicationMessages.ReplicaSnapshot base = new ReplicationMessages.ReplicaSnapshot(
-                    identity, 0, "", true, 0, 0, group, new byte[0], List.of(), new byte[0]);
+                    group.hosts.get("b:1").disk(), group.hosts.get("b:1").host(), 4, 512 << 10);
+            ReplicationMessages.ReplicaSnapshot snapshot = new ReplicationMessages.ReplicaSnapshot(
+                    identity, 0, "", true, 0, 0, members, new byte[0], List.of(), new byte[0]);
             wal.append(
                     List.of(new WalRecord(
-                            ReplicaGroupFixture.PARTITION, WalRecord.Kind.SNAPSHOT, 0, 0, replicas.codec.write(base))),
+                            ReplicaGroupFixture.PARTITION, WalRecord.Kind.SNAPSHOT, 0, 0, group.codec.write(snapshot))),
                     () -> {});
-            replicas.sim.run(Duration.ofMillis(100));
-            replicas.hosts.get("b:1").kill();
+            group.sim.run(Duration.ofMillis(100));
+            group.hosts.get("b:1").kill();
         }
-        replicas.net.heal();
-        replicas.start("b:1");
+        group.net.heal();
+        group.start("b:1");
     }
 
     @Test
-    void lostMemberIsReplacedAndAllCopiesCount() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(6);
-        replicas.propose("one");
-        replicas.hosts.get("c:1").kill();
-        replicas.setDesiredMembers(List.of("a:1", "b:1", "d:1"));
-        replicas.add("d:1");
-        replicas.sim.run(Duration.ofSeconds(6));
+    void lostMemberIsReplacedAndAllReplicasCount() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(6);
+        group.propose("one");
+        group.hosts.get("c:1").kill();
+        group.setDesiredMembers(List.of("a:1", "b:1", "d:1"));
+        group.add("d:1");
+        group.sim.run(Duration.ofSeconds(6));
         assertEquals(
                 Set.of("a:1", "b:1", "d:1"),
-                replicas.replicas.get(replicas.awaitLeader()).members().keySet());
-        replicas.hosts.get(replicas.awaitLeader()).kill();
-        assertEquals("two", replicas.propose("two"));
-        assertTrue(replicas.stateMachines.get("d:1").words.containsAll(List.of("one", "two")));
+                group.replicas.get(group.awaitLeader()).members().keySet());
+        group.hosts.get(group.awaitLeader()).kill();
+        assertEquals("two", group.propose("two"));
+        assertTrue(group.stateMachines.get("d:1").words.containsAll(List.of("one", "two")));
     }
 
     @Test
     void handOverMovesTheOwnerWithoutWaitingForTheClaim() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(7);
-        String old = replicas.awaitLeader();
-        replicas.propose("one");
-        replicas.sim.run(Duration.ofSeconds(1));
-        String successor = replicas.replicas.get(old).successor().orElseThrow();
-        Duration begun = replicas.sim.now();
-        assertTrue(replicas.replicas.get(old).transferLeadership(successor));
-        assertFalse(replicas.replicas.get(old).isActiveLeader(), "the claim is given up first");
-        replicas.sim.runUntil(() -> replicas.leader().filter(successor::equals).isPresent(), Duration.ofSeconds(3));
+        ReplicaGroupFixture group = new ReplicaGroupFixture(7);
+        String formerLeader = group.awaitLeader();
+        group.propose("one");
+        group.sim.run(Duration.ofSeconds(1));
+        String successor = group.replicas.get(formerLeader).successor().orElseThrow();
+        Duration startedAt = group.sim.now();
+        assertTrue(group.replicas.get(formerLeader).transferLeadership(successor));
+        assertFalse(group.replicas.get(formerLeader).isActiveLeader(), "the lease is relinquished first");
+        group.sim.runUntil(() -> group.leader().filter(successor::equals).isPresent(), Duration.ofSeconds(3));
         assertTrue(
-                replicas.sim.now().minus(begun).compareTo(Duration.ofMillis(500)) < 0,
-                "took " + replicas.sim.now().minus(begun));
+                group.sim.now().minus(startedAt).compareTo(Duration.ofMillis(500)) < 0,
+                "took " + group.sim.now().minus(startedAt));
     }
 
     @Test
-    void refusedProposalIsDefiniteAndNeverApplied() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(8);
-        String owner = replicas.awaitLeader();
-        String other = replicas.hosts.keySet().stream()
-                .filter(h -> !h.equals(owner))
+    void rejectedProposalIsNeverApplied() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(8);
+        String leader = group.awaitLeader();
+        String other = group.hosts.keySet().stream()
+                .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
-        assertEquals("not_owner", replicas.proposeAt(other, "never"));
-        replicas.net.cutOff(owner);
-        replicas.sim.run(Duration.ofSeconds(4));
-        assertEquals("not_owner", replicas.proposeAt(owner, "never"));
-        replicas.net.heal();
-        replicas.sim.run(Duration.ofSeconds(5));
-        assertFalse(replicas.stateMachines.values().stream().anyMatch(words -> words.words.contains("never")));
+        assertEquals("not_owner", group.proposeAt(other, "never"));
+        group.net.cutOff(leader);
+        group.sim.run(Duration.ofSeconds(4));
+        assertEquals("not_owner", group.proposeAt(leader, "never"));
+        group.net.heal();
+        group.sim.run(Duration.ofSeconds(5));
+        assertFalse(
+                group.stateMachines.values().stream().anyMatch(stateMachine -> stateMachine.words.contains("never")));
     }
 
     @Test
-    void undecidedProposalIsUnknownNotRefused() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(9);
-        String owner = replicas.awaitLeader();
-        replicas.net.cutOff(owner);
-        assertEquals("unknown_outcome", replicas.proposeAt(owner, "perhaps"));
+    void undecidedProposalHasAnUnknownOutcome() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(9);
+        String leader = group.awaitLeader();
+        group.net.cutOff(leader);
+        assertEquals("unknown_outcome", group.proposeAt(leader, "perhaps"));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingDiskAccessTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingDiskAccessTest.java
@@ -21,21 +21,21 @@
 import org.woadvale.testkit.simulation.SimNet;
 import org.woadvale.testkit.simulation.Simulator;
 
-/** How many bytes the ring asks of the disk at once, and in how many calls. */
+/** How many bytes the ring reads or writes at once, and in how many calls. */
 class RingDiskAccessTest {
     private static final int FILES = 12;
-    private static final int SIZE = 8 << 20;
-    private static final int RECORD = 200_000;
+    private static final int RING_FILE_BYTES = 8 << 20;
+    private static final int RECORD_BYTES = 200_000;
 
-    /** Counts what passes through. */
-    private static final class Counting implements Disk {
+    /** Records the reads and writes that pass through. */
+    private static final class CountingDisk implements Disk {
         private final Disk disk;
         private final List<Integer> reads = new ArrayList<>();
         private final List<Integer> writes = new ArrayList<>();
         private final Set<byte[]> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
-        private final List<String> order = new ArrayList<>();
+        private final List<String> readOrder = new ArrayList<>();
 
-        Counting(Disk disk) {
+        CountingDisk(Disk disk) {
             this.disk = disk;
         }
 
@@ -46,30 +46,30 @@
 
         @Override
         public DiskFile open(String name, int size) throws IOException {
-            DiskFile leaf = disk.open(name, size);
+            DiskFile file = disk.open(name, size);
             return new DiskFile() {
                 @Override
                 public int size() throws IOException {
-                    return leaf.size();
+                    return file.size();
                 }
 
                 @Override
-                public void write(long pos, byte[] bytes, int length) throws IOException {
+                public void write(long position, byte[] bytes, int length) throws IOException {
                     writes.add(length);
-                    leaf.write(pos, bytes, length);
+                    file.write(position, bytes, length);
                 }
 
                 @Override
-                public void read(long pos, byte[] into, int length) throws IOException {
+                public void read(long position, byte[] into, int length) throws IOException {
                     reads.add(length);
                     buffers.add(into);
-                    order.add(name);
-                    leaf.read(pos, into, length);
+                    readOrder.add(name);
+                    file.read(position, into, length);
                 }
 
                 @Override
                 public void sync() throws IOException {
-                    leaf.sync();
+                    file.sync();
                 }
             };
         }
@@ -86,21 +86,21 @@
 
     private final Simulator sim = new Simulator(21);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
-    private Counting disk;
+    private CountingDisk disk;
 
     private RingWriteAheadLog open() throws ServiceException {
         harness.boot(new RpcRouter());
-        disk = new Counting(harness.disk());
-        return RingWriteAheadLog.open(disk, harness.host(), FILES, SIZE);
+        disk = new CountingDisk(harness.disk());
+        return RingWriteAheadLog.open(disk, harness.host(), FILES, RING_FILE_BYTES);
     }
 
     private static WalRecord entry(long index, WalRecord.Kind kind, int size) {
         return new WalRecord("m1", kind, index, 1, new byte[size]);
     }
 
-    /** Before: all twelve files stood in the heap at once, 96 MB for a state of a few. */
+    /** Guards against reading all twelve files into the heap at once: 96 MB for a state of a few MB. */
     @Test
-    void aWrappedRingIsOpenedPieceByPiece() throws ServiceException {
+    void wrappedRingIsReadRecordByRecord() throws ServiceException {
         RingWriteAheadLog log = open();
         List<String> failed = new ArrayList<>();
         log.onFailure(failed::add);
@@ -108,37 +108,41 @@
         while (log.filesWritten() <= FILES + 2) {
             last++;
             log.append(
-                    List.of(entry(last, last % 20 == 0 ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY, RECORD)),
+                    List.of(entry(last, last % 20 == 0 ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY, RECORD_BYTES)),
                     () -> {});
             sim.run(Duration.ofMillis(20));
         }
         assertEquals(List.of(), failed);
         harness.powerLoss();
-        List<WalRecord> found = open().recovered().get("m1");
-        assertEquals(last, found.get(found.size() - 1).index());
-        assertEquals(WalRecord.Kind.SNAPSHOT, found.get(0).kind());
-        assertTrue(disk.largestRead() < RECORD + 100, "at most one record is read at once, read " + disk.largestRead());
-        assertTrue(disk.buffers.stream().mapToInt(x -> x.length).max().orElse(0) < RECORD + 100);
-        // the first record of each file, each file in the order of its segment, the tail
-        Set<String> names = new LinkedHashSet<>(disk.order);
+        List<WalRecord> recovered = open().recovered().get("m1");
+        assertEquals(last, recovered.get(recovered.size() - 1).index());
+        assertEquals(WalRecord.Kind.SNAPSHOT, recovered.get(0).kind());
+        assertTrue(
+                disk.largestRead() < RECORD_BYTES + 100,
+                "at most one record is read at once, read " + disk.largestRead());
+        assertTrue(disk.buffers.stream().mapToInt(buffer -> buffer.length).max().orElse(0) < RECORD_BYTES + 100);
+        // the first record of each file, then each file in segment order, then the tail
+        Set<String> names = new LinkedHashSet<>(disk.readOrder);
         assertEquals(FILES, names.size());
-        int turns = 1;
-        for (int i = 1; i < disk.order.size(); i++) {
-            turns += disk.order.get(i).equals(disk.order.get(i - 1)) ? 0 : 1;
+        int fileSwitches = 1;
+        for (int i = 1; i < disk.readOrder.size(); i++) {
+            fileSwitches += disk.readOrder.get(i).equals(disk.readOrder.get(i - 1)) ? 0 : 1;
         }
-        assertTrue(turns <= 2 * FILES + 2, "one file after the other, not back and forth: " + turns + " turns");
+        assertTrue(
+                fileSwitches <= 2 * FILES + 2,
+                "one file after the other, not back and forth: " + fileSwitches + " switches");
     }
 
     @Test
-    void anUnusedRingCostsSmallReadsAndNoWrites() throws ServiceException {
+    void unusedRingNeedsOnlySmallReadsAndNoWrites() throws ServiceException {
         open();
         assertTrue(disk.largestRead() <= Disk.CHUNK_BYTES);
         assertEquals(List.of(), disk.writes);
     }
 
-    /** Before: one write for each record. */
+    /** Guards against one write per record. */
     @Test
-    void aBatchIsWrittenTogether() throws ServiceException {
+    void batchIsWrittenInOneWrite() throws ServiceException {
         RingWriteAheadLog log = open();
         List<WalRecord> batch = new ArrayList<>();
         for (int i = 1; i <= 40; i++) {
--- a/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/RingPowerCutTest.java
@@ -17,18 +17,18 @@
 import org.woadvale.testkit.simulation.SimNet;
 import org.woadvale.testkit.simulation.Simulator;
 
-/** The power goes between a write and its sync, at every place of a ring that has wrapped. */
+/** Power is lost between a write and its sync, at every position of a ring that has wrapped. */
 class RingPowerCutTest {
     private static final int FILES = 4;
-    private static final int SIZE = 4096;
+    private static final int RING_FILE_BYTES = 4096;
     private static final int SEEDS = 400;
 
-    /** Cuts the power in place of the given sync. */
-    private static final class CutDisk implements Disk {
+    /** Fails from the given sync on, as if power were lost. */
+    private static final class PowerLossDisk implements Disk {
         private final Disk disk;
         private int syncsLeft;
 
-        CutDisk(Disk disk, int syncsLeft) {
+        PowerLossDisk(Disk disk, int syncsLeft) {
             this.disk = disk;
             this.syncsLeft = syncsLeft;
         }
@@ -40,52 +40,58 @@
 
         @Override
         public void setAside() throws IOException {
-            throw new IOException("a sound folder was set aside");
+            throw new IOException("an undamaged folder was set aside");
         }
 
         @Override
         public DiskFile open(String name, int size) throws IOException {
-            DiskFile leaf = disk.open(name, size);
+            DiskFile file = disk.open(name, size);
             return new DiskFile() {
                 @Override
                 public int size() throws IOException {
-                    return leaf.size();
+                    return file.size();
                 }
 
                 @Override
-                public void write(long pos, byte[] bytes, int length) throws IOException {
-                    leaf.write(pos, bytes, length);
+                public void write(long position, byte[] bytes, int length) throws IOException {
+                    file.write(position, bytes, length);
                 }
 
                 @Override
-                public void read(long pos, byte[] into, int length) throws IOException {
-                    leaf.read(pos, into, length);
+                public void read(long position, byte[] into, int length) throws IOException {
+                    file.read(position, into, length);
                 }
 
                 @Override
                 public void sync() throws IOException {
                     syncsLeft--;
                     if (syncsLeft <= 0) {
-                        throw new IOException("the power is cut");
+                        throw new IOException("power lost");
                     }
-                    leaf.sync();
+                    file.sync();
                 }
             };
         }
     }
 
-    /** Before: a first batch torn across the oldest file condemned the whole folder, though nothing in it was lost. */
+    /**
+     * Guards against discarding the whole folder because a first batch is torn across the oldest file, although nothing
+     * in the folder is lost.
+     */
     @Test
-    void aTornFirstBatchOverTheOldestFileIsNoDamage() throws ServiceException {
+    void tornFirstBatchOverTheOldestFileIsNoDamage() throws ServiceException {
         for (long seed = 1; seed <= SEEDS; seed++) {
             Simulator sim = new Simulator(seed);
             Harness harness = new Harness("a:1", sim, new SimNet(sim));
             List<Long> confirmed = new ArrayList<>();
-            writeUntilThePowerIsCut(sim, harness, confirmed, 1 + (int) (seed % 40));
+            writeUntilPowerLoss(sim, harness, confirmed, 1 + (int) (seed % 40));
             harness.powerLoss();
             harness.boot(new RpcRouter());
             List<Long> kept = RingWriteAheadLog.open(
-                            new CutDisk(harness.disk(), Integer.MAX_VALUE), harness.host(), FILES, SIZE)
+                            new PowerLossDisk(harness.disk(), Integer.MAX_VALUE),
+                            harness.host(),
+                            FILES,
+                            RING_FILE_BYTES)
                     .recovered()
                     .getOrDefault("m1", List.of())
                     .stream()
@@ -101,10 +107,11 @@
         }
     }
 
-    private static void writeUntilThePowerIsCut(Simulator sim, Harness harness, List<Long> confirmed, int syncs)
+    private static void writeUntilPowerLoss(Simulator sim, Harness harness, List<Long> confirmed, int syncs)
             throws ServiceException {
         harness.boot(new RpcRouter());
-        RingWriteAheadLog wal = RingWriteAheadLog.open(new CutDisk(harness.disk(), syncs), harness.host(), FILES, SIZE);
+        RingWriteAheadLog wal = RingWriteAheadLog.open(
+                new PowerLossDisk(harness.disk(), syncs), harness.host(), FILES, RING_FILE_BYTES);
         List<String> failures = new ArrayList<>();
         wal.onFailure(failures::add);
         for (long i = 1; failures.isEmpty(); i++) {
@@ -116,6 +123,6 @@
                     () -> confirmed.add(index));
             sim.run(Duration.ofMillis(sim.random().nextInt(6)));
         }
-        assertEquals(List.of("the power is cut"), failures);
+        assertEquals(List.of("power lost"), failures);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -18,175 +18,177 @@
 import org.woadvale.common.replication.Role;
 import org.woadvale.common.replication.SnapshotMessages;
 
-/** A member that needs a snapshot while changes go on. (docs/design.md, section 5.8) */
+/** A member catches up from a snapshot while commands are committed. (docs/design.md, section 5.8) */
 class SnapshotTransferTest {
-    private static final int RING_FILE = 8 << 20;
-    private static final int CHANGES = 60;
-    /** For all that is not a piece of the snapshot, three more lost calls among it. */
+    private static final int RING_FILE_BYTES = 8 << 20;
+    private static final int COMMANDS = 60;
+    /** Time for everything except the chunks of the snapshot, including three lost requests. */
     private static final Duration LOSSLESS_CATCH_UP = Duration.ofSeconds(3);
-    /** A call's time-out, and the wait for the next tick. */
-    private static final Duration AFTER_A_LOST_PIECE = Duration.ofMillis(800);
+    /** The timeout of a request and the wait for the next tick. */
+    private static final Duration DELAY_PER_LOST_CHUNK = Duration.ofMillis(800);
 
     private static final Duration LOSSY_CATCH_UP = Duration.ofSeconds(40);
-    private static final int CHANGE_BYTES = 100_000;
-    /** The bound of the users' machines, the shorter of the two. */
+    private static final int COMMAND_BYTES = 100_000;
+    /** The limit on the users' machines, the shorter of the two. */
     private static final Duration CATCH_UP = Duration.ofMillis(4100);
 
-    private final Map<String, Integer> piecesSent = new HashMap<>();
+    private final Map<String, Integer> chunksSent = new HashMap<>();
     private final Map<String, Set<Long>> offsetsSent = new HashMap<>();
 
-    private ReplicaGroupFixture afterManyChanges(long seed, int changes) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed, RING_FILE);
-        replicas.net.onFrame((from, to, frame, bytes) -> {
+    private ReplicaGroupFixture groupWithCommands(long seed, int commands) throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed, RING_FILE_BYTES);
+        group.net.onFrame((from, to, frame, bytes) -> {
             if (frame.body() instanceof SnapshotMessages.SnapshotChunkRequest chunk) {
-                piecesSent.merge(to, 1, Integer::sum);
+                chunksSent.merge(to, 1, Integer::sum);
                 offsetsSent.computeIfAbsent(to, node -> new HashSet<>()).add(chunk.offset());
-                assertTrue(bytes < 300_000, "a piece of " + bytes + " bytes");
+                assertTrue(bytes < 300_000, "a chunk of " + bytes + " bytes");
             }
         });
-        for (int i = 0; i < changes; i++) {
-            replicas.propose(i + "x".repeat(CHANGE_BYTES));
+        for (int i = 0; i < commands; i++) {
+            group.propose(i + "x".repeat(COMMAND_BYTES));
         }
-        replicas.sim.run(Duration.ofSeconds(1));
-        return replicas;
+        group.sim.run(Duration.ofSeconds(1));
+        return group;
     }
 
-    private static String follower(ReplicaGroupFixture replicas) {
-        String leader = replicas.awaitLeader();
-        return replicas.hosts.keySet().stream()
-                .filter(h -> !h.equals(leader))
+    private static String follower(ReplicaGroupFixture group) {
+        String leader = group.awaitLeader();
+        return group.hosts.keySet().stream()
+                .filter(node -> !node.equals(leader))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void wipeAndStart(ReplicaGroupFixture replicas, String node) throws ServiceException {
-        replicas.hosts.get(node).kill();
-        replicas.hosts.get(node).disk().wipe();
-        replicas.start(node);
+    private static void wipeAndStart(ReplicaGroupFixture group, String node) throws ServiceException {
+        group.hosts.get(node).kill();
+        group.hosts.get(node).disk().wipe();
+        group.start(node);
     }
 
-    private static boolean counts(ReplicaGroupFixture replicas, String node) {
-        return replicas.replicas.get(node).role() == Role.FOLLOWER;
+    private static boolean isFollower(ReplicaGroupFixture group, String node) {
+        return group.replicas.get(node).role() == Role.FOLLOWER;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aWipedMemberCountsInTimeThoughCallsAreLost(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = afterManyChanges(seed, CHANGES);
-        String wiped = follower(replicas);
-        replicas.net.setLossAndDuplication(0.1, 0.1);
-        wipeAndStart(replicas, wiped);
-        Duration begun = replicas.sim.now();
-        assertTrue(replicas.sim.runUntil(() -> counts(replicas, wiped), LOSSY_CATCH_UP), "does not count");
-        int lostPieces = piecesSent.get(wiped) - offsetsSent.get(wiped).size();
-        assertTrue(lostPieces <= offsetsSent.get(wiped).size(), lostPieces + " pieces sent again");
-        Duration took = replicas.sim.now().minus(begun);
+    void wipedMemberCatchesUpInTimeDespiteLostRequests(long seed) throws ServiceException {
+        ReplicaGroupFixture group = groupWithCommands(seed, COMMANDS);
+        String wiped = follower(group);
+        group.net.setLossAndDuplication(0.1, 0.1);
+        wipeAndStart(group, wiped);
+        Duration startedAt = group.sim.now();
+        assertTrue(group.sim.runUntil(() -> isFollower(group, wiped), LOSSY_CATCH_UP), "does not catch up");
+        int lostChunks = chunksSent.get(wiped) - offsetsSent.get(wiped).size();
+        assertTrue(lostChunks <= offsetsSent.get(wiped).size(), lostChunks + " chunks sent again");
+        Duration elapsed = group.sim.now().minus(startedAt);
         assertTrue(
-                took.compareTo(LOSSLESS_CATCH_UP.plus(AFTER_A_LOST_PIECE.multipliedBy(lostPieces))) < 0,
-                took + " with " + lostPieces + " pieces sent again");
-        replicas.net.setLossAndDuplication(0, 0);
-        replicas.sim.run(Duration.ofSeconds(2));
-        assertEquals(replicas.stateMachines.get(replicas.awaitLeader()).words, replicas.stateMachines.get(wiped).words);
+                elapsed.compareTo(LOSSLESS_CATCH_UP.plus(DELAY_PER_LOST_CHUNK.multipliedBy(lostChunks))) < 0,
+                elapsed + " with " + lostChunks + " chunks sent again");
+        group.net.setLossAndDuplication(0, 0);
+        group.sim.run(Duration.ofSeconds(2));
+        assertEquals(group.stateMachines.get(group.awaitLeader()).words, group.stateMachines.get(wiped).words);
     }
 
-    /** Before: the whole went as one frame, and its owner's next snapshot moved on with each 4 MB of changes. */
+    /**
+     * Guards against a snapshot that is sent as a single frame, while the leader's next snapshot moves on with each 4
+     * MB of commands.
+     */
     @Test
-    void aMemberWithADiskThirtyTimesAsSlowCatchesUpUnderChanges() throws ServiceException {
-        ReplicaGroupFixture replicas = afterManyChanges(11, CHANGES);
-        String slow = follower(replicas);
-        replicas.hosts.get(slow).slowDisk(30);
-        wipeAndStart(replicas, slow);
-        int[] said = {0};
-        Duration begun = replicas.sim.now();
-        while (!counts(replicas, slow) && replicas.sim.now().minus(begun).compareTo(CATCH_UP) < 0) {
-            replicas.propose("more" + said[0]++ + "y".repeat(CHANGE_BYTES));
-            replicas.sim.run(Duration.ofMillis(20));
+    void memberWithASlowDiskCatchesUpUnderLoad() throws ServiceException {
+        ReplicaGroupFixture group = groupWithCommands(11, COMMANDS);
+        String slow = follower(group);
+        group.hosts.get(slow).slowDisk(30);
+        wipeAndStart(group, slow);
+        int[] proposed = {0};
+        Duration startedAt = group.sim.now();
+        while (!isFollower(group, slow) && group.sim.now().minus(startedAt).compareTo(CATCH_UP) < 0) {
+            group.propose("more" + proposed[0]++ + "y".repeat(COMMAND_BYTES));
+            group.sim.run(Duration.ofMillis(20));
         }
-        assertTrue(counts(replicas, slow), "after " + said[0] + " changes");
-        assertTrue(piecesSent.get(slow) < 80, piecesSent + " pieces");
+        assertTrue(isFollower(group, slow), "after " + proposed[0] + " commands");
+        assertTrue(chunksSent.get(slow) < 80, chunksSent + " chunks");
     }
 
-    /** 2 MB a second, a quarter of them taken by changes; the snapshot has 6 MB. */
+    /** The link carries 2 MB/s, a quarter of it used by commands; the snapshot has 6 MB. */
     @Test
-    void aMemberBehindASlowLinkCatchesUpUnderChanges() throws ServiceException {
-        ReplicaGroupFixture replicas = afterManyChanges(13, CHANGES);
-        String slow = follower(replicas);
-        replicas.net.slowLink(replicas.awaitLeader(), slow, 2_000_000);
-        wipeAndStart(replicas, slow);
-        Duration begun = replicas.sim.now();
+    void memberBehindASlowLinkCatchesUpUnderLoad() throws ServiceException {
+        ReplicaGroupFixture group = groupWithCommands(13, COMMANDS);
+        String slow = follower(group);
+        group.net.slowLink(group.awaitLeader(), slow, 2_000_000);
+        wipeAndStart(group, slow);
+        Duration startedAt = group.sim.now();
         for (int i = 0;
-                !counts(replicas, slow) && replicas.sim.now().minus(begun).compareTo(Duration.ofSeconds(8)) < 0;
+                !isFollower(group, slow) && group.sim.now().minus(startedAt).compareTo(Duration.ofSeconds(8)) < 0;
                 i++) {
-            replicas.propose("more" + i + "y".repeat(CHANGE_BYTES));
-            replicas.sim.run(Duration.ofMillis(200));
+            group.propose("more" + i + "y".repeat(COMMAND_BYTES));
+            group.sim.run(Duration.ofMillis(200));
         }
-        assertTrue(counts(replicas, slow), piecesSent + " pieces");
+        assertTrue(isFollower(group, slow), chunksSent + " chunks");
     }
 
     @Test
-    void aMemberThatComesAndGoesGetsEachPieceAgainOnlyWhereItMust() throws ServiceException {
-        ReplicaGroupFixture replicas = afterManyChanges(12, CHANGES);
-        String wiped = follower(replicas);
-        String leader = replicas.awaitLeader();
-        wipeAndStart(replicas, wiped);
+    void interruptedTransferResendsOnlyLostChunks() throws ServiceException {
+        ReplicaGroupFixture group = groupWithCommands(12, COMMANDS);
+        String wiped = follower(group);
+        String leader = group.awaitLeader();
+        wipeAndStart(group, wiped);
         for (int i = 0; i < 6; i++) {
-            replicas.sim.run(Duration.ofMillis(100));
-            replicas.net.cut(leader, wiped);
-            replicas.sim.run(Duration.ofMillis(900));
-            replicas.net.join(leader, wiped);
+            group.sim.run(Duration.ofMillis(100));
+            group.net.cut(leader, wiped);
+            group.sim.run(Duration.ofMillis(900));
+            group.net.join(leader, wiped);
         }
-        assertTrue(replicas.sim.runUntil(() -> counts(replicas, wiped), CATCH_UP), "does not count");
-        int atLeast = CHANGES * CHANGE_BYTES / (256 << 10);
-        assertTrue(piecesSent.get(wiped) < 3 * atLeast, piecesSent + " of " + atLeast);
+        assertTrue(group.sim.runUntil(() -> isFollower(group, wiped), CATCH_UP), "does not catch up");
+        int minChunks = COMMANDS * COMMAND_BYTES / (256 << 10);
+        assertTrue(chunksSent.get(wiped) < 3 * minChunks, chunksSent + " of " + minChunks);
     }
 
-    private static Map<String, String> group(ReplicaGroupFixture replicas) {
-        return replicas.replicas.get(replicas.awaitLeader()).members();
+    private static Map<String, String> members(ReplicaGroupFixture group) {
+        return group.replicas.get(group.awaitLeader()).members();
     }
 
-    /** The disk of a follower goes back to an earlier state; the others, the leader among them, run on. */
+    /** A follower's disk is rolled back to an earlier state; the other members, including the leader, keep running. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24})
-    void aRolledBackDiskCountsOnlyUnderAnotherIdentity(long seed) throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(seed, RING_FILE);
-        replicas.propose("early");
-        replicas.sim.run(Duration.ofSeconds(1));
-        String old = follower(replicas);
-        var earlier = replicas.hosts.get(old).disk().copy();
+    void rolledBackDiskCountsOnlyUnderAnotherIdentity(long seed) throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(seed, RING_FILE_BYTES);
+        group.propose("early");
+        group.sim.run(Duration.ofSeconds(1));
+        String rolledBack = follower(group);
+        var earlier = group.hosts.get(rolledBack).disk().copy();
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            accepted.add(replicas.propose("later" + i));
+            accepted.add(group.propose("later" + i));
         }
-        replicas.sim.run(Duration.ofSeconds(1));
-        String identity = group(replicas).get(old);
-        replicas.hosts.get(old).kill();
-        replicas.hosts.get(old).disk().become(earlier);
-        replicas.start(old);
-        replicas.sim.run(Duration.ofSeconds(3));
-        assertFalse(identity.equals(group(replicas).get(old)), "it counts under the identity that lost its word");
-        assertTrue(counts(replicas, old));
-        assertTrue(replicas.stateMachines.get(old).words.containsAll(accepted));
-        assertEquals(Set.copyOf(replicas.hosts.keySet()), group(replicas).keySet());
+        group.sim.run(Duration.ofSeconds(1));
+        String identity = members(group).get(rolledBack);
+        group.hosts.get(rolledBack).kill();
+        group.hosts.get(rolledBack).disk().become(earlier);
+        group.start(rolledBack);
+        group.sim.run(Duration.ofSeconds(3));
+        assertFalse(
+                identity.equals(members(group).get(rolledBack)),
+                "it counts under the identity that lost acknowledged entries");
+        assertTrue(isFollower(group, rolledBack));
+        assertTrue(group.stateMachines.get(rolledBack).words.containsAll(accepted));
+        assertEquals(Set.copyOf(group.hosts.keySet()), members(group).keySet());
     }
 
     @Test
-    void aDiskCopiedFromAnotherMemberCountsAsLost() throws ServiceException {
-        ReplicaGroupFixture replicas = new ReplicaGroupFixture(31, RING_FILE);
-        replicas.propose("early");
-        replicas.sim.run(Duration.ofSeconds(1));
-        String leader = replicas.awaitLeader();
-        String victim = follower(replicas);
-        Map<String, String> before = group(replicas);
-        replicas.hosts.get(victim).kill();
-        replicas.hosts
-                .get(victim)
-                .disk()
-                .become(replicas.hosts.get(leader).disk().copy());
-        replicas.start(victim);
-        assertEquals(Role.UNINITIALIZED, replicas.replicas.get(victim).role());
-        replicas.sim.run(Duration.ofSeconds(3));
-        assertTrue(counts(replicas, victim));
-        Map<String, String> after = group(replicas);
+    void diskCopiedFromAnotherMemberCountsAsLost() throws ServiceException {
+        ReplicaGroupFixture group = new ReplicaGroupFixture(31, RING_FILE_BYTES);
+        group.propose("early");
+        group.sim.run(Duration.ofSeconds(1));
+        String leader = group.awaitLeader();
+        String victim = follower(group);
+        Map<String, String> before = members(group);
+        group.hosts.get(victim).kill();
+        group.hosts.get(victim).disk().become(group.hosts.get(leader).disk().copy());
+        group.start(victim);
+        assertEquals(Role.UNINITIALIZED, group.replicas.get(victim).role());
+        group.sim.run(Duration.ofSeconds(3));
+        assertTrue(isFollower(group, victim));
+        Map<String, String> after = members(group);
         assertEquals(before.get(leader), after.get(leader));
         assertEquals(3, Set.copyOf(after.values()).size());
     }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SupervisorTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SupervisorTest.java
@@ -21,12 +21,12 @@
     private final Simulator sim = new Simulator(1);
     private final Harness harness = new Harness("a:1", sim, new SimNet(sim));
 
-    private final class Scripted implements Component {
+    private final class ScriptedComponent implements Component {
         private final String name;
         boolean alive = true;
-        boolean mortal;
+        boolean diesOnStart;
 
-        Scripted(String name) {
+        ScriptedComponent(String name) {
             this.name = name;
         }
 
@@ -37,7 +37,7 @@
 
         @Override
         public void start() {
-            alive = !mortal;
+            alive = !diesOnStart;
             log.add("+" + name);
         }
 
@@ -53,32 +53,32 @@
     }
 
     @Test
-    void startsInOrderStartsTheDeadAgainStopsInReverse() throws ServiceException {
+    void startsInOrderRestartsDeadComponentsAndStopsInReverse() throws ServiceException {
         harness.boot(new RpcRouter());
-        Scripted a = new Scripted("a");
-        Scripted scripted = new Scripted("b");
+        ScriptedComponent first = new ScriptedComponent("a");
+        ScriptedComponent second = new ScriptedComponent("b");
         Supervisor supervisor = new Supervisor("s", harness.host(), () -> log.add("given up"))
-                .with(a)
-                .with(scripted);
+                .with(first)
+                .with(second);
         supervisor.start();
-        scripted.alive = false;
+        second.alive = false;
         sim.run(Duration.ofSeconds(4));
         supervisor.stop();
         assertEquals(List.of("+a", "+b", "-b", "+b", "-b", "-a"), log);
     }
 
     @Test
-    void givesUpOnWhatDiesAgainAndAgain() throws ServiceException {
+    void givesUpOnAComponentThatKeepsFailing() throws ServiceException {
         harness.boot(new RpcRouter());
-        Scripted scripted = new Scripted("a");
+        ScriptedComponent scripted = new ScriptedComponent("a");
         Supervisor supervisor = new Supervisor("s", harness.host(), () -> log.add("given up")).with(scripted);
         supervisor.start();
-        scripted.mortal = true;
+        scripted.diesOnStart = true;
         scripted.alive = false;
         sim.run(Duration.ofMinutes(2));
         assertTrue(log.contains("given up"), log.toString());
         assertFalse(supervisor.alive());
         assertEquals(1, log.stream().filter("given up"::equals).count());
-        assertEquals(6, log.stream().filter("+a"::equals).count(), "the first start and five more, each tried in full");
+        assertEquals(6, log.stream().filter("+a"::equals).count(), "the first start and five complete restarts");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -20,7 +20,7 @@
 
 class WriteAheadLogTest {
     private static final int FILES = 4;
-    private static final int SIZE = 4096;
+    private static final int RING_FILE_BYTES = 4096;
     private Simulator sim;
     private Harness harness;
 
@@ -32,23 +32,23 @@
 
     private RingWriteAheadLog reopen() throws ServiceException {
         harness.boot(new RpcRouter());
-        return RingWriteAheadLog.open(harness.disk(), harness.host(), FILES, SIZE);
+        return RingWriteAheadLog.open(harness.disk(), harness.host(), FILES, RING_FILE_BYTES);
     }
 
-    private static WalRecord entry(String part, long index, int size) {
-        return new WalRecord(part, WalRecord.Kind.ENTRY, index, 1, new byte[size]);
+    private static WalRecord entry(String partition, long index, int size) {
+        return new WalRecord(partition, WalRecord.Kind.ENTRY, index, 1, new byte[size]);
     }
 
-    private static WalRecord base(String part, long index) {
-        return new WalRecord(part, WalRecord.Kind.SNAPSHOT, index, 1, new byte[10]);
+    private static WalRecord snapshot(String partition, long index) {
+        return new WalRecord(partition, WalRecord.Kind.SNAPSHOT, index, 1, new byte[10]);
     }
 
     /**
-     * Guards against a process that ends when its ring is full, and a ring that cannot be opened again (review/1): what
-     * has no room waits, and what was confirmed is there however often the ring is opened.
+     * Guards against a process that ends when its ring is full, and a ring that cannot be opened again (review/1):
+     * records without space wait, and confirmed records are recovered each time the ring is opened.
      */
     @Test
-    void fullRingStopsConfirmingAndOpensAgainWithAllThatWasConfirmed() throws ServiceException {
+    void fullRingStopsConfirmingAndReopensWithAllConfirmedRecords() throws ServiceException {
         RingWriteAheadLog log = open(5);
         List<String> failed = new ArrayList<>();
         log.onFailure(failed::add);
@@ -69,7 +69,7 @@
         }
         assertEquals(List.of(), failed);
         RingWriteAheadLog reopened = log;
-        reopened.append(List.of(base("m1", confirmed.size())), () -> {});
+        reopened.append(List.of(snapshot("m1", confirmed.size())), () -> {});
         sim.run(Duration.ofMillis(20));
         reopened.append(List.of(entry("m1", 1001, 200)), () -> confirmed.add(1001L));
         sim.run(Duration.ofMillis(20));
@@ -78,7 +78,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void whatWasConfirmedSurvivesPowerLoss(long seed) throws ServiceException {
+    void confirmedRecordsSurvivePowerLoss(long seed) throws ServiceException {
         RingWriteAheadLog log = open(seed);
         List<Long> confirmed = new ArrayList<>();
         for (int round = 0; round < 5; round++) {
@@ -100,13 +100,13 @@
     }
 
     @Test
-    void ringIsReclaimedBehindBases() throws ServiceException {
+    void ringIsReclaimedBehindSnapshots() throws ServiceException {
         RingWriteAheadLog log = open(9);
         boolean[] failed = {false};
-        log.onFailure(why -> failed[0] = true);
+        log.onFailure(reason -> failed[0] = true);
         long[] index = {0};
         RingWriteAheadLog wal = log;
-        log.onSpaceNeeded("m1", () -> wal.append(List.of(base("m1", index[0])), () -> {}));
+        log.onSpaceNeeded("m1", () -> wal.append(List.of(snapshot("m1", index[0])), () -> {}));
         for (int i = 0; i < 300; i++) {
             log.append(List.of(entry("m1", ++index[0], 200)), () -> {});
             sim.run(Duration.ofMillis(20));
@@ -121,15 +121,18 @@
                         .orElse(0));
     }
 
-    /** Before: asked after each sync until the base was there, 53 times for 30 files, and the bases filled the ring. */
+    /**
+     * Guards against requesting a snapshot after each sync until it is written: there were 53 requests for 30 files,
+     * and the snapshots filled the ring.
+     */
     @Test
-    void partIsAskedForABaseOnce() throws ServiceException {
+    void partitionIsAskedForASnapshotOnce() throws ServiceException {
         RingWriteAheadLog log = open(13);
         List<String> failed = new ArrayList<>();
         log.onFailure(failed::add);
-        int[] asked = {0};
+        int[] requests = {0};
         log.onSpaceNeeded("m1", () -> {
-            asked[0]++;
+            requests[0]++;
             sim.after(
                     Duration.ofMillis(60),
                     () -> log.append(
@@ -141,12 +144,12 @@
         }
         assertEquals(List.of(), failed);
         assertTrue(
-                log.filesWritten() > 12 && asked[0] < log.filesWritten(),
-                asked[0] + " bases asked for, " + log.filesWritten() + " files written");
+                log.filesWritten() > 12 && requests[0] < log.filesWritten(),
+                requests[0] + " snapshots requested, " + log.filesWritten() + " files written");
     }
 
     @Test
-    void fullRingSaysSoBeforeRecordsWait() throws ServiceException {
+    void nearlyFullIsReportedBeforeRecordsWait() throws ServiceException {
         RingWriteAheadLog log = open(10);
         List<String> failed = new ArrayList<>();
         log.onFailure(failed::add);
@@ -158,12 +161,12 @@
             log.append(List.of(entry("m1", ++appended, 200)), () -> confirmed[0]++);
             sim.run(Duration.ofMillis(20));
         }
-        assertTrue(appended < 200, "nobody gives a snapshot, so records must wait");
+        assertTrue(appended < 200, "no snapshot is written, so records must wait");
         assertTrue(warnedAt > 0 && warnedAt + 10 < appended, "warned at " + warnedAt + ", full at " + appended);
         assertEquals(List.of(), failed);
     }
 
-    /** Snapshots that free the oldest file have room, in whatever order and at whatever moment they come. */
+    /** Snapshots that free the oldest file have space, in whatever order and at whatever time they are written. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
     void snapshotsAlwaysHaveRoom(long seed) throws ServiceException {
@@ -172,19 +175,19 @@
         log.onFailure(failed::add);
         int[] confirmed = {0};
         RingWriteAheadLog wal = log;
-        for (String part : List.of("m1", "m2", "m3", "m4")) {
-            log.expectSnapshotBytes(part, 1500);
+        for (String partition : List.of("m1", "m2", "m3", "m4")) {
+            log.expectSnapshotBytes(partition, 1500);
             log.onSpaceNeeded(
-                    part,
+                    partition,
                     () -> sim.after(
                             Duration.ofMillis(sim.random().nextInt(30)),
                             () -> wal.append(
-                                    List.of(new WalRecord(part, WalRecord.Kind.SNAPSHOT, 1, 1, new byte[1400])),
+                                    List.of(new WalRecord(partition, WalRecord.Kind.SNAPSHOT, 1, 1, new byte[1400])),
                                     () -> {})));
         }
         for (int i = 1; i <= 400; i++) {
-            String part = "m" + (1 + sim.random().nextInt(4));
-            log.append(List.of(entry(part, i, sim.random().nextInt(300))), () -> confirmed[0]++);
+            String partition = "m" + (1 + sim.random().nextInt(4));
+            log.append(List.of(entry(partition, i, sim.random().nextInt(300))), () -> confirmed[0]++);
             sim.run(Duration.ofMillis(5));
         }
         sim.run(Duration.ofSeconds(1));
@@ -195,7 +198,7 @@
     }
 
     @Test
-    void damageBeforeTheTailCondemnsTheFolder() throws ServiceException {
+    void damageBeforeTheTailDiscardsTheFolder() throws ServiceException {
         RingWriteAheadLog log = open(11);
         for (int i = 1; i <= 10; i++) {
             log.append(List.of(entry("m1", i, 100)), () -> {});
@@ -207,13 +210,13 @@
     }
 
     @Test
-    void tornTailIsCutAndLeftoversAreNeverRead() throws ServiceException {
-        RingWriteAheadLog ringWriteAheadLog = open(12);
-        ringWriteAheadLog.append(List.of(entry("m1", 1, 100)), () -> {});
+    void tornTailIsTruncatedAndLeftoversAreNeverRead() throws ServiceException {
+        RingWriteAheadLog first = open(12);
+        first.append(List.of(entry("m1", 1, 100)), () -> {});
         sim.run(Duration.ofMillis(20));
         harness.kill();
-        RingWriteAheadLog c = reopen();
-        c.append(List.of(entry("m1", 2, 50), entry("m1", 3, 50)), () -> {});
+        RingWriteAheadLog reopened = reopen();
+        reopened.append(List.of(entry("m1", 2, 50), entry("m1", 3, 50)), () -> {});
         sim.run(Duration.ofMillis(20));
         harness.kill();
         harness.disk().damage("ring-00", 200);
