--- a/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
+++ b/common/src/main/java/org/woadvale/common/membership/ControlMessages.java
@@ -8,26 +8,29 @@
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.Since;
 
-/** What nodes ask control nodes and home nodes, and the commands in the logs of control partitions. */
+/**
+ * Requests to control nodes and to home nodes, which relay service views, and the commands in the logs of control
+ * partitions.
+ */
 public final class ControlMessages {
     private ControlMessages() {}
 
     /** A command in the log of a control partition. */
     public sealed interface ControlCommand {}
 
-    /** What applying a command to a control partition answers. */
+    /** The result of applying a command to a control partition. */
     public sealed interface ControlResult {}
 
-    /** A node renews its membership in a service, or joins it. */
+    /** Renews a node's membership in a service, or adds the node to the service. */
     public record RenewLeaseRequest(String service, String node, MemberLease memberLease)
             implements RepeatableRequest {}
 
-    /** A node leaves a service in order. */
+    /** Ends a node's membership in a service at its own request. */
     public record LeaveRequest(String service, String node) implements RepeatableRequest {}
 
     /**
-     * Renews a singleton lease in its term, and does nothing if another term is the present one. A term of 0 asks to
-     * acquire the lease; sent again as it was, it has the outcome of its first copy, which is known by the request id.
+     * Renews a singleton lease in the given term; does nothing if the current term is another one. A term of 0 requests
+     * to acquire the lease; a resent request gets the outcome of the first one with the same request id.
      */
     public record SingletonLeaseRequest(
             String service,
@@ -35,31 +38,31 @@
             long term,
             @Since(4) long requestId) implements RepeatableRequest {}
 
-    /** Whether the lease is granted to the node that asked, and the lease as it stands. */
+    /** Whether the lease is granted to the requesting node, and the current lease. */
     public record SingletonLeaseResponse(
             @FirstFormatName("yours") boolean granted,
             @FirstFormatName("duty") SingletonLease lease) implements ControlResult {}
 
-    /** The owner gives a singleton lease up, with the level of its bucket. */
+    /** Releases a singleton lease and reports the token level of its bucket. */
     public record ReleaseSingletonRequest(String service, String node, long term, double level)
             implements RepeatableRequest {}
 
     /** Whether an update was accepted. */
     public record UpdateResult(boolean accepted) implements ControlResult {}
 
-    /** The versions that the asking node has, by service; -1 for none. */
+    /** The versions that the requesting node has, by service; -1 for none. */
     public record ServiceViewRequest(
             Map<String, Long> knownVersions, @Since(4) boolean acceptsDeflated) implements RepeatableRequest {
-        /** Asked by a build that can read deflated configurations. */
+        /** A request from a build that can read deflated configurations. */
         public ServiceViewRequest(Map<String, Long> known) {
             this(known, true);
         }
     }
 
     /**
-     * Views that differ, and for each service served the age of its confirmation; and the epoch of the list of the
-     * core's members that the answering process knows. A configuration that travels deflated, by service, is empty in
-     * its view.
+     * The views whose versions differ from the requested ones, for each served service the time since its view was
+     * confirmed, and the epoch of the core member list that the responding process knows. A configuration that is sent
+     * deflated is in {@code deflated} by service, and empty in its view.
      */
     public record ServiceViewResponse(
             List<ServiceView> views,
@@ -72,10 +75,13 @@
         }
     }
 
-    /** Asks for the members of the core, as far as the asked node knows them. */
+    /** Requests the members of the core, as far as the receiving node knows them. */
     public record CoreMembersRequest(boolean any) implements RepeatableRequest {}
 
-    /** The members of the core; the epoch tells which of two lists is newer, 0 for a list by hearsay. */
+    /**
+     * The members of the core. The list with the higher epoch is newer; the epoch is 0 for a list that is not known to
+     * be committed.
+     */
     public record CoreMembersResponse(
             List<String> members, @Since(3) long epoch) {}
 
@@ -90,8 +96,8 @@
     public record DropMember(String service, String node, String incarnation) implements ControlCommand {}
 
     /**
-     * Accepted only while the list has the version that was read, plus one; an expected version of 0 is always
-     * accepted.
+     * Adds or replaces a processor. Accepted only if the expected version is the current version plus one, or 0, which
+     * is always accepted.
      */
     public record PutProcessor(
             String service,
@@ -100,7 +106,7 @@
             @Since(2) long expectedVersion,
             @Since(4) long requestId) implements ControlCommand, RepeatableRequest {}
 
-    /** Takes a processor off a list; with an expected version as for {@link PutProcessor}. */
+    /** Removes a processor from a list, with an expected version as for {@link PutProcessor}. */
     public record DropProcessor(
             String service,
             String id,
@@ -115,14 +121,15 @@
             @Since(2) boolean lapsed,
             @Since(4) long requestId) implements ControlCommand {}
 
-    /** Leaves a singleton lease without an owner, if the node owns it in this term. */
+    /** Clears the owner of a singleton lease, if the node owns it in this term. */
     public record ReleaseSingleton(String service, String node, long term, double level) implements ControlCommand {}
 
     /** Replaces the placement, if its version is still the expected one. */
     public record PutPlacement(Map<String, List<String>> placement, long expectedVersion) implements ControlCommand {}
 
     /**
-     * An update of the configuration. A revision, if not 0, becomes the version; the original is kept and given back.
+     * An update of the configuration. A revision other than 0 becomes the version; the original is stored and returned
+     * to readers.
      */
     public record PutConfiguration(
             String requestId,
@@ -132,13 +139,13 @@
             @Since(3) long revision,
             @Since(3) byte[] original)
             implements ControlCommand {
-        /** An update whose version is the next one and that was not translated. */
+        /** An update that takes the next version and was not translated. */
         public PutConfiguration(String requestId, long base, byte[] configuration, String author) {
             this(requestId, base, configuration, author, 0, new byte[0]);
         }
     }
 
-    /** Replaces all processors of a service, from a source that knows them all. */
+    /** Replaces all processors of a service, with a complete list from a source. */
     public record PutProcessors(
             String service,
             Map<String, Processor> processors,
@@ -146,33 +153,40 @@
             @Since(4) long requestId)
             implements ControlCommand, RepeatableRequest {}
 
-    /** An id for a command that may be sent again; control partitions answer its repeats alike. */
+    /** Creates a request id for a command that may be resent; control partitions answer all copies alike. */
     public static long newRequestId() {
         return UUID.randomUUID().getMostSignificantBits();
     }
 
-    /** The version that an update has become; repeated if it was accepted before. */
+    /** The version of an accepted update; repeated if it had been accepted before. */
     public record ConfigurationAccepted(long version, boolean repeated) implements ControlResult {}
 
     /** Replaces the members of the core, if they are the expected ones. */
     public record PutCore(List<String> members, @Since(2) List<String> expected)
             implements ControlCommand, RepeatableRequest {}
 
-    /** Tells a store that the placement has a newer version, which it need not find out by its next poll. */
+    /** Notifies a store of a newer version of the placement, so that it does not wait for its next poll. */
     public record PlacementChanged(long version) implements RepeatableRequest {}
 
     /**
-     * A control machine tells the leader of the core's list that it runs, so that it may take a lost member's place.
+     * Announces a running control machine to the leader of the core's member list, so that it can replace a lost
+     * member.
      */
     public record AnnounceStandbyRequest(String node, String zone) implements RepeatableRequest {}
 
-    /** A member is about to stop; the answer says whether it should stay until its successor counts everywhere. */
+    /**
+     * Announces that a member is about to stop; the response says whether it should wait until its successor has
+     * replaced it in every group.
+     */
     public record LeaveCoreRequest(String node) implements RepeatableRequest {}
 
-    /** Replaces the members of the core, if the list has the epoch that the change was made from. */
+    /** Replaces the members of the core, if the list has the epoch on which the change is based. */
     public record ChangeCore(List<String> members, long epoch) implements ControlCommand {}
 
-    /** Types that came after the first build: numbered after all others, only ever add at the end. */
+    /**
+     * The types added after the first build. Their ids follow those of all other shared types, so types are only ever
+     * appended.
+     */
     public static List<Class<?>> typesAddedLater() {
         return List.of(
                 PutProcessors.class,
@@ -183,7 +197,7 @@
                 PlacementChanged.class);
     }
 
-    /** The types of the first build, by their numbers: never changed. */
+    /** The types of the first build. Their order defines their ids and never changes. */
     public static List<Class<?>> types() {
         return List.of(
                 RenewLeaseRequest.class,
--- a/common/src/main/java/org/woadvale/common/membership/CoreClient.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreClient.java
@@ -16,9 +16,9 @@
 import org.woadvale.common.rpc.RpcClient;
 import reactor.core.publisher.Mono;
 
-/** A process's way to the leaders of the control partitions, who are found by asking. */
+/** Client for the leaders of the control partitions, which it finds by asking control nodes. */
 public final class CoreClient {
-    private static final int ATTEMPTS = 5;
+    private static final int MAX_ATTEMPTS = 5;
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(700);
     private final RpcClient rpc;
     private final LongSupplier random;
@@ -27,59 +27,62 @@
     private final Map<String, String> leaderHints = new ConcurrentHashMap<>();
     private final AtomicReference<CoreMembers> members;
 
-    /** A client that knows the seeds, and the members that were stored last. */
+    /** Creates a client with the seeds and the members that were stored last. */
     public CoreClient(
-            RpcClient rpc, LongSupplier random, List<String> seeds, CoreMembers known, Consumer<CoreMembers> remember) {
+            RpcClient rpc, LongSupplier random, List<String> seeds, CoreMembers stored, Consumer<CoreMembers> persist) {
         this.rpc = rpc;
         this.random = random;
         this.seeds = List.copyOf(seeds);
-        this.persist = remember;
-        this.members = new AtomicReference<>(known.members().isEmpty() ? new CoreMembers(0, seeds) : known);
+        this.persist = persist;
+        this.members = new AtomicReference<>(stored.members().isEmpty() ? new CoreMembers(0, seeds) : stored);
     }
 
-    /** The control nodes to ask, the newest list that is known. */
+    /** The control nodes in the newest known list. */
     public List<String> controlNodes() {
         return members.get().members();
     }
 
-    /** The newest list that is known here, with its epoch. */
+    /** The newest known list, with its epoch. */
     public CoreMembers members() {
         return members.get();
     }
 
-    /** What this process answers to whoever asks for the members of the core. */
+    /** The response of this process to a {@link ControlMessages.CoreMembersRequest}. */
     public ControlMessages.CoreMembersResponse membersResponse() {
         CoreMembers known = members.get();
         return new ControlMessages.CoreMembersResponse(known.members(), known.epoch());
     }
 
     /**
-     * Takes a list that is newer than the known one; an older one, or one by hearsay, changes nothing. (docs/design.md,
-     * section 6.10)
+     * Adopts a list with a higher epoch than the known one; an older list, or one without an epoch, changes nothing.
+     * (docs/design.md, section 6.10)
      */
-    public void adopt(CoreMembers heard) {
-        CoreMembers before = members.getAndUpdate(now -> now.newerOf(heard));
-        if (before.newerOf(heard) != before) {
+    public void adopt(CoreMembers received) {
+        CoreMembers before = members.getAndUpdate(known -> known.newerOf(received));
+        if (before.newerOf(received) != before) {
             persist.accept(members.get());
         }
     }
 
-    /** The boot values changed while we run. */
-    public void updateSeeds(List<String> other) {
-        seeds = List.copyOf(other);
+    /** Replaces the seeds after a change of the settings. */
+    public void updateSeeds(List<String> newSeeds) {
+        seeds = List.copyOf(newSeeds);
     }
 
-    /** Any process answers who the control nodes are; so the seeds may be down later. */
+    /**
+     * Requests the members from a random control node or seed. Every process can answer, so the seeds need not stay
+     * available.
+     */
     public void refreshMembers() {
-        List<String> from = new ArrayList<>(new TreeSet<>(controlNodes()));
-        from.addAll(seeds);
-        String node = from.get((int) Math.floorMod(random.getAsLong(), (long) from.size()));
+        List<String> candidates = new ArrayList<>(new TreeSet<>(controlNodes()));
+        candidates.addAll(seeds);
+        String node = candidates.get((int) Math.floorMod(random.getAsLong(), (long) candidates.size()));
         if (!node.equals(rpc.self())) {
             refreshMembersFrom(node);
         }
     }
 
-    /** An answer of that process showed that it knows a list of that epoch: asked for it if it is newer than ours. */
+    /** Handles the epoch in a response of a process: requests its list if that is newer than the known one. */
     public void onEpochSeen(long epoch, String process) {
         if (epoch > members.get().epoch()) {
             refreshMembersFrom(process);
@@ -95,36 +98,41 @@
                 .subscribe(response -> adopt(new CoreMembers(response.epoch(), response.members())), e -> {});
     }
 
-    /** Where a request to a partition goes first: the leader that answered last, or any control node. */
+    /**
+     * The node to which a request to a partition is sent first: the leader that answered last, or a random control
+     * node.
+     */
     public String likelyLeader(String partition) {
-        List<String> all = controlNodes();
-        return leaderHints.getOrDefault(partition, all.get((int) Math.floorMod(random.getAsLong(), (long) all.size())));
+        List<String> nodes = controlNodes();
+        return leaderHints.getOrDefault(
+                partition, nodes.get((int) Math.floorMod(random.getAsLong(), (long) nodes.size())));
     }
 
-    /** Sends the request up to five times, also while the outcome of an earlier sending is unknown. */
+    /** Sends the request up to five times, also after an attempt with an unknown outcome. */
     public <T> Mono<T> ask(String partition, RepeatableRequest request, Class<T> type) {
-        return attempt(partition, request, type, likelyLeader(partition), ATTEMPTS);
+        return attempt(partition, request, type, likelyLeader(partition), MAX_ATTEMPTS);
     }
 
-    private <T> Mono<T> attempt(String partition, RepeatableRequest body, Class<T> type, String to, int left) {
-        return rpc.call(to, body, type, ATTEMPT_TIMEOUT)
+    private <T> Mono<T> attempt(
+            String partition, RepeatableRequest request, Class<T> type, String to, int attemptsLeft) {
+        return rpc.call(to, request, type, ATTEMPT_TIMEOUT)
                 .doOnNext(t -> leaderHints.put(partition, to))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
                     leaderHints.remove(partition, to);
-                    if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind()) || left <= 1) {
+                    if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind()) || attemptsLeft <= 1) {
                         return Mono.error(failure);
                     }
                     String next = failure instanceof NotLeaderException notLeader
                             ? notLeader.leader().orElseGet(() -> nextNode(to))
                             : nextNode(to);
-                    return attempt(partition, body, type, next, left - 1);
+                    return attempt(partition, request, type, next, attemptsLeft - 1);
                 });
     }
 
-    private String nextNode(String not) {
-        List<String> rest = new ArrayList<>(controlNodes());
-        rest.remove(not);
-        return rest.isEmpty() ? not : rest.get((int) Math.floorMod(random.getAsLong(), (long) rest.size()));
+    private String nextNode(String excluded) {
+        List<String> others = new ArrayList<>(controlNodes());
+        others.remove(excluded);
+        return others.isEmpty() ? excluded : others.get((int) Math.floorMod(random.getAsLong(), (long) others.size()));
     }
 }
--- a/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
+++ b/common/src/main/java/org/woadvale/common/membership/CoreMembers.java
@@ -15,12 +15,12 @@
         members = List.copyOf(members);
     }
 
-    /** What a node knows that has heard of no member yet. */
+    /** The list of a node that knows no members yet. */
     public static CoreMembers unknown() {
         return new CoreMembers(0, List.of());
     }
 
-    /** The later of two lists; this one when neither is later, or when the other names nobody. */
+    /** Returns the list with the higher epoch; this one if both have the same epoch or the other is empty. */
     public CoreMembers newerOf(CoreMembers other) {
         return other.epoch > epoch && !other.members.isEmpty() ? other : this;
     }
--- a/common/src/main/java/org/woadvale/common/membership/FaultTolerance.java
+++ b/common/src/main/java/org/woadvale/common/membership/FaultTolerance.java
@@ -11,49 +11,52 @@
 import java.util.stream.Collectors;
 
 /**
- * What may be lost at the same time, disks included, without the loss of anything acknowledged: so many machines, or
- * so many zones, or so many regions. The size of each replicated group follows from it, and how the members of a group
- * are spread.
+ * The failures that must be tolerated at the same time, including the loss of disks, without losing acknowledged data:
+ * a number of machines, of zones or of regions. Determines the size of each replicated group and how its members are
+ * spread.
  *
  * @param machines machines that may be lost at once; 0 counts as 1
  * @param zones zones that may be lost at once, with all machines in them
  * @param regions regions that may be lost at once, with all zones in them
- * @param regionOfZone the region of each zone; a zone that is not named is in a region of its own
+ * @param regionOfZone the region of each zone; a zone without an entry is a region of its own
  */
 public record FaultTolerance(
         @Min(0) int machines, @Min(0) int zones, @Min(0) int regions, Map<String, String> regionOfZone) {
-    /** The smallest group that goes on without any one of its members. */
+    /** The smallest group that stays available after the loss of any one member. */
     public static final int SMALLEST_GROUP = 3;
 
-    /** One machine may be lost, wherever it is. */
+    /** Tolerates the loss of any one machine. */
     public static final FaultTolerance ONE_MACHINE = machines(1);
 
-    /** Without regions where none are given. */
+    /** Treats a missing map of regions as empty. */
     public FaultTolerance {
         regionOfZone = regionOfZone == null ? Map.of() : Map.copyOf(regionOfZone);
     }
 
-    /** So many machines may be lost, wherever they are. */
+    /** Tolerates the loss of any {@code machines} machines. */
     public static FaultTolerance machines(int machines) {
         return new FaultTolerance(machines, 0, 0, Map.of());
     }
 
-    /** The members that a group needs: what may be lost at once is always less than half of them. */
+    /** The required group size: the tolerated losses are always less than half of the members. */
     public int groupSize() {
         int losses = Math.max(machines, Math.max(zones, regions));
         return Math.max(SMALLEST_GROUP, 2 * losses + 1);
     }
 
     /**
-     * The members that a group can have where so many machines may hold one: the size that it needs, or the largest odd
-     * number that is there. An even number would bear no more losses than the odd one before it.
+     * The group size that the available machines allow: the required size, or the largest odd number of machines if
+     * that is smaller. An even size would tolerate no more losses than the next smaller odd one.
      */
     public int attainableGroupSize(int availableMachines) {
         int largestOdd = availableMachines % 2 == 0 ? availableMachines - 1 : availableMachines;
         return Math.min(groupSize(), largestOdd);
     }
 
-    /** Orders zones for one more member: those first that lose least with it, given the zones of the other members. */
+    /**
+     * Orders zones for an additional member, given the zones of the other members: first those whose region has the
+     * fewest members, if the loss of regions is tolerated, then those that have the fewest themselves.
+     */
     public Comparator<String> byLeastUsedZone(Collection<String> used) {
         Comparator<String> byZone = Comparator.comparingLong(zone -> count(used, zone::equals));
         if (regions == 0) {
@@ -72,21 +75,21 @@
         return regionOfZone.getOrDefault(zone, zone);
     }
 
-    /** Whether members in these zones are spread at least as well as members in those before. */
+    /** Whether members in the zones {@code after} are spread at least as well as in the zones {@code before}. */
     public boolean isAtLeastAsSpread(Collection<String> before, Collection<String> after) {
-        boolean zonesAsWell = isSpreadAsWell(before, after, zone -> zone);
-        return zonesAsWell && (regions == 0 || isSpreadAsWell(before, after, this::region));
+        boolean zonesAsWell = isAtLeastAsSpread(before, after, zone -> zone);
+        return zonesAsWell && (regions == 0 || isAtLeastAsSpread(before, after, this::region));
     }
 
-    /** In no fewer places, and not with more members in the places that have most. */
-    private static boolean isSpreadAsWell(
+    /** Whether the members cover no fewer places and the fullest place has no more members. */
+    private static boolean isAtLeastAsSpread(
             Collection<String> before, Collection<String> after, Function<String, String> place) {
         List<Long> countsBefore = countsByPlace(before, place);
         List<Long> countsAfter = countsByPlace(after, place);
         return countsAfter.size() >= countsBefore.size() && countsAfter.get(0) <= countsBefore.get(0);
     }
 
-    /** How many members each place has, the largest number first. */
+    /** The number of members in each place, in descending order. */
     private static List<Long> countsByPlace(Collection<String> zones, Function<String, String> place) {
         Map<String, Long> counts = zones.stream().collect(Collectors.groupingBy(place, Collectors.counting()));
         List<Long> sorted = new ArrayList<>(counts.values());
--- a/common/src/main/java/org/woadvale/common/membership/LedGroup.java
+++ b/common/src/main/java/org/woadvale/common/membership/LedGroup.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The group of a partition as its leader knows it.
+ * The group of a partition as reported by its leader.
  *
- * @param term the leader's term; of two reports the one of the higher term holds
+ * @param term the leader's term; of two reports the one with the higher term counts
  * @param members the committed members, sorted
- * @param stable no change is under way, and each member has been brought up to date under its present identity
+ * @param stable whether no change is in progress and each member is up to date under its current identity
  */
 public record LedGroup(long term, List<String> members, boolean stable) {}
--- a/common/src/main/java/org/woadvale/common/membership/MemberLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/MemberLease.java
@@ -6,11 +6,11 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * What a member says of itself with each renewal of its lease; a role is a service too.
+ * What a member reports about itself with each renewal of its lease; each role is a service as well.
  *
- * @param notVoting message partitions that the placement gives to this store and in which it does not count yet
- * @param leaving the store is draining, and serves on for as long as its grace period lasts
- * @param newcomer the store began with an empty disk a short while ago, and the placement did not name it
+ * @param notVoting message partitions that the placement assigns to this store and in which it does not vote yet
+ * @param leaving whether the store is draining; it still serves until its grace period ends
+ * @param newcomer whether the store started with an empty disk a short while ago and was not in the placement
  * @param groups the groups of the message partitions that this store leads, by partition
  */
 public record MemberLease(
@@ -22,7 +22,7 @@
         @Since(4) boolean newcomer,
         @Since(4) Map<String, LedGroup> groups) {
 
-    /** A member that is no store, or one of which nothing more is to be said. */
+    /** A member that is not a store, or a store with nothing else to report. */
     public MemberLease(String zone, String http, String incarnation, List<String> notVoting) {
         this(zone, http, incarnation, notVoting, false, false, Map.of());
     }
--- a/common/src/main/java/org/woadvale/common/membership/Processor.java
+++ b/common/src/main/java/org/woadvale/common/membership/Processor.java
@@ -4,8 +4,12 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * A back end as the platform lists it; without an address it fetches. Slots: how many runs at once, 0 if not said;
- * zone: where it stands, empty if not said.
+ * A back end as listed by the platform.
+ *
+ * @param address where messages are delivered; empty for a processor that fetches them
+ * @param leaving whether the processor is draining
+ * @param slots how many messages it runs at once; 0 if unknown
+ * @param zone the zone of its machine; empty if unknown
  */
 public record Processor(
         String address,
--- a/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
+++ b/common/src/main/java/org/woadvale/common/membership/RpcTypeNumbers.java
@@ -9,11 +9,11 @@
 import org.woadvale.common.replication.SnapshotMessages;
 import org.woadvale.common.rpc.Codec;
 
-/** The numbers of the types between nodes and on disk; in each list, only ever add at the end. */
+/** The type ids between nodes and on disk; types are only ever appended to a list. */
 public final class RpcTypeNumbers {
-    /** The first number of the types that only control nodes have. */
+    /** The first id of the types that only control nodes have. */
     public static final int CONTROL_PLANE = 300;
-    /** The first number of the types that only data plane nodes have. */
+    /** The first id of the types that only data plane nodes have. */
     public static final int DATA_PLANE = 400;
 
     private static final int SHARED = 100;
@@ -22,26 +22,26 @@
 
     private RpcTypeNumbers() {}
 
-    /** The codec of a program, with its own types from a number on. */
-    public static Codec codec(int ownFirst, List<Class<?>> own) {
-        return new Codec(numbers(ownFirst, own));
+    /** Creates the codec of a program, whose own types are numbered from {@code firstOwnId} on. */
+    public static Codec codec(int firstOwnId, List<Class<?>> ownTypes) {
+        return new Codec(numbers(firstOwnId, ownTypes));
     }
 
-    /** The types of a program by the number of the first of each list. */
-    public static Map<Integer, List<Class<?>>> numbers(int ownFirst, List<Class<?>> own) {
-        List<Class<?>> shared = new ArrayList<>();
-        shared.addAll(ReplicationMessages.types());
-        shared.addAll(ControlMessages.types());
-        shared.addAll(TokenMessages.types());
-        shared.addAll(ControlMessages.typesAddedLater());
+    /** The lists of a program's types by the id of the first type in each. */
+    public static Map<Integer, List<Class<?>>> numbers(int firstOwnId, List<Class<?>> ownTypes) {
+        List<Class<?>> sharedTypes = new ArrayList<>();
+        sharedTypes.addAll(ReplicationMessages.types());
+        sharedTypes.addAll(ControlMessages.types());
+        sharedTypes.addAll(TokenMessages.types());
+        sharedTypes.addAll(ControlMessages.typesAddedLater());
         return Map.of(
                 SHARED,
-                shared,
+                sharedTypes,
                 SNAPSHOTS,
                 SnapshotMessages.types(),
                 BOOTSTRAP,
                 BootstrapMessages.types(),
-                ownFirst,
-                own);
+                firstOwnId,
+                ownTypes);
     }
 }
--- a/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceNames.java
@@ -6,23 +6,26 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Names of services and partitions, and the draws by hash that everyone makes alike (docs/design.md, section 6.2). */
+/**
+ * Names of services and partitions, and the hash functions by which all processes assign them alike (docs/design.md,
+ * section 6.2).
+ */
 public final class ServiceNames {
     /** The service whose view holds the configuration. */
     public static final String CONFIGURATION = "layout";
-    /** Who the control nodes should be; kept with the configuration. */
+    /** The service whose view holds the desired members of the core; in the partition of the configuration. */
     public static final String CORE = "core";
 
     /** The service whose members are the intakes. */
     public static final String INTAKES = "role/intake";
     /** The service whose members are the stores, and whose view holds the placement. */
     public static final String STORES = "role/store";
-    /** Control partitions beside c0. */
+    /** Number of control partitions besides c0. */
     public static final int CONTROL_PARTITIONS = 8;
-    /** Message partitions. */
+    /** Number of message partitions. */
     public static final int MESSAGE_PARTITIONS = 8;
 
-    // constants of well-known hash functions; a change would move every partition
+    // constants of well-known hash functions; a change would reassign every partition
     private static final long HASH_SEED = 1125899906842597L;
     private static final int HASH_FACTOR = 31;
     private static final int FINAL_SHIFT = 33;
@@ -33,14 +36,14 @@
 
     private ServiceNames() {}
 
-    /** The singleton lease of the bucket that limits a tenant. */
+    /** The service whose singleton lease belongs to the owner of a tenant's rate limit bucket. */
     public static String tenantBucket(String tenant) {
         return "tenant/" + tenant;
     }
 
     /**
-     * The bucket of an outside endpoint goes by its address, whatever the service is called. (docs/design.md, section
-     * 8.6)
+     * The service of the rate limit bucket of an external endpoint. It is identified by the endpoint's address,
+     * whatever the configured service is called. (docs/design.md, section 8.6)
      */
     public static String endpointBucket(String address) {
         return "endpoint/" + address.replaceAll("/+$", "");
@@ -51,7 +54,7 @@
         return "service/" + service;
     }
 
-    /** The control partition that a service is in. */
+    /** The control partition that holds a service. */
     public static String controlPartition(String service) {
         return service.equals(CONFIGURATION) || service.equals(CORE)
                 ? "c0"
@@ -75,10 +78,10 @@
         return IntStream.range(0, MESSAGE_PARTITIONS).mapToObj(i -> "m" + i).toList();
     }
 
-    /** Rendezvous draw: losing a node moves only what it had. */
-    public static Optional<String> rendezvousOwner(String what, Collection<String> nodes) {
+    /** Chooses an owner by rendezvous hashing: the loss of a node moves only what it owned. */
+    public static Optional<String> rendezvousOwner(String key, Collection<String> nodes) {
         return nodes.stream()
-                .max(Comparator.<String>comparingLong(node -> mix64(what, node)).thenComparing(node -> node));
+                .max(Comparator.<String>comparingLong(node -> mix64(key, node)).thenComparing(node -> node));
     }
 
     /** A well-mixed hash of two texts, the same in every process and build. */
--- a/common/src/main/java/org/woadvale/common/membership/ServiceView.java
+++ b/common/src/main/java/org/woadvale/common/membership/ServiceView.java
@@ -4,7 +4,10 @@
 import java.util.Map;
 import org.woadvale.common.rpc.FirstFormatName;
 
-/** All that the core knows of one service; applied only forward by version. (docs/design.md, section 7.1) */
+/**
+ * The core's state of one service; a view is only ever replaced by one with a higher version. (docs/design.md, section
+ * 7.1)
+ */
 public record ServiceView(
         String service,
         long version,
@@ -14,7 +17,7 @@
         Map<String, List<String>> placement,
         @FirstFormatName("layout") byte[] configuration,
         @FirstFormatName("layoutVersion") long configurationVersion) {
-    /** A service that nothing is known of. */
+    /** The view of an unknown service. */
     public static ServiceView empty(String service) {
         return new ServiceView(service, 0, Map.of(), Map.of(), SingletonLease.none(), Map.of(), new byte[0], 0);
     }
@@ -32,9 +35,9 @@
     }
 
     /** The same view with another singleton lease. */
-    public ServiceView withSingleton(long newVersion, SingletonLease newDuty) {
+    public ServiceView withSingleton(long newVersion, SingletonLease newSingleton) {
         return new ServiceView(
-                service, newVersion, members, processors, newDuty, placement, configuration, configurationVersion);
+                service, newVersion, members, processors, newSingleton, placement, configuration, configurationVersion);
     }
 
     /** The same view with another placement. */
--- a/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
+++ b/common/src/main/java/org/woadvale/common/membership/SingletonLease.java
@@ -4,20 +4,25 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * A lease that one node holds at a time; the owner is empty while it is vacant. A term of zero: never owned. Clear: it
- * was taken when all that earlier terms gave out had lapsed.
+ * A lease that one node holds at a time.
+ *
+ * @param owner the node that holds the lease; empty while it is vacant
+ * @param term increases with each owner; 0 if the lease was never owned
+ * @param level the token level that the previous owner handed on; 0 if it was lost, negative if there was no owner
+ *     before
+ * @param clear whether the lease was acquired after everything granted in earlier terms had expired
  */
 public record SingletonLease(
         @FirstFormatName("holder") String owner,
         long term,
         double level,
         @Since(2) boolean clear) {
-    /** A lease that nobody ever owned. */
+    /** A lease that was never owned. */
     public static SingletonLease none() {
         return new SingletonLease("", 0, -1, false);
     }
 
-    /** Whether nobody owns it. */
+    /** Whether the lease has no owner. */
     public boolean vacant() {
         return owner.isEmpty();
     }
--- a/common/src/main/java/org/woadvale/common/membership/package-info.java
+++ b/common/src/main/java/org/woadvale/common/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What nodes ask the control plane: leases, views of services, members of the core. */
+/** Requests to the control plane and the data that it manages: leases, service views, and members of the core. */
 package org.woadvale.common.membership;
--- a/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/CoreClientTest.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.rpc.RpcClient;
 import reactor.core.publisher.Mono;
 
-/** What is sent again after which failure; the core is a list of what each sending meets. */
+/** Which failures are followed by a resend; the core is scripted with one failure for each attempt. */
 class CoreClientTest {
     private static final ControlMessages.CoreMembersRequest READ = new ControlMessages.CoreMembersRequest(true);
     private final List<String> sent = new ArrayList<>();
@@ -28,9 +28,9 @@
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 sent.add(to);
-                int n = sent.size();
-                return n <= failures.length
-                        ? Mono.error(ServiceException.of(failures[n - 1], "scripted", List.of()))
+                int attempt = sent.size();
+                return attempt <= failures.length
+                        ? Mono.error(ServiceException.of(failures[attempt - 1], "scripted", List.of()))
                         : Mono.just(answer.cast(new ControlMessages.UpdateResult(true)));
             }
         };
@@ -45,24 +45,24 @@
     }
 
     @Test
-    void repeatableRequestIsSentAgainAfterAnUnknownOutcome() {
+    void repeatableRequestIsResentAfterAnUnknownOutcome() {
         CoreClient core = core(ErrorKind.UNKNOWN_OUTCOME, ErrorKind.NOT_OWNER);
         assertEquals("done", outcome(core.ask("c1", READ, ControlMessages.UpdateResult.class)));
         assertEquals(3, sent.size());
     }
 
-    /** What may be executed once only is sent again where nothing was executed, and never while that is unknown. */
+    /** An at-most-once request is resent only if it is certain that nothing was executed. */
     @Test
-    void onlyAProofThatNothingWasExecutedLetsAnAtMostOnceRequestBeSentAgain() {
+    void atMostOnceRequestIsResentOnlyIfNothingWasExecuted() {
         for (ErrorKind kind : ErrorKind.values()) {
-            boolean elsewhere = ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(kind);
-            assertEquals(elsewhere && kind.definite(), ResendPolicy.IF_NOT_EXECUTED.allows(kind), kind.name());
-            assertTrue(kind.definite() || elsewhere == (kind == ErrorKind.UNKNOWN_OUTCOME), kind.name());
+            boolean resentIfRepeatable = ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(kind);
+            assertEquals(resentIfRepeatable && kind.definite(), ResendPolicy.IF_NOT_EXECUTED.allows(kind), kind.name());
+            assertTrue(kind.definite() || resentIfRepeatable == (kind == ErrorKind.UNKNOWN_OUTCOME), kind.name());
         }
     }
 
     @Test
-    void refusalIsHandedToTheCaller() {
+    void rejectionIsReturnedToTheCaller() {
         CoreClient core = core(ErrorKind.CONFLICT);
         assertEquals(ErrorKind.CONFLICT.name(), outcome(core.ask("c1", READ, ControlMessages.UpdateResult.class)));
         assertEquals(1, sent.size());
--- a/common/src/test/java/org/woadvale/common/membership/FaultToleranceTest.java
+++ b/common/src/test/java/org/woadvale/common/membership/FaultToleranceTest.java
@@ -12,9 +12,9 @@
     private static final FaultTolerance ONE_REGION =
             new FaultTolerance(0, 0, 1, Map.of("a1", "a", "a2", "a", "a3", "a", "b1", "b", "b2", "b", "c1", "c"));
 
-    /** What may be lost at once is always less than half of a group. */
+    /** The losses at once are always less than half of a group. */
     @Test
-    void groupsFollowFromTheLargestLoss() {
+    void groupSizeFollowsTheLargestLoss() {
         assertEquals(3, FaultTolerance.machines(0).groupSize());
         assertEquals(3, FaultTolerance.ONE_MACHINE.groupSize());
         assertEquals(5, FaultTolerance.machines(2).groupSize());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void groupIsOddWhereMachinesAreMissing() {
+    void groupSizeIsOddIfMachinesAreMissing() {
         FaultTolerance two = FaultTolerance.machines(2);
         assertEquals(
                 List.of(3, 3, 5, 5, 5),
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void nextMemberGoesWhereFewestAre() {
+    void nextMemberGoesToTheLeastUsedZone() {
         assertEquals("z", first(FaultTolerance.ONE_MACHINE, List.of("x", "y", "x"), "x", "y", "z"));
         assertEquals("y", first(FaultTolerance.ONE_MACHINE, List.of("x", "y", "x", "z", "z"), "x", "y", "z"));
         assertEquals("c1", first(ONE_REGION, List.of("a1", "b1"), "a2", "a3", "b2", "c1"), "a region of its own");
@@ -42,9 +42,9 @@
         return List.of(zones).stream().min(tolerance.byLeastUsedZone(used)).orElseThrow();
     }
 
-    /** Guards against a move that leaves a majority in one zone although the number of zones is the same. */
+    /** Guards against a move that leaves a majority in one zone although the number of zones stays the same. */
     @Test
-    void spreadCountsThePlaceWithMost() {
+    void spreadConsidersTheFullestZone() {
         FaultTolerance two = FaultTolerance.machines(2);
         assertTrue(two.isAtLeastAsSpread(List.of("x", "x", "y"), List.of("x", "y", "z")));
         assertFalse(two.isAtLeastAsSpread(List.of("x", "y", "z"), List.of("x", "x", "y")));
