--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/Heartbeats.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/Heartbeats.java
@@ -11,8 +11,8 @@
 import org.woadvale.common.runtime.LockedShard;
 
 /**
- * When the owners of a partition's leases were last heard, in the memory of the partition's leader. A new leader heard
- * nobody yet, and so lets every lease run anew.
+ * The times of the last renewals of a partition's leases, kept in memory by the partition's leader. A new leader has
+ * received no renewals yet, so every lease starts a full period when it takes over.
  */
 final class Heartbeats {
     private static final Duration LEASE = ReplicationTiming.defaults().lease();
@@ -20,9 +20,9 @@
     private final Replica<ControlCommand, ControlResult> replica;
     private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
-    private final Map<String, Duration> lastHeard = new HashMap<>();
-    /** For each lease that is being given to the next owner, the term of the one before. */
-    private final Map<String, Long> termsGivenAway = new HashMap<>();
+    private final Map<String, Duration> lastRenewals = new HashMap<>();
+    /** For each lease that is being reassigned, the term of its previous owner. */
+    private final Map<String, Long> reassignedTerms = new HashMap<>();
 
     private Duration leaderSince = Duration.ZERO;
     private long leaderTerm;
@@ -32,39 +32,39 @@
         this.environment = environment;
     }
 
-    /** The owner of a lease was heard just now. */
-    void note(String lease) {
+    /** Records a renewal of the lease at the current time. */
+    void recordRenewal(String lease) {
         shard.run(() -> {
-            forgetFormerTerms();
-            lastHeard.put(lease, now());
+            resetOnNewTerm();
+            lastRenewals.put(lease, now());
         });
     }
 
-    /** Whether the lease has run out, as far as this leader can tell. */
+    /** Whether the lease has expired, as far as this leader knows. */
     boolean isExpired(String lease) {
         return shard.get(() -> {
-            forgetFormerTerms();
-            Duration last = lastHeard.getOrDefault(lease, leaderSince);
-            return now().minus(last).compareTo(LEASE) > 0;
+            resetOnNewTerm();
+            Duration lastRenewal = lastRenewals.getOrDefault(lease, leaderSince);
+            return now().minus(lastRenewal).compareTo(LEASE) > 0;
         });
     }
 
-    /** A renewal in this term of the lease that comes from now on is too late. */
-    void giveAway(String lease, long term) {
-        shard.run(() -> termsGivenAway.put(lease, term));
+    /** Marks the lease as being reassigned, so that later renewals in the given term are rejected. */
+    void markReassigned(String lease, long term) {
+        shard.run(() -> reassignedTerms.put(lease, term));
     }
 
-    boolean isGivenAway(String lease, long term) {
-        return shard.get(() -> termsGivenAway.getOrDefault(lease, 0L) == term);
+    boolean isReassigned(String lease, long term) {
+        return shard.get(() -> reassignedTerms.getOrDefault(lease, 0L) == term);
     }
 
-    private void forgetFormerTerms() {
+    private void resetOnNewTerm() {
         long term = replica.term();
         if (term != leaderTerm) {
             leaderTerm = term;
             leaderSince = now();
-            lastHeard.clear();
-            termsGivenAway.clear();
+            lastRenewals.clear();
+            reassignedTerms.clear();
         }
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/LeaseManager.java
@@ -11,14 +11,14 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The leases of one control partition, on its leader. Renewals are noted in memory; who holds a lease is committed.
- * Every request fails with NOT_OWNER on a replica that does not lead.
+ * Manages the leases of one control partition on its leader. Renewals are recorded in memory only; changes of ownership
+ * are committed to the log. On a replica that is not the leader, every request fails with NOT_OWNER.
  */
 public final class LeaseManager {
     private final MemberLeases members;
     private final SingletonLeases singletons;
 
-    /** The leases of the partition that a replica is of. */
+    /** Creates the lease manager of the partition that the replica belongs to. */
     public LeaseManager(
             Replica<ControlCommand, ControlResult> replica,
             ControlStateMachine stateMachine,
@@ -28,27 +28,27 @@
         this.singletons = new SingletonLeases(replica, stateMachine, heartbeats);
     }
 
-    /** A node renews its membership in a service, or joins it. */
+    /** Renews a node's membership in a service, or adds the node to the service. */
     public Mono<UpdateResult> renew(ControlMessages.RenewLeaseRequest request) {
         return members.renew(request);
     }
 
-    /** A node leaves a service in order. */
+    /** Removes a node from a service at its own request. */
     public Mono<UpdateResult> leave(ControlMessages.LeaveRequest request) {
         return members.leave(request);
     }
 
-    /** A node renews or acquires a singleton lease; the answer tells the lease as it stands, granted or not. */
+    /** Renews or acquires a singleton lease; the response carries the current lease whether or not it was granted. */
     public Mono<SingletonLeaseResponse> renewOrAcquire(ControlMessages.SingletonLeaseRequest request) {
         return singletons.renewOrAcquire(request);
     }
 
-    /** The owner of a singleton lease gives it up. */
+    /** Releases a singleton lease at its owner's request. */
     public Mono<UpdateResult> release(ControlMessages.ReleaseSingletonRequest request) {
         return singletons.release(request);
     }
 
-    /** Called often: members whose lease has expired are dropped. */
+    /** Drops the members whose lease has expired; called with every tick. */
     public void dropExpired() {
         members.dropExpired();
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/MemberLeases.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/MemberLeases.java
@@ -14,7 +14,7 @@
 import org.woadvale.controlplane.state.ControlStateMachine;
 import reactor.core.publisher.Mono;
 
-/** Leases by which nodes are members of a service: renewed by the node, dropped by the leader once expired. */
+/** Leases that make nodes members of a service: renewed by the nodes, dropped by the leader once they expire. */
 final class MemberLeases {
     private static final Logger LOG = LogManager.getLogger(MemberLeases.class);
 
@@ -41,19 +41,19 @@
     /** A renewal that changes nothing is not written to the log. */
     Mono<UpdateResult> renew(ControlMessages.RenewLeaseRequest request) {
         return replica.read(index -> index).flatMap(index -> {
-            heartbeats.note(key(request.service(), request.node()));
-            Optional<MemberLease> known = lease(request.service(), request.node());
-            if (known.filter(request.memberLease()::equals).isPresent()) {
+            heartbeats.recordRenewal(key(request.service(), request.node()));
+            Optional<MemberLease> current = lease(request.service(), request.node());
+            if (current.filter(request.memberLease()::equals).isPresent()) {
                 return Mono.just(new UpdateResult(true));
             }
-            LOG.info("{} joins {}.", request.node(), request.service());
+            LOG.info("{} joins {} or updates its lease.", request.node(), request.service());
             return replica.propose(
                     new ControlMessages.PutMember(request.service(), request.node(), request.memberLease()),
                     UpdateResult.class);
         });
     }
 
-    /** The node is no member any more; true also if it was none. */
+    /** Removes the node from the service; accepted also if it is not a member. */
     Mono<UpdateResult> leave(ControlMessages.LeaveRequest request) {
         return replica.read(index -> index)
                 .flatMap(index -> lease(request.service(), request.node())
@@ -65,7 +65,7 @@
         return replica.propose(new ControlMessages.DropMember(service, node, lease.incarnation()), UpdateResult.class);
     }
 
-    /** Called often: drops the members whose lease has expired. */
+    /** Drops the members whose lease has expired; called with every tick. */
     void dropExpired() {
         if (replica.role() != Role.LEADER || !replica.isActiveLeader()) {
             return;
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/SingletonLeases.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/SingletonLeases.java
@@ -13,7 +13,7 @@
 import org.woadvale.controlplane.state.ControlStateMachine;
 import reactor.core.publisher.Mono;
 
-/** Leases of which at most one node holds each, with a term that rises with each new owner. */
+/** Leases that at most one node holds at a time, each with a term that increases with every new owner. */
 final class SingletonLeases {
     private static final Logger LOG = LogManager.getLogger(SingletonLeases.class);
 
@@ -32,48 +32,48 @@
         return "duty|" + service;
     }
 
-    /** Renews the lease in the term that the request names, or acquires it if the request names none. */
+    /** Renews the lease in the term that the request names, or acquires it if the request names no term. */
     Mono<SingletonLeaseResponse> renewOrAcquire(SingletonLeaseRequest request) {
         return replica.read(index -> stateMachine.service(request.service()).singleton())
-                .flatMap(present -> isRenewal(request, present) ? renew(request, present) : acquire(request, present));
+                .flatMap(current -> isRenewal(request, current) ? renew(request, current) : acquire(request, current));
     }
 
-    private boolean isRenewal(SingletonLeaseRequest request, SingletonLease present) {
-        return present.owner().equals(request.node())
-                && present.term() == request.term()
-                && !heartbeats.isGivenAway(key(request.service()), request.term());
+    private boolean isRenewal(SingletonLeaseRequest request, SingletonLease current) {
+        return current.owner().equals(request.node())
+                && current.term() == request.term()
+                && !heartbeats.isReassigned(key(request.service()), request.term());
     }
 
-    /** Counts only while this node still leads the partition. */
-    private Mono<SingletonLeaseResponse> renew(SingletonLeaseRequest request, SingletonLease present) {
-        heartbeats.note(key(request.service()));
-        return Mono.just(new SingletonLeaseResponse(replica.isActiveLeader(), present));
+    /** Renews the lease; granted only while this node still leads the partition. */
+    private Mono<SingletonLeaseResponse> renew(SingletonLeaseRequest request, SingletonLease current) {
+        heartbeats.recordRenewal(key(request.service()));
+        return Mono.just(new SingletonLeaseResponse(replica.isActiveLeader(), current));
     }
 
-    private Mono<SingletonLeaseResponse> acquire(SingletonLeaseRequest request, SingletonLease present) {
+    private Mono<SingletonLeaseResponse> acquire(SingletonLeaseRequest request, SingletonLease current) {
         if (request.term() != 0) {
-            return Mono.just(new SingletonLeaseResponse(false, present));
+            return Mono.just(new SingletonLeaseResponse(false, current));
         }
         String key = key(request.service());
-        if (!heartbeats.isGivenAway(key, present.term()) && isRepeat(request, present)) {
-            return renew(request, present);
+        if (!heartbeats.isReassigned(key, current.term()) && isRepeat(request, current)) {
+            return renew(request, current);
         }
-        // an owner that knows of no term has restarted, so nobody acts in its old term any more
-        boolean restarted = present.owner().equals(request.node());
-        boolean expired = !present.vacant() && heartbeats.isExpired(key);
-        if (!present.vacant() && !restarted && !expired) {
-            return Mono.just(new SingletonLeaseResponse(false, present));
+        // an owner that asks without a term has restarted, so no process still acts in its previous term
+        boolean restarted = current.owner().equals(request.node());
+        boolean expired = !current.vacant() && heartbeats.isExpired(key);
+        if (!current.vacant() && !restarted && !expired) {
+            return Mono.just(new SingletonLeaseResponse(false, current));
         }
-        heartbeats.giveAway(key, present.term());
+        heartbeats.markReassigned(key, current.term());
         ControlMessages.AcquireSingleton command = new ControlMessages.AcquireSingleton(
-                request.service(), request.node(), present.term(), expired, request.requestId());
+                request.service(), request.node(), current.term(), expired, request.requestId());
         return replica.propose(command, SingletonLeaseResponse.class)
                 .doOnNext(response -> onAcquired(request, response));
     }
 
     private void onAcquired(SingletonLeaseRequest request, SingletonLeaseResponse response) {
         if (response.granted()) {
-            heartbeats.note(key(request.service()));
+            heartbeats.recordRenewal(key(request.service()));
             LOG.info(
                     "{} acquires {} in term {}.",
                     request.node(),
@@ -82,14 +82,14 @@
         }
     }
 
-    /** The request is a copy of the one by which the present owner acquired the lease. */
-    private boolean isRepeat(SingletonLeaseRequest request, SingletonLease present) {
+    /** Whether the request is a duplicate of the one by which the current owner acquired the lease. */
+    private boolean isRepeat(SingletonLeaseRequest request, SingletonLease current) {
         long acquiredTerm =
                 replica.inspect(index -> stateMachine.appliedRequests().singletonTerm(request.requestId()));
-        return present.owner().equals(request.node()) && acquiredTerm == present.term();
+        return current.owner().equals(request.node()) && acquiredTerm == current.term();
     }
 
-    /** The owner gives the lease up, with what is left of its tokens. */
+    /** Releases the lease and passes on the remaining token level of its bucket. */
     Mono<UpdateResult> release(ControlMessages.ReleaseSingletonRequest request) {
         ControlMessages.ReleaseSingleton command = new ControlMessages.ReleaseSingleton(
                 request.service(), request.node(), request.term(), request.level());
--- a/controlplane/src/main/java/org/woadvale/controlplane/lease/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Leases of nodes and of singletons, on the leader of a control partition. */
+/** Leases for service membership and for singletons, managed by the leader of a control partition. */
 package org.woadvale.controlplane.lease;
