--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/Announcements.java
@@ -12,17 +12,18 @@
 import org.woadvale.common.runtime.Clock;
 
 /**
- * What control machines have announced to the leader of partition c0: that they run, or that they are about to stop.
+ * The announcements that the leader of partition c0 has received from control machines: that they are running, or that
+ * they are about to stop.
  */
 final class Announcements {
-    /** An announcement counts for so long; it is repeated with each tick while it matters. */
+    /** How long an announcement is valid; it is repeated with every tick while it is needed. */
     private static final Duration VALID_FOR = Duration.ofSeconds(1);
 
     private record Announcement(String zone, Duration receivedAt) {}
 
     private final Clock clock;
     private final FaultTolerance faultTolerance;
-    // no lock: two decisions made at once carry the same epoch, and one of them is accepted
+    // no lock is needed: of two concurrent decisions with the same epoch only one is accepted
     private final Map<String, Announcement> running = new ConcurrentHashMap<>();
     private final Map<String, Duration> leaving = new ConcurrentHashMap<>();
 
@@ -48,38 +49,38 @@
         return !at.isZero() && clock.monotonicTime().minus(at).compareTo(VALID_FOR) < 0;
     }
 
-    /** A machine that runs and is no member, by preference in a zone with few of the members that stay. */
-    Optional<String> findStandby(CoreMembers present, String leaver) {
+    /** Finds a running machine that is not a member, preferably in a zone with few of the remaining members. */
+    Optional<String> findStandby(CoreMembers current, String leaver) {
         return findStandby(
-                present,
-                present.members().stream()
+                current,
+                current.members().stream()
                         .filter(member -> !member.equals(leaver))
                         .toList());
     }
 
-    /** A machine that runs and is no member, by preference in a zone with few of the members. */
-    Optional<String> findStandby(CoreMembers present) {
-        return findStandby(present, present.members());
+    /** Finds a running machine that is not a member, preferably in a zone with few members. */
+    Optional<String> findStandby(CoreMembers current) {
+        return findStandby(current, current.members());
     }
 
-    private Optional<String> findStandby(CoreMembers present, List<String> staying) {
-        List<String> zones = staying.stream()
+    private Optional<String> findStandby(CoreMembers current, List<String> remaining) {
+        List<String> zones = remaining.stream()
                 .filter(running::containsKey)
                 .map(member -> running.get(member).zone())
                 .toList();
         Comparator<Map.Entry<String, Announcement>> byZone =
                 Comparator.comparing(machine -> machine.getValue().zone(), faultTolerance.byLeastUsedZone(zones));
-        return standbys(present).min(byZone.thenComparing(Map.Entry::getKey)).map(Map.Entry::getKey);
+        return standbys(current).min(byZone.thenComparing(Map.Entry::getKey)).map(Map.Entry::getKey);
     }
 
-    /** How many machines run and are no members. */
-    int countStandbys(CoreMembers present) {
-        return (int) standbys(present).count();
+    /** The number of running machines that are not members. */
+    int countStandbys(CoreMembers current) {
+        return (int) standbys(current).count();
     }
 
-    private Stream<Map.Entry<String, Announcement>> standbys(CoreMembers present) {
+    private Stream<Map.Entry<String, Announcement>> standbys(CoreMembers current) {
         return running.entrySet().stream()
-                .filter(machine -> !present.members().contains(machine.getKey()) && !isLeaving(machine.getKey()))
+                .filter(machine -> !current.members().contains(machine.getKey()) && !isLeaving(machine.getKey()))
                 .filter(machine -> isRecent(machine.getValue().receivedAt()));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreAnnouncer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreAnnouncer.java
@@ -12,11 +12,11 @@
 import org.woadvale.common.replication.Replica;
 
 /**
- * Tells the leader of partition c0 that this control machine runs, so that it may take the place of a lost member, and,
- * when it drains, that it is about to stop.
+ * Announces to the leader of partition c0 that this control machine is running, so that it can replace a lost member,
+ * and, when it drains, that it is about to stop.
  */
 final class CoreAnnouncer {
-    /** How long a leaving member waits to hear whether a successor is there. */
+    /** How long a leaving member waits for the leader's answer whether a successor is available. */
     static final Duration LEAVE_ANSWER_TIMEOUT = Duration.ofMillis(500);
 
     private static final Duration LEAVE_REPEAT_INTERVAL = Duration.ofMillis(200);
@@ -40,12 +40,12 @@
         this.c0 = c0;
     }
 
-    /** When the latest announcement was sent that the leader has answered; zero if none was. */
+    /** When the latest announcement that the leader has answered was sent; zero if none has been answered. */
     Duration answeredAt() {
         return answeredAt;
     }
 
-    /** Only a machine that is no member announces itself again and again; a member tells each new leader once. */
+    /** A machine that is not a member announces itself with every tick, a member only once to each new leader. */
     void onTick() {
         if (leavingSince.isPresent()) {
             return;
@@ -53,7 +53,7 @@
         String leader = c0.leaderId().orElse("");
         boolean member = core.controlNodes().contains(environment.self());
         if (member && leader.isEmpty()) {
-            core.refreshMembers(); // it may have been replaced while it was away
+            core.refreshMembers(); // this node may have been replaced while it was unreachable
         }
         if (!member || !leader.isEmpty() && !leader.equals(announcedTo)) {
             announce(leader);
@@ -74,7 +74,7 @@
                         e -> {});
     }
 
-    /** Tells the leader that this member drains; true as long as it should stay for its successor's sake. */
+    /** Announces to the leader that this member is draining. Returns true while it should wait for its successor. */
     boolean leave() {
         Duration since = leavingSince.orElse(now());
         leavingSince = Optional.of(since);
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/CoreMembership.java
@@ -24,10 +24,10 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Who the members of the core are. Every control machine announces itself; the leader of partition c0 puts a standby
- * machine in the place of a member that is gone or leaves, and adds standby machines while the core is smaller than the
- * fault tolerance asks for; one at a time, by a committed command that carries the epoch of the list that it was made
- * from. Why this is safe: docs/design.md, section 6.10.
+ * Manages the members of the core. Every control machine announces itself to the leader of partition c0. The leader
+ * replaces a member that is lost or leaving by a standby machine, and adds standby machines while the core is smaller
+ * than the fault tolerance requires. It makes one change at a time, by a committed command that carries the epoch of
+ * the list on which the change is based. The safety argument is in docs/design.md, section 6.10.
  */
 public final class CoreMembership {
     private static final Logger LOG = LogManager.getLogger(CoreMembership.class);
@@ -42,9 +42,9 @@
     private final AtomicBoolean proposing = new AtomicBoolean();
 
     /**
-     * Membership as seen by one control node.
+     * Creates the membership of one control node.
      *
-     * @param faultTolerance what the core must bear
+     * @param faultTolerance the losses that the core must tolerate
      * @param c0 the replica of the partition that holds the list
      * @param replicas the replicas of all control partitions on this node
      */
@@ -65,121 +65,138 @@
         this.announcer = new CoreAnnouncer(environment, core, zone, c0);
     }
 
-    /** The list as committed in partition c0, as far as that is applied here. */
+    /** The member list committed in partition c0, as far as it is applied on this node. */
     public CoreMembers committed() {
         return c0.inspect(index -> stateMachine.coreMembers());
     }
 
-    /** Called with each tick of the node: announces this machine where that is needed, and decides as the leader. */
+    /**
+     * Announces this machine if necessary and, on the leader, decides on membership changes; called with every tick.
+     */
     public void onTick() {
         contacts.onTick(committed().members());
         decideChange();
         announcer.onTick();
     }
 
-    /** When the latest announcement was sent that the leader of partition c0 has answered; zero if none was. */
+    /**
+     * When the latest announcement that the leader of partition c0 has answered was sent; zero if none has been
+     * answered.
+     */
     public Duration announcementAnsweredAt() {
         return announcer.answeredAt();
     }
 
-    /** On the leader of partition c0: a control machine runs. Answers with the present members. */
+    /**
+     * Handles the announcement of a running control machine on the leader of partition c0; responds with the current
+     * members.
+     */
     public Mono<ControlMessages.CoreMembersResponse> onAnnouncement(ControlMessages.AnnounceStandbyRequest request) {
-        return c0.read(index -> stateMachine.coreMembers()).map(present -> {
+        return c0.read(index -> stateMachine.coreMembers()).map(current -> {
             announcements.onRunning(request.node(), request.zone());
             decideChange();
-            return new ControlMessages.CoreMembersResponse(present.members(), present.epoch());
+            return new ControlMessages.CoreMembersResponse(current.members(), current.epoch());
         });
     }
 
-    /** On the leader of partition c0: a member is about to stop. Yes as long as it should wait for its successor. */
+    /**
+     * Handles the announcement of a member that is about to stop, on the leader of partition c0. The result is accepted
+     * while the member should wait for its successor.
+     */
     public Mono<UpdateResult> onLeaveRequest(ControlMessages.LeaveCoreRequest request) {
-        return c0.read(index -> stateMachine.coreMembers()).map(present -> {
+        return c0.read(index -> stateMachine.coreMembers()).map(current -> {
             announcements.onLeaving(request.node());
             decideChange();
             boolean voting = groups().stream().anyMatch(group -> group.contains(request.node()));
-            boolean successorExpected = !contacts.watchedFor(CoreAnnouncer.LEAVE_ANSWER_TIMEOUT)
-                    || !present.members().contains(request.node())
-                    || announcements.findStandby(present, request.node()).isPresent();
+            boolean successorExpected = !contacts.hasLedFor(CoreAnnouncer.LEAVE_ANSWER_TIMEOUT)
+                    || !current.members().contains(request.node())
+                    || announcements.findStandby(current, request.node()).isPresent();
             return new UpdateResult(voting && successorExpected);
         });
     }
 
-    /** On a member that drains: tells the leader; true as long as this member should stay for its successor's sake. */
+    /** Announces to the leader that this member is draining. Returns true while it should wait for its successor. */
     public boolean leave() {
         return announcer.leave();
     }
 
-    /** The members of each control partition's group, as far as they are known here. */
+    /** The members of each control partition's group, as far as this node knows them. */
     private List<Set<String>> groups() {
         return replicas.get().stream()
                 .map(replica -> replica.members().keySet())
                 .toList();
     }
 
-    /** At most one change at a time, and only by a leader that a majority follows. */
+    /** Proposes at most one change at a time, and only on a leader that a majority follows. */
     private void decideChange() {
         if (proposing.get() || !c0.isActiveLeader()) {
             return;
         }
-        CoreMembers present = committed();
-        if (present.members().isEmpty()) {
-            propose(new TreeSet<>(c0.members().keySet()), present.epoch(), "bootstrapped");
+        CoreMembers current = committed();
+        if (current.members().isEmpty()) {
+            propose(new TreeSet<>(c0.members().keySet()), current.epoch(), "bootstrapped");
             return;
         }
-        Optional<String> leaver = findLeaver(present);
-        Optional<String> successor = leaver.flatMap(member -> announcements.findStandby(present, member));
+        Optional<String> leaver = findLeaver(current);
+        Optional<String> successor = leaver.flatMap(member -> announcements.findStandby(current, member));
         if (successor.isPresent()) {
-            exchange(present, leaver.orElseThrow(), successor.get());
-        } else if (mayGrow(present)) {
-            announcements.findStandby(present).ifPresent(joiner -> grow(present, joiner));
+            replaceMember(current, leaver.orElseThrow(), successor.get());
+        } else if (canAddMember(current)) {
+            announcements.findStandby(current).ifPresent(joiner -> addMember(current, joiner));
         }
     }
 
-    private void exchange(CoreMembers present, String leaver, String joiner) {
-        TreeSet<String> members = new TreeSet<>(present.members());
+    private void replaceMember(CoreMembers current, String leaver, String joiner) {
+        TreeSet<String> members = new TreeSet<>(current.members());
         members.remove(leaver);
         members.add(joiner);
-        propose(members, present.epoch(), joiner + " for " + leaver);
+        propose(members, current.epoch(), joiner + " replaces " + leaver);
     }
 
-    /** All groups have the members of the list, and with the machines that stand by the core can bear more losses. */
-    private boolean mayGrow(CoreMembers present) {
-        int size = present.members().size();
-        int available = size + announcements.countStandbys(present);
-        return size < faultTolerance.attainableGroupSize(available) && !isChanging(present);
+    /**
+     * Whether all groups have the members of the list and the available standby machines allow the core to tolerate
+     * more losses.
+     */
+    private boolean canAddMember(CoreMembers current) {
+        int size = current.members().size();
+        int available = size + announcements.countStandbys(current);
+        return size < faultTolerance.attainableGroupSize(available) && !isChanging(current);
     }
 
-    private void grow(CoreMembers present, String joiner) {
-        TreeSet<String> members = new TreeSet<>(present.members());
+    private void addMember(CoreMembers current, String joiner) {
+        TreeSet<String> members = new TreeSet<>(current.members());
         members.add(joiner);
-        propose(members, present.epoch(), joiner + " joins, of " + faultTolerance.groupSize() + " members to be");
+        propose(members, current.epoch(), joiner + " joins, target size " + faultTolerance.groupSize() + " members");
     }
 
-    /** Whether some group does not have the members of the committed list yet, as far as known here. */
+    /** Whether, as far as this node knows, some group does not have the members of the committed list yet. */
     public boolean isChanging() {
-        CoreMembers present = committed();
-        return !present.members().isEmpty() && isChanging(present);
+        CoreMembers current = committed();
+        return !current.members().isEmpty() && isChanging(current);
     }
 
     /** Whether some group does not have the members of the list yet. */
-    private boolean isChanging(CoreMembers present) {
-        return groups().stream().anyMatch(group -> !group.equals(Set.copyOf(present.members())));
+    private boolean isChanging(CoreMembers current) {
+        return groups().stream().anyMatch(group -> !group.equals(Set.copyOf(current.members())));
     }
 
     private void propose(TreeSet<String> members, long epoch, String reason) {
         proposing.set(true);
-        LOG.info("Members of the core become {}: {}.", members, reason);
+        LOG.info("Changing the members of the core to {}: {}.", members, reason);
         c0.propose(new ControlMessages.ChangeCore(new ArrayList<>(members), epoch), UpdateResult.class)
                 .doFinally(signal -> proposing.set(false))
                 .subscribe(result -> {}, e -> {});
     }
 
-    /** Who is to be replaced: a member that said so, or else the one that was out of contact for longest. */
-    private Optional<String> findLeaver(CoreMembers present) {
+    /**
+     * Finds the member to replace: one that announced that it is leaving, or else the one that has been out of contact
+     * for the longest time.
+     */
+    private Optional<String> findLeaver(CoreMembers current) {
         List<Set<String>> groups = groups();
-        boolean changing = isChanging(present);
-        return present.members().stream()
-                // while one change is under way only its own newcomer may be given up for another
+        boolean changing = isChanging(current);
+        return current.members().stream()
+                // during a change, only the member that is still joining may be replaced
                 .filter(member ->
                         !changing || groups.stream().anyMatch(group -> !group.isEmpty() && !group.contains(member)))
                 .filter(member -> announcements.isLeaving(member) || contacts.isAbsent(member))
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderAvailability.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/LeaderAvailability.java
@@ -9,14 +9,14 @@
 import org.woadvale.common.membership.ControlMessages.ControlResult;
 import org.woadvale.common.replication.Replica;
 
-/** Remembers when each control partition last had a known leader. Safe for use by several threads. */
+/** Tracks when each control partition last had a known leader. Thread-safe. */
 public final class LeaderAvailability {
-    /** A transfer of leadership leaves a partition without a leader for a moment. */
+    /** A transfer of leadership leaves a partition briefly without a leader. */
     private static final Duration TRANSFER_GRACE = Duration.ofSeconds(1);
 
     private final Map<String, Duration> lastSeen = new ConcurrentHashMap<>();
 
-    /** Notes the partition as led at {@code now} (monotonic time) if its replica knows a leader. */
+    /** Records the partition as having a leader at {@code now} (monotonic time) if its replica knows one. */
     public void observe(String partition, Replica<ControlCommand, ControlResult> replica, Duration now) {
         replica.leaderId().ifPresent(leader -> lastSeen.put(partition, now));
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MajorityContact.java
@@ -10,14 +10,15 @@
 import org.woadvale.common.replication.Role;
 
 /**
- * Whether this control machine is in contact with a majority of the core: as the leader of partition c0 with its
- * voters, as a member with that leader, as a standby machine by the answers to its announcements. Costs no messages.
+ * Determines whether this control machine is in contact with a majority of the core: the leader of partition c0 by its
+ * voters, another member by that leader, and a standby machine by the responses to its announcements. Sends no messages
+ * of its own.
  */
 public final class MajorityContact {
-    /** Heartbeats and announcements come at least every 300 ms; two that are missing mean no contact. */
-    private static final Duration REQUESTS = Duration.ofMillis(600);
-    /** The platform asks once a second; a change of leader is no reason to leave the list. */
-    private static final Duration READINESS = Duration.ofMillis(1800);
+    /** Heartbeats and announcements arrive at least every 300 ms; two missing ones mean that contact is lost. */
+    private static final Duration REQUEST_CONTACT_LIMIT = Duration.ofMillis(600);
+    /** The platform checks readiness once a second; a change of leader must not make the node unready. */
+    private static final Duration READINESS_CONTACT_LIMIT = Duration.ofMillis(1800);
 
     private final NodeEnvironment environment;
     private final CoreClient core;
@@ -25,9 +26,9 @@
     private final Supplier<Duration> announcementAnsweredAt;
 
     /**
-     * Contact of one control node.
+     * Tracks the contact of one control node.
      *
-     * @param announcementAnsweredAt when the latest announcement was sent that was answered; zero if none was
+     * @param announcementAnsweredAt when the latest answered announcement was sent; zero if none has been answered
      */
     public MajorityContact(
             NodeEnvironment environment,
@@ -42,12 +43,12 @@
 
     /** Whether contact is recent enough to accept requests. */
     public boolean isInContact() {
-        return within(REQUESTS);
+        return within(REQUEST_CONTACT_LIMIT);
     }
 
-    /** Whether contact is recent enough to be ready; a member also needs a leader of each partition. */
+    /** Whether contact is recent enough for readiness; a member also needs a leader for each partition. */
     public boolean isReady(boolean partitionsLed) {
-        return within(READINESS) && (partitionsLed || !isMember());
+        return within(READINESS_CONTACT_LIMIT) && (partitionsLed || !isMember());
     }
 
     private boolean within(Duration limit) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/MemberContacts.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/MemberContacts.java
@@ -11,22 +11,22 @@
 import org.woadvale.common.replication.Replica;
 import org.woadvale.common.replication.ReplicationTiming;
 
-/** How long the members of the core have been out of contact with their leader, as the leader can tell. */
+/** Tracks how long each member of the core has been out of contact with the leader, as observed by the leader. */
 final class MemberContacts {
-    /** A member that was not in contact for so long is taken to be gone, if another machine stands by. */
+    /** A member without contact for this long counts as lost and is replaced if a standby machine is available. */
     private static final Duration ABSENT_AFTER = ReplicationTiming.partitions().lease();
-    /** A leader that had no tick for so long was frozen, and begins to watch its followers anew. */
+    /** A leader whose last tick is longer ago than this was paused, and restarts the observation of its followers. */
     private static final Duration LONGEST_TICK_GAP = Duration.ofMillis(600);
 
-    /** The leader that this machine followed last, and when it heard it last. */
+    /** The leader that this machine followed last, and the time of the last contact with it. */
     private record FormerLeader(String node, Duration lastContact) {}
 
     private final NodeEnvironment environment;
     private final Replica<ControlCommand, ControlResult> c0;
     private volatile Duration lastTick = Duration.ZERO;
-    private volatile Duration watchingSince = Duration.ZERO;
+    private volatile Duration leadingSince = Duration.ZERO;
     private volatile FormerLeader formerLeader = new FormerLeader("", Duration.ZERO);
-    /** When each member was first seen in the list: before, it was not sent to. */
+    /** When each member was first seen in the list; before that, nothing was sent to it. */
     private final Map<String, Duration> memberSince = new ConcurrentHashMap<>();
 
     MemberContacts(NodeEnvironment environment, Replica<ControlCommand, ControlResult> c0) {
@@ -34,13 +34,13 @@
         this.c0 = c0;
     }
 
-    /** Looks at how long this machine has been leading, and from when on each of the members counts as one. */
+    /** Updates since when this machine has been the leader and since when each member has been in the list. */
     void onTick(List<String> members) {
         memberSince.keySet().retainAll(members);
         members.forEach(member -> memberSince.putIfAbsent(member, now()));
-        boolean frozen = now().minus(lastTick).compareTo(LONGEST_TICK_GAP) > 0;
-        if (frozen || !c0.isActiveLeader()) {
-            watchingSince = now();
+        boolean paused = now().minus(lastTick).compareTo(LONGEST_TICK_GAP) > 0;
+        if (paused || !c0.isActiveLeader()) {
+            leadingSince = now();
         }
         lastTick = now();
         c0.leaderId()
@@ -48,23 +48,26 @@
                 .ifPresent(leader -> formerLeader = new FormerLeader(leader, c0.lastMajorityContact()));
     }
 
-    /** Whether this machine has led without a pause for at least so long. */
-    boolean watchedFor(Duration time) {
-        return now().minus(watchingSince).compareTo(time) >= 0;
+    /** Whether this machine has been the leader without interruption for at least the given time. */
+    boolean hasLedFor(Duration time) {
+        return now().minus(leadingSince).compareTo(time) >= 0;
     }
 
     boolean isAbsent(String member) {
         return !member.equals(environment.self()) && timeSinceContact(member).compareTo(ABSENT_AFTER) > 0;
     }
 
-    /** A new leader counts anew, but for the one before it: that one was silent for a lease, or nobody was elected. */
+    /**
+     * Returns the time since the last contact with a member. A new leader starts at zero for all members except its
+     * predecessor, which must have been silent for a lease before another leader could be elected.
+     */
     Duration timeSinceContact(String member) {
         Optional<Duration> contact = Optional.ofNullable(c0.followerContacts().get(member));
         if (contact.isEmpty() && member.equals(formerLeader.node())) {
             return now().minus(formerLeader.lastContact());
         }
-        Duration watched = latest(watchingSince, memberSince.getOrDefault(member, now()));
-        return now().minus(latest(watched, contact.orElse(Duration.ZERO)));
+        Duration observedSince = latest(leadingSince, memberSince.getOrDefault(member, now()));
+        return now().minus(latest(observedSince, contact.orElse(Duration.ZERO)));
     }
 
     private static Duration latest(Duration one, Duration other) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/RetryingCoreClient.java
@@ -14,20 +14,20 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Sends operators' requests to the leader of a control partition and repeats them for a while when no leader answers.
- * They are repeatable by their type, so one whose outcome is unknown is repeated for its definite answer. A machine
- * without contact to a majority of the core sends nothing and says so at once.
+ * Sends operators' requests to the leader of a control partition and retries for a limited time while no leader
+ * answers. The requests are repeatable by their type, so one whose outcome is unknown is resent until its definite
+ * answer is known. A machine without contact to a majority of the core sends nothing and fails fast.
  */
 public final class RetryingCoreClient {
-    /** An operator goes on to another machine after a second of silence. */
+    /** Less than the second of silence after which an operator tries another machine. */
     private static final Duration CONTACT_LIMIT = Duration.ofMillis(900);
-    /** Contact may come back, by the election of a leader or by a late heartbeat. */
+    /** How long to wait for contact, which the election of a leader or a late heartbeat may restore. */
     private static final Duration NO_CONTACT_LIMIT = Duration.ofMillis(150);
 
     private static final Duration CONTACT_CHECK = Duration.ofMillis(50);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(150);
 
-    /** One request on its way; an attempt that is open, or whose outcome is unknown, may have been applied. */
+    /** The state of one request; an attempt that is pending or whose outcome is unknown may have been applied. */
     private static final class Progress {
         volatile boolean maybeApplied;
     }
@@ -35,11 +35,14 @@
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final BooleanSupplier inContact;
-    /** What leaves here may not arrive although heartbeats still come in: a link that is partitioned one way. */
+    /**
+     * Whether the last request got no answer in time. Heartbeats may still arrive then: with an asymmetric partition,
+     * only outgoing messages are lost.
+     */
     private volatile boolean unanswered;
 
     /**
-     * Requests from one control node.
+     * Creates the client of one control node.
      *
      * @param inContact whether this node is in contact with a majority of the core
      */
@@ -50,71 +53,74 @@
     }
 
     /**
-     * Answers as the partition's leader does, and never later than a second after the call. Fails with {@link
-     * ErrorKind#UNAVAILABLE} if nothing was sent for lack of contact, with {@link ErrorKind#UNKNOWN_OUTCOME} if any of
-     * the attempts may have been applied and none gave a definite answer in time, else with the error of the last
+     * Returns the response of the partition's leader, or fails at most one second after the call: with {@link
+     * ErrorKind#UNAVAILABLE} if nothing was sent for lack of contact, with {@link ErrorKind#UNKNOWN_OUTCOME} if an
+     * attempt may have been applied and none got a definite answer in time, otherwise with the error of the last
      * attempt.
      */
     public <T> Mono<T> call(String partition, RepeatableRequest request, Class<T> responseType) {
         return Mono.defer(() -> {
             Duration arrived = now();
-            Duration until = arrived.plus(unanswered ? NO_CONTACT_LIMIT : CONTACT_LIMIT);
+            Duration deadline = arrived.plus(unanswered ? NO_CONTACT_LIMIT : CONTACT_LIMIT);
             Progress progress = new Progress();
             return awaitContact(arrived.plus(NO_CONTACT_LIMIT))
-                    .then(Mono.defer(
-                            () -> inTime(attempt(partition, request, responseType, until, progress), until, progress)));
+                    .then(Mono.defer(() ->
+                            inTime(attempt(partition, request, responseType, deadline, progress), deadline, progress)));
         });
     }
 
-    private Mono<Boolean> awaitContact(Duration until) {
+    private Mono<Boolean> awaitContact(Duration deadline) {
         return Mono.defer(() -> {
             if (inContact.getAsBoolean()) {
                 return Mono.just(true);
-            } else if (now().compareTo(until) >= 0) {
+            } else if (now().compareTo(deadline) >= 0) {
                 return Mono.error(new UnavailableException(
                         "This machine has no contact with a majority of the core; nothing was changed."));
             }
-            return Delays.delay(environment.timers(), CONTACT_CHECK).then(awaitContact(until));
+            return Delays.delay(environment.timers(), CONTACT_CHECK).then(awaitContact(deadline));
         });
     }
 
-    /** An answer counts only before its limit, also on a machine that was frozen since: the limit is checked again. */
-    private <T> Mono<T> inTime(Mono<T> work, Duration until, Progress progress) {
+    /**
+     * Discards a response that comes after the deadline. The deadline is checked again when the response arrives, since
+     * the process may have been paused in between.
+     */
+    private <T> Mono<T> inTime(Mono<T> work, Duration deadline, Progress progress) {
         Mono<T> answered = work.flatMap(answer -> {
-            boolean late = now().compareTo(until) >= 0;
+            boolean late = now().compareTo(deadline) >= 0;
             unanswered = late;
             return late ? Mono.error(unknownOutcome()) : Mono.just(answer);
         });
-        return Mono.firstWithSignal(answered, contactLost(until, progress));
+        return Mono.firstWithSignal(answered, contactLost(deadline, progress));
     }
 
-    private <T> Mono<T> contactLost(Duration until, Progress progress) {
+    private <T> Mono<T> contactLost(Duration deadline, Progress progress) {
         return Mono.defer(() -> {
-            boolean late = now().compareTo(until) >= 0;
+            boolean late = now().compareTo(deadline) >= 0;
             unanswered = unanswered || late && progress.maybeApplied;
             if (late || !inContact.getAsBoolean()) {
                 return Mono.error(progress.maybeApplied ? unknownOutcome() : noLeader());
             }
-            return Delays.delay(environment.timers(), CONTACT_CHECK).then(contactLost(until, progress));
+            return Delays.delay(environment.timers(), CONTACT_CHECK).then(contactLost(deadline, progress));
         });
     }
 
     private <T> Mono<T> attempt(
-            String partition, RepeatableRequest request, Class<T> responseType, Duration until, Progress progress) {
-        boolean unknownBefore = progress.maybeApplied;
+            String partition, RepeatableRequest request, Class<T> responseType, Duration deadline, Progress progress) {
+        boolean maybeAppliedBefore = progress.maybeApplied;
         progress.maybeApplied = true;
         return core.ask(partition, request, responseType).onErrorResume(error -> {
             ServiceException failure = ServiceException.of(error);
             if (!ResendPolicy.AFTER_UNKNOWN_OUTCOME.allows(failure.kind())) {
                 return Mono.error(failure);
             }
-            boolean unknownByNow = unknownBefore || failure.kind() == ErrorKind.UNKNOWN_OUTCOME;
-            progress.maybeApplied = unknownByNow;
-            if (now().compareTo(until) >= 0) {
-                return Mono.error(unknownByNow ? unknownOutcome() : failure);
+            boolean maybeAppliedNow = maybeAppliedBefore || failure.kind() == ErrorKind.UNKNOWN_OUTCOME;
+            progress.maybeApplied = maybeAppliedNow;
+            if (now().compareTo(deadline) >= 0) {
+                return Mono.error(maybeAppliedNow ? unknownOutcome() : failure);
             }
             return Delays.delay(environment.timers(), RETRY_PAUSE)
-                    .then(Mono.defer(() -> attempt(partition, request, responseType, until, progress)));
+                    .then(Mono.defer(() -> attempt(partition, request, responseType, deadline, progress)));
         });
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/membership/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Who the members of the core are, and whether this node is in contact with them. */
+/** Membership of the core, and this node's contact with its members. */
 package org.woadvale.controlplane.membership;
