--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/PlacementDriver.java
@@ -14,7 +14,10 @@
 import org.woadvale.common.replication.Replica;
 import org.woadvale.controlplane.state.ControlStateMachine;
 
-/** Writes the placement of the message partitions and tells the stores of it, while this node leads it. */
+/**
+ * Writes the placement of the message partitions and notifies the stores of changes, while this node leads the
+ * partition that holds it.
+ */
 public final class PlacementDriver {
     private static final Logger LOG = LogManager.getLogger(PlacementDriver.class);
 
@@ -23,11 +26,11 @@
     private final ControlStateMachine stateMachine;
     private final FaultTolerance faultTolerance;
     private final ReplicaPlacement placement;
-    private long tickedVersion = -1;
-    /** The smallest number of replicas that a partition had when the log was last told of it. */
+    private long checkedVersion = -1;
+    /** The smallest replica count of a partition in the last warning; 0 while all groups are complete. */
     private int loggedGroupSize;
 
-    /** Placement as decided by the replica of the partition that holds it. */
+    /** Creates the driver for the replica of the partition that holds the placement. */
     public PlacementDriver(
             NodeEnvironment environment,
             Replica<ControlCommand, ControlResult> replica,
@@ -40,20 +43,23 @@
         this.placement = new ReplicaPlacement(faultTolerance);
     }
 
-    /** A store renewed its lease: if that changed anything, the placement is checked now and not with the next tick. */
+    /**
+     * Called when a store has renewed its lease. If the view of the stores has changed, checks the placement now
+     * instead of with the next tick.
+     */
     public synchronized void onStoreHeartbeat() {
-        if (replica.inspect(index -> stateMachine.service(ServiceNames.STORES)).version() != tickedVersion) {
+        if (replica.inspect(index -> stateMachine.service(ServiceNames.STORES)).version() != checkedVersion) {
             onTick();
         }
     }
 
-    /** Called often: on the leader, writes the placement that should be. */
+    /** Writes the desired placement if this node is the leader; called with every tick. */
     public synchronized void onTick() {
         if (!replica.isActiveLeader()) {
             return;
         }
         ServiceView stores = replica.inspect(index -> stateMachine.service(ServiceNames.STORES));
-        tickedVersion = stores.version();
+        checkedVersion = stores.version();
         Map<String, List<String>> next =
                 placement.next(stores, environment.clock().monotonicTime());
         logGroupSize(next);
@@ -65,7 +71,10 @@
         }
     }
 
-    /** Groups that bear fewer losses than they should are named once for each size, and once more when they are whole. */
+    /**
+     * Logs a warning once for each size at which groups are smaller than required, and a message once they are complete
+     * again.
+     */
     private void logGroupSize(Map<String, List<String>> partitions) {
         int smallest = partitions.values().stream().mapToInt(List::size).min().orElse(faultTolerance.groupSize());
         if (smallest < faultTolerance.groupSize() && smallest != loggedGroupSize) {
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaBalancer.java
@@ -13,16 +13,19 @@
 import org.woadvale.common.membership.MemberLease;
 import org.woadvale.common.membership.ServiceView;
 
-/** Gives a store that joined its share, one change at a time, and only while nobody comes or goes. */
+/**
+ * Moves replicas and preferred leaders to stores that have fewer, one change at a time and only while the set of stores
+ * is stable.
+ */
 final class ReplicaBalancer {
     private static final Duration STABLE_PERIOD = Duration.ofSeconds(15);
     private static final Duration PAUSE_BETWEEN_CHANGES = Duration.ofSeconds(3);
 
-    /** Less than this is balanced enough. */
+    /** Smaller differences count as balanced. */
     private static final int MIN_DIFFERENCE = 2;
 
-    /** New replicas of a partition; the store that is to join, or none where only the order changes. */
-    record Change(String partition, List<String> replicas, Optional<String> to) {}
+    /** The new replicas of a partition, and the store to be added; empty if no store is added. */
+    record Change(String partition, List<String> replicas, Optional<String> added) {}
 
     private final FaultTolerance faultTolerance;
     private Set<String> members = Set.of();
@@ -33,16 +36,16 @@
         this.faultTolerance = faultTolerance;
     }
 
-    void observe(Set<String> now, Duration at) {
-        if (!now.equals(members)) {
-            members = Set.copyOf(now);
-            stableSince = at;
+    void observe(Set<String> stores, Duration now) {
+        if (!stores.equals(members)) {
+            members = Set.copyOf(stores);
+            stableSince = now;
         }
     }
 
     Optional<Change> next(ServiceView view, Duration now) {
-        boolean allThere = view.placement().values().stream().allMatch(members::containsAll);
-        if (!allThere
+        boolean allPresent = view.placement().values().stream().allMatch(members::containsAll);
+        if (!allPresent
                 || now.minus(stableSince).compareTo(STABLE_PERIOD) < 0
                 || now.minus(lastChange).compareTo(PAUSE_BETWEEN_CHANGES) < 0) {
             return Optional.empty();
@@ -53,22 +56,23 @@
     }
 
     /**
-     * A replica goes from a fuller store to the emptiest while they differ by two; no partition is spread worse by it.
+     * Moves a replica from a store with more replicas to the store with the fewest while they differ by at least two,
+     * unless the partition would be spread less evenly.
      */
     private Optional<Change> moveReplica(ServiceView view) {
         Map<String, Integer> load = load(view.placement());
         Comparator<String> byLoad = Comparator.<String>comparingInt(store -> load.getOrDefault(store, 0))
                 .thenComparing(store -> store);
-        String least = Collections.min(members, byLoad);
+        String target = Collections.min(members, byLoad);
         return members.stream()
                 .sorted(byLoad.reversed())
-                .filter(store -> load.getOrDefault(store, 0) - load.getOrDefault(least, 0) >= MIN_DIFFERENCE)
-                .flatMap(fuller -> view.placement().entrySet().stream()
+                .filter(store -> load.getOrDefault(store, 0) - load.getOrDefault(target, 0) >= MIN_DIFFERENCE)
+                .flatMap(source -> view.placement().entrySet().stream()
                         .sorted(Map.Entry.comparingByKey())
-                        .filter(entry -> entry.getValue().contains(fuller)
-                                && !entry.getValue().contains(least))
+                        .filter(entry -> entry.getValue().contains(source)
+                                && !entry.getValue().contains(target))
                         .map(entry -> new Change(
-                                entry.getKey(), replaced(entry.getValue(), fuller, least), Optional.of(least)))
+                                entry.getKey(), replaced(entry.getValue(), source, target), Optional.of(target)))
                         .filter(change -> faultTolerance.isAtLeastAsSpread(
                                 zones(view.members(), view.placement().get(change.partition())),
                                 zones(view.members(), change.replicas()))))
@@ -85,16 +89,19 @@
         return replicas.stream().map(store -> members.get(store).zone()).toList();
     }
 
-    /** The first replica of a partition is its preferred leader: those are spread in the same way, by order alone. */
+    /**
+     * Spreads the preferred leaders in the same way. The first replica of a partition is its preferred leader, so a new
+     * order of the replicas is enough.
+     */
     private Optional<Change> reorder(ServiceView view) {
         Map<String, Integer> preferred = preferredLeaders(view.placement());
         return view.placement().entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
                 .flatMap(entry -> {
                     List<String> replicas = entry.getValue();
-                    int most = preferred.getOrDefault(replicas.get(0), 0);
+                    int leaderCount = preferred.getOrDefault(replicas.get(0), 0);
                     return replicas.stream()
-                            .filter(store -> most - preferred.getOrDefault(store, 0) >= MIN_DIFFERENCE)
+                            .filter(store -> leaderCount - preferred.getOrDefault(store, 0) >= MIN_DIFFERENCE)
                             .map(store -> {
                                 List<String> reordered = new ArrayList<>(replicas);
                                 Collections.swap(reordered, 0, reordered.indexOf(store));
@@ -104,14 +111,14 @@
                 .findFirst();
     }
 
-    /** How many replicas each store has. */
+    /** The number of replicas on each store. */
     static Map<String, Integer> load(Map<String, List<String>> placement) {
         Map<String, Integer> load = new HashMap<>();
         placement.values().forEach(replicas -> replicas.forEach(store -> load.merge(store, 1, Integer::sum)));
         return load;
     }
 
-    /** Of how many partitions each store is the preferred leader. */
+    /** The number of partitions of which each store is the preferred leader. */
     static Map<String, Integer> preferredLeaders(Map<String, List<String>> placement) {
         Map<String, Integer> preferred = new HashMap<>();
         placement.values().forEach(replicas -> preferred.merge(replicas.get(0), 1, Integer::sum));
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/ReplicaPlacement.java
@@ -18,51 +18,58 @@
 import org.woadvale.common.membership.ServiceView;
 
 /**
- * Chooses the stores of each message partition, as many as the fault tolerance asks for and spread over zones, replaces
- * those that are gone, and adds to a group that is too small once more stores are there. Holds only what the leader has
- * seen; a new leader begins anew.
+ * Chooses the stores of each message partition: as many as the fault tolerance requires, spread over zones. Replaces
+ * lost stores, and enlarges groups that are too small once more stores are available. Holds only what the current
+ * leader has observed; a new leader starts without it.
  */
 final class ReplicaPlacement {
-    /** Without a newcomer a store is replaced only after it has been away for so long. */
-    static final Duration GIVE_UP_AFTER = Duration.ofSeconds(10);
+    /**
+     * How long a store must have been absent before it is replaced, if no new store with an empty disk is available.
+     */
+    static final Duration REPLACE_AFTER = Duration.ofSeconds(10);
 
-    /** A move that takes longer is given up. */
-    private static final Duration MOVE_LIMIT = Duration.ofSeconds(60);
+    /** A move that takes longer is abandoned. */
+    private static final Duration MOVE_TIMEOUT = Duration.ofSeconds(60);
 
-    /** After the third store has come, for stores that start with them. */
+    /**
+     * How long the first placement waits after the third store has joined, so that stores started together with it are
+     * included.
+     */
     private static final Duration FIRST_PLACEMENT_DELAY = Duration.ofSeconds(2);
 
-    private record Move(String to, Duration since) {}
+    private record Move(String target, Duration since) {}
 
     private final Map<String, Duration> lastSeen = new HashMap<>();
     private final Map<String, Move> moving = new HashMap<>();
-    /** Stores whose successor was there when they went: what they still hold moves without another wait. */
-    private final Set<String> succeeded = new HashSet<>();
+    /**
+     * Stores that left while a new store was available: their remaining replicas are replaced without further delay.
+     */
+    private final Set<String> superseded = new HashSet<>();
 
     private final FaultTolerance faultTolerance;
     private final ReplicaBalancer balancer;
-    private Duration allPlacedSince = Duration.ZERO;
+    private Duration enoughStoresSince = Duration.ZERO;
 
     ReplicaPlacement(FaultTolerance faultTolerance) {
         this.faultTolerance = faultTolerance;
         this.balancer = new ReplicaBalancer(faultTolerance);
     }
 
-    /** The placement that should be; the present one where nothing is to be done. */
+    /** Returns the desired placement; equal to the current one if nothing has to change. */
     Map<String, List<String>> next(ServiceView view, Duration now) {
         view.members().keySet().forEach(store -> lastSeen.put(store, now));
-        Map<String, List<String>> present = view.placement();
-        if (present.isEmpty()) {
+        Map<String, List<String>> current = view.placement();
+        if (current.isEmpty()) {
             return first(view.members(), now);
         }
-        moving.entrySet().removeIf(entry -> ended(view, entry.getKey(), entry.getValue(), now));
+        moving.entrySet().removeIf(entry -> isOver(view, entry.getKey(), entry.getValue(), now));
         balancer.observe(view.members().keySet(), now);
-        noteSucceeded(view);
-        Map<String, List<String>> next = new TreeMap<>(present);
+        markSuperseded(view);
+        Map<String, List<String>> next = new TreeMap<>(current);
         for (String partition : ServiceNames.messagePartitions()) {
             if (!moving.containsKey(partition)) {
                 repaired(view, partition, next, now)
-                        .or(() -> grown(view, partition, next))
+                        .or(() -> enlarged(view, partition, next))
                         .ifPresent(change -> begin(change, next, now));
             }
         }
@@ -73,35 +80,41 @@
     }
 
     private void begin(ReplicaBalancer.Change change, Map<String, List<String>> next, Duration now) {
-        change.to().ifPresent(to -> moving.put(change.partition(), new Move(to, now)));
+        change.added().ifPresent(store -> moving.put(change.partition(), new Move(store, now)));
         next.put(change.partition(), change.replicas());
     }
 
-    /** The newcomer counts in the group; or the move was not written; or the newcomer is gone, or never arrived. */
-    private static boolean ended(ServiceView view, String partition, Move move, Duration now) {
-        return !view.placement().getOrDefault(partition, List.of()).contains(move.to())
-                || !view.members().containsKey(move.to())
-                || now.minus(move.since()).compareTo(MOVE_LIMIT) > 0
+    /**
+     * Whether a move is over: the new store has become a member of the group, the move was not written, or the new
+     * store has left or not caught up in time.
+     */
+    private static boolean isOver(ServiceView view, String partition, Move move, Duration now) {
+        return !view.placement().getOrDefault(partition, List.of()).contains(move.target())
+                || !view.members().containsKey(move.target())
+                || now.minus(move.since()).compareTo(MOVE_TIMEOUT) > 0
                 || group(view, partition)
-                        .map(ledGroup -> ledGroup.members().contains(move.to()))
+                        .map(ledGroup -> ledGroup.members().contains(move.target()))
                         .orElse(false);
     }
 
-    /** The group of a partition by the report of the highest term. */
+    /** The group of a partition according to the report with the highest term. */
     private static Optional<LedGroup> group(ServiceView view, String partition) {
         return view.members().values().stream()
                 .flatMap(lease -> Optional.ofNullable(lease.groups().get(partition)).stream())
                 .max(Comparator.comparingLong(LedGroup::term));
     }
 
-    /** A store that leaves or is gone while a newcomer stands ready has been replaced by it: nothing is waited for. */
-    private void noteSucceeded(ServiceView view) {
+    /**
+     * Marks stores that leave or are lost while a new store is available, so that they are replaced without waiting.
+     */
+    private void markSuperseded(ServiceView view) {
         Set<String> placed = new HashSet<>();
         view.placement().values().forEach(placed::addAll);
-        succeeded.removeIf(store -> !placed.contains(store) || serves(view, store));
-        boolean newcomer = view.members().values().stream().anyMatch(lease -> lease.newcomer() && !lease.leaving());
-        if (newcomer) {
-            placed.stream().filter(store -> !serves(view, store)).forEach(succeeded::add);
+        superseded.removeIf(store -> !placed.contains(store) || serves(view, store));
+        boolean newStoreAvailable =
+                view.members().values().stream().anyMatch(lease -> lease.newcomer() && !lease.leaving());
+        if (newStoreAvailable) {
+            placed.stream().filter(store -> !serves(view, store)).forEach(superseded::add);
         }
     }
 
@@ -111,17 +124,17 @@
                 .isPresent();
     }
 
-    private boolean isGone(String store, Duration now) {
+    private boolean isLost(String store, Duration now) {
         lastSeen.putIfAbsent(store, now);
-        return succeeded.contains(store) || now.minus(lastSeen.get(store)).compareTo(GIVE_UP_AFTER) > 0;
+        return superseded.contains(store) || now.minus(lastSeen.get(store)).compareTo(REPLACE_AFTER) > 0;
     }
 
     private Optional<ReplicaBalancer.Change> repaired(
             ServiceView view, String partition, Map<String, List<String>> next, Duration now) {
         for (String store : next.get(partition)) {
-            if (isGone(store, now)) {
+            if (isLost(store, now)) {
                 Optional<ReplicaBalancer.Change> change =
-                        replaced(view, partition, store, next).or(() -> withoutUnfounded(view, partition, store, next));
+                        replaced(view, partition, store, next).or(() -> withoutLostStore(view, partition, store, next));
                 if (change.isPresent()) {
                     return change;
                 }
@@ -131,31 +144,36 @@
     }
 
     private Optional<ReplicaBalancer.Change> replaced(
-            ServiceView view, String partition, String gone, Map<String, List<String>> next) {
+            ServiceView view, String partition, String lost, Map<String, List<String>> next) {
         List<String> replicas = next.get(partition);
-        List<String> rest = except(replicas, gone);
-        return spare(view, replicas, rest, next).map(spare -> {
+        List<String> remaining = without(replicas, lost);
+        return findSpare(view, replicas, remaining, next).map(spare -> {
             List<String> changed = new ArrayList<>(replicas);
-            Collections.replaceAll(changed, gone, spare);
+            Collections.replaceAll(changed, lost, spare);
             return new ReplicaBalancer.Change(partition, List.copyOf(changed), Optional.of(spare));
         });
     }
 
     /**
-     * A group is founded only by all of its members. One that no store leads yet does without a store that is gone, and
-     * gets another once there is one. A group that was founded before keeps its members whatever the placement says.
+     * Removes a lost store from a group that has no leader yet, since bootstrapping a group requires all of its
+     * members. Another store is added once one is available. A group that was bootstrapped before keeps its members
+     * whatever the placement says.
      */
-    private static Optional<ReplicaBalancer.Change> withoutUnfounded(
-            ServiceView view, String partition, String gone, Map<String, List<String>> next) {
-        List<String> rest = except(next.get(partition), gone);
-        boolean unfounded = group(view, partition).isEmpty();
-        return unfounded && rest.size() >= FaultTolerance.SMALLEST_GROUP
-                ? Optional.of(new ReplicaBalancer.Change(partition, rest, Optional.empty()))
+    private static Optional<ReplicaBalancer.Change> withoutLostStore(
+            ServiceView view, String partition, String lost, Map<String, List<String>> next) {
+        List<String> remaining = without(next.get(partition), lost);
+        boolean leaderless = group(view, partition).isEmpty();
+        return leaderless && remaining.size() >= FaultTolerance.SMALLEST_GROUP
+                ? Optional.of(new ReplicaBalancer.Change(partition, remaining, Optional.empty()))
                 : Optional.empty();
     }
 
-    /** One more replica for a group that is smaller than the fault tolerance asks for, if that makes it bear more. */
-    private Optional<ReplicaBalancer.Change> grown(ServiceView view, String partition, Map<String, List<String>> next) {
+    /**
+     * Adds a replica to a group that is smaller than the fault tolerance requires, if the serving stores allow a larger
+     * odd size.
+     */
+    private Optional<ReplicaBalancer.Change> enlarged(
+            ServiceView view, String partition, Map<String, List<String>> next) {
         List<String> replicas = next.get(partition);
         long serving = view.members().keySet().stream()
                 .filter(store -> serves(view, store))
@@ -163,22 +181,22 @@
         if (replicas.size() >= faultTolerance.attainableGroupSize((int) serving)) {
             return Optional.empty();
         }
-        return spare(view, replicas, replicas, next).map(spare -> {
+        return findSpare(view, replicas, replicas, next).map(spare -> {
             List<String> changed = new ArrayList<>(replicas);
             changed.add(spare);
             return new ReplicaBalancer.Change(partition, List.copyOf(changed), Optional.of(spare));
         });
     }
 
-    /** A store that serves and is not among the replicas, spread from those that stay. */
-    private Optional<String> spare(
-            ServiceView view, List<String> replicas, List<String> staying, Map<String, List<String>> next) {
-        return candidates(view.members(), staying, next).stream()
+    /** Finds a serving store that is not among the replicas, preferably in a zone with few of the remaining ones. */
+    private Optional<String> findSpare(
+            ServiceView view, List<String> replicas, List<String> remaining, Map<String, List<String>> next) {
+        return candidates(view.members(), remaining, next).stream()
                 .filter(store -> serves(view, store) && !replicas.contains(store))
                 .findFirst();
     }
 
-    private static List<String> except(List<String> replicas, String store) {
+    private static List<String> without(List<String> replicas, String store) {
         return replicas.stream().filter(replica -> !replica.equals(store)).toList();
     }
 
@@ -186,9 +204,9 @@
         if (members.size() < FaultTolerance.SMALLEST_GROUP) {
             return Map.of();
         }
-        // a moment after the third store, so that those that start with them get their share
-        allPlacedSince = allPlacedSince.isZero() ? now : allPlacedSince;
-        if (now.minus(allPlacedSince).compareTo(FIRST_PLACEMENT_DELAY) < 0) {
+        // delayed, so that stores which start at the same time also get replicas
+        enoughStoresSince = enoughStoresSince.isZero() ? now : enoughStoresSince;
+        if (now.minus(enoughStoresSince).compareTo(FIRST_PLACEMENT_DELAY) < 0) {
             return Map.of();
         }
         int groupSize = faultTolerance.attainableGroupSize(members.size());
@@ -198,13 +216,13 @@
             while (replicas.size() < groupSize) {
                 replicas.add(candidates(members, replicas, placement).get(0));
             }
-            placement.put(partition, leadersSpread(replicas, placement));
+            placement.put(partition, spreadLeaders(replicas, placement));
         }
         return placement;
     }
 
-    /** The first of the list is the preferred leader: that is spread evenly. */
-    private static List<String> leadersSpread(List<String> replicas, Map<String, List<String>> placement) {
+    /** Orders the replicas so that the preferred leaders, the first of each list, are spread evenly. */
+    private static List<String> spreadLeaders(List<String> replicas, Map<String, List<String>> placement) {
         Map<String, Integer> preferred = ReplicaBalancer.preferredLeaders(placement);
         List<String> sorted = new ArrayList<>(replicas);
         sorted.sort(Comparator.<String>comparingInt(store -> preferred.getOrDefault(store, 0))
@@ -212,7 +230,7 @@
         return List.copyOf(sorted);
     }
 
-    /** Those not yet used, the zones with the fewest of the used ones first, then the least loaded. */
+    /** The unused stores, ordered by zone (fewest used stores first) and then by load. */
     private List<String> candidates(
             Map<String, MemberLease> members, List<String> used, Map<String, List<String>> placement) {
         List<String> zones = used.stream()
--- a/controlplane/src/main/java/org/woadvale/controlplane/placement/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/placement/package-info.java
@@ -1,2 +1,2 @@
-/** On which stores the replicas of the message partitions are. */
+/** Placement of the replicas of the message partitions on stores. */
 package org.woadvale.controlplane.placement;
--- a/controlplane/src/test/java/org/woadvale/controlplane/placement/ReplicaPlacementTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/placement/ReplicaPlacementTest.java
@@ -17,7 +17,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.membership.ServiceView;
 
-/** Which stores hold a partition, by fault tolerance, on a clock that the test moves. */
+/** The choice of the stores of each partition by the fault tolerance, on a clock that the test advances. */
 class ReplicaPlacementTest {
     private static final Duration STEP = Duration.ofSeconds(1);
 
@@ -25,7 +25,7 @@
     private ReplicaPlacement placement = new ReplicaPlacement(FaultTolerance.machines(2));
     private Map<String, List<String>> placed = Map.of();
     private Duration now = Duration.ofSeconds(100);
-    private boolean founded = true;
+    private boolean bootstrapped = true;
 
     private void store(String name, String zone) {
         stores.put(name, new MemberLease(zone, "", "1", List.of()));
@@ -37,10 +37,10 @@
         }
     }
 
-    /** The groups are as the placement has them, if they are founded; the first store that serves reports them all. */
+    /** Once bootstrapped, the groups have the members of the placement; the first serving store reports them all. */
     private ServiceView view() {
         Map<String, MemberLease> members = new HashMap<>(stores);
-        if (founded && !stores.isEmpty()) {
+        if (bootstrapped && !stores.isEmpty()) {
             Map<String, LedGroup> groups = new HashMap<>();
             placed.forEach((partition, replicas) -> groups.put(partition, new LedGroup(1, replicas, true)));
             String reporter = new TreeSet<>(stores.keySet()).first();
@@ -61,9 +61,9 @@
         return placed.values().stream().map(List::size).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** Guards against groups of three whatever the fault tolerance says (review/2). */
+    /** Guards against groups of three regardless of the fault tolerance (review/2). */
     @Test
-    void groupsHaveAsManyReplicasAsTheFaultToleranceAsksFor() {
+    void groupSizeFollowsTheFaultTolerance() {
         stores(6, "x", "y", "z");
         run(5);
         assertEquals(ServiceNames.messagePartitions().size(), placed.size());
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void fleetsThatBearOneLossKeepGroupsOfThree() {
+    void groupsHaveThreeReplicasIfOneLossIsTolerated() {
         placement = new ReplicaPlacement(FaultTolerance.ONE_MACHINE);
         stores(6, "x", "y", "z");
         run(30);
         assertEquals(new TreeSet<>(List.of(3)), sizes());
     }
 
-    /** No zone has more than two of five where there are three zones: the loss of one leaves a majority. */
+    /** With three zones, no zone has more than two of five replicas: the loss of one zone leaves a majority. */
     @Test
     void replicasAreSpreadOverZones() {
         stores(9, "x", "x", "x", "x", "x", "y", "y", "z", "z");
@@ -105,13 +105,13 @@
     }
 
     @Test
-    void unfoundedGroupsDoWithoutAStoreThatIsGone() {
-        founded = false;
+    void groupsThatAreNotBootstrappedDropALostStore() {
+        bootstrapped = false;
         stores(5, "x", "y", "z");
         run(5);
         stores.remove("s2");
         run(9);
-        assertEquals(new TreeSet<>(List.of(5)), sizes(), "it may come back soon");
+        assertEquals(new TreeSet<>(List.of(5)), sizes(), "the store may still return");
         run(5);
         assertEquals(new TreeSet<>(List.of(4)), sizes());
         assertTrue(placed.values().stream().noneMatch(replicas -> replicas.contains("s2")));
@@ -120,9 +120,9 @@
         assertEquals(new TreeSet<>(List.of(5)), sizes());
     }
 
-    /** The list of a founded group keeps a store that is gone until another can take its place. */
+    /** A bootstrapped group keeps a lost store until another can replace it. */
     @Test
-    void foundedGroupsKeepTheirSize() {
+    void bootstrappedGroupsKeepTheirSize() {
         stores(5, "x", "y", "z");
         run(5);
         stores.remove("s2");
