--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/ConfigurationLog.java
@@ -17,23 +17,27 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * The accepted revisions of the configuration in order, and which updates were decided how, so that a repeated update
- * has the answer that it had. All three are bounded: the oldest go first.
+ * The accepted revisions of the configuration in order, and the decisions on earlier updates, so that a repeated update
+ * gets the same answer. Revisions, accepted and rejected updates are bounded; the oldest are dropped first.
  */
 public final class ConfigurationLog {
-    /** So many revisions are kept at the most. */
+    /** Maximum number of retained revisions. */
     static final int MAX_REVISIONS = 256;
-    /** So many accepted updates are remembered. */
+    /** Maximum number of remembered accepted updates. */
     public static final int MAX_ACCEPTED = 4096;
-    /** So many rejected updates are remembered. */
+    /** Maximum number of remembered rejected updates. */
     public static final int MAX_REJECTED = 256;
 
-    /** Names and digests of one update that is remembered, at the most. */
+    /** Upper bound on the size of one remembered update, with its request id and digest. */
     private static final int REMEMBERED_UPDATE_BYTES = 160;
-    /** What a snapshot has beside configurations and remembered updates: members, lists, identity. */
+    /**
+     * Allowance for the parts of a snapshot other than configurations and remembered updates: members, lists, identity.
+     */
     private static final int SNAPSHOT_OVERHEAD_BYTES = 16 << 10;
 
-    /** One accepted configuration; the original is what the operator sent, where that was translated. */
+    /**
+     * One accepted configuration; the original is the document that the operator sent, empty if it was not translated.
+     */
     public record ConfigurationRevision(
             long version,
             String requestId,
@@ -41,10 +45,13 @@
             byte[] configuration,
             @Since(3) byte[] original) {}
 
-    /** What a request id was used for, by the digest of the content. */
+    /** An accepted update: its request id, the resulting version, and the digest of its content. */
     public record AcceptedUpdate(String requestId, long version, String digest) {}
 
-    /** An update that built on a version ahead of the present one: rejected, also once that version is reached. */
+    /**
+     * An update based on a version ahead of the current one; it stays rejected even after that version has been
+     * reached.
+     */
     public record RejectedUpdate(String requestId, long base) {}
 
     private final int maxHistoryBytes;
@@ -53,7 +60,10 @@
     private final Set<RejectedUpdate> rejectedUpdates = new LinkedHashSet<>();
     private long bytes;
 
-    /** Without any revision; the revisions that are kept have so many bytes at the most. */
+    /**
+     * Creates an empty log. The retained revisions take at most the given number of bytes, except that the newest is
+     * always retained.
+     */
     public ConfigurationLog(int maxHistoryBytes) {
         this.maxHistoryBytes = maxHistoryBytes;
     }
@@ -63,22 +73,22 @@
         return revisions.isEmpty() ? 0 : revisions.get(revisions.size() - 1).version();
     }
 
-    /** The revisions that are kept, the oldest first. */
+    /** The retained revisions, oldest first. */
     public List<ConfigurationRevision> revisions() {
         return new ArrayList<>(revisions);
     }
 
-    /** The accepted updates that are remembered, the oldest first. */
+    /** The remembered accepted updates, oldest first. */
     public List<AcceptedUpdate> acceptedUpdates() {
         return new ArrayList<>(acceptedUpdates.values());
     }
 
-    /** The rejected updates that are remembered, the oldest first. */
+    /** The remembered rejected updates, oldest first. */
     public List<RejectedUpdate> rejectedUpdates() {
         return new ArrayList<>(rejectedUpdates);
     }
 
-    /** Replaces everything; a snapshot of an older build has the revisions only. */
+    /** Replaces the whole state; a snapshot of an older build contains only the revisions. */
     public void restore(
             List<ConfigurationRevision> history, List<AcceptedUpdate> accepted, List<RejectedUpdate> rejected) {
         revisions.clear();
@@ -95,7 +105,7 @@
         });
     }
 
-    /** What the operator sent: the original where there is one. */
+    /** The digest of what the operator sent: of the original if there is one. */
     private static String digest(byte[] configuration, byte[] original) {
         return Configurations.sha256(original.length > 0 ? original : configuration);
     }
@@ -124,19 +134,19 @@
     }
 
     /**
-     * Decides an update; the same update again has the decision that it had.
+     * Decides an update; a repeated update gets the same decision.
      *
-     * @throws ServiceException STALE_BASE if it builds on another version than the present one, CONFLICT if its request
-     *     id stands for other content, INVALID_LAYOUT if its revision is not above the present one
+     * @throws ServiceException STALE_BASE if the update is not based on the current version, CONFLICT if its
+     *     request id was used for other content, INVALID_LAYOUT if its revision is not above the current one
      */
     public ControlMessages.ConfigurationAccepted put(ControlMessages.PutConfiguration update) throws ServiceException {
         String digest = digest(update.configuration(), update.original());
-        Optional<AcceptedUpdate> before = repeatOf(update, digest);
-        if (before.isPresent()) {
-            if (!before.get().digest().equals(digest)) {
+        Optional<AcceptedUpdate> previous = repeatOf(update, digest);
+        if (previous.isPresent()) {
+            if (!previous.get().digest().equals(digest)) {
                 throw new ConflictException("This request id was used for another layout.");
             }
-            return new ControlMessages.ConfigurationAccepted(before.get().version(), true);
+            return new ControlMessages.ConfigurationAccepted(previous.get().version(), true);
         }
         RejectedUpdate identity = new RejectedUpdate(update.requestId(), update.base());
         if (update.base() > version()) {
@@ -156,11 +166,11 @@
     }
 
     /**
-     * Why an update must not go into the log: it is refused whatever comes, or there is no room for it now, or ever.
-     * Empty for what the log decides.
+     * Returns why an update must not be written to the log: it would be rejected in any case, there is currently no
+     * room for it, or it is too large to ever be stored. Empty for an update that the log decides.
      *
-     * @param largestRecordBytes the most bytes that a snapshot with the entries after it can have; 0 for no bound
-     * @param unappliedBytes bytes of the entries that are in the log and not applied
+     * @param largestRecordBytes the maximum size of a snapshot together with the entries after it; 0 for no limit
+     * @param unappliedBytes the size of the entries that are in the log but not yet applied
      */
     public Optional<ServiceException> rejectionReason(
             ControlMessages.PutConfiguration update, int largestRecordBytes, long unappliedBytes) {
@@ -171,19 +181,19 @@
             return Optional.of(staleBase(update.base()));
         }
         long updateBytes = update.configuration().length + update.original().length;
-        long rest = SNAPSHOT_OVERHEAD_BYTES + rememberedBytes();
-        long stateAfter = rest + updateBytes + update.configuration().length;
+        long overheadBytes = SNAPSHOT_OVERHEAD_BYTES + rememberedBytes();
+        long stateAfter = overheadBytes + updateBytes + update.configuration().length;
         if (largestRecordBytes > 0 && stateAfter + updateBytes > largestRecordBytes) {
             return Optional.of(tooLarge(updateBytes));
         }
-        long stateNow = rest + bytes + newestConfigurationBytes();
+        long stateNow = overheadBytes + bytes + newestConfigurationBytes();
         if (largestRecordBytes > 0 && stateNow + unappliedBytes + updateBytes > largestRecordBytes) {
             return Optional.of(new UnavailableException("Other updates are being stored; come back later."));
         }
         return Optional.empty();
     }
 
-    /** The newest configuration is in the state twice: as a revision, and as what nodes are told. */
+    /** The newest configuration is in the state twice: as a revision, and in the service view that nodes receive. */
     private long newestConfigurationBytes() {
         return revisions.isEmpty() ? 0 : revisions.get(revisions.size() - 1).configuration().length;
     }
@@ -198,7 +208,10 @@
                 List.of("the document: " + updateBytes + " bytes as it is kept"));
     }
 
-    /** Earlier builds named an update with an original by its content alone. */
+    /**
+     * Finds the earlier update that this one repeats. Earlier builds identified an update with an original by the
+     * digest of its content alone.
+     */
     private Optional<AcceptedUpdate> repeatOf(ControlMessages.PutConfiguration update, String digest) {
         Optional<AcceptedUpdate> byId = Optional.ofNullable(acceptedUpdates.get(update.requestId()));
         return byId.isPresent() || update.original().length == 0
@@ -207,7 +220,8 @@
     }
 
     /**
-     * The version that such an update builds on may still be reached; other rejected ones can never be accepted later.
+     * Remembers the rejection of an update based on a version that may still be reached; updates rejected for other
+     * reasons can never be accepted later.
      */
     private void rejectPermanently(RejectedUpdate identity) {
         rejectedUpdates.add(identity);
--- a/controlplane/src/main/java/org/woadvale/controlplane/configuration/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The revisions of the configuration and which updates were decided how. */
+/** The revisions of the configuration and the decisions on its updates. */
 package org.woadvale.controlplane.configuration;
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/AppliedRequests.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/AppliedRequests.java
@@ -8,14 +8,16 @@
 import org.woadvale.common.rpc.FirstFormatName;
 
 /**
- * Outcomes of the latest identified commands of one control partition, so that a command that was sent again has the
- * outcome of its first application. Bounded; commands without an id (0) are not remembered.
+ * Outcomes of the latest commands with a request id in one control partition, so that a resent command gets the outcome
+ * of its first application. Bounded; commands without an id (0) are not remembered.
  */
 public final class AppliedRequests {
-    /** So many outcomes are kept. */
+    /** Maximum number of remembered outcomes. */
     public static final int CAPACITY = 256;
 
-    /** What the first application of a command came to; the term of a singleton lease that it acquired, or 0. */
+    /**
+     * The outcome of the first application of a command, with the term of the singleton lease that it acquired, or 0.
+     */
     public record Outcome(
             long requestId,
             boolean accepted,
@@ -42,7 +44,7 @@
         }
     }
 
-    /** The outcomes that are kept, the oldest first. */
+    /** The remembered outcomes, oldest first. */
     public List<Outcome> all() {
         return new ArrayList<>(outcomes.values());
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ControlStateMachine.java
@@ -26,7 +26,7 @@
 
 /** The state of one control partition: services by name, and in partition c0 the configuration. */
 public final class ControlStateMachine implements StateMachine<ControlCommand, ControlResult> {
-    /** All of the state, for snapshots. */
+    /** The complete state, for snapshots. */
     public record State(
             Map<String, ServiceView> services,
             @FirstFormatName("steps") List<ConfigurationLog.ConfigurationRevision> revisions,
@@ -39,18 +39,18 @@
     private final ConfigurationLog configurations;
     private final AppliedRequests appliedRequests = new AppliedRequests();
 
-    /** Without any service; the history of configurations has so many bytes at the most. */
+    /** Creates an empty state whose configuration history takes at most the given number of bytes. */
     public ControlStateMachine(Codec codec, int historyBytes) {
         this.codec = codec;
         this.configurations = new ConfigurationLog(historyBytes);
     }
 
-    /** A service by its internal name; one without members or processors if it is not known. */
+    /** The view of a service by its internal name; an empty one if the service is unknown. */
     public ServiceView service(String name) {
         return services.getOrDefault(name, ServiceView.empty(name));
     }
 
-    /** All services by their internal names. */
+    /** The views of all services by their internal names. */
     public Map<String, ServiceView> services() {
         return new TreeMap<>(services);
     }
@@ -60,7 +60,7 @@
         return configurations;
     }
 
-    /** The outcomes of the latest identified commands. */
+    /** The outcomes of the latest commands with a request id. */
     public AppliedRequests appliedRequests() {
         return appliedRequests;
     }
@@ -100,7 +100,7 @@
                 "Unknown command " + command.getClass().getSimpleName() + ".");
     }
 
-    /** The members of the core as last committed; the epoch is 0 and the list empty until one was. */
+    /** The committed members of the core; an empty list with epoch 0 before the first is committed. */
     public CoreMembers coreMembers() {
         ServiceView core = service(ServiceNames.CORE);
         return new CoreMembers(core.version(), core.placement().getOrDefault(ServiceNames.CORE, List.of()));
@@ -112,7 +112,7 @@
         return putMembers(index, put.service(), members);
     }
 
-    /** A later incarnation of the node stays. */
+    /** Drops the given incarnation of a node; a later one remains a member. */
     private ControlResult dropMember(long index, ControlMessages.DropMember drop) {
         Map<String, MemberLease> members = new HashMap<>(service(drop.service()).members());
         MemberLease lease = members.get(drop.node());
@@ -141,12 +141,12 @@
         return putProcessors(index, drop.service(), processors, drop.expectedVersion(), drop.requestId());
     }
 
-    /** A list is accepted only if it was made from the present one; a repeat has the outcome of its first sending. */
+    /** Accepts a list only if it is based on the current one; a repeated command gets the outcome of the first. */
     private ControlResult putProcessors(
             long index, String service, Map<String, Processor> processors, long expectedVersion, long requestId) {
-        Optional<AppliedRequests.Outcome> before = appliedRequests.outcome(requestId);
-        if (before.isPresent()) {
-            return new UpdateResult(before.get().accepted());
+        Optional<AppliedRequests.Outcome> previous = appliedRequests.outcome(requestId);
+        if (previous.isPresent()) {
+            return new UpdateResult(previous.get().accepted());
         }
         ServiceView view = service(service);
         boolean accepted = expectedVersion == 0 || expectedVersion == view.version() + 1;
@@ -162,31 +162,31 @@
     }
 
     private ControlResult acquireSingleton(long index, ControlMessages.AcquireSingleton acquire) {
-        SingletonLease now = service(acquire.service()).singleton();
+        SingletonLease current = service(acquire.service()).singleton();
         if (acquire.requestId() != 0
                 && appliedRequests.outcome(acquire.requestId()).isPresent()) {
-            boolean still = now.owner().equals(acquire.node())
-                    && now.term() == appliedRequests.singletonTerm(acquire.requestId());
-            return new ControlMessages.SingletonLeaseResponse(still, now);
+            boolean stillOwned = current.owner().equals(acquire.node())
+                    && current.term() == appliedRequests.singletonTerm(acquire.requestId());
+            return new ControlMessages.SingletonLeaseResponse(stillOwned, current);
         }
-        if (now.term() != acquire.expectedTerm()) {
+        if (current.term() != acquire.expectedTerm()) {
             appliedRequests.remember(new AppliedRequests.Outcome(acquire.requestId(), false, 0));
-            return new ControlMessages.SingletonLeaseResponse(false, now);
+            return new ControlMessages.SingletonLeaseResponse(false, current);
         }
-        // the tokens of a crashed owner are lost; only those that an owner has released are handed on
-        double level = now.vacant() ? now.level() : 0;
-        boolean clear = acquire.lapsed() && !now.vacant();
-        SingletonLease next = new SingletonLease(acquire.node(), now.term() + 1, level, clear);
+        // the tokens of a crashed owner are lost; only those that an owner has released pass to the next
+        double level = current.vacant() ? current.level() : 0;
+        boolean clear = acquire.lapsed() && !current.vacant();
+        SingletonLease next = new SingletonLease(acquire.node(), current.term() + 1, level, clear);
         putSingleton(index, acquire.service(), next);
         appliedRequests.remember(new AppliedRequests.Outcome(acquire.requestId(), true, next.term()));
         return new ControlMessages.SingletonLeaseResponse(true, next);
     }
 
     private ControlResult releaseSingleton(long index, ControlMessages.ReleaseSingleton release) {
-        SingletonLease now = service(release.service()).singleton();
-        boolean owns = now.owner().equals(release.node()) && now.term() == release.term();
+        SingletonLease current = service(release.service()).singleton();
+        boolean owns = current.owner().equals(release.node()) && current.term() == release.term();
         if (owns) {
-            putSingleton(index, release.service(), new SingletonLease("", now.term(), release.level(), false));
+            putSingleton(index, release.service(), new SingletonLease("", current.term(), release.level(), false));
         }
         return new UpdateResult(owns);
     }
@@ -200,12 +200,16 @@
         return new UpdateResult(true);
     }
 
-    /** Accepted if the present members are those expected, or the new ones already. */
+    /**
+     * Accepted if the current members are the expected ones or already the new ones, if no list is committed yet, or if
+     * none is expected.
+     */
     private ControlResult putCore(long index, ControlMessages.PutCore put) {
-        Set<String> present = Set.copyOf(coreMembers().members());
-        boolean free = present.isEmpty() || put.expected().isEmpty();
-        boolean accepted =
-                free || present.equals(Set.copyOf(put.expected())) || present.equals(Set.copyOf(put.members()));
+        Set<String> current = Set.copyOf(coreMembers().members());
+        boolean unconditional = current.isEmpty() || put.expected().isEmpty();
+        boolean accepted = unconditional
+                || current.equals(Set.copyOf(put.expected()))
+                || current.equals(Set.copyOf(put.members()));
         return accepted ? putCoreMembers(index, put.members()) : new UpdateResult(false);
     }
 
@@ -249,7 +253,7 @@
             configurations.restore(state.revisions(), state.acceptedUpdates(), state.rejectedUpdates());
             appliedRequests.restore(state.applied());
         } catch (ServiceException failure) {
-            throw new IllegalStateException("unreadable snapshot", failure);
+            throw new IllegalStateException("The snapshot of a control partition cannot be read.", failure);
         }
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/state/ServiceViewQuery.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/state/ServiceViewQuery.java
@@ -14,16 +14,19 @@
     private ServiceViewQuery() {}
 
     /**
-     * The views whose version differs from the one asked with; services of other partitions are left out. Must run
-     * within a linearizable read of the partition: the reported ages are zero.
+     * Returns the views whose version differs from the requested one, leaving out services of other partitions. Must
+     * run within a linearizable read of the partition, since the reported ages are zero.
      */
     public static ControlMessages.ServiceViewResponse changed(
-            String partition, ControlStateMachine machine, ControlMessages.ServiceViewRequest request, long coreEpoch) {
+            String partition,
+            ControlStateMachine stateMachine,
+            ControlMessages.ServiceViewRequest request,
+            long coreEpoch) {
         List<ServiceView> views = new ArrayList<>();
         Map<String, Duration> ages = new HashMap<>();
         request.knownVersions().forEach((service, knownVersion) -> {
             if (ServiceNames.controlPartition(service).equals(partition)) {
-                ServiceView view = machine.service(service);
+                ServiceView view = stateMachine.service(service);
                 ages.put(service, Duration.ZERO);
                 if (view.version() != knownVersion) {
                     views.add(view);
--- a/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
@@ -12,7 +12,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ControlMessages;
 
-/** Revisions, originals and repeated updates. */
+/** Revisions, originals and repeated updates of the configuration log. */
 class ConfigurationLogTest {
     private final ConfigurationLog log = new ConfigurationLog(1 << 20);
 
@@ -20,7 +20,7 @@
         return s.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** What was accepted, or the failure with which the update was rejected. */
+    /** Returns the result of an accepted update, or the failure of a rejected one. */
     private static Object decide(ConfigurationLog log, ControlMessages.PutConfiguration update) {
         try {
             return log.put(update);
@@ -34,12 +34,12 @@
                 log, new ControlMessages.PutConfiguration(id, base, bytes("{}"), "me", revision, bytes(original)));
     }
 
-    private static ErrorKind kind(Object o) {
+    private static ErrorKind kindOf(Object o) {
         return ((ServiceException) o).kind();
     }
 
     @Test
-    void ownRevisionIsTheVersionAndRisesInUnevenSteps() {
+    void suppliedRevisionBecomesTheVersionAndMaySkipNumbers() {
         assertEquals(new ControlMessages.ConfigurationAccepted(3, false), put("a", 0, 3, "A"));
         assertEquals(new ControlMessages.ConfigurationAccepted(17, false), put("b", 3, 17, "B"));
         assertEquals(17, log.version());
@@ -49,20 +49,20 @@
     }
 
     @Test
-    void revisionNotAboveThePresentIsInvalid() {
+    void revisionNotAboveTheCurrentOneIsInvalid() {
         put("a", 0, 5, "A");
-        assertEquals(ErrorKind.INVALID_LAYOUT, kind(put("b", 5, 5, "B")));
-        assertEquals(ErrorKind.INVALID_LAYOUT, kind(put("c", 5, 4, "C")));
+        assertEquals(ErrorKind.INVALID_LAYOUT, kindOf(put("b", 5, 5, "B")));
+        assertEquals(ErrorKind.INVALID_LAYOUT, kindOf(put("c", 5, 4, "C")));
         assertEquals(5, log.version());
     }
 
     @Test
-    void ofTwoOnOneBaseTheSecondIsStale() {
+    void secondUpdateOnTheSameBaseIsStale() {
         put("a", 0, 5, "A");
         assertEquals(new ControlMessages.ConfigurationAccepted(7, false), put("b", 5, 7, "B"));
-        Object lost = put("c", 5, 8, "C");
-        assertEquals(ErrorKind.STALE_BASE, kind(lost));
-        assertTrue(((ServiceException) lost).details().contains("7"), "the present one is named");
+        Object stale = put("c", 5, 8, "C");
+        assertEquals(ErrorKind.STALE_BASE, kindOf(stale));
+        assertTrue(((ServiceException) stale).details().contains("7"), "the current version is in the details");
     }
 
     @Test
@@ -71,14 +71,14 @@
         put("b", 5, 7, "B");
         assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("a", 0, 5, "A"));
         assertEquals(new ControlMessages.ConfigurationAccepted(7, true), put("b", 5, 7, "B"));
-        assertEquals(ErrorKind.CONFLICT, kind(put("a", 0, 5, "other text")));
+        assertEquals(ErrorKind.CONFLICT, kindOf(put("a", 0, 5, "other text")));
     }
 
-    /** Two texts that mean the same configuration are two changes. */
+    /** Two different texts are two updates even if they describe the same configuration. */
     @Test
-    void repeatsAreToldByTheOriginal() {
+    void repeatsAreIdentifiedByTheOriginal() {
         put("a", 0, 5, "A");
-        assertEquals(ErrorKind.CONFLICT, kind(put("a", 0, 5, "A ")));
+        assertEquals(ErrorKind.CONFLICT, kindOf(put("a", 0, 5, "A ")));
         assertArrayEquals(bytes("A"), log.revisions().get(0).original());
     }
 
@@ -95,9 +95,9 @@
                 decide(other, new ControlMessages.PutConfiguration("a", 0, bytes("{}"), "me", 5, bytes("A"))));
     }
 
-    /** Originals count towards the bound, the ids stay. */
+    /** Originals count towards the size limit; the request ids stay remembered. */
     @Test
-    void boundHoldsWithOriginals() {
+    void sizeLimitIncludesOriginals() {
         ConfigurationLog small = new ConfigurationLog(1000);
         long base = 0;
         for (int i = 1; i <= 20; i++) {
@@ -108,7 +108,7 @@
             base = i * 3L;
         }
         assertEquals(60, small.version());
-        assertTrue(small.revisions().size() <= 3, small.revisions().size() + " kept");
+        assertTrue(small.revisions().size() <= 3, small.revisions().size() + " retained");
         assertEquals(
                 new ControlMessages.ConfigurationAccepted(3, true),
                 decide(
@@ -122,45 +122,45 @@
         return other;
     }
 
-    /** An order that built on a version to come was refused; reaching that version does not bring it into force. */
+    /** An update based on a future version is rejected, and stays rejected after that version has been reached. */
     @Test
-    void orderRefusedAheadOfItsBaseStaysRefused() {
+    void updateAheadOfItsBaseStaysRejected() {
         put("a", 0, 5, "A");
-        assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
+        assertEquals(ErrorKind.STALE_BASE, kindOf(put("early", 7, 9, "E")));
         assertEquals(new ControlMessages.ConfigurationAccepted(7, false), put("b", 5, 7, "B"));
-        assertEquals(ErrorKind.STALE_BASE, kind(put("early", 7, 9, "E")));
+        assertEquals(ErrorKind.STALE_BASE, kindOf(put("early", 7, 9, "E")));
         Object inRestored = decide(
                 restored(log), new ControlMessages.PutConfiguration("early", 7, bytes("{}"), "me", 9, bytes("E")));
-        assertEquals(ErrorKind.STALE_BASE, kind(inRestored));
+        assertEquals(ErrorKind.STALE_BASE, kindOf(inRestored));
         assertEquals(new ControlMessages.ConfigurationAccepted(9, false), put("other", 7, 9, "O"));
     }
 
     @Test
-    void repeatIsYesAfterSixHundredLaterChangesAlsoWhereTheStateWasRestored() {
+    void repeatIsAcceptedAfterSixHundredLaterUpdatesAndAfterARestore() {
         put("first", 0, 2, "F");
         for (int i = 1; i <= 600; i++) {
             put("id" + i, i * 2L, i * 2L + 2, "text " + i);
         }
-        ControlMessages.ConfigurationAccepted yes = new ControlMessages.ConfigurationAccepted(2, true);
-        assertEquals(yes, put("first", 0, 2, "F"));
+        ControlMessages.ConfigurationAccepted repeated = new ControlMessages.ConfigurationAccepted(2, true);
+        assertEquals(repeated, put("first", 0, 2, "F"));
         assertEquals(
-                yes,
+                repeated,
                 decide(
                         restored(log),
                         new ControlMessages.PutConfiguration("first", 0, bytes("{}"), "me", 2, bytes("F"))));
         assertEquals(1202, log.version());
     }
 
-    /** A build before named an order by the digest of its text alone: its orders are known under that name. */
+    /** Earlier builds used the digest of the text as the request id; their updates are found by it. */
     @Test
-    void orderOfABuildBeforeIsKnownByItsText() {
+    void updateOfAnEarlierBuildIsFoundByItsDigest() {
         String digest = Configurations.sha256(bytes("A"));
         put(digest, 0, 5, "A");
         assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("new name", 0, 5, "A"));
     }
 
     @Test
-    void memoriesAreBounded() {
+    void rememberedUpdatesAreBounded() {
         for (int i = 1; i <= ConfigurationLog.MAX_ACCEPTED + 50; i++) {
             put("id" + i, i - 1L, i, "");
         }
@@ -171,9 +171,12 @@
         assertEquals(ConfigurationLog.MAX_REJECTED, log.rejectedUpdates().size());
     }
 
-    /** What cannot be taken, or not now, is refused before it is in the log; a repeat is always for the log to answer. */
+    /**
+     * An update that can never be stored, or not now, is rejected before it is written to the log; a repeated update is
+     * always answered by the log.
+     */
     @Test
-    void whatNeedsNoRecordOrHasNoRoomIsRefusedBeforehand() throws ServiceException {
+    void updateThatNeedsNoEntryOrHasNoRoomIsRejectedBeforehand() throws ServiceException {
         int largest = 200 << 10;
         ConfigurationLog log = new ConfigurationLog(100 << 10);
         ControlMessages.PutConfiguration first =
@@ -181,16 +184,16 @@
         assertEquals(Optional.empty(), log.rejectionReason(first, largest, 0));
         log.put(first);
         assertEquals(Optional.empty(), log.rejectionReason(first, largest, largest));
-        assertEquals(ErrorKind.STALE_BASE, refusal(log, 0, 10 << 10, 0));
-        assertEquals(ErrorKind.UNAVAILABLE, refusal(log, 1, 30 << 10, 150 << 10));
-        assertEquals(ErrorKind.INVALID_LAYOUT, refusal(log, 1, 70 << 10, 0));
+        assertEquals(ErrorKind.STALE_BASE, rejection(log, 0, 10 << 10, 0));
+        assertEquals(ErrorKind.UNAVAILABLE, rejection(log, 1, 30 << 10, 150 << 10));
+        assertEquals(ErrorKind.INVALID_LAYOUT, rejection(log, 1, 70 << 10, 0));
         assertEquals(
                 Optional.empty(),
                 log.rejectionReason(
                         new ControlMessages.PutConfiguration("next", 1, new byte[50 << 10], "me"), largest, 0));
     }
 
-    private static ErrorKind refusal(ConfigurationLog log, long base, int bytes, long unappliedBytes) {
+    private static ErrorKind rejection(ConfigurationLog log, long base, int bytes, long unappliedBytes) {
         ControlMessages.PutConfiguration update =
                 new ControlMessages.PutConfiguration("other", base, new byte[bytes], "me");
         return log.rejectionReason(update, 200 << 10, unappliedBytes)
