--- a/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/ControlPlaneProgram.java
@@ -35,12 +35,15 @@
 import org.woadvale.controlplane.registry.ProcessorRegistry;
 import org.woadvale.controlplane.registry.ProcessorSource;
 
-/** The control plane program. */
+/** Entry point of the control plane process. */
 public final class ControlPlaneProgram {
     private static final AtomicReference<Runnable> DRAIN = new AtomicReference<>(() -> {});
 
     private static final Duration DRAIN_CHECK_INTERVAL = Duration.ofMillis(50);
-    /** Three seconds at most: a successor that is there counts everywhere by then, and the grace period is longer. */
+    /**
+     * Drains for at most 3 s: an available successor has replaced this node in every group by then, and the grace
+     * period is longer.
+     */
     private static final int MAX_DRAIN_CHECKS = 60;
 
     private static final int MEBIBYTE_SHIFT = 20;
@@ -54,15 +57,15 @@
                 .main(args));
     }
 
-    /** Lets the running node stop in order; nothing before it runs. */
+    /** Drains the running node before it stops; does nothing if no node has been built. */
     public static void drain() {
         DRAIN.get().run();
     }
 
     /**
-     * Checks settings beyond what their fields say by themselves.
+     * Validates the settings of a control node beyond the constraints of the individual fields.
      *
-     * @throws ServiceException INVALID settings, with the field that is wrong
+     * @throws ServiceException if a setting is invalid; the message names the field
      */
     public static void check(Settings settings) throws ServiceException {
         if (settings.data().isEmpty()) {
@@ -88,10 +91,10 @@
     }
 
     /**
-     * The components of a control node, not started yet.
+     * Creates the components of a control node without starting them.
      *
-     * @param processors a source that knows all processors, if there is one
-     * @param gateways makes the HTTP servers from the handler of operators' requests
+     * @param processors the source of the complete processor lists, if there is one
+     * @param gateways creates the HTTP servers for the operator request handler
      * @throws ServiceException if the data folder cannot be opened
      */
     public static Supervisor build(
@@ -128,14 +131,14 @@
                 settings.zone(),
                 settings.faultTolerance());
         node.route(router);
-        OperatorHttpHandler operators = new OperatorHttpHandler(node, settings.operatorKeySha256());
-        operators.route(router);
+        OperatorHttpHandler operatorHandler = new OperatorHttpHandler(node, settings.operatorKeySha256());
+        operatorHandler.route(router);
         DRAIN.set(() -> drain(node));
         Supervisor supervisor =
                 new Supervisor("controlplane", timers, onGiveUp).with(rpc).with(node);
         processors.ifPresent(processorSource ->
                 supervisor.with(new ProcessorRegistry(environment, node, processorSource, REGISTRY_PERIOD)));
-        gateways.apply(operators).forEach(supervisor::with);
+        gateways.apply(operatorHandler).forEach(supervisor::with);
         return supervisor;
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationHttpHandler.java
@@ -14,7 +14,7 @@
 import org.woadvale.controlplane.api.ControlApiMessages.HistoryResponse;
 import reactor.core.publisher.Mono;
 
-/** HTTP for the configuration: {@code /v1/layout}, its revisions and its history. */
+/** HTTP handler for the configuration: {@code /v1/layout}, its revisions and its history. */
 final class ConfigurationHttpHandler {
     private static final int OK = 200;
     private static final String VERSION = "[0-9]{1,18}";
@@ -58,18 +58,18 @@
                                         "version", accepted.version(),
                                         "repeated", accepted.repeated(),
                                         "requestId", requestId))
-                        .withHeader("ETag", tag(accepted.version())));
+                        .withHeader("ETag", etag(accepted.version())));
     }
 
-    /** What is no version asks for the newest. */
+    /** Returns the revision with the given version; the newest if the path segment is not a version number. */
     private Mono<Response> get(String version) {
         return configurations
                 .get(version.matches(VERSION) ? Long.parseLong(version) : NEWEST)
                 .map(found -> new Response(OK, Map.of("Content-Type", "application/json"), found.configuration())
-                        .withHeader("ETag", tag(found.version())));
+                        .withHeader("ETag", etag(found.version())));
     }
 
-    private static String tag(long version) {
+    private static String etag(long version) {
         return "\"" + version + "\"";
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ConfigurationService.java
@@ -26,22 +26,22 @@
 import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Mono;
 
-/** Reads and updates of the configuration from any control node; the leader of its partition decides. */
+/** Reads and updates the configuration from any control node, by requests to the leader of its partition. */
 public final class ConfigurationService {
     private static final String PARTITION = ServiceNames.controlPartition(ServiceNames.CONFIGURATION);
 
-    /** So many updates wait for the one before them to be decided. */
-    private static final int UPDATES_WAITING = 32;
+    /** Maximum number of updates that wait for the current one to be decided. */
+    private static final int MAX_WAITING_UPDATES = 32;
 
     private final ControlNode node;
     private final Stage<ControlMessages.PutConfiguration, ConfigurationAccepted> updates;
 
     ConfigurationService(ControlNode node) {
         this.node = node;
-        this.updates = new Stage<>("configurations", UPDATES_WAITING, 1, this::decide);
+        this.updates = new Stage<>("configurations", MAX_WAITING_UPDATES, 1, this::decide);
     }
 
-    /** What this node answers as the leader of the partition. */
+    /** Registers the handlers for requests to the leader of the partition. */
     void route(RpcRouter router) {
         router.on(PutConfigurationRequest.class, (from, request) -> updates.submit(request.put()))
                 .on(
@@ -50,16 +50,16 @@
                 .on(GetHistoryRequest.class, (from, request) -> revisions().map(ConfigurationService::history));
     }
 
-    /** One update at a time is in the log; what needs no record is decided by the present state alone. */
+    /** Proposes one update at a time; an update that the current state alone can reject is not written to the log. */
     private Mono<ConfigurationAccepted> decide(ControlMessages.PutConfiguration update) {
         Replica<ControlCommand, ControlResult> replica = node.replica(PARTITION);
-        return replica.read(index -> refusal(update, replica.unappliedBytes()))
-                .flatMap(refusal -> refusal.isPresent()
-                        ? Mono.error(refusal.get())
+        return replica.read(index -> rejection(update, replica.unappliedBytes()))
+                .flatMap(rejection -> rejection.isPresent()
+                        ? Mono.error(rejection.get())
                         : replica.propose(update, ConfigurationAccepted.class));
     }
 
-    private Optional<ServiceException> refusal(ControlMessages.PutConfiguration update, long unappliedBytes) {
+    private Optional<ServiceException> rejection(ControlMessages.PutConfiguration update, long unappliedBytes) {
         return node.stateMachine(PARTITION)
                 .configurations()
                 .rejectionReason(update, node.largestRecordBytes(), unappliedBytes);
@@ -103,28 +103,29 @@
     }
 
     /**
-     * Decides an update that was checked by the caller.
+     * Submits an update that the caller has validated.
      *
-     * @return a definite yes, or an exception: a definite no, or {@link OutcomeUnknownException}
+     * @return the accepted version; fails with a definite rejection or with {@link OutcomeUnknownException}
      */
     public Mono<ConfigurationAccepted> put(ControlMessages.PutConfiguration update) {
         return node.call(PARTITION, new PutConfigurationRequest(update), ConfigurationAccepted.class);
     }
 
     /**
-     * A revision that is kept, by its version; the newest for a negative one. Never older than what was acknowledged.
+     * Returns a retained revision by its version, or the newest for a negative version. The result is never older than
+     * an acknowledged update.
      */
     public Mono<ConfigurationResponse> get(long version) {
         return node.call(PARTITION, new GetConfigurationRequest(version), ConfigurationResponse.class)
                 .onErrorMap(error -> asFailedRead(ServiceException.of(error)));
     }
 
-    /** The revisions that are kept, the oldest first. */
+    /** The retained revisions, oldest first. */
     Mono<HistoryResponse> history() {
         return node.call(PARTITION, new GetHistoryRequest(0), HistoryResponse.class);
     }
 
-    /** A read that got no answer in time has changed nothing. */
+    /** Maps an unknown outcome to UNAVAILABLE, since a read changes nothing. */
     private static ServiceException asFailedRead(ServiceException failure) {
         return failure instanceof OutcomeUnknownException
                 ? new UnavailableException("No answer of a leader came in time.")
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ControlApiMessages.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ControlApiMessages.java
@@ -10,36 +10,39 @@
 import org.woadvale.controlplane.state.AppliedRequests;
 import org.woadvale.controlplane.state.ControlStateMachine;
 
-/** What control nodes ask one another on behalf of operators and the platform. */
+/** Requests between control nodes on behalf of operators and the platform. */
 public final class ControlApiMessages {
     private ControlApiMessages() {}
 
-    /** An operator's update, from the node that was asked to the leader of the configuration's partition. */
+    /** An operator's update, forwarded by the node that received it to the leader of the configuration's partition. */
     public record PutConfigurationRequest(ControlMessages.PutConfiguration put) implements RepeatableRequest {}
 
-    /** Asks for a revision that is kept; a negative version stands for the newest. */
+    /** Requests a retained revision; a negative version requests the newest. */
     public record GetConfigurationRequest(long version) implements RepeatableRequest {}
 
-    /** A revision; the original is what the operator sent, and empty where nothing was translated. */
+    /** A revision; the original is the document that the operator sent, empty if it was not translated. */
     public record ConfigurationResponse(
             long version,
             String author,
             byte[] configuration,
             @Since(3) byte[] original) {}
 
-    /** Asks for the revisions that are kept. */
+    /** Requests the list of retained revisions. */
     public record GetHistoryRequest(int most) implements RepeatableRequest {}
 
-    /** One element of each list for each revision, the oldest first. */
+    /** Parallel lists with one element for each revision, oldest first. */
     public record HistoryResponse(List<Long> versions, List<String> requests, List<String> authors) {}
 
-    /** Asks for the processors of a service. */
+    /** Requests the processors of a service. */
     public record GetProcessorsRequest(String service) implements RepeatableRequest {}
 
-    /** The processors of a service by id, and the version of the view that has them. */
+    /** The processors of a service by id, and the version of the service view that contains them. */
     public record ProcessorsResponse(Map<String, Processor> processors, long version) {}
 
-    /** The types of a control node by their numbers on the wire and on disk: only ever add at the end. */
+    /**
+     * The types that only control nodes use. Their order defines the type ids on the wire and on disk, so types are
+     * only ever appended.
+     */
     public static List<Class<?>> types() {
         return List.of(
                 ControlStateMachine.State.class,
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/CoreHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/CoreHttpHandler.java
@@ -20,12 +20,12 @@
 import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Mono;
 
-/** HTTP for the members of the core: {@code PUT v1/core} exchanges one of them by hand. */
+/** HTTP handler for the members of the core: {@code PUT v1/core} replaces one of them manually. */
 final class CoreHttpHandler {
     private static final int OK = 200;
     private static final String ADDRESS = "[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}";
     private static final String PARTITION = ServiceNames.controlPartition(ServiceNames.CORE);
-    /** The field of the body that lists the members. */
+    /** The field of the request body that lists the members. */
     private static final String FIELD = "lighthouses";
 
     private final ControlNode node;
@@ -40,30 +40,30 @@
 
     private Mono<Response> put(Request request) throws ServiceException {
         List<String> members = members(request);
-        List<String> present = node.committedControlNodes();
+        List<String> current = node.committedControlNodes();
         if (node.replica(PARTITION).members().isEmpty()) {
             throw new UnavailableException("This control node has not joined yet; ask another.");
         }
-        if (members.size() != present.size()) {
+        if (members.size() != current.size()) {
             throw new InvalidRequestException(
                     FIELD + " must be as many internal addresses as the core has members, which are "
-                            + String.join(", ", present) + ".");
+                            + String.join(", ", current) + ".");
         }
-        if (members.stream().filter(present::contains).count() < present.size() - 1) {
+        if (members.stream().filter(current::contains).count() < current.size() - 1) {
             throw new ConflictException("Only one control node may be exchanged at a time; the present ones are "
-                    + String.join(", ", present) + ".");
+                    + String.join(", ", current) + ".");
         }
-        boolean another = !Set.copyOf(members).equals(Set.copyOf(present));
-        if (another && node.isMembershipChanging()) {
-            throw exchangeUnderWay();
+        boolean changed = !Set.copyOf(members).equals(Set.copyOf(current));
+        if (changed && node.isMembershipChanging()) {
+            throw changeInProgress();
         }
-        return node.call(PARTITION, new ControlMessages.PutCore(members, present), ControlMessages.UpdateResult.class)
+        return node.call(PARTITION, new ControlMessages.PutCore(members, current), ControlMessages.UpdateResult.class)
                 .flatMap(result -> result.accepted()
                         ? Mono.just(Response.json(OK, Map.of(FIELD, members)))
-                        : Mono.error(exchangeUnderWay()));
+                        : Mono.error(changeInProgress()));
     }
 
-    private static ConflictException exchangeUnderWay() {
+    private static ConflictException changeInProgress() {
         return new ConflictException("Another exchange is under way; look at GET /v1/status.");
     }
 
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/OperatorHttpHandler.java
@@ -17,11 +17,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * HTTP for operators and the platform, on any control node; each request finds the leader that decides it. Liveness,
- * readiness and status need no key.
+ * HTTP handler for operators and the platform, on any control node; requests are forwarded to the leader of the
+ * partition concerned. Liveness, readiness and status require no key.
  */
 public final class OperatorHttpHandler {
-    /** The longest body of a request, in bytes. */
+    /** The maximum size of a request body, in bytes. */
     public static final int MAX_CONFIGURATION_BYTES = 1 << 20;
 
     private static final int OK = 200;
@@ -35,9 +35,9 @@
     private final HttpRouter operatorRoutes = new HttpRouter();
 
     /**
-     * The handler of one node.
+     * Creates the handler of one node.
      *
-     * @param operatorKeySha256 the hash of the operators' key in hexadecimal; empty if no key is asked for
+     * @param operatorKeySha256 the SHA-256 hash of the operator key in hexadecimal; empty if no key is required
      */
     public OperatorHttpHandler(ControlNode node, String operatorKeySha256) {
         this.node = node;
@@ -54,23 +54,23 @@
         new CoreHttpHandler(node).route(operatorRoutes);
     }
 
-    /** What other control nodes ask this one on behalf of operators. */
+    /** Registers the handlers for requests that other control nodes forward for operators. */
     public void route(RpcRouter router) {
         configurations.route(router);
         processorLists.route(router);
     }
 
-    /** The node that answers. */
+    /** The node that this handler belongs to. */
     public ControlNode node() {
         return node;
     }
 
-    /** The configuration, as operators read and update it. */
+    /** The service that reads and updates the configuration. */
     public ConfigurationService configurations() {
         return configurations;
     }
 
-    /** Answers a request; a failure is an answer too. */
+    /** Handles a request; a failure becomes an error response. */
     public Mono<Response> handle(Request request) {
         return Mono.defer(() -> {
                     try {
@@ -83,9 +83,9 @@
     }
 
     private Mono<Response> route(Request request) throws ServiceException {
-        Optional<Mono<Response>> open = publicRoutes.route(request);
-        if (open.isPresent()) {
-            return open.get();
+        Optional<Mono<Response>> publicResponse = publicRoutes.route(request);
+        if (publicResponse.isPresent()) {
+            return publicResponse.get();
         }
         requireOperatorKey(request);
         return operatorRoutes
@@ -117,7 +117,10 @@
         return Mono.just(Response.json(status, body));
     }
 
-    /** Where no leader was found nothing was written; where it was lost midway nobody knows yet. */
+    /**
+     * Maps failures to reach a leader to UNAVAILABLE, since nothing was written. Other failures stay: if the leader was
+     * lost during the request, the outcome is unknown.
+     */
     private static ServiceException asUnavailable(ServiceException failure) {
         boolean notSent = failure instanceof NotLeaderException || failure instanceof UnreachableException;
         return notSent ? new UnavailableException("No leader of the partition could be reached.") : failure;
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorHttpHandler.java
@@ -14,7 +14,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import reactor.core.publisher.Mono;
 
-/** HTTP for the lists of processors: {@code /v1/services/{service}/processors[/{id}]}. */
+/** HTTP handler for the processor lists: {@code /v1/services/{service}/processors[/{id}]}. */
 final class ProcessorHttpHandler {
     private static final int OK = 200;
     private static final String SERVICE = "[a-z0-9][a-z0-9_-]{0,62}";
@@ -57,7 +57,7 @@
                 .thenReturn(Response.json(OK, Map.of("id", id, "address", address, "leaving", leaving)));
     }
 
-    /** The internal name of the service that a path names. */
+    /** The internal name of the service in the path. */
     private static String service(Request request, Map<String, String> path) throws NotFoundException {
         return ServiceNames.processors(segment(request, path.get("service"), SERVICE));
     }
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/ProcessorListService.java
@@ -16,19 +16,19 @@
 import org.woadvale.controlplane.node.ControlNode;
 import reactor.core.publisher.Mono;
 
-/** Reads and changes of the lists of processors, from any control node; the leader of a list's partition decides. */
+/** Reads and changes the processor lists from any control node, by requests to the leader of a list's partition. */
 public final class ProcessorListService {
-    /** A list that is changed by others all the time is given up after so many attempts. */
+    /** How often a change is attempted while concurrent changes keep modifying the list. */
     private static final int MAX_ATTEMPTS = 8;
 
     private final ControlNode node;
 
-    /** Lists by way of a node. */
+    /** Creates a service that sends its requests through the given node. */
     public ProcessorListService(ControlNode node) {
         this.node = node;
     }
 
-    /** What this node answers as the leader of a list's partition. */
+    /** Registers the handler for requests to the leader of a list's partition. */
     void route(RpcRouter router) {
         router.on(GetProcessorsRequest.class, (from, request) -> read(request.service()));
     }
@@ -41,13 +41,13 @@
         });
     }
 
-    /** The list of a service, by its internal name. */
+    /** Returns the processor list of a service, given its internal name. */
     public Mono<ProcessorsResponse> get(String service) {
         return node.call(
                 ServiceNames.controlPartition(service), new GetProcessorsRequest(service), ProcessorsResponse.class);
     }
 
-    /** Writes one processor, new or not. */
+    /** Adds or replaces one processor. */
     Mono<Boolean> put(String service, String id, Processor processor) {
         return change(
                 service,
@@ -56,7 +56,7 @@
                 MAX_ATTEMPTS);
     }
 
-    /** Drops one processor; true also if it was not there. */
+    /** Removes one processor; succeeds also if it is not in the list. */
     Mono<Boolean> drop(String service, String id) {
         return change(
                 service,
@@ -64,7 +64,7 @@
                 MAX_ATTEMPTS);
     }
 
-    /** Replaces all processors of a service, if their list still is the one that was read; false if not. */
+    /** Replaces all processors of a service if the list is unchanged since it was read; returns false otherwise. */
     public Mono<Boolean> replace(String service, ProcessorsResponse read, Map<String, Processor> processors) {
         ControlMessages.PutProcessors command = new ControlMessages.PutProcessors(
                 service, new HashMap<>(processors), read.version() + 1, ControlMessages.newRequestId());
@@ -72,7 +72,10 @@
                 .map(UpdateResult::accepted);
     }
 
-    /** A change names the list that was read, so that one which was delayed on its way cannot undo a later one. */
+    /**
+     * Attempts a change that carries the version of the list that was read, so that a delayed change cannot undo a
+     * later one.
+     */
     private Mono<Boolean> change(String service, LongFunction<RepeatableRequest> command, int attemptsLeft) {
         return get(service)
                 .flatMap(read -> node.call(
--- a/controlplane/src/main/java/org/woadvale/controlplane/api/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/api/package-info.java
@@ -1,2 +1,4 @@
-/** What operators and the platform ask a control node, over HTTP, and what control nodes ask one another for them. */
+/**
+ * HTTP API of control nodes for operators and the platform, and the requests that control nodes forward to one another.
+ */
 package org.woadvale.controlplane.api;
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/ControlNode.java
@@ -39,12 +39,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A control node: one replica of every control partition, and what it answers as their leader. Leaders are spread over
- * the nodes: each partition prefers another one.
+ * A control node: hosts one replica of every control partition and serves the requests that it receives as their
+ * leader. Each partition has a different preferred leader, so that leadership is spread over the nodes.
  */
 public final class ControlNode implements Component {
     private static final int MAX_HISTORY_BYTES = 512 << 10;
-    /** A snapshot with the history, beside the rest of the state, must fit into one record of the log. */
+    /**
+     * Limits the configuration history to a quarter of the largest log record, because a snapshot must fit into one
+     * record together with the rest of the state.
+     */
     private static final int HISTORY_FRACTION = 4;
 
     private static final Duration TICK = Duration.ofMillis(250);
@@ -53,28 +56,28 @@
     private record ControlPartition(
             Replica<ControlCommand, ControlResult> replica, ControlStateMachine stateMachine, LeaseManager leases) {}
 
-    /** A partition in the answer to {@code GET v1/status}; the names are those of its JSON. */
+    /** The status of a partition in the response to {@code GET v1/status}; the components are the JSON field names. */
     private record PartitionStatus(Role phase, long term, String owner, Set<String> group) {}
 
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final Map<String, ControlPartition> partitions = new LinkedHashMap<>();
-    private final LeaderAvailability leaders = new LeaderAvailability();
+    private final LeaderAvailability leaderAvailability = new LeaderAvailability();
     private final RetryingCoreClient retryingClient;
     private final PlacementDriver placement;
     private final CoreMembership membership;
     private final ViewCompression compression = new ViewCompression();
     private final MajorityContact contact;
-    private TimerHandle ticking = () -> {};
-    private TimerHandle refreshing = () -> {};
+    private TimerHandle tickTimer = () -> {};
+    private TimerHandle refreshTimer = () -> {};
     private volatile boolean draining;
 
     /**
-     * A node that does nothing before {@link #start}.
+     * Creates a node that is idle until {@link #start}.
      *
-     * @param desiredMembers the first members of the core; empty for a node that joins a running core, which votes once
-     *     the leaders have made it a member
-     * @param faultTolerance what the core's group and the groups of the message partitions must bear
+     * @param desiredMembers the initial members of the core; empty for a node that joins a running core and votes
+     *     only after the leaders have added it to their groups
+     * @param faultTolerance the losses that the core's group and the groups of the message partitions must tolerate
      */
     public ControlNode(
             NodeEnvironment environment,
@@ -104,7 +107,7 @@
         return new ControlPartition(replica, stateMachine, new LeaseManager(replica, stateMachine, environment));
     }
 
-    /** Each partition has another preferred leader, so that leaders are spread. */
+    /** Rotates the members by partition, so that each partition has a different preferred leader. */
     private static List<String> preferredOrder(List<String> members, String partition) {
         List<String> sorted = new ArrayList<>(new TreeSet<>(members));
         Collections.rotate(sorted, Integer.parseInt(partition.substring(1)));
@@ -116,7 +119,7 @@
         return "control node";
     }
 
-    /** What this node answers to other nodes. */
+    /** Registers the handlers for requests from other nodes. */
     public void route(RpcRouter router) {
         ReplicationMessages.route(router, id -> partition(id).map(ControlPartition::replica));
         routeLeases(router);
@@ -154,7 +157,7 @@
                 .on(ControlMessages.PutProcessors.class, (from, put) -> update(put.service(), put));
     }
 
-    /** The settings changed while the node runs. */
+    /** Replaces the seed addresses after a change of the settings. */
     public void updateSeeds(List<String> seeds) {
         core.updateSeeds(seeds);
     }
@@ -179,7 +182,10 @@
                 .flatMap(partition -> partition.replica().propose(command, UpdateResult.class));
     }
 
-    /** Every service asked for is of one partition; the age is nothing, since the lease was checked just now. */
+    /**
+     * All requested services belong to one partition. The reported ages are zero, since the read has just confirmed the
+     * leader's lease.
+     */
     private Mono<ControlMessages.ServiceViewResponse> changedViews(ControlMessages.ServiceViewRequest request) {
         String id = ServiceNames.controlPartition(
                 request.knownVersions().keySet().stream().findFirst().orElse(ServiceNames.CONFIGURATION));
@@ -193,13 +199,14 @@
                                 core.members().epoch())));
     }
 
-    /** The most bytes that one stored record can have. */
+    /** The maximum size of a stored record, in bytes. */
     public int largestRecordBytes() {
         return environment.wal().largestRecordBytes();
     }
 
     /**
-     * The members of all control partitions' groups, or those that other nodes have named while this node is in none.
+     * The members of the groups of all control partitions or, while this node belongs to no group, those of the newest
+     * member list that it has received.
      */
     public List<String> controlNodes() {
         TreeSet<String> nodes = new TreeSet<>();
@@ -208,20 +215,20 @@
     }
 
     /**
-     * The members by the committed list, as far as that is applied here; while an exchange is under way that is not
-     * what every group has. Those of the groups while no list was committed.
+     * The members in the committed list, as far as it is applied on this node; during a membership change some groups
+     * still have other members. The members of the groups while no list has been committed.
      */
     public List<String> committedControlNodes() {
         List<String> listed = membership.committed().members();
         return listed.isEmpty() ? controlNodes() : listed;
     }
 
-    /** Whether some group does not have the members of the committed list yet, as far as known here. */
+    /** Whether, as far as this node knows, some group does not have the members of the committed list yet. */
     public boolean isMembershipChanging() {
         return membership.isChanging();
     }
 
-    /** The newest committed list of the core's members that is known here. */
+    /** The newest committed member list of the core that this node knows. */
     public CoreMembers members() {
         return core.members();
     }
@@ -232,8 +239,8 @@
         for (Map.Entry<String, ControlPartition> partition : partitions.entrySet()) {
             partition.getValue().replica().start(recovered.getOrDefault(partition.getKey(), List.of()));
         }
-        ticking = environment.timers().every(TICK, this::onTick);
-        refreshing = environment.timers().every(REFRESH_INTERVAL, core::refreshMembers);
+        tickTimer = environment.timers().every(TICK, this::onTick);
+        refreshTimer = environment.timers().every(REFRESH_INTERVAL, core::refreshMembers);
         membership.onTick();
     }
 
@@ -241,7 +248,10 @@
         return partitions.values().stream().map(ControlPartition::replica).toList();
     }
 
-    /** Who the members of the core should be, as far as partition c0 is known here. */
+    /**
+     * Makes the committed members of the core, as far as partition c0 is applied here, the desired members of all
+     * partitions.
+     */
     private void followCoreMembers() {
         CoreMembers desired = membership.committed();
         core.adopt(desired);
@@ -264,7 +274,10 @@
         }
     }
 
-    /** The preferred leader of a partition leads it once it is back and up to date; one transfer with a tick. */
+    /**
+     * Transfers leadership back to the preferred leader of a partition once it is up to date; at most one transfer per
+     * tick.
+     */
     private void balanceLeaders() {
         for (Map.Entry<String, ControlPartition> partition : partitions.entrySet()) {
             Replica<ControlCommand, ControlResult> replica =
@@ -277,7 +290,7 @@
         }
     }
 
-    /** Transfers all leaderships before the node stops; true once nothing keeps it any more. */
+    /** Transfers the leadership of all partitions before the node stops. Returns true once the node may stop. */
     public boolean drain() {
         draining = true;
         replicas().forEach(Replica::declineLeadership);
@@ -292,27 +305,30 @@
 
     @Override
     public void stop() {
-        ticking.cancel();
-        refreshing.cancel();
+        tickTimer.cancel();
+        refreshTimer.cancel();
         replicas().forEach(Replica::stop);
     }
 
     private void observeLeaders() {
         Duration now = environment.clock().monotonicTime();
-        partitions.forEach((id, partition) -> leaders.observe(id, partition.replica(), now));
+        partitions.forEach((id, partition) -> leaderAvailability.observe(id, partition.replica(), now));
     }
 
     /**
-     * Whether operators and processors may be sent here. A partition that changes its leader in order is without one
-     * for a moment; that is no reason to turn them away.
+     * Whether this node is ready to serve operators and processors. It stays ready while a planned change of leader
+     * leaves a partition without one for a moment.
      */
     public boolean ready() {
         observeLeaders();
         Duration now = environment.clock().monotonicTime();
-        return contact.isReady(leaders.allRecent(partitions.keySet(), now));
+        return contact.isReady(leaderAvailability.allRecent(partitions.keySet(), now));
     }
 
-    /** A request to the leader of a partition, repeated while there is none; see {@link RetryingCoreClient#call}. */
+    /**
+     * Sends a request to the leader of a partition and retries while there is none; see {@link
+     * RetryingCoreClient#call}.
+     */
     public <T> Mono<T> call(String partition, RepeatableRequest request, Class<T> responseType) {
         return retryingClient.call(partition, request, responseType);
     }
@@ -322,12 +338,15 @@
         return partitions.get(partition).replica();
     }
 
-    /** The state of a partition on this node; to be used within {@link Replica#read} or {@link Replica#inspect}. */
+    /**
+     * The state machine of a partition on this node; to be used only within {@link Replica#read} or {@link
+     * Replica#inspect}.
+     */
     public ControlStateMachine stateMachine(String partition) {
         return partitions.get(partition).stateMachine();
     }
 
-    /** Each partition as this node knows it, for people. */
+    /** The status of each partition as known to this node, for display. */
     public Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         partitions.forEach((id, partition) -> status.put(id, status(partition.replica())));
--- a/controlplane/src/main/java/org/woadvale/controlplane/node/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/node/package-info.java
@@ -1,2 +1,2 @@
-/** One control node: its replicas, what it answers, and its way in and out. */
+/** A control node: its replicas, its request handlers, and its startup and shutdown. */
 package org.woadvale.controlplane.node;
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorRegistry.java
@@ -24,8 +24,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes over the lists of processors from a source that has them all. The leader of partition c0 reads for all; whole
- * lists are written, and only where they differ.
+ * Copies the processor lists from a source that has all of them. Only the leader of partition c0 reads the source; it
+ * writes whole lists, and only those that differ.
  */
 public final class ProcessorRegistry implements Component {
     private static final Logger LOG = LogManager.getLogger(ProcessorRegistry.class);
@@ -35,19 +35,19 @@
     private final ProcessorSource source;
     private final Duration period;
     private final AtomicBoolean reading = new AtomicBoolean();
-    private TimerHandle ticking = () -> {};
+    private TimerHandle tickTimer = () -> {};
     private boolean failing;
 
     /**
-     * Reads through one control node.
+     * Creates the registry of one control node.
      *
-     * @param period between two readings
+     * @param period the time between two reads of the source
      */
-    public ProcessorRegistry(NodeEnvironment environment, ControlNode node, ProcessorSource registry, Duration period) {
+    public ProcessorRegistry(NodeEnvironment environment, ControlNode node, ProcessorSource source, Duration period) {
         this.environment = environment;
         this.node = node;
         this.lists = new ProcessorListService(node);
-        this.source = registry;
+        this.source = source;
         this.period = period;
     }
 
@@ -58,12 +58,12 @@
 
     @Override
     public void start() {
-        ticking = environment.timers().every(period, this::onTick);
+        tickTimer = environment.timers().every(period, this::onTick);
     }
 
     @Override
     public void stop() {
-        ticking.cancel();
+        tickTimer.cancel();
     }
 
     private boolean isLeader() {
@@ -71,21 +71,21 @@
         return replica.isActiveLeader();
     }
 
-    /** Services that have a list; none as long as no configuration was accepted. */
+    /** The services that have a processor list; none while no configuration has been accepted. */
     private Set<String> listedServices() {
-        byte[] kept = node.replica("c0")
+        byte[] configuration = node.replica("c0")
                 .inspect(i -> node.stateMachine("c0").service(ServiceNames.CONFIGURATION))
                 .configuration();
         Set<String> names = new TreeSet<>();
-        if (kept.length > 0) {
+        if (configuration.length > 0) {
             try {
-                Configurations.readAccepted(kept).services().forEach((name, service) -> {
+                Configurations.readAccepted(configuration).services().forEach((name, service) -> {
                     if (service.kind() == Configuration.Kind.PROCESSORS) {
                         names.add(name);
                     }
                 });
             } catch (ServiceException failure) {
-                LOG.error("The configuration is unreadable here: {}", failure.details());
+                LOG.error("The configuration cannot be read: {}", failure.details());
             }
         }
         return names;
@@ -119,12 +119,15 @@
         failing = true;
     }
 
-    /** Of two readings the later is written last: one is under way at a time, and by the leader of c0 only. */
+    /**
+     * Writes a list if it differs. Of two reads the later is written last, since only the leader of c0 reads, and one
+     * read at a time.
+     */
     private Mono<Boolean> update(String service, Map<String, Processor> list) {
-        String key = ServiceNames.processors(service);
-        return lists.get(key)
+        String internalName = ServiceNames.processors(service);
+        return lists.get(internalName)
                 .flatMap(read -> read.processors().equals(list) || !isLeader()
                         ? Mono.just(true)
-                        : lists.replace(key, read, list));
+                        : lists.replace(internalName, read, list));
     }
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/ProcessorSource.java
@@ -4,9 +4,9 @@
 import org.woadvale.common.membership.Processor;
 import reactor.core.publisher.Mono;
 
-/** Knows all processors: the platform, or a fake in tests. */
+/** Source of the complete list of processors: the platform, or a fake in tests. */
 @FunctionalInterface
 public interface ProcessorSource {
-    /** All processors, by service and id; fails where the source cannot be read. */
+    /** Returns all processors by service and id; fails if the source cannot be read. */
     Mono<Map<String, Map<String, Processor>>> list();
 }
--- a/controlplane/src/main/java/org/woadvale/controlplane/registry/package-info.java
+++ b/controlplane/src/main/java/org/woadvale/controlplane/registry/package-info.java
@@ -1,2 +1,2 @@
-/** Takes over the lists of processors from whoever knows them all. */
+/** Copies processor lists from a source that has all of them. */
 package org.woadvale.controlplane.registry;
