--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/Message.java
@@ -8,9 +8,10 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * One message as its partition knows it. Done ones keep no body. The envelope is opaque here: whoever submits and
- * whoever delivers agree on it. Of each attempt it is kept whether its end was taken, for ever and without a bound on
- * their number: the first 62 are bits of {@code ends}, the later ones bits of {@code laterEnds}, in their order.
+ * The state of one message in its partition. A message that is done keeps neither body nor envelope. The envelope is
+ * opaque here: only the submitting and the delivering side interpret it. The message records for every attempt, without
+ * a limit on their number, whether an outcome other than unknown was committed: attempts 1 to 62 are bits of
+ * {@code ends}, later ones are bits of {@code laterEnds}.
  */
 public record Message(
         String handle,
@@ -36,23 +37,23 @@
         @Since(3) Map<String, String> envelope,
         @Since(3) long ends,
         @Since(5) byte[] laterEnds) {
-    /** In the envelope: the name by which processors know the tenant, where it has another one here. */
+    /** Envelope key of the name by which processors know the tenant, if it differs from the name used here. */
     public static final String TENANT_NAME = "tenantName";
 
-    /** A snapshot has the handle twice, in the message and as its key. */
-    private static final int HANDLES = 2;
-    /** The most bytes of its numbers, times and states. */
+    /** A snapshot contains the handle twice: in the message and as its map key. */
+    private static final int HANDLES_IN_SNAPSHOT = 2;
+    /** Upper bound on the encoded bytes of numbers, times and the state. */
     private static final int FIXED_BYTES = 90;
 
-    /** The processor of a message that no processor has had. */
+    /** Value of {@code processor} until the first attempt starts. */
     public static final String NO_PROCESSOR = "";
-    /** Every reason of an end that nobody could prove starts like this. */
+    /** Prefix of {@code proof} for a message that ended with an unknown outcome. */
     public static final String OUTCOME_UNKNOWN_PREFIX = "unclear: ";
-    /** The destination of an attempt under a lease begins with this. (docs/design.md, section 9.10) */
+    /** Prefix of {@code destination} for an attempt under a lease. (docs/design.md, section 9.10) */
     public static final String LEASE_PREFIX = "lease:";
 
-    /** The attempts of which {@code ends} has a bit; the bit of attempt zero is not used. */
-    private static final int FIRST_ENDS = 62;
+    /** The last attempt recorded in {@code ends}; bit 0 is unused. */
+    private static final int LAST_ATTEMPT_IN_ENDS = 62;
 
     static Message accepted(String handle, long seq, MessageCommands.Accept accept) {
         return new Message(
@@ -81,17 +82,17 @@
                 new byte[0]);
     }
 
-    /** The one function for every change of state. */
+    /** Returns the message in its next state; every change of state goes through this method. */
     Message transition(
             MessageState next,
             int newAttempt,
-            int newTries,
+            int newAttemptsMade,
             String newProcessor,
             Instant newDeadline,
             Instant newDue,
             String newProof,
             Instant at,
-            String newWhere) {
+            String newDestination) {
         if (!state.next().contains(next)) {
             throw new IllegalStateException(handle + ": " + state + " to " + next);
         }
@@ -110,21 +111,23 @@
                 newDue,
                 next,
                 newAttempt,
-                newTries,
+                newAttemptsMade,
                 newProcessor,
                 newDeadline,
                 newProof,
                 next.isTerminal() ? at : Instant.MAX,
-                newWhere,
+                newDestination,
                 next == MessageState.DONE ? Map.of() : envelope,
                 ends,
                 laterEnds);
     }
 
-    /** The same message, and the end of the attempt was taken; attempt zero is none. */
-    Message withRecordedEnd(int of) {
-        long bits = of < 1 || of > FIRST_ENDS ? ends : ends | 1L << of;
-        byte[] laterBits = of <= FIRST_ENDS ? laterEnds : withBit(laterEnds, of - FIRST_ENDS - 1);
+    /** Returns this message with the outcome of the attempt recorded as committed; attempt 0 is not recorded. */
+    Message withRecordedEnd(int attemptNumber) {
+        long bits = attemptNumber < 1 || attemptNumber > LAST_ATTEMPT_IN_ENDS ? ends : ends | 1L << attemptNumber;
+        byte[] laterBits = attemptNumber <= LAST_ATTEMPT_IN_ENDS
+                ? laterEnds
+                : withBit(laterEnds, attemptNumber - LAST_ATTEMPT_IN_ENDS - 1);
         return new Message(
                 handle,
                 tenant,
@@ -152,26 +155,28 @@
     }
 
     private static byte[] withBit(byte[] bits, int index) {
-        byte[] more = Arrays.copyOf(bits, Math.max(bits.length, index / Byte.SIZE + 1));
-        more[index / Byte.SIZE] |= (byte) (1 << index % Byte.SIZE);
-        return more;
+        byte[] grown = Arrays.copyOf(bits, Math.max(bits.length, index / Byte.SIZE + 1));
+        grown[index / Byte.SIZE] |= (byte) (1 << index % Byte.SIZE);
+        return grown;
     }
 
     private static boolean hasBit(byte[] bits, int index) {
         return index / Byte.SIZE < bits.length && (bits[index / Byte.SIZE] & 1 << index % Byte.SIZE) != 0;
     }
 
-    /** Whether a processor's word on the attempt was taken as its end. */
-    public boolean hasRecordedEnd(int of) {
-        return of > FIRST_ENDS ? hasBit(laterEnds, of - FIRST_ENDS - 1) : of >= 1 && (ends & 1L << of) != 0;
+    /** Whether an outcome of the attempt, other than an unknown one, was committed. */
+    public boolean hasRecordedEnd(int attemptNumber) {
+        return attemptNumber > LAST_ATTEMPT_IN_ENDS
+                ? hasBit(laterEnds, attemptNumber - LAST_ATTEMPT_IN_ENDS - 1)
+                : attemptNumber >= 1 && (ends & 1L << attemptNumber) != 0;
     }
 
-    /** Whether a processor has it under a lease. */
+    /** Whether its latest attempt was started under a lease. */
     public boolean leased() {
         return destination.startsWith(LEASE_PREFIX);
     }
 
-    /** Ended without anybody knowing whether it was done. */
+    /** Whether the message ended without proof of whether it was executed. */
     public boolean outcomeUnknown() {
         return state == MessageState.FAILED && proof.startsWith(OUTCOME_UNKNOWN_PREFIX);
     }
@@ -190,12 +195,12 @@
     }
 
     /**
-     * The most bytes that it takes in a snapshot, with all texts that callers chose. Every bound on the bytes of
-     * messages counts this figure.
+     * Upper bound on the bytes that it takes in a snapshot, including all strings that callers chose. Every limit on
+     * the bytes of messages is based on this figure.
      */
     public int size() {
         return FIXED_BYTES
-                + HANDLES * EncodedSize.of(handle)
+                + HANDLES_IN_SNAPSHOT * EncodedSize.of(handle)
                 + EncodedSize.of(tenant)
                 + EncodedSize.of(lane)
                 + EncodedSize.of(id)
@@ -210,7 +215,7 @@
                 + laterEnds.length;
     }
 
-    /** The name of the tenant that processors are told; empty where the lane asks for no key. */
+    /** The tenant name that is sent to processors; empty if the lane requires no access key. */
     public String tenantName() {
         return envelope.getOrDefault(TENANT_NAME, tenant);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageCommands.java
@@ -9,31 +9,31 @@
 import org.woadvale.common.rpc.RepeatableRequest;
 import org.woadvale.common.rpc.Since;
 
-/** What is written in the logs of message partitions, and asked between data plane nodes. */
+/** Commands in the logs of message partitions, and requests between data plane nodes. */
 public final class MessageCommands {
     private MessageCommands() {}
 
     /** A command in the log of a message partition. */
     public sealed interface MessageCommand {}
 
-    /** What applying a command to a message partition answers. */
+    /** The result of applying a command to a message partition. */
     public sealed interface MessageResult {}
 
-    /** Lapsed: nobody knows, it may run again, and it counts as no attempt. (docs/design.md, section 9.11) */
+    /** How an attempt ended. An attempt whose lease lapsed ends as OUTCOME_UNKNOWN. (docs/design.md, section 9.11) */
     public enum AttemptOutcome {
-        /** It was executed, with proof. */
+        /** The message was executed, with proof. */
         SUCCEEDED,
-        /** It will not be executed any more. */
+        /** The message will not be attempted again. */
         FAILED,
-        /** It was not executed, and counts as an attempt. */
+        /** The message was not executed, or may be run again although that is unknown; counts as an attempt. */
         RETRY,
-        /** It never left, and counts as no attempt. */
+        /** The message was not sent, or the processor did not take it; does not count as an attempt. */
         NOT_SENT,
-        /** Nobody knows; it may run again and counts as no attempt. */
+        /** The outcome is unknown: the message may run again, and this does not count as an attempt. */
         OUTCOME_UNKNOWN
     }
 
-    /** A message is accepted. */
+    /** Accepts a message. */
     public record Accept(
             String tenant,
             String lane,
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Where it went: the address that it is pushed to, or the id of the fetch. */
+    /** Starts an attempt. The destination is the address of a push, the id of a fetch, or the processor of a lease. */
     public record Start(
             String handle,
             int attempt,
@@ -70,7 +70,7 @@
             Instant at,
             @Since(2) String destination) implements MessageCommand {}
 
-    /** Attempt zero ends a message that does not run: its time is over. */
+    /** Ends an attempt. Attempt 0 ends a waiting message whose time limit is reached. */
     public record End(
             String handle,
             int attempt,
@@ -80,26 +80,29 @@
             Instant at)
             implements MessageCommand {}
 
-    /** Ends that nobody could prove are kept longer, for those who must find out (docs/design.md, section 9.3). */
+    /**
+     * Drops messages that ended before the given times. Those of unknown outcome are kept longer, so that their outcome
+     * can be found out. (docs/design.md, section 9.3)
+     */
     public record ExpireEnded(Instant endedBefore, @Since(2) Instant unclearBefore) implements MessageCommand {}
 
-    /** The message that an Accept has become, or that it repeats. */
+    /** The message created by an {@link Accept}, or the existing one that it repeats. */
     public record Accepted(String handle, String state, boolean repeated) implements MessageResult {}
 
-    /** Whether a transition was made, and the message as it stands. */
+    /** Whether a transition was made, and the message in its current state. */
     public record TransitionResult(boolean applied, Message message) implements MessageResult {}
 
     /** How many ended messages were dropped. */
     public record ExpiredCount(int count) implements MessageResult {}
 
-    // asks between data plane nodes
+    // requests between data plane nodes
     /**
-     * A time by the clock of one incarnation of the asked process: what arrives later is rejected. (docs/design.md,
-     * section 9.7)
+     * A time on the monotonic clock of one incarnation of the receiving process; a request that arrives later is
+     * rejected. (docs/design.md, section 9.7)
      */
     public record RemoteDeadline(String incarnation, Duration at) {}
 
-    /** Asks a store for its clock. */
+    /** Requests the current monotonic time of a store. */
     public record ClockRequest(boolean any) implements RepeatableRequest {}
 
     /** The monotonic clock of one incarnation of a store. */
@@ -107,7 +110,7 @@
             @FirstFormatName("life") String incarnation,
             @FirstFormatName("at") Duration time) {}
 
-    /** An intake hands a message to the leader of its partition, before a deadline. */
+    /** Submits a message from an intake to the leader of its partition; rejected after the deadline. */
     public record AcceptRequest(
             @FirstFormatName("part") String partition,
             Accept accept,
@@ -136,7 +139,10 @@
     /** The messages that were handed out. */
     public record FetchResponse(List<Message> messages) {}
 
-    /** Also how a deposed leader gives an answer to the new one. */
+    /**
+     * Reports the end of an attempt to the leader of its partition. A former leader also uses it to forward an outcome
+     * to its successor.
+     */
     public record OutcomeReport(String partition, End end, String processor, String service)
             implements RepeatableRequest {}
 
@@ -152,24 +158,24 @@
             String zone)
             implements AtMostOnceRequest {}
 
-    /** One message that was started, or none. */
+    /** One message with a started attempt, or none. */
     public record LongPullResponse(List<Message> messages) {}
 
     /**
-     * The processor needs longer: the last word of a lease, kept by the leader in memory. (docs/design.md, section
-     * 9.10)
+     * Extends a lease at the request of its processor. The time of the last renewal is kept only in the memory of the
+     * leader. (docs/design.md, section 9.10)
      */
     public record ExtendLeaseRequest(String partition, String handle, int attempt) implements RepeatableRequest {}
 
-    /** The end of a lease; said again it has the same answer. */
+    /** Ends a lease; a repeated request gets the same response. */
     public record EndLeaseRequest(String partition, End end) implements RepeatableRequest {}
 
-    /** All of the state, for snapshots. */
+    /** The complete state of a partition, for snapshots. */
     public record State(
             Map<String, Message> messages,
             @FirstFormatName("seq") long lastSequence) {}
 
-    /** All types by their numbers on the wire and on disk: only ever add at the end. */
+    /** All types in the order of their numbers on the wire and on disk: append only. */
     public static List<Class<?>> types() {
         return List.of(
                 AttemptOutcome.class,
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageIndex.java
@@ -13,11 +13,11 @@
 
 /**
  * The messages of one partition with all indexes over them: by id, by ordering key, those ready to start, those running
- * and those ended. Every change goes through {@link #put} or {@link #forgetEnded}, which keep the indexes in step. Not
- * safe for use by several threads.
+ * and those ended. Every change goes through {@link #put} or {@link #expireEnded}, which keep the indexes consistent.
+ * Not thread-safe.
  */
 final class MessageIndex {
-    /** Messages of unclear outcome that are kept beside those that are young enough. */
+    /** Upper bound on ended messages of unknown outcome; the oldest ones beyond it are dropped early. */
     private static final int MAX_OUTCOME_UNKNOWN = 1000;
 
     private static final Comparator<Message> BY_END =
@@ -37,9 +37,9 @@
         return Optional.ofNullable(messages.get(handle));
     }
 
-    /** The message that was accepted under the id, if it is still kept. */
-    Optional<Message> findById(String idGroup) {
-        return Optional.ofNullable(handlesById.get(idGroup)).flatMap(this::find);
+    /** The message that was accepted under the idempotency key, if it is still retained. */
+    Optional<Message> findById(String idempotencyKey) {
+        return Optional.ofNullable(handlesById.get(idempotencyKey)).flatMap(this::find);
     }
 
     Collection<Message> all() {
@@ -64,12 +64,12 @@
         return liveBytes;
     }
 
-    /** The bytes of ended messages that are still kept. */
+    /** The bytes of ended messages that are still retained. */
     long endedBytes() {
         return endedBytes;
     }
 
-    /** Whether no earlier message of its ordering key is still to end. */
+    /** Whether every earlier message of its ordering key has ended. */
     boolean isFirstOfOrderingKey(Message message) {
         return !message.ordered() || handlesByOrder.get(message.orderingGroup()).firstKey() == message.seq();
     }
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Replaces the earlier state of a message, if there is one, by the present. */
+    /** Replaces the previous state of a message, if there is one. */
     void put(Optional<Message> before, Message message) {
         before.ifPresent(this::removeLive);
         messages.put(message.handle(), message);
         if (message.state().isTerminal()) {
-            keepEnded(message);
-            leaveOrder(message);
+            retainEnded(message);
+            removeFromOrder(message);
             return;
         }
         liveBytes += message.size();
@@ -112,13 +112,13 @@
         ready.remove(message);
     }
 
-    private void keepEnded(Message message) {
+    private void retainEnded(Message message) {
         (message.outcomeUnknown() ? outcomeUnknown : ended).add(message);
         endedBytes += message.size();
     }
 
-    /** The next message of the ordering key may start. */
-    private void leaveOrder(Message message) {
+    /** Removes an ended message from its ordering key, so that the next one may start. */
+    private void removeFromOrder(Message message) {
         if (!message.ordered()) {
             return;
         }
@@ -134,27 +134,28 @@
         }
     }
 
-    /** Whether {@link #forgetEnded} would drop any message. */
-    boolean hasExpired(Instant endedBefore, Instant unclearBefore) {
+    /** Whether {@link #expireEnded} would drop any message. */
+    boolean hasExpired(Instant endedBefore, Instant outcomeUnknownBefore) {
         return anyEndedBefore(ended, endedBefore)
-                || anyEndedBefore(outcomeUnknown, unclearBefore)
+                || anyEndedBefore(outcomeUnknown, outcomeUnknownBefore)
                 || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN;
     }
 
     /**
-     * Drops the messages that ended before the times given, and the oldest of too many unclear ones; returns how many.
+     * Drops the messages that ended before the given times, and the oldest ones of unknown outcome beyond
+     * {@link #MAX_OUTCOME_UNKNOWN}; returns how many were dropped.
      */
-    int expireEnded(Instant endedBefore, Instant unclearBefore) {
-        int forgotten = 0;
+    int expireEnded(Instant endedBefore, Instant outcomeUnknownBefore) {
+        int dropped = 0;
         while (anyEndedBefore(ended, endedBefore)) {
             drop(ended.pollFirst());
-            forgotten++;
+            dropped++;
         }
-        while (anyEndedBefore(outcomeUnknown, unclearBefore) || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN) {
+        while (anyEndedBefore(outcomeUnknown, outcomeUnknownBefore) || outcomeUnknown.size() > MAX_OUTCOME_UNKNOWN) {
             drop(outcomeUnknown.pollFirst());
-            forgotten++;
+            dropped++;
         }
-        return forgotten;
+        return dropped;
     }
 
     private static boolean anyEndedBefore(TreeSet<Message> queue, Instant time) {
@@ -167,7 +168,7 @@
         endedBytes -= message.size();
     }
 
-    /** Forgets everything and takes over the messages given. */
+    /** Replaces the contents by the given messages. */
     void restore(Collection<Message> restored) {
         clear();
         List<Message> all = new ArrayList<>(restored);
@@ -180,7 +181,7 @@
         handlesById.put(message.idempotencyKey(), message.handle());
         if (message.state().isTerminal()) {
             messages.put(message.handle(), message);
-            keepEnded(message);
+            retainEnded(message);
         } else {
             put(Optional.empty(), message);
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -30,18 +30,18 @@
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 import reactor.core.publisher.Mono;
 
-/** The message partitions of a store, opened as the placement says (docs/design.md, section 9.1). */
+/** The message partitions of a store, opened according to the placement. (docs/design.md, section 9.1) */
 public final class MessagePartitions {
     private static final Logger LOG = LogManager.getLogger(MessagePartitions.class);
     private static final int UNIT_BYTES = 1024;
-    /** Left in the bound on a partition for what its snapshot has beside messages, and for outcomes. */
+    /** Headroom in the size limit of a partition for outcomes and for snapshot data other than messages. */
     private static final int SNAPSHOT_MARGIN_BYTES = 32 << 10;
 
     private static final Duration TICK = Duration.ofMillis(200);
     private static final Duration OUTCOME_UNKNOWN_RETENTION = Duration.ofDays(1);
     private static final int MAX_EXPIRY_LAG_S = 5;
 
-    /** One partition here: its replica, its machine and its own bucket in size units. */
+    /** A partition open on this store: its replica, its state machine and its rate limit bucket, in size units. */
     public record MessagePartition(
             String id,
             Replica<MessageCommand, MessageResult> replica,
@@ -60,16 +60,19 @@
     private final String incarnation;
     private final Duration retention;
 
-    /** A partition takes no more beyond its size; and its snapshot, with room for the log's tail, must fit into a ring file. */
+    /**
+     * A partition accepts messages up to {@code maxPartitionBytes}; in addition, its snapshot must fit into a ring
+     * file, with room for the tail of the log.
+     */
     public MessagePartitions(
             NodeEnvironment environment,
             ViewSubscriptions subscriptions,
             RateLimit node,
             RateLimit partition,
-            long partBytes,
+            long maxPartitionBytes,
             Duration retention) {
         this.retention = retention;
-        this.maxPartitionBytes = partBytes;
+        this.maxPartitionBytes = maxPartitionBytes;
         this.environment = environment;
         this.subscriptions = subscriptions;
         this.nodeUnits = TokenBucket.full(node, environment.clock().monotonicTime());
@@ -77,12 +80,12 @@
         this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
-    /** The listener runs for each partition that is opened. */
-    public void onOpen(Consumer<MessagePartition> consumer) {
-        onOpen = consumer;
+    /** Sets the listener that is called for each partition opened from now on. */
+    public void onOpen(Consumer<MessagePartition> listener) {
+        onOpen = listener;
     }
 
-    /** What this store answers as a replica, and as the leader of a partition. */
+    /** Registers the handlers for replication and for requests to the leader of a partition. */
     public void route(RpcRouter router) {
         ReplicationMessages.route(router, partition -> partition(partition).map(MessagePartition::replica))
                 .on(
@@ -110,14 +113,15 @@
                                                         request.limit())))));
     }
 
-    /** A partition that is open here; fails with NOT_OWNER for others. */
+    /** Returns a partition that is open on this store; fails with NOT_OWNER for others. */
     public Mono<MessagePartition> partition(String partition) {
         return Mono.justOrEmpty(partitions.get(partition))
                 .switchIfEmpty(Mono.error(new NotLeaderException("The part " + partition + " is not here.")));
     }
 
     /**
-     * What was delayed on its way beyond its deadline is rejected: its token, key and lane have not been checked since.
+     * Rejects a request that arrives after its deadline: its token, access key and lane were checked before the delay
+     * and may no longer be valid.
      */
     public Mono<Object> requireBefore(MessageCommands.RemoteDeadline deadline) {
         return Mono.defer(() -> deadline.incarnation().equals(incarnation)
@@ -126,11 +130,11 @@
                 : Mono.error(new DeadlineExpiredException("This came too late to be taken.")));
     }
 
-    /** Node and part buckets in size units first, then the commit. All refusals here are definite. */
+    /** Checks the room and the rate limits of node and partition, then commits. All these refusals are definite. */
     private Mono<MessageCommands.Accepted> accept(MessagePartition partition, MessageCommands.Accept accept) {
         int units = Math.max(1, (accept.body().length + UNIT_BYTES - 1) / UNIT_BYTES);
         if (!partition.replica().isActiveLeader()) {
-            // it may own the partition a moment later: then all of this is checked again
+            // this replica may become the active leader during the read: then all checks are repeated
             return partition.replica().read(i -> i).flatMap(i -> accept(partition, accept));
         }
         if (!hasRoom(partition, accept)) {
@@ -143,8 +147,8 @@
     }
 
     /**
-     * What is stored and what is under way must fit into a snapshot of which two fit into one file of the ring, and the
-     * ring must have room beyond what its snapshots and the outcomes of messages need.
+     * Stored messages and entries not yet applied must fit into a snapshot of at most half a ring file, and the log
+     * must have room beyond what its snapshots and the outcomes of messages need.
      */
     private boolean hasRoom(MessagePartition partition, MessageCommands.Accept accept) {
         long stored = partition.replica().inspect(i -> partition.stateMachine().storedBytes());
@@ -154,7 +158,10 @@
         return bytes <= limit && !environment.wal().nearlyFull();
     }
 
-    /** Clock are the leader's: the intake's calendar clock may be off. (docs/design.md, section 9.1) */
+    /**
+     * Replaces the intake's times by the leader's and keeps the requested delay: the wall clock of the intake may be
+     * wrong. (docs/design.md, section 9.1)
+     */
     private MessageCommands.Accept withLeaderTime(MessageCommands.Accept accept) {
         Instant now = environment.clock().wallTime();
         return new MessageCommands.Accept(
@@ -170,7 +177,7 @@
                 accept.envelope());
     }
 
-    /** Draws size units of the node and of the partition, or of neither. */
+    /** Takes size units from the buckets of both the node and the partition, or from neither. */
     public boolean spend(MessagePartition partition, int units) {
         synchronized (nodeUnits) {
             Duration now = environment.clock().monotonicTime();
@@ -195,7 +202,7 @@
                                 "No such message is known; it may have been forgotten after its end."))));
     }
 
-    /** Opens the partitions that are on disk, and those that the placement names from now on. */
+    /** Opens the partitions found on disk, and from now on those that the placement assigns to this store. */
     public void start() throws ServiceException {
         for (String partition : environment.wal().recovered().keySet()) {
             if (partition.startsWith("m")) {
@@ -210,16 +217,16 @@
         ticking = environment.timers().every(TICK, this::onTick);
     }
 
-    private void open(String string, List<String> desired) throws ServiceException {
-        MessageStateMachine stateMachine = new MessageStateMachine(string, environment.codec());
-        Replica<MessageCommand, MessageResult> replica = new Replica<>(string, desired, stateMachine, environment);
-        replica.start(environment.wal().recovered().getOrDefault(string, List.of()));
+    private void open(String id, List<String> desired) throws ServiceException {
+        MessageStateMachine stateMachine = new MessageStateMachine(id, environment.codec());
+        Replica<MessageCommand, MessageResult> replica = new Replica<>(id, desired, stateMachine, environment);
+        replica.start(environment.wal().recovered().getOrDefault(id, List.of()));
         MessagePartition partition = new MessagePartition(
-                string,
+                id,
                 replica,
                 stateMachine,
                 TokenBucket.full(partitionLimit, environment.clock().monotonicTime()));
-        partitions.put(string, partition);
+        partitions.put(id, partition);
         onOpen.accept(partition);
     }
 
@@ -245,24 +252,29 @@
     }
 
     private void expireEnded(MessagePartition partition) {
-        var limit = environment.clock().wallTime().minus(retention);
-        var unclear = environment.clock().wallTime().minus(OUTCOME_UNKNOWN_RETENTION);
+        var endedBefore = environment.clock().wallTime().minus(retention);
+        var outcomeUnknownBefore = environment.clock().wallTime().minus(OUTCOME_UNKNOWN_RETENTION);
         if (partition.replica().isActiveLeader()
                 && partition
                         .replica()
                         .inspect(i -> partition
                                 .stateMachine()
                                 .hasExpired(
-                                        limit.minusSeconds(MAX_EXPIRY_LAG_S),
-                                        unclear.minusSeconds(MAX_EXPIRY_LAG_S)))) {
+                                        endedBefore.minusSeconds(MAX_EXPIRY_LAG_S),
+                                        outcomeUnknownBefore.minusSeconds(MAX_EXPIRY_LAG_S)))) {
             partition
                     .replica()
-                    .propose(new MessageCommands.ExpireEnded(limit, unclear), MessageCommands.ExpiredCount.class)
+                    .propose(
+                            new MessageCommands.ExpireEnded(endedBefore, outcomeUnknownBefore),
+                            MessageCommands.ExpiredCount.class)
                     .subscribe(expiredCount -> {}, e -> {});
         }
     }
 
-    /** The first of the placement owns once it is up to date; a draining node gives all away. */
+    /**
+     * Transfers leadership to the first replica of the placement once it is up to date; a draining node transfers every
+     * leadership.
+     */
     private void balanceLeader(MessagePartition partition, List<String> replicas) {
         if (partition.replica().role() != Role.LEADER) {
             return;
@@ -278,7 +290,7 @@
                 });
     }
 
-    /** Transfers all leaderships; true once this store leads nothing. */
+    /** Transfers all leaderships; returns true once this store leads no partition. */
     public boolean drain() {
         draining = true;
         partitions.values().forEach(partition -> partition.replica().declineLeadership());
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageState.java
@@ -4,19 +4,20 @@
 import java.util.Set;
 
 /**
- * Ready is a waiting message that is due and first of its key; it is shown, not stored. (docs/design.md, section 9.2)
+ * The stored state of a message. Ready is derived and not stored: a waiting message that is due and first of its
+ * ordering key. (docs/design.md, section 9.2)
  */
 public enum MessageState {
     /** Not running; due now or later. */
     WAITING,
-    /** An attempt is under way. */
+    /** An attempt is in progress. */
     RUNNING,
     /** Executed, with proof. */
     DONE,
-    /** Given up. */
+    /** Given up: no further attempt is made. */
     FAILED;
 
-    /** The states that may follow. */
+    /** The states that may follow this one. */
     public Set<MessageState> next() {
         return switch (this) {
             case WAITING -> EnumSet.of(RUNNING, FAILED, DONE);
@@ -25,7 +26,7 @@
         };
     }
 
-    /** Whether no other state follows. */
+    /** Whether this state is final. */
     public boolean isTerminal() {
         return this == DONE || this == FAILED;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessageStateMachine.java
@@ -16,11 +16,11 @@
 import org.woadvale.dataplane.queue.MessageCommands.MessageResult;
 
 /**
- * Applies the commands on one partition's messages, in log order and alike on every replica. (docs/design.md, section
- * 9)
+ * Applies the commands to the messages of one partition, in log order and identically on every replica.
+ * (docs/design.md, section 9)
  */
 public final class MessageStateMachine implements StateMachine<MessageCommand, MessageResult> {
-    /** What a snapshot has beside its messages. */
+    /** Upper bound on the bytes of a snapshot other than its messages. */
     private static final int SNAPSHOT_OVERHEAD_BYTES = 64;
 
     private final String partition;
@@ -28,7 +28,7 @@
     private final MessageIndex index = new MessageIndex();
     private long lastSequence;
 
-    /** Without any message. */
+    /** Creates a state machine without messages. */
     public MessageStateMachine(String partition, Codec codec) {
         this.partition = partition;
         this.codec = codec;
@@ -39,22 +39,22 @@
         return index.find(handle);
     }
 
-    /** What the messages weigh that have not ended, in bytes. */
+    /** The bytes that messages that have not ended take in a snapshot. */
     public long liveBytes() {
         return index.liveBytes();
     }
 
-    /** The bytes of all messages in a snapshot of the partition, ended ones included. */
+    /** The bytes of all messages in a snapshot of the partition, including ended ones. */
     public long storedBytes() {
         return index.liveBytes() + index.endedBytes();
     }
 
-    /** The messages that are kept, ended ones included. */
+    /** The number of retained messages, including ended ones. */
     public int count() {
         return index.all().size();
     }
 
-    /** The messages of which an attempt is under way. */
+    /** The messages with an attempt in progress. */
     public List<Message> running() {
         return index.running();
     }
@@ -65,17 +65,17 @@
     }
 
     /** Messages of a tenant in one state, the newest first. */
-    public List<Message> list(String tenant, MessageState state, int most) {
+    public List<Message> list(String tenant, MessageState state, int limit) {
         return index.all().stream()
                 .filter(message -> message.tenant().equals(tenant) && message.state() == state)
                 .sorted(Comparator.comparing(Message::seq).reversed())
-                .limit(most)
+                .limit(limit)
                 .toList();
     }
 
-    /** When ended messages before a time are to be forgotten: is there any? */
-    public boolean hasExpired(Instant before, Instant unclearBefore) {
-        return index.hasExpired(before, unclearBefore);
+    /** Whether any ended message is old enough to be dropped. */
+    public boolean hasExpired(Instant endedBefore, Instant outcomeUnknownBefore) {
+        return index.hasExpired(endedBefore, outcomeUnknownBefore);
     }
 
     @Override
@@ -102,26 +102,26 @@
         return index.find(handle).orElseThrow(() -> new NotFoundException("No such message."));
     }
 
-    /** The same message id again is the same message, unless its content differs. */
+    /** A repeated message id returns the existing message; with different content it is a conflict. */
     private MessageCommands.Accepted accept(MessageCommands.Accept accept) throws ServiceException {
         long sequence = lastSequence + 1;
         String handle = partition + "-" + sequence;
         Message message = Message.accepted(handle, sequence, accept);
-        Optional<Message> known = index.findById(message.idempotencyKey());
-        if (known.isPresent()) {
-            return repeated(known.get(), accept);
+        Optional<Message> existing = index.findById(message.idempotencyKey());
+        if (existing.isPresent()) {
+            return repeated(existing.get(), accept);
         }
         lastSequence = sequence;
         index.add(message);
         return new MessageCommands.Accepted(handle, message.state().name(), false);
     }
 
-    private static MessageCommands.Accepted repeated(Message known, MessageCommands.Accept accept)
+    private static MessageCommands.Accepted repeated(Message existing, MessageCommands.Accept accept)
             throws ServiceException {
-        if (!known.hash().equals(accept.hash())) {
-            throw new ConflictException("The message id was used for other content.", List.of(known.handle()));
+        if (!existing.hash().equals(accept.hash())) {
+            throw new ConflictException("The message id was used for other content.", List.of(existing.handle()));
         }
-        return new MessageCommands.Accepted(known.handle(), known.state().name(), true);
+        return new MessageCommands.Accepted(existing.handle(), existing.state().name(), true);
     }
 
     private MessageCommands.TransitionResult start(Message message, MessageCommands.Start start) {
@@ -166,7 +166,8 @@
     }
 
     /**
-     * The running attempt may end; so may an earlier one that has succeeded, and a waiting message whose time is over.
+     * The running attempt may end; so may an attempt that is reported late as a success, and a waiting message whose
+     * time limit is reached.
      */
     private static boolean mayEnd(Message message, MessageCommands.End end) {
         boolean running = message.state() == MessageState.RUNNING && message.attempt() == end.attempt();
@@ -175,7 +176,10 @@
         return running || expired || isLateSuccess(message, end);
     }
 
-    /** Of two leases only the later one may end a message. */
+    /**
+     * A late success ends a message even if a later attempt was started, but under leases only the latest one may end
+     * it.
+     */
     private static boolean isLateSuccess(Message message, MessageCommands.End end) {
         return end.outcome() == AttemptOutcome.SUCCEEDED
                 && !message.state().isTerminal()
@@ -206,9 +210,9 @@
     }
 
     @Override
-    public void restore(byte[] view) {
+    public void restore(byte[] snapshot) {
         try {
-            MessageCommands.State state = codec.read(view, MessageCommands.State.class);
+            MessageCommands.State state = codec.read(snapshot, MessageCommands.State.class);
             lastSequence = state.lastSequence();
             index.restore(state.messages().values());
         } catch (ServiceException failure) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/ReadyQueue.java
@@ -10,7 +10,10 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Waiting messages that are first of their key: by lane, then tenant, then due time. (docs/design.md, section 9.4) */
+/**
+ * Waiting messages that are first of their ordering key: by lane, then tenant, then due time. (docs/design.md, section
+ * 9.4)
+ */
 public final class ReadyQueue {
     private static final Comparator<Message> BY_DUE =
             Comparator.comparing(Message::due).thenComparing(Message::seq);
@@ -38,39 +41,42 @@
         lanes.clear();
     }
 
-    /** The lanes that have messages here. */
+    /** The lanes that have messages in this queue. */
     public List<String> lanes() {
         return List.copyOf(lanes.keySet());
     }
 
-    /** The due ones of a lane, one of each tenant in turn: many messages of one tenant hide no other tenant's. */
-    public List<Message> due(String lane, Instant now, int most, int turn, Predicate<Message> desired) {
+    /**
+     * Due messages of a lane, interleaved by tenant: many messages of one tenant do not hide those of others. The
+     * rotation selects the tenant that comes first.
+     */
+    public List<Message> due(String lane, Instant now, int limit, int rotation, Predicate<Message> filter) {
         List<List<Message>> byTenant = new ArrayList<>();
         Map<String, TreeSet<Message>> tenants = lanes.getOrDefault(lane, Map.of());
-        int each = Math.max(1, most / Math.max(1, tenants.size()));
+        int perTenant = Math.max(1, limit / Math.max(1, tenants.size()));
         tenants.values()
                 .forEach(messages -> byTenant.add(messages.stream()
                         .takeWhile(message -> !message.due().isAfter(now))
-                        .filter(desired)
-                        .limit(each)
+                        .filter(filter)
+                        .limit(perTenant)
                         .toList()));
-        // the first place goes round, for when there is room for one only
-        Collections.rotate(byTenant, turn);
-        List<Message> out = new ArrayList<>();
-        for (int i = 0; i < each; i++) {
-            for (List<Message> ofTenant : byTenant) {
-                if (i < ofTenant.size()) {
-                    out.add(ofTenant.get(i));
+        // rotates the first place among tenants, for callers that have room for one message only
+        Collections.rotate(byTenant, rotation);
+        List<Message> result = new ArrayList<>();
+        for (int i = 0; i < perTenant; i++) {
+            for (List<Message> tenantMessages : byTenant) {
+                if (i < tenantMessages.size()) {
+                    result.add(tenantMessages.get(i));
                 }
             }
         }
-        return out;
+        return result;
     }
 
-    /** The due ones of all lanes, lane by lane, as {@link #due} has them. */
-    public List<Message> dueOfAllLanes(Instant now, int mostPerLane, int turn, Predicate<Message> desired) {
+    /** Due messages of all lanes, lane by lane, each in the order of {@link #due}. */
+    public List<Message> dueOfAllLanes(Instant now, int limitPerLane, int rotation, Predicate<Message> filter) {
         List<Message> due = new ArrayList<>();
-        lanes().forEach(lane -> due.addAll(due(lane, now, mostPerLane, turn, desired)));
+        lanes().forEach(lane -> due.addAll(due(lane, now, limitPerLane, rotation, filter)));
         return due;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/RouteTerms.java
@@ -4,8 +4,8 @@
 import org.woadvale.common.rpc.Since;
 
 /**
- * The lane as it stood at acceptance; rules only once the configuration no longer has the lane. (docs/design.md,
- * section 9.5)
+ * The delivery terms of a lane as configured when a message was accepted. They apply only once the configuration no
+ * longer has the lane. (docs/design.md, section 9.5)
  */
 public record RouteTerms(
         String service,
@@ -14,7 +14,7 @@
         long attemptMs,
         @Since(2) boolean rerun,
         @Since(3) boolean resend) {
-    /** Terms of a lane whose messages are not sent again. */
+    /** Terms of a lane that does not resend messages of unknown outcome. */
     public RouteTerms(String service, long timeLimitMs, int attempts, long attemptMs, boolean rerun) {
         this(service, timeLimitMs, attempts, attemptMs, rerun, false);
     }
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/FirstFormatTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/FirstFormatTest.java
@@ -15,7 +15,10 @@
 import org.woadvale.common.rpc.FirstFormatName;
 import org.woadvale.common.rpc.Since;
 
-/** What the first version wrote into logs: a changed type or number shows here before it eats a disk. */
+/**
+ * Reads bytes that the first version wrote to its logs. Guards against a changed type or type number, which would make
+ * stored data unreadable.
+ */
 class FirstFormatTest {
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
 
@@ -45,7 +48,7 @@
     }
 
     @Test
-    void logItemsAndBasesOfTheFirstVersionAreRead() throws ServiceException {
+    void logEntriesAndSnapshotsOfTheFirstVersionAreRead() throws ServiceException {
         LogEntry entry = read("710209010e", LogEntry.class);
         assertEquals(7, entry.term());
         assertEquals(LogEntry.Kind.COMMAND, entry.kind());
@@ -66,10 +69,10 @@
         assertEquals(new Renamed("a", "z", "g"), codec.readFirstFormat(stored, Renamed.class));
     }
 
-    /** One build knows a component more than the other; either reads what the other wrote. */
-    private record Short(String a, int b) {}
+    /** An older and a newer build, whose record has more components: each reads what the other wrote. */
+    private record OlderRecord(String a, int b) {}
 
-    private record LongRecord(
+    private record NewerRecord(
             String a,
             int b,
             @Since(3) List<String> c,
@@ -77,11 +80,13 @@
 
     @Test
     void twoBuildsReadEachOther() throws ServiceException {
-        Codec older = new Codec(Map.of(100, List.of(Short.class, ReplicationMessages.Acknowledgement.class)));
-        Codec newer = new Codec(Map.of(100, List.of(LongRecord.class, ReplicationMessages.Acknowledgement.class)));
+        Codec older = new Codec(Map.of(100, List.of(OlderRecord.class, ReplicationMessages.Acknowledgement.class)));
+        Codec newer = new Codec(Map.of(100, List.of(NewerRecord.class, ReplicationMessages.Acknowledgement.class)));
         assertEquals(
-                new LongRecord("x", 7, List.of(), false), newer.read(older.write(new Short("x", 7)), LongRecord.class));
+                new NewerRecord("x", 7, List.of(), false),
+                newer.read(older.write(new OlderRecord("x", 7)), NewerRecord.class));
         assertEquals(
-                new Short("x", 7), older.read(newer.write(new LongRecord("x", 7, List.of("more"), true)), Short.class));
+                new OlderRecord("x", 7),
+                older.read(newer.write(new NewerRecord("x", 7, List.of("more"), true)), OlderRecord.class));
     }
 }
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageEndsTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageEndsTest.java
@@ -11,7 +11,7 @@
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
 
-/** Guards against a silent bound on the attempts whose ends are remembered (review/5). */
+/** Guards against a silent limit on the number of attempts whose outcome is recorded (review/5). */
 class MessageEndsTest {
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private static final int ATTEMPTS = 2000;
@@ -33,20 +33,20 @@
     }
 
     @Test
-    void eachEndIsRememberedAndNoOther() throws ServiceException {
+    void everyRecordedEndIsReportedAndNoOther() throws ServiceException {
         Random random = new Random(1);
-        TreeSet<Integer> taken = new TreeSet<>();
+        TreeSet<Integer> recorded = new TreeSet<>();
         Message message = message();
         for (int attempt = 0; attempt <= ATTEMPTS; attempt++) {
             if (random.nextInt(3) > 0) {
                 message = message.withRecordedEnd(attempt);
-                taken.add(attempt);
+                recorded.add(attempt);
             }
         }
         Message stored = CODEC.read(CODEC.write(message), Message.class);
         for (int attempt = 1; attempt <= ATTEMPTS + 100; attempt++) {
-            assertEquals(taken.contains(attempt), message.hasRecordedEnd(attempt), "attempt " + attempt);
-            assertEquals(taken.contains(attempt), stored.hasRecordedEnd(attempt), "attempt " + attempt + ", stored");
+            assertEquals(recorded.contains(attempt), message.hasRecordedEnd(attempt), "attempt " + attempt);
+            assertEquals(recorded.contains(attempt), stored.hasRecordedEnd(attempt), "attempt " + attempt + ", stored");
         }
         assertFalse(stored.hasRecordedEnd(0), "no attempt");
         assertFalse(stored.hasRecordedEnd(-1), "no attempt");
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageSizeTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageSizeTest.java
@@ -13,11 +13,14 @@
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.Codec;
 
-/** Guards against bounds that count less than what is stored: a long head was counted as 200 bytes (review/1). */
+/**
+ * Guards against limits that count fewer bytes than are stored: a long request head was counted as 200 bytes
+ * (review/1).
+ */
 class MessageSizeTest {
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private static final Instant NOW = Instant.ofEpochSecond(1_800_000_000L, 123_456_789);
-    /** A bound far above the bytes would refuse work that has room. */
+    /** An estimate far above the real size would refuse messages that there is room for. */
     private static final int LARGEST_EXCESS = 100;
 
     private static Message message(Random random, String text, Map<String, String> envelope) {
@@ -45,14 +48,14 @@
                 MessageState.DONE, 1, 1, "i-7f3a91c2", Instant.MAX, NOW, "seal-0123456789", NOW, running.destination());
     }
 
-    private static void isBounded(Message message) {
+    private static void assertSizeIsATightBound(Message message) {
         int bytes = CODEC.write(message).length;
         assertTrue(bytes <= message.size(), bytes + " bytes, counted as " + message.size());
         assertTrue(bytes + LARGEST_EXCESS >= message.size(), bytes + " bytes, counted as " + message.size());
     }
 
     @Test
-    void sizeIsWhatAMessageTakesOnDisk() {
+    void sizeIsATightBoundOnTheStoredBytes() {
         Random random = new Random(1);
         for (int i = 0; i < 300; i++) {
             String text = (i % 3 == 0 ? "x" : i % 3 == 1 ? "\u00e9" : "\u20ac").repeat(random.nextInt(40));
@@ -60,9 +63,9 @@
             envelope.put("target", "/a/" + "x".repeat(random.nextInt(15_000)));
             envelope.put("host", "lode17.example");
             Message message = message(random, text, envelope);
-            isBounded(message);
-            isBounded(done(message));
-            isBounded(message.withRecordedEnd(1 + random.nextInt(3000)));
+            assertSizeIsATightBound(message);
+            assertSizeIsATightBound(done(message));
+            assertSizeIsATightBound(message.withRecordedEnd(1 + random.nextInt(3000)));
         }
     }
 
@@ -72,9 +75,9 @@
         assertTrue(message.size() > 15_000);
     }
 
-    /** The bytes of a snapshot are known without making one. */
+    /** The size of a snapshot is estimated without creating one. */
     @Test
-    void snapshotHasNoMoreBytesThanAreCounted() throws ServiceException {
+    void snapshotHasNoMoreBytesThanEstimated() throws ServiceException {
         MessageStateMachine machine = new MessageStateMachine("m7", CODEC);
         Random random = new Random(5);
         for (int i = 1; i <= 500; i++) {
@@ -99,9 +102,9 @@
         assertTrue(bytes <= counted && counted < bytes + 500 * LARGEST_EXCESS, bytes + " bytes, counted as " + counted);
     }
 
-    /** What is dropped at the end counts no more. */
+    /** Body and envelope are dropped when a message is done, and are no longer counted. */
     @Test
-    void endedMessagesCountWhatTheyKeep() {
+    void endedMessagesCountOnlyWhatTheyRetain() {
         Message message = message(new Random(3), "", Map.of("target", "x".repeat(15_000)));
         assertTrue(done(message).size() < 700, "counted as " + done(message).size());
     }
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageStateMachineTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/MessageStateMachineTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void theSameIdAgainIsTheSameMessageUnlessItsContentDiffers() throws ServiceException {
+    void repeatedIdReturnsTheSameMessageUnlessItsContentDiffers() throws ServiceException {
         String handle = accept("id", "", "hash");
         assertEquals(handle, accept("id", "", "hash"));
         assertEquals(1, machine.count());
@@ -59,13 +59,13 @@
     }
 
     @Test
-    void whatIsNotThereIsNeitherStartedNorEnded() {
+    void unknownMessageIsNeitherStartedNorEnded() {
         assertThrows(NotFoundException.class, () -> start("m0-9", 1, ""));
         assertThrows(NotFoundException.class, () -> end("m0-9", 1, AttemptOutcome.SUCCEEDED));
     }
 
     @Test
-    void theNextOfAnOrderingKeyStartsOnlyAfterTheEndOfTheOneBefore() throws ServiceException {
+    void nextOfAnOrderingKeyStartsOnlyAfterThePreviousOneEnded() throws ServiceException {
         String first = accept("one", "key", "a");
         String second = accept("two", "key", "b");
         assertFalse(start(second, 1, ""));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void anAttemptThatNeverLeftOrWhoseOutcomeIsUnknownCountsAsNone() throws ServiceException {
+    void attemptNotSentOrOfUnknownOutcomeIsNotCounted() throws ServiceException {
         String handle = accept("id", "", "hash");
         start(handle, 1, "");
         assertEquals(1, message(handle).attemptsMade());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aLateSuccessOfAnEarlierAttemptEndsAPushedMessageAndNotALeasedOne() throws ServiceException {
+    void lateSuccessOfAnEarlierAttemptEndsAPushedMessageButNotALeasedOne() throws ServiceException {
         String pushed = accept("pushed", "", "a");
         start(pushed, 1, "http://10.0.0.1:1");
         end(pushed, 1, AttemptOutcome.OUTCOME_UNKNOWN);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aWaitingMessageWhoseTimeIsOverFailsWithoutAnAttempt() throws ServiceException {
+    void expiredWaitingMessageFailsWithoutAnAttempt() throws ServiceException {
         String handle = accept("id", "", "hash");
         assertFalse(end(handle, 0, AttemptOutcome.RETRY));
         assertTrue(end(handle, 0, AttemptOutcome.FAILED));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aRestoredStateGoesOnAlike() throws ServiceException {
+    void restoredStateMachineContinuesIdentically() throws ServiceException {
         String handle = accept("id", "key", "hash");
         start(handle, 1, "");
         MessageStateMachine restored = new MessageStateMachine("m0", CODEC);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void endedMessagesAreDroppedOnceTheirTimeIsOver() throws ServiceException {
+    void endedMessagesAreDroppedAfterTheirRetention() throws ServiceException {
         String handle = accept("id", "", "hash");
         start(handle, 1, "");
         end(handle, 1, AttemptOutcome.SUCCEEDED);
--- a/dataplane/src/test/java/org/woadvale/dataplane/queue/ReadyQueueTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/queue/ReadyQueueTest.java
@@ -25,8 +25,8 @@
         return message;
     }
 
-    private List<String> due(String lane, int most, int turn) {
-        return handles(queue.due(lane, NOW, most, turn, message -> true));
+    private List<String> due(String lane, int limit, int rotation) {
+        return handles(queue.due(lane, NOW, limit, rotation, message -> true));
     }
 
     private static List<String> handles(List<Message> messages) {
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void earliestDueComesFirstAndWhatIsNotDueStays() {
+    void earliestDueComesFirstAndMessagesNotYetDueAreLeftOut() {
         add("lane", "tenant", NOW);
         add("lane", "tenant", NOW.minusSeconds(1));
         add("lane", "tenant", NOW.plusMillis(1));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void laneIsForgottenWithItsLastMessage() {
+    void laneIsRemovedWithItsLastMessage() {
         Message message = add("lane", "tenant", NOW);
         assertEquals(List.of("lane"), queue.lanes());
         queue.remove(message);
