--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -12,15 +12,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * One attempt at one message, from its committed start to its committed end. What may have been done is not begun again
- * before it is known that it was not.
+ * One attempt to deliver a message, from its committed start to its committed end. A message that may have been
+ * executed is not attempted again until it is known that it was not, unless its lane allows that.
  */
 final class DeliveryAttempt {
     private static final Logger LOG = LogManager.getLogger(DeliveryAttempt.class);
     private static final Duration INQUIRY_INTERVAL = Duration.ofMillis(500);
     private static final Duration INQUIRY_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration GRACE_AFTER_DEADLINE = Duration.ofMillis(250);
-    private static final Duration SHORTEST_TIMEOUT = Duration.ofMillis(1);
+    private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
     private static final Duration ADOPTION_DELAY = Duration.ofMillis(300);
 
     private final Dispatcher dispatcher;
@@ -37,10 +37,13 @@
         return dispatcher.context().environment().clock().wallTime();
     }
 
-    /** Lease, processors and permit are checked when the connection is open; only then the message may leave. */
+    /**
+     * Checks leadership, the processor list and the permit once the connection is open, right before the message is
+     * sent.
+     */
     Mono<Boolean> push(DeliveryPermit permit) {
         DispatchContext context = dispatcher.context();
-        Duration begun = context.environment().clock().monotonicTime();
+        Duration startedAt = context.environment().clock().monotonicTime();
         SendGuard sendGuard = new SendGuard();
         DeliveryClient.DeliveryRequest request = context.protocol()
                 .push(message, target, timeout(), () -> sendGuard.trySend(() -> mayStillSend() && permit.spend()));
@@ -50,21 +53,24 @@
                 .onErrorResume(
                         e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, String.valueOf(e.getMessage()))))
                 .flatMap(verdict -> {
-                    Duration took =
-                            context.environment().clock().monotonicTime().minus(begun);
-                    context.targets().onCompleted(target, answeredWell(verdict), took);
-                    return sendGuard.close() ? notSent(permit, verdict) : commitOutcome(verdict);
+                    Duration elapsed =
+                            context.environment().clock().monotonicTime().minus(startedAt);
+                    context.targets().onCompleted(target, isHealthyResponse(verdict), elapsed);
+                    return sendGuard.close() ? recordNotSent(permit, verdict) : commitOutcome(verdict);
                 });
     }
 
-    /** What is left of the attempt; the wall clock may have jumped since it was committed. */
+    /**
+     * The time that is left for the attempt, limited by its configured duration because the wall clock may have jumped
+     * since the start was committed.
+     */
     private Duration timeout() {
-        Duration left = Duration.between(wallTime(), message.deadline());
-        Duration most = Duration.ofMillis(dispatcher.policy().terms(message).attemptMs());
-        if (left.isNegative()) {
-            return SHORTEST_TIMEOUT;
+        Duration remaining = Duration.between(wallTime(), message.deadline());
+        Duration limit = Duration.ofMillis(dispatcher.policy().terms(message).attemptMs());
+        if (remaining.isNegative()) {
+            return MIN_TIMEOUT;
         }
-        return left.compareTo(most) > 0 ? most : left;
+        return remaining.compareTo(limit) > 0 ? limit : remaining;
     }
 
     private boolean mayStillSend() {
@@ -73,14 +79,14 @@
                 && ProcessorSelector.targets(dispatcher, service).contains(target);
     }
 
-    private static boolean answeredWell(Verdict verdict) {
+    private static boolean isHealthyResponse(Verdict verdict) {
         return switch (verdict.kind()) {
             case OUTCOME_UNKNOWN, UNKNOWN_MESSAGE, RETRY -> false;
             default -> true;
         };
     }
 
-    private Mono<Boolean> notSent(DeliveryPermit permit, Verdict verdict) {
+    private Mono<Boolean> recordNotSent(DeliveryPermit permit, Verdict verdict) {
         permit.release();
         return recordEnd(
                 AttemptOutcome.NOT_SENT,
@@ -116,8 +122,8 @@
     }
 
     /**
-     * No back end can be asked: it is sent again once the attempt can do nothing more, or at once to a service that
-     * gives a repeat its first success again.
+     * Sends the message again, as back ends cannot be asked for its outcome: after the deadline of the attempt, or at
+     * once to a service that answers a repeated message with its first success.
      */
     Mono<Boolean> resend(String reason) {
         Duration wait = dispatcher.policy().deduplicates(message)
@@ -130,7 +136,10 @@
                         wallTime().plus(dispatcher.policy().shortRetryDelay()))));
     }
 
-    /** Running by the log, but begun by an earlier leader, which may still forward the answer that it got. */
+    /**
+     * Resumes an attempt that is running according to the log but was started by an earlier leader, which may still
+     * forward the response that it received.
+     */
     Mono<Boolean> resumeAfterAdoption() {
         return dispatcher.policy().resends(message)
                 ? Delays.delay(dispatcher.context().environment().timers(), ADOPTION_DELAY)
@@ -143,29 +152,32 @@
                 .then(Mono.defer(this::inquire));
     }
 
-    /** Never run again while the processor may still know of it: asks by message id. */
+    /**
+     * Asks the processor for the outcome by message id. The message is not run again while the processor may still know
+     * of it.
+     */
     Mono<Boolean> inquire() {
         if (!dispatcher.isLeader()) {
             return Mono.just(false);
         }
-        boolean late = wallTime().isAfter(message.deadline());
+        boolean pastDeadline = wallTime().isAfter(message.deadline());
         ProcessorStatus processor = dispatcher.processorStatus(message);
-        if (late && processor.kind() == ProcessorStatus.Kind.GONE) {
+        if (pastDeadline && processor.kind() == ProcessorStatus.Kind.GONE) {
             return outcomeUnknown("the processor is gone");
         }
         boolean mayRerun = dispatcher.policy().terms(message).rerun();
-        if (late && processor.kind() == ProcessorStatus.Kind.PULLS && mayRerun) {
+        if (pastDeadline && processor.kind() == ProcessorStatus.Kind.PULLS && mayRerun) {
             return outcomeUnknown("no outcome before the deadline");
         }
-        if (wallTime().isAfter(dispatcher.policy().expiry(message)) && mayEndUnproven(processor)) {
+        if (wallTime().isAfter(dispatcher.policy().expiry(message)) && mayEndWithoutProof(processor)) {
             return recordEnd(AttemptOutcome.FAILED, Message.OUTCOME_UNKNOWN_PREFIX + "time limit reached", wallTime());
         }
         Optional<DeliveryPermit> permit =
                 processor.canBeAsked() ? dispatcher.acquireInquiryPermit(message) : Optional.empty();
-        return permit.isPresent() ? inquire(processor, permit.get(), late) : inquireLater();
+        return permit.isPresent() ? inquire(processor, permit.get(), pastDeadline) : inquireLater();
     }
 
-    private Mono<Boolean> inquire(ProcessorStatus processor, DeliveryPermit permit, boolean late) {
+    private Mono<Boolean> inquire(ProcessorStatus processor, DeliveryPermit permit, boolean pastDeadline) {
         DeliveryClient.DeliveryRequest request = new DeliveryClient.DeliveryRequest(
                 "GET",
                 processor.address() + "/runs/" + message.handle() + "?attempt=" + message.attempt(),
@@ -180,21 +192,24 @@
                 .onErrorResume(e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, "no answer")))
                 .flatMap(verdict -> {
                     if (verdict.kind() == Verdict.Kind.UNKNOWN_MESSAGE) {
-                        // a push still under way may arrive until the deadline
-                        return late ? retry(verdict.reason()) : inquireLater();
+                        // a push in transit may still arrive until the deadline
+                        return pastDeadline ? retry(verdict.reason()) : inquireLater();
                     }
                     return commitOutcome(verdict);
                 });
     }
 
-    /** The next of a key must not start while a listed processor may still run this one. */
-    private boolean mayEndUnproven(ProcessorStatus processor) {
+    /** The next message of an ordering key must not start while a listed processor may still run this one. */
+    private boolean mayEndWithoutProof(ProcessorStatus processor) {
         return !message.ordered()
                 || processor.kind() == ProcessorStatus.Kind.PULLS
                 || processor.kind() == ProcessorStatus.Kind.GONE;
     }
 
-    /** Nobody can say any more whether it was done: the lane's operator has said what then. */
+    /**
+     * The outcome can no longer be found out: the configuration of the lane decides whether the message is run again or
+     * fails.
+     */
     private Mono<Boolean> outcomeUnknown(String reason) {
         LOG.warn("The outcome of {} stays unknown: {}.", message.handle(), reason);
         return dispatcher.policy().terms(message).rerun()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryClient.java
@@ -5,7 +5,7 @@
 import java.util.function.BooleanSupplier;
 import reactor.core.publisher.Mono;
 
-/** Seam to the back ends: fails with UNREACHABLE if nothing was sent, else with UNKNOWN_OUTCOME. */
+/** Sends requests to back ends; fails with UNREACHABLE if nothing was sent, otherwise with UNKNOWN_OUTCOME. */
 @FunctionalInterface
 public interface DeliveryClient {
     /** Header names are in lower case. */
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Whether it may still be sent is asked once the stream is open, right before the first byte. An answer without the
-     * headers of the echo (lower case), or with another or a second value, belongs to another request. (docs/design.md,
-     * section 9.3)
+     * {@code stillPermitted} is evaluated once the connection is open, right before the first byte is sent. A response
+     * that does not have each header of {@code expectedEcho} (names in lower case) exactly once and with the same value
+     * belongs to another request. (docs/design.md, section 9.3)
      */
     record DeliveryRequest(
             String method,
@@ -30,11 +30,12 @@
             BooleanSupplier stillPermitted,
             Map<String, String> expectedEcho) {
         /** A request without headers, whose response repeats none. */
-        public DeliveryRequest(String method, String url, byte[] body, Duration limit, BooleanSupplier still) {
-            this(method, url, Map.of("Content-Type", "application/json"), body, limit, still, Map.of());
+        public DeliveryRequest(
+                String method, String url, byte[] body, Duration timeout, BooleanSupplier stillPermitted) {
+            this(method, url, Map.of("Content-Type", "application/json"), body, timeout, stillPermitted, Map.of());
         }
     }
 
     /** Sends a request; fails if there was no complete response in time. */
-    Mono<DeliveryResponse> send(DeliveryRequest call);
+    Mono<DeliveryResponse> send(DeliveryRequest request);
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryLeases.java
@@ -15,12 +15,13 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Leases of the messages of one partition that processors have pulled, in its leader's memory. A new leader knows none,
- * so it counts from when it took over, which is later than any renewal that its predecessor answered.
+ * Leases of the messages of one partition that processors have pulled, kept in the memory of its leader. A new leader
+ * starts without any and counts each lease from its own takeover, which is later than any renewal that its predecessor
+ * answered.
  */
 final class DeliveryLeases {
-    /** For renewals that were answered while the clock was read. */
-    private static final Duration MARGIN = Duration.ofMillis(100);
+    /** Allowance for renewals that are answered while the clock is being read. */
+    private static final Duration EXPIRY_MARGIN = Duration.ofMillis(100);
 
     private record HeldLease(int attempt, Duration lastRenewal, boolean expiring) {}
 
@@ -43,8 +44,11 @@
         return context.environment().clock().wallTime();
     }
 
-    /** Due messages of a service here, for those that pull it; the first place among tenants goes round. */
-    List<Message> due(String service, int most, int turn) {
+    /**
+     * Due messages of a service in this partition, for processors that pull; the rotation selects the tenant that comes
+     * first.
+     */
+    List<Message> due(String service, int limit, int rotation) {
         Instant now = wallTime();
         DeliveryPolicy policy = dispatcher.policy();
         return partition
@@ -52,10 +56,10 @@
                 .inspect(i -> partition
                         .stateMachine()
                         .ready()
-                        .dueOfAllLanes(now, most, turn, message -> policy.isOfService(message, service)));
+                        .dueOfAllLanes(now, limit, rotation, message -> policy.isOfService(message, service)));
     }
 
-    /** The attempt is committed, then all is checked again; empty where it was not handed out. */
+    /** Commits the start of an attempt, then repeats all checks; empty if the message was not handed out. */
     Mono<Message> begin(Message message, String processor) {
         if (!mayBegin(message)) {
             return Mono.empty();
@@ -109,7 +113,7 @@
         return context.recorder().record(partition.id(), end, processor).then(Mono.empty());
     }
 
-    /** Not the leader any more. */
+    /** Called when this node does not lead the partition. */
     synchronized void clear() {
         leases.clear();
     }
@@ -118,9 +122,9 @@
         leases.remove(handle);
     }
 
-    /** A running message that is leased: its lease expires once the time since the last renewal is over. */
+    /** Ends the attempt of a running message once the lease time has passed since the last renewal. */
     void onTick(Message message) {
-        if (expire(message)) {
+        if (tryExpire(message)) {
             MessageCommands.End end = new MessageCommands.End(
                     message.handle(),
                     message.attempt(),
@@ -135,8 +139,8 @@
         }
     }
 
-    /** From the moment this is true no renewal is accepted, so nothing is handed out too soon after one. */
-    private synchronized boolean expire(Message message) {
+    /** Once this returns true, no renewal is accepted, so that the message is not handed out too soon after one. */
+    private synchronized boolean tryExpire(Message message) {
         HeldLease lease = leases.get(message.handle());
         if (lease == null || lease.attempt() != message.attempt()) {
             leases.put(message.handle(), new HeldLease(message.attempt(), now(), false));
@@ -144,7 +148,7 @@
         }
         if (lease.expiring()
                 || now().minus(lease.lastRenewal())
-                                .compareTo(context.leaseTime().plus(MARGIN))
+                                .compareTo(context.leaseTime().plus(EXPIRY_MARGIN))
                         <= 0) {
             return false;
         }
@@ -161,7 +165,7 @@
         return true;
     }
 
-    /** True if the processor still has it and may go on for another lease. */
+    /** Renews a lease; fails with CONFLICT if the processor no longer holds it. */
     Mono<Boolean> extend(MessageCommands.ExtendLeaseRequest request) {
         return partition
                 .replica()
@@ -173,14 +177,14 @@
                                         && message.attempt() == request.attempt())
                                 .isPresent()
                         && renew(request.handle(), request.attempt()))
-                .flatMap(ok -> ok ? Mono.just(true) : Mono.error(gone()));
+                .flatMap(renewed -> renewed ? Mono.just(true) : Mono.error(leaseLost()));
     }
 
-    private static ServiceException gone() {
+    private static ServiceException leaseLost() {
         return new ConflictException("The lease is gone.");
     }
 
-    /** The same end said again has the same answer; the end of an earlier lease is refused. */
+    /** Ends a lease. A repeated end gets the same result; the end of an earlier lease is refused. */
     Mono<MessageCommands.TransitionResult> end(MessageCommands.End end) {
         return partition
                 .replica()
@@ -193,7 +197,7 @@
                     if (message.isEmpty()
                             || message.get().attempt() != end.attempt()
                             || message.get().state().isTerminal()) {
-                        return Mono.error(gone());
+                        return Mono.error(leaseLost());
                     }
                     return partition
                             .replica()
@@ -202,14 +206,14 @@
                                 forget(end.handle());
                                 return result.applied() || result.message().hasRecordedEnd(end.attempt())
                                         ? Mono.just(new MessageCommands.TransitionResult(true, result.message()))
-                                        : Mono.error(gone());
+                                        : Mono.error(leaseLost());
                             });
                 });
     }
 
-    /** Clock and attempts are the leader's to count. */
+    /** Replaces the times by those of the leader, and a retry by a failure if no attempts are left. */
     private MessageCommands.End withLeaderTime(MessageCommands.End end, Message message) {
-        boolean over = end.outcome() == MessageCommands.AttemptOutcome.RETRY
+        boolean attemptsUsedUp = end.outcome() == MessageCommands.AttemptOutcome.RETRY
                 && !dispatcher.policy().attemptsLeft(message);
         Instant due = end.outcome() == MessageCommands.AttemptOutcome.RETRY
                 ? wallTime().plus(dispatcher.policy().backoff(message.attemptsMade()))
@@ -217,8 +221,8 @@
         return new MessageCommands.End(
                 end.handle(),
                 end.attempt(),
-                over ? MessageCommands.AttemptOutcome.FAILED : end.outcome(),
-                over ? "attempts used up; last: " + end.proof() : end.proof(),
+                attemptsUsedUp ? MessageCommands.AttemptOutcome.FAILED : end.outcome(),
+                attemptsUsedUp ? "attempts used up; last: " + end.proof() : end.proof(),
                 due,
                 wallTime());
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPolicy.java
@@ -8,13 +8,13 @@
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /**
- * What the configuration says of a message's delivery: its time limit, its attempts, whether it may be sent again, and
- * the delays between attempts. A lane that is no longer configured keeps the terms its messages were accepted with.
+ * The delivery settings of a message: its time limit, its attempts, whether it may be sent again, and the delays
+ * between attempts. A lane that is no longer configured keeps the terms its messages were accepted with.
  */
 final class DeliveryPolicy {
-    private static final Duration RETRY_SOON = Duration.ofMillis(20);
+    private static final Duration SHORT_RETRY_DELAY = Duration.ofMillis(20);
     private static final Duration FIRST_BACKOFF = Duration.ofMillis(50);
-    private static final Duration LONGEST_BACKOFF = Duration.ofSeconds(20);
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(20);
     /** Each attempt quadruples the backoff, up to this many times. */
     private static final int MAX_QUADRUPLINGS = 5;
 
@@ -24,7 +24,7 @@
         this.context = context;
     }
 
-    /** The newest configuration of proven age; the empty one if there is none. */
+    /** The newest configuration that is known to be fresh; an empty one if there is none. */
     private Configuration configuration() {
         return context.configurations()
                 .fresh()
@@ -32,20 +32,21 @@
                 .orElse(Configuration.empty());
     }
 
-    /** The present terms of the message's lane. */
+    /** The current terms of the lane of the message. */
     RouteTerms terms(Message message) {
         return Optional.ofNullable(configuration().lanes().get(message.lane()))
                 .map(RouteTerms::of)
                 .orElse(message.terms());
     }
 
-    /** Whether the message is for the given service, by the present terms of its lane. */
+    /** Whether the message is for the given service, by the current terms of its lane. */
     boolean isOfService(Message message, String service) {
         return terms(message).service().equals(service);
     }
 
     /**
-     * When the message fails unless delivered; counted from when it was first due, so that a delay asked for is extra.
+     * The time at which an undelivered message fails. It is counted from the time at which the message was first due,
+     * so that a requested delay does not use up the time limit.
      */
     Instant expiry(Message message) {
         return message.from().plusMillis(terms(message).timeLimitMs());
@@ -69,17 +70,18 @@
 
     /** The delay before a message that was not run is tried elsewhere: short, with jitter. */
     Duration shortRetryDelay() {
-        return RETRY_SOON.plusNanos(Math.floorMod(context.environment().random().getAsLong(), RETRY_SOON.toNanos()));
+        return SHORT_RETRY_DELAY.plusNanos(
+                Math.floorMod(context.environment().random().getAsLong(), SHORT_RETRY_DELAY.toNanos()));
     }
 
     /**
-     * The delay after so many failed attempts: exponential and bounded, with jitter between half and one and a half of
-     * it.
+     * The delay after the given number of failed attempts: exponential and bounded, with jitter between half and one
+     * and a half of its value.
      */
     Duration backoff(int attempts) {
         int quadruplings = Math.min(MAX_QUADRUPLINGS, Math.max(0, attempts - 1));
         Duration exponential = FIRST_BACKOFF.multipliedBy(1L << 2 * quadruplings);
-        Duration bounded = exponential.compareTo(LONGEST_BACKOFF) > 0 ? LONGEST_BACKOFF : exponential;
+        Duration bounded = exponential.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : exponential;
         long jitter = Math.floorMod(context.environment().random().getAsLong(), bounded.toNanos());
         return bounded.dividedBy(2).plusNanos(jitter);
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryProtocol.java
@@ -4,15 +4,15 @@
 import java.util.function.BooleanSupplier;
 import org.woadvale.dataplane.queue.Message;
 
-/** Seam: how a delivery is written for a back end, and what its answer means. (docs/design.md, section 9.3) */
+/** How a delivery is encoded for a back end, and what its response means. (docs/design.md, section 9.3) */
 public interface DeliveryProtocol {
-    /** The request for one attempt; limit is how long the attempt may take. */
+    /** The request for one attempt, which may take as long as the timeout. */
     DeliveryClient.DeliveryRequest push(
-            Message message, DeliveryTargets.Target to, Duration limit, BooleanSupplier still);
+            Message message, DeliveryTargets.Target target, Duration timeout, BooleanSupplier stillPermitted);
 
     /** What the response to a push means. */
-    Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse);
+    Verdict read(Message message, DeliveryClient.DeliveryResponse response);
 
-    /** Whether a back end can be asked what became of an attempt. */
+    /** Whether a back end can be asked for the outcome of an attempt. */
     boolean supportsInquiry();
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryTargets.java
@@ -11,36 +11,40 @@
 import org.woadvale.common.runtime.LockedShard;
 
 /**
- * Liveness of back ends by their results: slow ones get less, failing ones are probed. (docs/design.md, section 9.4)
+ * The health of back ends, by the results of deliveries: slow ones get less work, failing ones are probed with one
+ * delivery at a time. (docs/design.md, section 9.4)
  */
 public final class DeliveryTargets {
     private static final int MAX_IN_FLIGHT = 16;
-    private static final int FAILING = 3;
-    /** Work goes to another zone only where that pays: bytes between zones are dear. */
-    private static final double FAR = 2;
+    private static final int FAILURE_THRESHOLD = 3;
+    /**
+     * Cost factor of a back end in another zone: work goes there only where that outweighs the price of traffic between
+     * zones.
+     */
+    private static final double OTHER_ZONE_COST = 2;
 
-    /** Of the newest time in the average. */
+    /** Weight of the newest response time in the moving average. */
     private static final double NEWEST_WEIGHT = 0.2;
 
     private static final int MAX_DOUBLINGS = 6;
     private static final Duration FIRST_PAUSE = Duration.ofMillis(250);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
+    private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
 
-    /** One back end that may get work. */
+    /** A back end that may receive work. */
     public record Target(String key, String id, String address, boolean sameZone) {}
 
-    private static final class Liveness {
+    private static final class TargetHealth {
         int inFlight;
         int failures;
-        double slowMs;
+        double averageMs;
         Duration notBefore = Duration.ZERO;
     }
 
     private final NodeEnvironment environment;
     private final LockedShard shard = new LockedShard();
-    private final Map<String, Liveness> all = new HashMap<>();
+    private final Map<String, TargetHealth> healthByTarget = new HashMap<>();
 
-    /** Without any target. */
+    /** Creates the health records, without any target. */
     public DeliveryTargets(NodeEnvironment environment) {
         this.environment = environment;
     }
@@ -49,50 +53,51 @@
         return environment.clock().monotonicTime();
     }
 
-    /** The least busy of those that may be tried now; its place in flight is taken. */
-    public Optional<Target> tryAcquire(List<Target> from, ToIntFunction<Target> most) {
+    /** Selects the least loaded of the targets that may be tried now, and counts a delivery in flight to it. */
+    public Optional<Target> tryAcquire(List<Target> candidates, ToIntFunction<Target> maxInFlight) {
         return shard.get(() -> {
-            Optional<Target> optional = from.stream()
-                    .filter(target -> open(of(target), most.applyAsInt(target)))
-                    .min(Comparator.comparingDouble(target ->
-                            (of(target).inFlight + 1) * (1 + of(target).slowMs) * (target.sameZone() ? 1 : FAR)));
-            optional.ifPresent(target -> of(target).inFlight++);
-            return optional;
+            Optional<Target> selected = candidates.stream()
+                    .filter(target -> isAvailable(healthOf(target), maxInFlight.applyAsInt(target)))
+                    .min(Comparator.comparingDouble(target -> (healthOf(target).inFlight + 1)
+                            * (1 + healthOf(target).averageMs)
+                            * (target.sameZone() ? 1 : OTHER_ZONE_COST)));
+            selected.ifPresent(target -> healthOf(target).inFlight++);
+            return selected;
         });
     }
 
-    private Liveness of(Target target) {
-        return all.computeIfAbsent(target.key(), k -> new Liveness());
+    private TargetHealth healthOf(Target target) {
+        return healthByTarget.computeIfAbsent(target.key(), k -> new TargetHealth());
     }
 
-    private boolean open(Liveness liveness, int most) {
-        boolean failing = liveness.failures >= FAILING;
-        return liveness.inFlight < (failing ? 1 : most == 0 ? MAX_IN_FLIGHT : most)
-                && now().compareTo(liveness.notBefore) >= 0;
+    private boolean isAvailable(TargetHealth health, int maxInFlight) {
+        boolean failing = health.failures >= FAILURE_THRESHOLD;
+        return health.inFlight < (failing ? 1 : maxInFlight == 0 ? MAX_IN_FLIGHT : maxInFlight)
+                && now().compareTo(health.notBefore) >= 0;
     }
 
-    /** A delivery to the target is over. */
-    public void onCompleted(Target target, boolean answered, Duration took) {
+    /** Records the end of a delivery to the target. */
+    public void onCompleted(Target target, boolean answered, Duration elapsed) {
         shard.run(() -> {
-            Liveness liveness = of(target);
-            liveness.inFlight = Math.max(0, liveness.inFlight - 1);
+            TargetHealth health = healthOf(target);
+            health.inFlight = Math.max(0, health.inFlight - 1);
             if (answered) {
-                liveness.failures = 0;
-                liveness.notBefore = Duration.ZERO;
-                liveness.slowMs = liveness.slowMs * (1 - NEWEST_WEIGHT) + took.toMillis() * NEWEST_WEIGHT;
+                health.failures = 0;
+                health.notBefore = Duration.ZERO;
+                health.averageMs = health.averageMs * (1 - NEWEST_WEIGHT) + elapsed.toMillis() * NEWEST_WEIGHT;
             } else {
-                liveness.failures++;
-                if (liveness.failures >= FAILING) {
-                    Duration pause =
-                            FIRST_PAUSE.multipliedBy(1L << Math.min(MAX_DOUBLINGS, liveness.failures - FAILING));
-                    liveness.notBefore = now().plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause);
+                health.failures++;
+                if (health.failures >= FAILURE_THRESHOLD) {
+                    Duration pause = FIRST_PAUSE.multipliedBy(
+                            1L << Math.min(MAX_DOUBLINGS, health.failures - FAILURE_THRESHOLD));
+                    health.notBefore = now().plus(pause.compareTo(MAX_PAUSE) > 0 ? MAX_PAUSE : pause);
                 }
             }
         });
     }
 
-    /** Drawn, but nothing was sent. */
+    /** Releases an acquired target to which nothing was sent. */
     public void release(Target target) {
-        shard.run(() -> of(target).inFlight = Math.max(0, of(target).inFlight - 1));
+        shard.run(() -> healthOf(target).inFlight = Math.max(0, healthOf(target).inFlight - 1));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DispatchContext.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DispatchContext.java
@@ -7,7 +7,7 @@
 import org.woadvale.dataplane.ConfigurationView;
 import org.woadvale.dataplane.queue.MessagePartitions;
 
-/** What every dispatcher of a store shares; lease is how long a leased message rests after its last word. */
+/** What all dispatchers of a store share; {@code leaseTime} is how long a lease lasts without a renewal. */
 public record DispatchContext(
         NodeEnvironment environment,
         ViewSubscriptions subscriptions,
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatcher.java
@@ -19,21 +19,24 @@
 import org.woadvale.dataplane.queue.ReadyQueue;
 import reactor.core.publisher.Mono;
 
-/** Lets the messages of one partition out, while this node owns it (docs/design.md, section 9.3). */
+/** Dispatches the messages of one partition while this node leads it. (docs/design.md, section 9.3) */
 public final class Dispatcher {
     private static final int LOOK_AHEAD = 64;
-    /** Retries of a tenant on a lane in a partition: a flood that cannot succeed spends only these. */
-    private static final RateLimit RETRIES = new RateLimit(5, 10);
+    /**
+     * Rate limit for the retries of a tenant on a lane in a partition: messages that cannot succeed use up only this
+     * limit.
+     */
+    private static final RateLimit RETRY_LIMIT = new RateLimit(5, 10);
 
     private final DispatchContext context;
     private final MessagePartition partition;
-    private final Set<String> busy = ConcurrentHashMap.newKeySet();
-    private final Map<String, TokenBucket> retries = new HashMap<>();
+    private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
+    private final Map<String, TokenBucket> retryBuckets = new HashMap<>();
     private final DeliveryPolicy policy;
     private final DeliveryLeases leases;
-    private int turn;
+    private int rotation;
 
-    /** The dispatcher of one partition. */
+    /** Creates the dispatcher of one partition. */
     public Dispatcher(DispatchContext context, MessagePartition partition) {
         this.context = context;
         this.partition = partition;
@@ -46,7 +49,7 @@
     }
 
     boolean idle() {
-        return busy.isEmpty();
+        return inFlight.isEmpty();
     }
 
     DispatchContext context() {
@@ -69,19 +72,19 @@
         return policy;
     }
 
-    /** Only views of proven age may say that a processor is gone. */
+    /** Reports a processor as gone only by a view that is known to be fresh. */
     ProcessorStatus processorStatus(Message message) {
-        Optional<Configuration> configuration = context.configurations().fresh().map(known -> known.configuration());
+        Optional<Configuration> configuration = context.configurations().fresh().map(view -> view.configuration());
         if (configuration.isEmpty()) {
             return ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN);
         }
         String service = policy.terms(message).service();
-        Optional<Configuration.Service> optional =
+        Optional<Configuration.Service> configured =
                 Optional.ofNullable(configuration.get().services().get(service));
-        if (optional.isPresent() && optional.get().kind() == Configuration.Kind.ENDPOINT) {
-            return ProcessorStatus.listed(message, optional.get().address());
+        if (configured.isPresent() && configured.get().kind() == Configuration.Kind.ENDPOINT) {
+            return ProcessorStatus.listed(message, configured.get().address());
         }
-        if (optional.isEmpty() && message.processor().equals(ProcessorSelector.ENDPOINT)) {
+        if (configured.isEmpty() && message.processor().equals(ProcessorSelector.ENDPOINT)) {
             return ProcessorStatus.gone(message);
         }
         return context.subscriptions()
@@ -92,12 +95,12 @@
                 .orElse(ProcessorStatus.of(ProcessorStatus.Kind.UNKNOWN));
     }
 
-    /** Asking an outside endpoint counts as one of its requests, so it spends a leaving pass. */
+    /** An inquiry counts as a request to an external endpoint, so it uses an admission token. */
     Optional<DeliveryPermit> acquireInquiryPermit(Message message) {
         return DeliveryPermit.tryAcquire(context, policy.terms(message).service());
     }
 
-    /** Called by the store's one schedule. */
+    /** Called periodically by {@link Dispatchers}. */
     void onTick() {
         if (!isLeader()) {
             leases.clear();
@@ -109,9 +112,9 @@
         adoptRunning();
         Map<String, List<Message>> byLane = due();
         List<String> lanes = new ArrayList<>(byLane.keySet());
-        turn++;
+        rotation++;
         for (int i = 0; i < lanes.size(); i++) {
-            String lane = lanes.get((i + turn) % lanes.size());
+            String lane = lanes.get((i + rotation) % lanes.size());
             for (Message message : byLane.get(lane)) {
                 if (!dispatchNext(message)) {
                     break;
@@ -120,16 +123,19 @@
         }
     }
 
-    /** Running here by the log, but not by us: the leader changed, so the outcome is unclear. */
+    /**
+     * Resumes messages that are running according to the log but were not started here: the leader changed, so their
+     * outcome is unknown.
+     */
     private void adoptRunning() {
         for (Message message :
                 partition.replica().inspect(i -> partition.stateMachine().running())) {
             if (message.leased()) {
                 leases.onTick(message);
-            } else if (busy.add(message.handle())) {
+            } else if (inFlight.add(message.handle())) {
                 new DeliveryAttempt(this, message, new DeliveryTargets.Target("", message.processor(), "", true))
                         .resumeAfterAdoption()
-                        .doFinally(signal -> busy.remove(message.handle()))
+                        .doFinally(signal -> inFlight.remove(message.handle()))
                         .subscribe(x -> {}, e -> {});
             }
         }
@@ -138,20 +144,20 @@
     private Map<String, List<Message>> due() {
         Instant now = wallTime();
         return partition.replica().inspect(i -> {
-            Map<String, List<Message>> out = new TreeMap<>();
+            Map<String, List<Message>> dueByLane = new TreeMap<>();
             ReadyQueue ready = partition.stateMachine().ready();
             ready.lanes().forEach(lane -> {
                 List<Message> list =
-                        ready.due(lane, now, LOOK_AHEAD, turn, message -> !busy.contains(message.handle()));
+                        ready.due(lane, now, LOOK_AHEAD, rotation, message -> !inFlight.contains(message.handle()));
                 if (!list.isEmpty()) {
-                    out.put(lane, list);
+                    dueByLane.put(lane, list);
                 }
             });
-            return out;
+            return dueByLane;
         });
     }
 
-    /** False when the lane can send nothing more now. */
+    /** Returns false if the lane can send nothing more for now. */
     private boolean dispatchNext(Message message) {
         if (wallTime().isAfter(policy.expiry(message))) {
             expire(message);
@@ -175,23 +181,23 @@
             context.targets().release(target.get());
             return false;
         }
-        busy.add(message.handle());
+        inFlight.add(message.handle());
         dispatch(message, permit.get(), target.get())
-                .doFinally(signal -> busy.remove(message.handle()))
+                .doFinally(signal -> inFlight.remove(message.handle()))
                 .subscribe(x -> {}, e -> {});
         return true;
     }
 
-    synchronized boolean retryAllowed(String lane) {
-        TokenBucket bucket = retries.computeIfAbsent(
-                lane,
-                k -> TokenBucket.full(RETRIES, context.environment().clock().monotonicTime()));
+    synchronized boolean retryAllowed(String laneAndTenant) {
+        TokenBucket bucket = retryBuckets.computeIfAbsent(
+                laneAndTenant,
+                k -> TokenBucket.full(RETRY_LIMIT, context.environment().clock().monotonicTime()));
         bucket.fill(context.environment().clock().monotonicTime(), 0);
         return bucket.take(1);
     }
 
     private void expire(Message message) {
-        if (busy.add(message.handle())) {
+        if (inFlight.add(message.handle())) {
             context.recorder()
                     .record(
                             partitionId(),
@@ -203,12 +209,12 @@
                                     wallTime(),
                                     wallTime()),
                             "")
-                    .doFinally(signal -> busy.remove(message.handle()))
+                    .doFinally(signal -> inFlight.remove(message.handle()))
                     .subscribe(x -> {}, e -> {});
         }
     }
 
-    /** The attempt is committed before anything is sent; then all is checked again. */
+    /** Commits the start of the attempt before anything is sent; all checks are repeated afterwards. */
     private Mono<Boolean> dispatch(Message message, DeliveryPermit permit, DeliveryTargets.Target target) {
         MessageCommands.Start start = new MessageCommands.Start(
                 message.handle(),
@@ -225,13 +231,13 @@
                     context.targets().release(target);
                 })
                 .flatMap(result -> {
-                    DeliveryAttempt run = new DeliveryAttempt(this, result.message(), target);
+                    DeliveryAttempt attempt = new DeliveryAttempt(this, result.message(), target);
                     if (!result.applied()) {
                         permit.release();
                         context.targets().release(target);
                         return Mono.just(false);
                     }
-                    return run.push(permit);
+                    return attempt.push(permit);
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Dispatchers.java
@@ -7,7 +7,9 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.dataplane.queue.MessagePartitions.MessagePartition;
 
-/** The dispatchers of a store, one a partition, and the store's one schedule (docs/design.md, sections 9.3 and 9.4). */
+/**
+ * The dispatchers of a store, one per partition, and the timer that drives them. (docs/design.md, sections 9.3 and 9.4)
+ */
 public final class Dispatchers {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
@@ -18,7 +20,7 @@
     private final OutcomeReportHandler outcomeReportHandler;
     private TimerHandle ticking = () -> {};
 
-    /** Without any partition. */
+    /** Creates the dispatchers of a store, at first for no partition. */
     public Dispatchers(DispatchContext context) {
         this.context = context;
         this.waitingPulls = new WaitingPulls(context, dispatchersByPartition);
@@ -26,7 +28,7 @@
         this.outcomeReportHandler = new OutcomeReportHandler(context);
     }
 
-    /** A partition was opened on this store. */
+    /** Adds the dispatcher of a partition that was opened on this store. */
     public void onPartitionOpened(MessagePartition partition) {
         Dispatcher dispatcher = new Dispatcher(context, partition);
         dispatchersByPartition.put(partition.id(), dispatcher);
@@ -45,12 +47,12 @@
         return dispatchersByPartition.values().stream().allMatch(Dispatcher::idle);
     }
 
-    /** Begins no delivery any more. */
+    /** Stops starting deliveries. */
     public void stop() {
         ticking.cancel();
     }
 
-    /** What a store answers to intakes and other stores about deliveries. */
+    /** Registers the handlers for requests of intakes and other stores about deliveries. */
     public void route(RpcRouter router) {
         waitingPulls.route(router);
         fetchHandler.route(router);
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
@@ -24,14 +24,14 @@
  * listing, the leadership and the permit are checked again, then the message is handed out.
  */
 final class FetchHandler {
-    /** At most so many messages of a lane are looked at in one fetch. */
+    /** The maximum number of messages that one fetch examines in each lane. */
     private static final int MAX_SCANNED = 64;
 
     private static final String NOT_SENT = "not sent";
 
     private final DispatchContext context;
     private final DeliveryPolicy policy;
-    private final AtomicInteger turns = new AtomicInteger();
+    private final AtomicInteger rotations = new AtomicInteger();
 
     FetchHandler(DispatchContext context) {
         this.context = context;
@@ -65,7 +65,10 @@
         });
     }
 
-    /** What this very fetch was given, for a processor that did not get the answer: the same attempts. */
+    /**
+     * The attempts that were already started for this fetch, for a processor that did not receive the response and
+     * repeats it.
+     */
     private List<Message> deliveredBefore(MessagePartition partition, FetchRequest request) {
         Instant now = context.environment().clock().wallTime();
         return partition
@@ -86,19 +89,19 @@
                 && processor.get().address().isEmpty();
     }
 
-    /** Due messages of the service, lane by lane; each fetch begins at another place. */
+    /** Due messages of the service, lane by lane; each fetch starts with another tenant. */
     private List<Message> candidates(MessagePartition partition, String service) {
-        int turn = turns.incrementAndGet();
+        int rotation = rotations.incrementAndGet();
         Instant now = context.environment().clock().wallTime();
         return partition
                 .replica()
                 .inspect(i -> partition
                         .stateMachine()
                         .ready()
-                        .dueOfAllLanes(now, MAX_SCANNED, turn, message -> policy.isOfService(message, service)));
+                        .dueOfAllLanes(now, MAX_SCANNED, rotation, message -> policy.isOfService(message, service)));
     }
 
-    /** The attempt is committed before the answer; all is checked again when it is handed out. */
+    /** Commits the start of the attempt before the response; all checks are repeated when the message is handed out. */
     private Mono<Message> start(MessagePartition partition, Message message, FetchRequest request) {
         Instant now = context.environment().clock().wallTime();
         if (now.isAfter(policy.expiry(message))
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/HttpDeliveryClient.java
@@ -26,16 +26,16 @@
 import reactor.netty.http.client.HttpClientResponse;
 import reactor.netty.resources.ConnectionProvider;
 
-/** HTTP/1.1 to back ends by Reactor Netty; it never sends a request twice by itself. */
+/** Sends requests to back ends over HTTP/1.1 with Reactor Netty; it never repeats a request by itself. */
 public final class HttpDeliveryClient implements DeliveryClient {
     private static final int MAX_CONNECTIONS = 64;
     private static final int MAX_PENDING = 256;
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    /** Beyond the time-out of a request, for a response that is being read. */
+    /** Extra time beyond the timeout of a request, for a response that is being read. */
     private static final Duration RESPONSE_GRACE = Duration.ofMillis(200);
 
     private static final int MAX_RESPONSE_BYTES = 64 << 10;
-    /** How long a connection may be idle, unless the processor says less. */
+    /** The maximum idle time of a connection, unless the back end announces one in a Keep-Alive header. */
     private static final Duration DEFAULT_IDLE_LIMIT = Duration.ofSeconds(20);
 
     private static final Pattern KEEP_ALIVE = Pattern.compile("timeout=([0-9]{1,6})");
@@ -58,8 +58,9 @@
             .disableRetry(true);
 
     /**
-     * Whatever waited for a stream is checked again once it has one. A reply is published by a later task of the event
-     * loop, when its stream is back in the pool: a caller that sends again at once finds it there.
+     * The permission to send is checked again once a connection is available. The response is published by a later task
+     * of the event loop, after its connection has returned to the pool, so that a caller that sends again at once can
+     * use that connection.
      */
     @Override
     public Mono<DeliveryResponse> send(DeliveryRequest deliveryRequest) {
@@ -67,29 +68,30 @@
                 .responseTimeout(deliveryRequest.timeout())
                 .request(HttpMethod.valueOf(deliveryRequest.method()))
                 .uri(deliveryRequest.url())
-                .send((sent, out) -> deliveryRequest.stillPermitted().getAsBoolean()
+                .send((httpRequest, out) -> deliveryRequest.stillPermitted().getAsBoolean()
                         ? out.send(Mono.fromSupplier(() -> Unpooled.wrappedBuffer(deliveryRequest.body())))
                         : Mono.error(new UnreachableException("It may not be sent any more.")))
-                .responseConnection((response, stream) -> stream.inbound()
+                .responseConnection((response, connection) -> connection
+                        .inbound()
                         .receive()
                         .aggregate()
                         .asByteArray()
                         .defaultIfEmpty(new byte[0])
                         .filter(bytes -> bytes.length <= MAX_RESPONSE_BYTES)
                         .defaultIfEmpty(new byte[0])
-                        .map(bytes -> reply(deliveryRequest, response, stream, bytes))
-                        .publishOn(Schedulers.fromExecutor(stream.channel().eventLoop())))
+                        .map(bytes -> toResponse(deliveryRequest, response, connection, bytes))
+                        .publishOn(Schedulers.fromExecutor(connection.channel().eventLoop())))
                 .next()
                 .timeout(deliveryRequest.timeout().plus(RESPONSE_GRACE))
-                .onErrorMap(HttpDeliveryClient::failure);
+                .onErrorMap(HttpDeliveryClient::toServiceException);
     }
 
     /**
-     * An answer that does not name our request, and it alone, shows that the stream is out of step: nothing more is
-     * sent on it. An interim answer is one of these.
+     * A response that does not name our request, and only that one, shows that responses on the connection are out of
+     * step with requests: the connection is closed. This includes interim responses.
      */
-    private DeliveryResponse reply(
-            DeliveryRequest deliveryRequest, HttpClientResponse response, Connection stream, byte[] body) {
+    private DeliveryResponse toResponse(
+            DeliveryRequest deliveryRequest, HttpClientResponse response, Connection connection, byte[] body) {
         Map<String, String> headers = new HashMap<>();
         response.responseHeaders()
                 .forEach(entry -> headers.put(entry.getKey().toLowerCase(Locale.ROOT), entry.getValue()));
@@ -97,31 +99,33 @@
                 .allMatch(entry ->
                         response.responseHeaders().getAll(entry.getKey()).equals(List.of(entry.getValue())));
         if (!ours) {
-            stream.channel().close();
+            connection.channel().close();
             throw Exceptions.propagate(new OutcomeUnknownException("The answer is to another request."));
         }
         Matcher matcher = KEEP_ALIVE.matcher(headers.getOrDefault("keep-alive", ""));
         if (matcher.find()) {
-            // a margin, so that a stream is not used while the other side closes it
+            // a margin, so that a connection is not used while the other side closes it
             Duration idleLimit = Duration.ofSeconds(Long.parseLong(matcher.group(1)));
-            Duration half = idleLimit.dividedBy(2);
-            Duration oneLess = idleLimit.minusSeconds(1);
-            idleLimits.put(stream.channel().remoteAddress(), half.compareTo(oneLess) > 0 ? half : oneLess);
+            Duration halfLimit = idleLimit.dividedBy(2);
+            Duration limitLessOneSecond = idleLimit.minusSeconds(1);
+            idleLimits.put(
+                    connection.channel().remoteAddress(),
+                    halfLimit.compareTo(limitLessOneSecond) > 0 ? halfLimit : limitLessOneSecond);
         }
         return new DeliveryResponse(response.status().code(), headers, body);
     }
 
-    private static Throwable failure(Throwable thrown) {
+    private static Throwable toServiceException(Throwable thrown) {
         Throwable e = Exceptions.unwrap(thrown);
         if (e instanceof ServiceException) {
             return e;
         }
-        boolean never = e instanceof ConnectException
+        boolean nothingSent = e instanceof ConnectException
                 || e instanceof ConnectTimeoutException
                 || e.getCause() instanceof ConnectException
                 || e.getClass().getSimpleName().startsWith("PoolAcquire");
         return ServiceException.of(
-                never ? ErrorKind.UNREACHABLE : ErrorKind.UNKNOWN_OUTCOME,
+                nothingSent ? ErrorKind.UNREACHABLE : ErrorKind.UNKNOWN_OUTCOME,
                 e.getClass().getSimpleName() + ": " + e.getMessage(),
                 List.of());
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -10,19 +10,20 @@
 import org.woadvale.dataplane.queue.Message;
 
 /**
- * The product's own way: JSON with message id and attempt, answered by an echo with a receipt. (docs/design.md, section
- * 9.3)
+ * The native protocol: a JSON request with message id and attempt, answered by an echo of both with a receipt.
+ * (docs/design.md, section 9.3)
  */
 public final class NativeDeliveryProtocol implements DeliveryProtocol {
     @Override
     public DeliveryClient.DeliveryRequest push(
-            Message message, DeliveryTargets.Target to, Duration limit, BooleanSupplier still) {
-        return new DeliveryClient.DeliveryRequest("POST", to.address() + "/messages", body(message), limit, still);
+            Message message, DeliveryTargets.Target target, Duration timeout, BooleanSupplier stillPermitted) {
+        return new DeliveryClient.DeliveryRequest(
+                "POST", target.address() + "/messages", body(message), timeout, stillPermitted);
     }
 
     @Override
-    public Verdict read(Message message, DeliveryClient.DeliveryResponse deliveryResponse) {
-        return Verdict.ofPush(deliveryResponse, message.handle(), message.attempt());
+    public Verdict read(Message message, DeliveryClient.DeliveryResponse response) {
+        return Verdict.ofPush(response, message.handle(), message.attempt());
     }
 
     @Override
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -10,7 +10,10 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Records an ending with whichever store owns the partition now, until it is committed (docs/design.md, section 9.3). */
+/**
+ * Records the end of an attempt with the current leader of its partition, retrying until it is committed.
+ * (docs/design.md, section 9.3)
+ */
 public final class OutcomeRecorder {
     private static final Logger LOG = LogManager.getLogger(OutcomeRecorder.class);
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
@@ -19,19 +22,19 @@
     private final NodeEnvironment environment;
     private final SubmitForwarder forwarder;
 
-    /** Records by way of the leaders of partitions. */
+    /** Creates a recorder that sends to the leaders of partitions through the forwarder. */
     public OutcomeRecorder(NodeEnvironment environment, SubmitForwarder forwarder) {
         this.environment = environment;
         this.forwarder = forwarder;
     }
 
-    /** Records the end of an attempt with whoever leads the partition by now. */
+    /** Records the end of an attempt; false if it was not applied or recording was given up. */
     public Mono<Boolean> record(String partition, MessageCommands.End end, String processor) {
         return record(
                 partition, end, processor, environment.clock().monotonicTime().plus(GIVE_UP_AFTER));
     }
 
-    private Mono<Boolean> record(String partition, MessageCommands.End end, String processor, Duration until) {
+    private Mono<Boolean> record(String partition, MessageCommands.End end, String processor, Duration giveUpAt) {
         MessageCommands.OutcomeReport request = new MessageCommands.OutcomeReport(partition, end, processor, "");
         return forwarder
                 .call(partition, request, MessageCommands.TransitionResult.class, ATTEMPT_TIMEOUT)
@@ -41,12 +44,12 @@
                     if (failure.kind() == ErrorKind.NOT_FOUND) {
                         return Mono.just(false);
                     }
-                    if (environment.clock().monotonicTime().compareTo(until) >= 0) {
+                    if (environment.clock().monotonicTime().compareTo(giveUpAt) >= 0) {
                         LOG.error("Gave up recording the outcome of {}: {}", end.handle(), failure.getMessage());
                         return Mono.just(false);
                     }
                     return Delays.delay(environment.timers(), RETRY_PAUSE)
-                            .then(Mono.defer(() -> record(partition, end, processor, until)));
+                            .then(Mono.defer(() -> record(partition, end, processor, giveUpAt)));
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeReportHandler.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeReportHandler.java
@@ -59,8 +59,8 @@
 
     private boolean mayEnd(OutcomeReport report, Message message) {
         boolean ownService = policy.isOfService(message, report.service());
-        boolean presentAttempt = report.end().attempt() == message.attempt();
-        return ownService && (!presentAttempt || report.processor().equals(message.processor()));
+        boolean latestAttempt = report.end().attempt() == message.attempt();
+        return ownService && (!latestAttempt || report.processor().equals(message.processor()));
     }
 
     private boolean isRetryWithoutAttemptsLeft(OutcomeReport report, Message message) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorSelector.java
@@ -9,15 +9,18 @@
 import org.woadvale.common.membership.Processor;
 import org.woadvale.common.membership.ServiceNames;
 
-/** Who may receive work of a service now, by views of proven age (docs/design.md, section 7.2). */
+/**
+ * Selects the back ends that may receive work of a service, by views known to be fresh. (docs/design.md, section 7.2)
+ */
 final class ProcessorSelector {
     static final String ENDPOINT = "endpoint";
 
     private ProcessorSelector() {}
 
     /**
-     * How much one back end may have in flight from this store: its connections shared out among the stores, and not
-     * much more than its slots. 0 where nothing is said.
+     * The number of deliveries that may be in flight from this store to one back end: an equal share, among the stores,
+     * of the connections of the service and of twice the slots of the processor, whichever is less. 0 if neither is
+     * configured.
      */
     static ToIntFunction<DeliveryTargets.Target> maxInFlight(Dispatcher dispatcher, String service) {
         int stores = (int) Math.max(
@@ -48,21 +51,21 @@
     }
 
     static List<DeliveryTargets.Target> targets(Dispatcher dispatcher, String service) {
-        Optional<Configuration.Service> optional = dispatcher
+        Optional<Configuration.Service> configured = dispatcher
                 .context()
                 .configurations()
                 .fresh()
                 .map(known -> known.configuration().services().get(service));
-        if (optional.isEmpty()) {
+        if (configured.isEmpty()) {
             return List.of();
         }
-        if (optional.get().kind() == Configuration.Kind.ENDPOINT) {
-            return List.of(
-                    new DeliveryTargets.Target(service, ENDPOINT, optional.get().address(), true));
+        if (configured.get().kind() == Configuration.Kind.ENDPOINT) {
+            return List.of(new DeliveryTargets.Target(
+                    service, ENDPOINT, configured.get().address(), true));
         }
-        List<DeliveryTargets.Target> out = new ArrayList<>();
-        if (optional.get().kind() == Configuration.Kind.FETCHERS) {
-            return out;
+        List<DeliveryTargets.Target> targets = new ArrayList<>();
+        if (configured.get().kind() == Configuration.Kind.FETCHERS) {
+            return targets;
         }
         dispatcher
                 .context()
@@ -70,7 +73,7 @@
                 .fresh(ServiceNames.processors(service))
                 .ifPresent(view -> view.processors().forEach((id, processor) -> {
                     if (!processor.leaving() && !processor.address().isEmpty()) {
-                        out.add(new DeliveryTargets.Target(
+                        targets.add(new DeliveryTargets.Target(
                                 service + "/" + id,
                                 id,
                                 processor.address(),
@@ -80,6 +83,6 @@
                                                 .equals(dispatcher.context().zone())));
                     }
                 }));
-        return out;
+        return targets;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/ProcessorStatus.java
@@ -3,8 +3,8 @@
 import org.woadvale.dataplane.queue.Message;
 
 /**
- * Where the processor of an attempt can be asked; not knowing is not the same as its being gone. (docs/design.md,
- * section 9.3)
+ * Whether the processor of an attempt can be asked for the outcome, and where. UNKNOWN is not GONE: a processor is gone
+ * only if a fresh view proves it. (docs/design.md, section 9.3)
  */
 record ProcessorStatus(Kind kind, String address) {
     enum Kind {
@@ -14,20 +14,26 @@
         REACHABLE
     }
 
-    /** An attempt that was fetched has this before the id of the fetch, where a pushed one has the address. */
+    /**
+     * Prefix of the destination of a fetched attempt, followed by the id of the fetch; a pushed attempt has the address
+     * there.
+     */
     static final String FETCH_PREFIX = "fetch:";
 
     static ProcessorStatus of(Kind kind) {
         return new ProcessorStatus(kind, "");
     }
 
-    /** The one that has the attempt; whoever is listed under its id at another address now is not. */
+    /**
+     * The status of the processor that has the attempt, given the address that is listed under its id now: at another
+     * address it is another processor, and the original one is gone.
+     */
     static ProcessorStatus listed(Message message, String address) {
         if (message.destination().startsWith(FETCH_PREFIX)) {
             return of(Kind.PULLS);
         }
         if (message.destination().isEmpty()) {
-            // stored by a build that did not remember it
+            // stored by a build that did not record the destination
             return address.isEmpty() ? of(Kind.PULLS) : new ProcessorStatus(Kind.REACHABLE, address);
         }
         return new ProcessorStatus(
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/PullQueue.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/PullQueue.java
@@ -15,9 +15,9 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** The long pulls that wait for work, by service, in the order of their arrival; several threads may use it. */
+/** The long pulls that wait for work, by service, in the order of their arrival. Thread-safe. */
 final class PullQueue {
-    /** At most so many pulls of one service wait; later ones are refused. */
+    /** The maximum number of waiting pulls of one service; further ones are refused. */
     static final int MAX_WAITING_PER_SERVICE = 4096;
 
     /** One waiting pull; it expires at the given monotonic time. */
@@ -26,8 +26,8 @@
             return response.asMono();
         }
 
-        void respond(LongPullResponse answer) {
-            response.tryEmitValue(answer);
+        void respond(LongPullResponse pullResponse) {
+            response.tryEmitValue(pullResponse);
         }
     }
 
@@ -50,7 +50,7 @@
         return Optional.of(pull);
     }
 
-    /** Removes the next pull of the service: the oldest of the own zone, else the oldest of all. */
+    /** Removes the next pull of the service: the oldest one from this zone, else the oldest one. */
     synchronized Optional<WaitingPull> take(String service) {
         Deque<WaitingPull> queue = waitingByService.getOrDefault(service, new ArrayDeque<>());
         Optional<WaitingPull> sameZone = queue.stream()
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SendGuard.java
@@ -2,7 +2,10 @@
 
 import java.util.function.BooleanSupplier;
 
-/** The moment at which a request leaves: either it was sent, or it never will be. (docs/design.md, section 9.3) */
+/**
+ * Decides whether a request is sent: once closed, it either was sent before or never will be. (docs/design.md, section
+ * 9.3)
+ */
 final class SendGuard {
     private enum State {
         OPEN,
@@ -12,16 +15,16 @@
 
     private State state = State.OPEN;
 
-    /** Sent once, and only if the last look at everything says so. */
-    synchronized boolean trySend(BooleanSupplier lastLook) {
-        if (state == State.OPEN && lastLook.getAsBoolean()) {
+    /** Marks the request as sent, once only and if the final check passes. */
+    synchronized boolean trySend(BooleanSupplier finalCheck) {
+        if (state == State.OPEN && finalCheck.getAsBoolean()) {
             state = State.SENT;
             return true;
         }
         return false;
     }
 
-    /** True if nothing was sent; then nothing will be. */
+    /** Prevents sending from now on; returns true if nothing was sent. */
     synchronized boolean close() {
         state = state == State.OPEN ? State.CLOSED : state;
         return state == State.CLOSED;
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreClocks.java
@@ -9,18 +9,19 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What is known of the stores' clocks, so that an ask can say until when it may be taken. (docs/design.md, section 9.7)
+ * Readings of the clocks of stores, by which a request can carry a deadline on the clock of the store that receives it.
+ * (docs/design.md, section 9.7)
  */
 final class StoreClocks {
     private static final Duration MAX_AGE = Duration.ofSeconds(5);
-    /** Two clocks may drift apart by one part in so many. */
-    private static final int DRIFT = 50;
+    /** Two clocks are assumed to drift apart by at most one part in this number. */
+    private static final int MAX_DRIFT_DIVISOR = 50;
 
-    /** Their clock showed so much at the latest when ours showed that. */
-    private record Known(String incarnation, Duration storeTime, Duration localTime) {}
+    /** The clock of the store showed {@code storeTime} no later than the local clock showed {@code localTime}. */
+    private record ClockReading(String incarnation, Duration storeTime, Duration localTime) {}
 
     private final NodeEnvironment environment;
-    private final Map<String, Known> readings = new ConcurrentHashMap<>();
+    private final Map<String, ClockReading> readings = new ConcurrentHashMap<>();
 
     StoreClocks(NodeEnvironment environment) {
         this.environment = environment;
@@ -31,28 +32,30 @@
     }
 
     /**
-     * A time of our clock, said in the store's: never later than it, whatever the clocks' drift and the way's delay.
+     * Converts a time of the local clock to the clock of the store: never later than that time, whatever the drift of
+     * the clocks and the delay of the network.
      */
     Mono<MessageCommands.RemoteDeadline> deadline(String store, Duration until, Duration limit) {
         return Mono.justOrEmpty(Optional.ofNullable(readings.get(store)))
-                .filter(known -> environment
+                .filter(reading -> environment
                                 .clock()
                                 .monotonicTime()
-                                .minus(known.localTime())
+                                .minus(reading.localTime())
                                 .compareTo(MAX_AGE)
                         < 0)
                 .switchIfEmpty(Mono.defer(() -> environment
                         .rpc()
                         .call(store, new MessageCommands.ClockRequest(true), MessageCommands.ClockResponse.class, limit)
-                        .map(response -> new Known(
+                        .map(response -> new ClockReading(
                                 response.incarnation(),
                                 response.time(),
                                 environment.clock().monotonicTime()))
-                        .doOnNext(known -> readings.put(store, known))))
-                .map(known -> {
-                    Duration ahead = until.minus(known.localTime());
+                        .doOnNext(reading -> readings.put(store, reading))))
+                .map(reading -> {
+                    Duration ahead = until.minus(reading.localTime());
                     return new MessageCommands.RemoteDeadline(
-                            known.incarnation(), known.storeTime().plus(ahead).minus(ahead.dividedBy(DRIFT)));
+                            reading.incarnation(),
+                            reading.storeTime().plus(ahead).minus(ahead.dividedBy(MAX_DRIFT_DIVISOR)));
                 });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/StoreHealth.java
@@ -11,19 +11,19 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What this node's own asks tell of stores and partitions; only for draws, never for what is true. (docs/design.md,
- * section 9.13)
+ * The health of stores and partitions as seen by the requests of this node. It only guides the choice among them;
+ * correctness does not depend on it. (docs/design.md, section 9.13)
  */
 final class StoreHealth {
-    private static final Duration FAILURE_MEMORY = Duration.ofMillis(1500);
-    private static final Duration UNHEALTHY_AFTER = Duration.ofSeconds(1);
-    /** An ask that is open for longer shows that the store may be gone. */
-    private static final Duration SILENT_AFTER = Duration.ofMillis(80);
+    private static final Duration PARTITION_FAILURE_MEMORY = Duration.ofMillis(1500);
+    private static final Duration STORE_FAILURE_MEMORY = Duration.ofSeconds(1);
+    /** A request in flight for longer than this indicates that the store may be down. */
+    private static final Duration UNRESPONSIVE_AFTER = Duration.ofMillis(80);
 
     private final NodeEnvironment environment;
-    private final AtomicLong ids = new AtomicLong();
-    private final Map<String, Duration> failures = new ConcurrentHashMap<>();
-    private final Map<String, Duration> slowSince = new ConcurrentHashMap<>();
+    private final AtomicLong lastId = new AtomicLong();
+    private final Map<String, Duration> partitionFailedUntil = new ConcurrentHashMap<>();
+    private final Map<String, Duration> storeUnhealthyUntil = new ConcurrentHashMap<>();
     private final Map<String, Map<Long, Duration>> inFlight = new ConcurrentHashMap<>();
 
     StoreHealth(NodeEnvironment environment) {
@@ -34,43 +34,44 @@
         return environment.clock().monotonicTime();
     }
 
-    /** Counts the ask as open until it ends. */
+    /** Counts the request as in flight until it ends. */
     <T> Mono<T> tracked(String store, Mono<T> request) {
         return Mono.defer(() -> {
-            long id = ids.incrementAndGet();
-            Map<Long, Duration> here = inFlight.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
-            here.put(id, now());
-            return request.doFinally(signal -> here.remove(id));
+            long id = lastId.incrementAndGet();
+            Map<Long, Duration> ofStore = inFlight.computeIfAbsent(store, s -> new ConcurrentHashMap<>());
+            ofStore.put(id, now());
+            return request.doFinally(signal -> ofStore.remove(id));
         });
     }
 
     void onFailure(String partition, String store, ServiceException failure) {
         if (failure.kind() == ErrorKind.UNREACHABLE || failure.kind() == ErrorKind.UNKNOWN_OUTCOME) {
-            slowSince.put(store, now().plus(UNHEALTHY_AFTER));
+            storeUnhealthyUntil.put(store, now().plus(STORE_FAILURE_MEMORY));
         }
         boolean redirected = failure instanceof NotLeaderException notLeader
                 && notLeader.leader().isPresent();
         if (!redirected) {
-            failures.put(partition, now().plus(FAILURE_MEMORY));
+            partitionFailedUntil.put(partition, now().plus(PARTITION_FAILURE_MEMORY));
         }
     }
 
     void onSuccess(String partition, String store) {
-        failures.remove(partition);
-        slowSince.remove(store);
+        partitionFailedUntil.remove(partition);
+        storeUnhealthyUntil.remove(store);
     }
 
     boolean isUnhealthy(String store) {
-        return now().compareTo(slowSince.getOrDefault(store, Duration.ZERO)) < 0;
+        return now().compareTo(storeUnhealthyUntil.getOrDefault(store, Duration.ZERO)) < 0;
     }
 
     boolean hasFailed(String partition) {
-        return now().compareTo(failures.getOrDefault(partition, Duration.ZERO)) < 0;
+        return now().compareTo(partitionFailedUntil.getOrDefault(partition, Duration.ZERO)) < 0;
     }
 
     boolean isUnresponsive(String store) {
-        Duration limit = now().minus(SILENT_AFTER);
+        Duration limit = now().minus(UNRESPONSIVE_AFTER);
         return isUnhealthy(store)
-                || inFlight.getOrDefault(store, Map.of()).values().stream().anyMatch(t -> t.compareTo(limit) < 0);
+                || inFlight.getOrDefault(store, Map.of()).values().stream()
+                        .anyMatch(sentAt -> sentAt.compareTo(limit) < 0);
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
@@ -24,7 +24,7 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Finds the leader of a message partition among its stores and asks it. */
+/** Sends requests to the leader of a message partition, which it finds among the stores of the partition. */
 public final class SubmitForwarder {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(400);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
@@ -35,7 +35,7 @@
     private final StoreHealth health;
     private final StoreClocks clocks;
 
-    /** Forwards from one node, by preference within its zone. */
+    /** Creates the forwarder of one node; it prefers stores in the given zone. */
     public SubmitForwarder(NodeEnvironment environment, ViewSubscriptions subscriptions, String zone) {
         this.zone = zone;
         this.environment = environment;
@@ -45,58 +45,63 @@
     }
 
     /**
-     * A partition for a message that any may hold: among those whose leader answers, by preference one in this zone;
-     * drawn by the given id. (docs/design.md, section 9.13)
+     * Selects a partition for a message that may go to any: among those whose leader responds, preferably one led in
+     * this zone, by rendezvous hashing of the given id. (docs/design.md, section 9.13)
      */
     public String selectHealthyPartition(String id) {
         Map<String, List<String>> placement =
                 subscriptions.latest(ServiceNames.STORES).placement();
         Map<String, MemberLease> members =
                 subscriptions.latest(ServiceNames.STORES).members();
-        List<String> sound = new ArrayList<>();
-        List<String> near = new ArrayList<>();
+        List<String> healthyPartitions = new ArrayList<>();
+        List<String> sameZonePartitions = new ArrayList<>();
         placement.forEach((partition, replicas) -> {
             String leader = leaderHints.getOrDefault(partition, replicas.isEmpty() ? "" : replicas.get(0));
             if (!health.hasFailed(partition) && !health.isUnresponsive(leader) && members.containsKey(leader)) {
-                sound.add(partition);
+                healthyPartitions.add(partition);
                 if (members.get(leader).zone().equals(zone)) {
-                    near.add(partition);
+                    sameZonePartitions.add(partition);
                 }
             }
         });
-        List<String> from = near.isEmpty() ? sound : near;
-        return from.isEmpty()
+        List<String> candidates = sameZonePartitions.isEmpty() ? healthyPartitions : sameZonePartitions;
+        return candidates.isEmpty()
                 ? ServiceNames.messagePartition("", id)
-                : ServiceNames.rendezvousOwner(id, from).orElse(ServiceNames.messagePartition("", id));
+                : ServiceNames.rendezvousOwner(id, candidates).orElse(ServiceNames.messagePartition("", id));
     }
 
-    /** The known leader first, then the copies in turn; those that do not answer only if there are no others. */
-    private String likelyLeader(String partition, int turn) {
+    /** The last known leader first, then the replicas in turn; unhealthy ones only if there are no others. */
+    private String likelyLeader(String partition, int attemptNumber) {
         List<String> all = subscriptions.latest(ServiceNames.STORES).placement().getOrDefault(partition, List.of());
-        List<String> replicas = all.stream().filter(c -> !health.isUnhealthy(c)).toList();
-        String known = leaderHints.getOrDefault(partition, "");
-        if (turn == 0 && !known.isEmpty() && !health.isUnhealthy(known)) {
-            return known;
+        List<String> replicas =
+                all.stream().filter(replica -> !health.isUnhealthy(replica)).toList();
+        String leaderHint = leaderHints.getOrDefault(partition, "");
+        if (attemptNumber == 0 && !leaderHint.isEmpty() && !health.isUnhealthy(leaderHint)) {
+            return leaderHint;
         }
-        List<String> from = replicas.isEmpty() ? all : replicas;
-        return from.isEmpty() ? "" : from.get(turn % from.size());
+        List<String> candidates = replicas.isEmpty() ? all : replicas;
+        return candidates.isEmpty() ? "" : candidates.get(attemptNumber % candidates.size());
     }
 
-    /** Goes on until the limit. The answer is definite only if no try before it was left unknown. */
+    /**
+     * Sends a request, and retries until the limit. The response is definite only if no earlier attempt had an unknown
+     * outcome.
+     */
     public <T> Mono<T> call(String partition, RepeatableRequest body, Class<T> type, Duration limit) {
         Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding =
-                new Forwarding<>(partition, to -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
+                new Forwarding<>(partition, store -> Mono.just(body), type, until, ResendPolicy.AFTER_UNKNOWN_OUTCOME);
         return attempt(forwarding, 0, false, "");
     }
 
-    /** Whether asks of the partition failed lately: whoever comes now need not wait long to know. */
+    /** Whether requests to the partition failed recently, so that a new caller need not wait long. */
     public boolean isUnhealthy(String partition) {
         return health.hasFailed(partition);
     }
 
     /**
-     * The same, but nothing that is delayed on its way beyond the limit is accepted then (docs/design.md, section 9.7).
+     * Like {@link #call}, but stores reject the request if it is delayed in transit beyond the limit. (docs/design.md,
+     * section 9.7)
      */
     public <T> Mono<T> callWithDeadline(
             String partition,
@@ -124,7 +129,7 @@
         Duration until = environment.clock().monotonicTime().plus(limit);
         Forwarding<T> forwarding = new Forwarding<>(
                 partition,
-                to -> clocks.deadline(to, until, ATTEMPT_TIMEOUT)
+                store -> clocks.deadline(store, until, ATTEMPT_TIMEOUT)
                         .<RpcRequest>map(body)
                         .onErrorMap(SubmitForwarder::notSent),
                 type,
@@ -133,7 +138,7 @@
         return attempt(forwarding, 0, false, "");
     }
 
-    /** One ask to one store, not taken later than the limit; its answer may take as long as the limit. */
+    /** Sends one request to one store, which rejects it after the limit; the response may take as long as the limit. */
     public <T> Mono<T> callStore(
             String store,
             Function<MessageCommands.RemoteDeadline, AtMostOnceRequest> body,
@@ -148,53 +153,60 @@
                 .doOnError(e -> clocks.forget(store));
     }
 
-    /** The question for the clock was left without an answer; of the ask itself nothing was sent. */
+    /** If the request for the clock had an unknown outcome, nothing was sent of the request itself. */
     private static ServiceException notSent(Throwable e) {
         ServiceException failure = ServiceException.of(e);
         return failure.kind().definite() ? failure : new UnreachableException(failure.getMessage());
     }
 
-    /** What stays the same in all attempts: the body is made for the store that is asked. */
+    /** What all attempts have in common; the body is created for the store that receives it. */
     private record Forwarding<T>(
-            String part, Function<String, Mono<RpcRequest>> body, Class<T> type, Duration until, ResendPolicy policy) {}
+            String partition,
+            Function<String, Mono<RpcRequest>> body,
+            Class<T> type,
+            Duration until,
+            ResendPolicy policy) {}
 
-    private <T> Mono<T> attempt(Forwarding<T> forwarding, int turn, boolean unknown, String hint) {
-        String partition = forwarding.part();
-        String to = hint.isEmpty() ? likelyLeader(partition, turn) : hint;
-        if (to.isEmpty()) {
+    private <T> Mono<T> attempt(Forwarding<T> forwarding, int attemptNumber, boolean unknown, String hint) {
+        String partition = forwarding.partition();
+        String store = hint.isEmpty() ? likelyLeader(partition, attemptNumber) : hint;
+        if (store.isEmpty()) {
             return Mono.error(new UnavailableException("No store is placed for the part " + partition + "."));
         }
         return forwarding
                 .body()
-                .apply(to)
-                .flatMap(rpcRequest ->
-                        health.tracked(to, environment.rpc().call(to, rpcRequest, forwarding.type(), ATTEMPT_TIMEOUT)))
-                .doOnNext(t -> {
-                    leaderHints.put(partition, to);
-                    health.onSuccess(partition, to);
+                .apply(store)
+                .flatMap(rpcRequest -> health.tracked(
+                        store, environment.rpc().call(store, rpcRequest, forwarding.type(), ATTEMPT_TIMEOUT)))
+                .doOnNext(response -> {
+                    leaderHints.put(partition, store);
+                    health.onSuccess(partition, store);
                 })
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
-                    leaderHints.remove(partition, to);
-                    clocks.forget(to);
-                    health.onFailure(partition, to, failure);
+                    leaderHints.remove(partition, store);
+                    clocks.forget(store);
+                    health.onFailure(partition, store, failure);
                     boolean nowUnknown = unknown || !failure.kind().definite();
                     if (!forwarding.policy().allows(failure.kind())
                             || environment.clock().monotonicTime().compareTo(forwarding.until()) >= 0) {
-                        return Mono.error(onSettled(failure, nowUnknown));
+                        return Mono.error(finalFailure(failure, nowUnknown));
                     }
                     String next = failure instanceof NotLeaderException notLeader
                             ? notLeader.leader().orElse("")
                             : "";
-                    Mono<T> more = Mono.defer(() -> attempt(forwarding, turn + 1, nowUnknown, next));
+                    Mono<T> retry = Mono.defer(() -> attempt(forwarding, attemptNumber + 1, nowUnknown, next));
                     return next.isEmpty()
-                            ? Delays.delay(environment.timers(), RETRY_PAUSE).then(more)
-                            : more;
+                            ? Delays.delay(environment.timers(), RETRY_PAUSE).then(retry)
+                            : retry;
                 });
     }
 
-    /** A definite refusal after an unknown attempt says nothing of that try (docs/design.md, section 9.6). */
-    private static ServiceException onSettled(ServiceException last, boolean unknown) {
+    /**
+     * A definite refusal after an attempt with an unknown outcome says nothing about that attempt. (docs/design.md,
+     * section 9.6)
+     */
+    private static ServiceException finalFailure(ServiceException last, boolean unknown) {
         if (unknown) {
             return new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.");
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/Verdict.java
@@ -6,16 +6,19 @@
 import org.woadvale.common.error.ErrorKind;
 import org.woadvale.common.error.ServiceException;
 
-/** What a back end's answer means. Only an echo with a receipt is proof (docs/design.md, section 9.3). */
+/**
+ * What the response of a back end proves. Only an echo with a receipt is proof of execution. (docs/design.md, section
+ * 9.3)
+ */
 public record Verdict(Kind kind, String reason) {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int REQUEST_TIMEOUT = 408;
     private static final int TOO_MANY_REQUESTS = 429;
-    private static final int SERVER_ERRORS = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
     private static final int UNAVAILABLE = 503;
-    private static final int LONGEST_RECEIPT = 256;
+    private static final int MAX_RECEIPT_LENGTH = 256;
 
     /** What a response proves. */
     public enum Kind {
@@ -33,40 +36,40 @@
         UNKNOWN_MESSAGE
     }
 
-    /** Only 429 and 503 say that nothing was done; other 5xx and 408 may come after the work. */
-    public static Verdict ofPush(DeliveryClient.DeliveryResponse deliveryResponse, String handle, int attempt) {
-        if (deliveryResponse.status() == OK) {
-            return proof(deliveryResponse, handle, attempt);
+    /** Only 429 and 503 prove that nothing was executed; other 5xx and 408 may follow the execution. */
+    public static Verdict ofPush(DeliveryClient.DeliveryResponse response, String handle, int attempt) {
+        if (response.status() == OK) {
+            return proof(response, handle, attempt);
         }
-        if (deliveryResponse.status() == TOO_MANY_REQUESTS || deliveryResponse.status() == UNAVAILABLE) {
-            return new Verdict(Kind.RETRY, "answer " + deliveryResponse.status());
+        if (response.status() == TOO_MANY_REQUESTS || response.status() == UNAVAILABLE) {
+            return new Verdict(Kind.RETRY, "answer " + response.status());
         }
-        return deliveryResponse.status() >= BAD_REQUEST
-                        && deliveryResponse.status() < SERVER_ERRORS
-                        && deliveryResponse.status() != REQUEST_TIMEOUT
-                ? new Verdict(Kind.REJECTED, "answer " + deliveryResponse.status())
-                : new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + deliveryResponse.status());
+        return response.status() >= BAD_REQUEST
+                        && response.status() < INTERNAL_SERVER_ERROR
+                        && response.status() != REQUEST_TIMEOUT
+                ? new Verdict(Kind.REJECTED, "answer " + response.status())
+                : new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + response.status());
     }
 
-    private static Verdict proof(DeliveryClient.DeliveryResponse deliveryResponse, String handle, int attempt) {
-        JsonNode node = json(deliveryResponse.body());
+    private static Verdict proof(DeliveryClient.DeliveryResponse response, String handle, int attempt) {
+        JsonNode node = json(response.body());
         String receipt = node.path("receipt").asText("");
         boolean echo = node.path("messageId").asText("").equals(handle)
                 && node.path("attempt").asInt(-1) == attempt;
-        return echo && !receipt.isEmpty() && receipt.length() <= LONGEST_RECEIPT
+        return echo && !receipt.isEmpty() && receipt.length() <= MAX_RECEIPT_LENGTH
                 ? new Verdict(Kind.DONE, receipt)
                 : new Verdict(Kind.OUTCOME_UNKNOWN, "an answer without proof");
     }
 
-    /** The answer to the question what became of a message. */
-    public static Verdict ofInquiry(DeliveryClient.DeliveryResponse deliveryResponse, String handle) {
-        JsonNode node = json(deliveryResponse.body());
+    /** Interprets the response to an inquiry about the outcome of a message. */
+    public static Verdict ofInquiry(DeliveryClient.DeliveryResponse response, String handle) {
+        JsonNode node = json(response.body());
         String state = node.path("state").asText("");
         String receipt = node.path("receipt").asText("");
-        if (deliveryResponse.status() == NOT_FOUND || state.equals("unknown")) {
+        if (response.status() == NOT_FOUND || state.equals("unknown")) {
             return new Verdict(Kind.UNKNOWN_MESSAGE, "not known to the processor");
         }
-        if (deliveryResponse.status() == OK && node.path("messageId").asText("").equals(handle)) {
+        if (response.status() == OK && node.path("messageId").asText("").equals(handle)) {
             if (state.equals("done") && !receipt.isEmpty()) {
                 return new Verdict(Kind.DONE, receipt);
             }
@@ -77,7 +80,7 @@
                 return new Verdict(Kind.RUNNING, "still running");
             }
         }
-        return new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + deliveryResponse.status());
+        return new Verdict(Kind.OUTCOME_UNKNOWN, "answer " + response.status());
     }
 
     private static JsonNode json(byte[] body) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -18,17 +18,19 @@
 import org.woadvale.dataplane.queue.MessageCommands.LongPullResponse;
 import reactor.core.publisher.Mono;
 
-/** Hands messages that become due here to the long pulls that wait for them (docs/design.md, section 9.10). */
+/**
+ * Delivers messages that become due on this store to the long pulls that wait for them. (docs/design.md, section 9.10)
+ */
 final class WaitingPulls {
     private static final LongPullResponse NO_MESSAGE = new LongPullResponse(List.of());
 
     private final DispatchContext context;
     private final Map<String, Dispatcher> dispatchersByPartition;
     private final PullQueue queue;
-    /** Handles of the messages whose delivery lease is being begun. */
+    /** Handles of the messages for which a delivery lease is being started. */
     private final Set<String> starting = ConcurrentHashMap.newKeySet();
 
-    private int turn;
+    private int rotation;
 
     WaitingPulls(DispatchContext context, Map<String, Dispatcher> dispatchersByPartition) {
         this.context = context;
@@ -72,7 +74,7 @@
         return pull.get().awaitResponse();
     }
 
-    /** Called by the store's one schedule: answers expired pulls with no message and serves the others. */
+    /** Called periodically by {@link Dispatchers}: answers expired pulls with no message and serves the others. */
     void onTick() {
         List<WaitingPull> expired = queue.removeExpired(now());
         Set<String> services = queue.services();
@@ -80,10 +82,10 @@
         services.forEach(this::serve);
     }
 
-    /** Gives due messages to the waiting pulls of a service; each time another partition comes first. */
+    /** Gives due messages to the waiting pulls of a service; a different partition comes first each time. */
     private void serve(String service) {
         List<Dispatcher> dispatchers = new ArrayList<>(dispatchersByPartition.values());
-        Collections.rotate(dispatchers, turn++);
+        Collections.rotate(dispatchers, rotation++);
         for (Dispatcher dispatcher : dispatchers) {
             int wanted = queue.count(service);
             if (wanted == 0) {
@@ -92,7 +94,7 @@
             if (dispatcher.isLeader()) {
                 dispatcher
                         .leases()
-                        .due(service, wanted, turn)
+                        .due(service, wanted, rotation)
                         .forEach(message -> deliver(service, dispatcher, message));
             }
         }
@@ -119,6 +121,6 @@
                 .onErrorReturn(Optional.empty())
                 .doFinally(signal -> starting.remove(message.handle()))
                 .subscribe(leased -> leased.ifPresentOrElse(
-                        begun -> pull.respond(new LongPullResponse(List.of(begun))), () -> queue.putBack(pull)));
+                        started -> pull.respond(new LongPullResponse(List.of(started))), () -> queue.putBack(pull)));
     }
 }
--- a/dataplane/src/test/java/org/woadvale/dataplane/delivery/SendGuardTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/delivery/SendGuardTest.java
@@ -9,20 +9,20 @@
     private final SendGuard guard = new SendGuard();
 
     @Test
-    void whatWasClosedIsNeverSent() {
+    void closedRequestIsNeverSent() {
         assertTrue(guard.close());
         assertFalse(guard.trySend(() -> true));
     }
 
     @Test
-    void whatWasSentCannotBeClosed() {
+    void sentRequestCannotBeClosed() {
         assertTrue(guard.trySend(() -> true));
         assertFalse(guard.close());
         assertFalse(guard.trySend(() -> true), "sent once only");
     }
 
     @Test
-    void aRefusedLastCheckSendsNothingAndMayBeTriedAgain() {
+    void failedFinalCheckSendsNothingAndMayBeRepeated() {
         assertFalse(guard.trySend(() -> false));
         assertTrue(guard.trySend(() -> true));
     }
--- a/dataplane/src/test/java/org/woadvale/dataplane/delivery/VerdictTest.java
+++ b/dataplane/src/test/java/org/woadvale/dataplane/delivery/VerdictTest.java
@@ -54,7 +54,7 @@
                 "200; {\"messageId\":\"m0-2\",\"state\":\"done\",\"receipt\":\"r\"}; OUTCOME_UNKNOWN",
                 "500; ''; OUTCOME_UNKNOWN"
             })
-    void anInquiryIsBelievedOnlyAboutItsOwnMessage(int status, String body, Verdict.Kind kind) {
+    void inquiryResponseCountsOnlyForItsOwnMessage(int status, String body, Verdict.Kind kind) {
         assertEquals(kind, Verdict.ofInquiry(response(status, body), "m0-1").kind());
     }
 }
