--- a/common/src/main/java/org/woadvale/common/rpc/AtMostOnceRequest.java
+++ b/common/src/main/java/org/woadvale/common/rpc/AtMostOnceRequest.java
@@ -1,7 +1,7 @@
 package org.woadvale.common.rpc;
 
 /**
- * A request whose second sending could take effect twice, or be refused because the first one took effect. It is sent
- * again only after a failure that proves that it was not executed; any other failure is handed to the caller.
+ * A request that could take effect twice if sent again, or be rejected because the first transmission took effect. It
+ * is resent only after a failure that proves that it was not executed; any other failure is returned to the caller.
  */
 public non-sealed interface AtMostOnceRequest extends RpcRequest {}
--- a/common/src/main/java/org/woadvale/common/rpc/BoundedSerializers.java
+++ b/common/src/main/java/org/woadvale/common/rpc/BoundedSerializers.java
@@ -16,13 +16,14 @@
 import java.util.Set;
 
 /**
- * The library's serializers for arrays and collections, which write the same bytes but do not believe a size that the
- * rest of the frame cannot hold: a few damaged bytes would otherwise ask for gigabytes.
+ * Kryo's serializers for arrays and collections with a bound on the declared size. A size that the rest of the frame
+ * cannot hold is rejected before anything is allocated for it, since a few damaged bytes could otherwise request
+ * gigabytes. The bytes written are the same as Kryo's.
  */
 final class BoundedSerializers {
     private BoundedSerializers() {}
 
-    /** Registers arrays and mutable collections under their fixed numbers. */
+    /** Registers arrays and mutable collections under their fixed type ids. */
     static void registerMutable(Kryo kryo) {
         kryo.register(
                 byte[].class,
@@ -32,7 +33,7 @@
         kryo.register(HashMap.class, new HashMapSerializer(), KryoTypeIds.HASH_MAP);
     }
 
-    /** Registers immutable collections under the next free numbers, as the library does. */
+    /** Registers immutable collections under the next free type ids, as Kryo does. */
     static void registerImmutable(Kryo kryo) {
         ImmutableCollectionsSerializers.registerSerializers(kryo);
         for (Object sample : List.of(
@@ -44,35 +45,36 @@
                 Set.of("a", "b", "c"),
                 Map.of(),
                 Map.of(1, 1))) {
-            bound(kryo, sample.getClass());
+            boundSerializer(kryo, sample.getClass());
         }
-        bound(kryo, Map.of(1, 1, 2, 2).getClass());
+        boundSerializer(kryo, Map.of(1, 1, 2, 2).getClass());
     }
 
-    private static void bound(Kryo kryo, Class<?> type) {
-        Serializer<?> known = kryo.getRegistration(type).getSerializer();
-        if (!(known instanceof SizePrefixed)) {
-            kryo.getRegistration(type).setSerializer(new SizePrefixed<>(known, known instanceof CollectionSerializer));
+    private static void boundSerializer(Kryo kryo, Class<?> type) {
+        Serializer<?> delegate = kryo.getRegistration(type).getSerializer();
+        if (!(delegate instanceof SizePrefixed)) {
+            kryo.getRegistration(type)
+                    .setSerializer(new SizePrefixed<>(delegate, delegate instanceof CollectionSerializer));
         }
     }
 
-    /** Each element takes a byte at least. */
-    private static void check(Input in, int size) {
+    /** Rejects a size that exceeds the remaining bytes, since each element takes at least one byte. */
+    private static void checkSize(Input in, int size) {
         if (size < 0 || size > in.limit() - in.position()) {
-            throw new KryoException("a size of " + size + " in a frame that has less left");
+            throw new KryoException("size " + size + " exceeds the rest of the frame");
         }
     }
 
-    /** For serializers whose first number is the size, or one more than that. */
+    /** Wraps a serializer whose encoding begins with the size, or with the size plus one. */
     private static final class SizePrefixed<T> extends Serializer<T> {
         private final Serializer<T> delegate;
-        private final boolean flagged;
+        private final boolean sizeHasFlagBit;
 
-        /** Collections, unlike arrays and maps, keep a flag in the first byte of their size. */
-        SizePrefixed(Serializer<T> delegate, boolean flagged) {
+        /** Collections, unlike arrays and maps, hold a flag in the first byte of their size. */
+        SizePrefixed(Serializer<T> delegate, boolean sizeHasFlagBit) {
             super(delegate.getAcceptsNull(), delegate.isImmutable());
             this.delegate = delegate;
-            this.flagged = flagged;
+            this.sizeHasFlagBit = sizeHasFlagBit;
         }
 
         @Override
@@ -83,8 +85,8 @@
         @Override
         public T read(Kryo kryo, Input in, Class<? extends T> type) {
             int start = in.position();
-            int size = flagged ? in.readVarIntFlag(true) : in.readVarInt(true);
-            check(in, Math.max(0, size - 1));
+            int size = sizeHasFlagBit ? in.readVarIntFlag(true) : in.readVarInt(true);
+            checkSize(in, Math.max(0, size - 1));
             in.setPosition(start);
             return delegate.read(kryo, in, type);
         }
@@ -93,7 +95,7 @@
     private static final class ListSerializer extends CollectionSerializer<ArrayList<?>> {
         @Override
         protected ArrayList<?> create(Kryo kryo, Input in, Class<? extends ArrayList<?>> type, int size) {
-            check(in, size);
+            checkSize(in, size);
             return new ArrayList<>(size);
         }
     }
@@ -101,7 +103,7 @@
     private static final class HashMapSerializer extends MapSerializer<HashMap<?, ?>> {
         @Override
         protected HashMap<?, ?> create(Kryo kryo, Input in, Class<? extends HashMap<?, ?>> type, int size) {
-            check(in, size);
+            checkSize(in, size);
             return new HashMap<>();
         }
     }
--- a/common/src/main/java/org/woadvale/common/rpc/EncodedSize.java
+++ b/common/src/main/java/org/woadvale/common/rpc/EncodedSize.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * How many bytes the {@link Codec} writes at most for strings and maps of strings, counted without writing them. Bounds
- * on stored bytes are kept by these figures, so that they hold for what is on disk.
+ * Upper bounds on the bytes that the {@link Codec} writes for strings and maps of strings, computed without encoding
+ * them. Limits on stored bytes are checked against these figures, so that they hold for the bytes on disk.
  */
 public final class EncodedSize {
-    /** Type number and length of a string. */
+    /** Type id and length of a string. */
     private static final int STRING_OVERHEAD = 6;
-    /** Type number and size of a map. */
+    /** Type id and size of a map. */
     private static final int MAP_OVERHEAD = 6;
 
     private static final int LARGEST_ONE_BYTE_CHARACTER = 0x7F;
@@ -18,11 +18,11 @@
 
     private EncodedSize() {}
 
-    /** The most bytes of a string. */
-    public static int of(String text) {
+    /** Maximum encoded size of a string. */
+    public static int of(String string) {
         int bytes = STRING_OVERHEAD;
-        for (int i = 0; i < text.length(); i++) {
-            bytes += of(text.charAt(i));
+        for (int i = 0; i < string.length(); i++) {
+            bytes += of(string.charAt(i));
         }
         return bytes;
     }
@@ -34,11 +34,11 @@
         return character <= LARGEST_TWO_BYTE_CHARACTER ? 2 : LARGEST_CHARACTER_BYTES;
     }
 
-    /** The most bytes of a map, keys and values. */
-    public static int of(Map<String, String> texts) {
+    /** Maximum encoded size of a map, keys and values. */
+    public static int of(Map<String, String> map) {
         int bytes = MAP_OVERHEAD;
-        for (Map.Entry<String, String> text : texts.entrySet()) {
-            bytes += of(text.getKey()) + of(text.getValue());
+        for (Map.Entry<String, String> string : map.entrySet()) {
+            bytes += of(string.getKey()) + of(string.getValue());
         }
         return bytes;
     }
--- a/common/src/main/java/org/woadvale/common/rpc/FirstFormatName.java
+++ b/common/src/main/java/org/woadvale/common/rpc/FirstFormatName.java
@@ -7,7 +7,7 @@
 
 /**
  * The name that a component had when the first format was written, which stored components in the order of their names.
- * Needed where a later name sorts elsewhere. (docs/design.md, section 3.4)
+ * Needed where the current name sorts differently (docs/design.md, section 3.4).
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
--- a/common/src/main/java/org/woadvale/common/rpc/Frame.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Frame.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What travels on a connection after the handshake. */
+/** The unit of transmission on a connection after the handshake. */
 public record Frame(long id, Kind kind, Object body) {
-    /** Refuses absent components. */
+    /** Rejects null components. */
     public Frame {
         Objects.requireNonNull(kind);
         Objects.requireNonNull(body);
     }
 
-    /** What the body is. Sent by ordinal: only ever add at the end. */
+    /** The type of the body. Sent by ordinal: add new constants only at the end. */
     public enum Kind {
         /** A request; the response carries its id. */
         REQUEST,
--- a/common/src/main/java/org/woadvale/common/rpc/KryoTypeIds.java
+++ b/common/src/main/java/org/woadvale/common/rpc/KryoTypeIds.java
@@ -1,6 +1,6 @@
 package org.woadvale.common.rpc;
 
-/** The numbers of library types and frames on the wire and on disk: never changed, and never used again. */
+/** Type ids of library types and frames, on the wire and on disk; they are never changed or reused. */
 final class KryoTypeIds {
     static final int BYTE_ARRAY = 20;
     static final int ARRAY_LIST = 21;
--- a/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
+++ b/common/src/main/java/org/woadvale/common/rpc/PendingCalls.java
@@ -16,44 +16,44 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Matches answers to asks on one stream; bounds what is in flight. Shared by real and fake rpcs. */
+/** Matches responses to requests on one connection and bounds the number in flight. */
 public final class PendingCalls {
     private static final int MAX_IN_FLIGHT = 4096;
-    private final Map<Long, Sinks.One<Object>> open = new ConcurrentHashMap<>();
+    private final Map<Long, Sinks.One<Object>> pending = new ConcurrentHashMap<>();
     private final AtomicLong ids = new AtomicLong();
     private final Timers timers;
     private volatile boolean closed;
 
-    /** Without any call. */
+    /** Creates an instance without pending calls. */
     public PendingCalls(Timers timers) {
         this.timers = timers;
     }
 
     /** Sends a request and waits for its response; fails as {@link RpcClient#call} does. */
-    public Mono<Object> call(Object body, Duration limit, Consumer<Frame> send) {
+    public Mono<Object> call(Object body, Duration timeout, Consumer<Frame> send) {
         return Mono.defer(() -> {
             if (closed) {
                 return Mono.error(notSent());
             }
-            if (open.size() >= MAX_IN_FLIGHT) {
+            if (pending.size() >= MAX_IN_FLIGHT) {
                 return Mono.error(new QueueFullException("Too many asks in flight on one stream."));
             }
             long id = ids.incrementAndGet();
             Sinks.One<Object> sink = Sinks.one();
-            open.put(id, sink);
+            pending.put(id, sink);
             if (closed) {
-                open.remove(id);
+                pending.remove(id);
                 return Mono.error(notSent());
             }
             try {
                 send.accept(new Frame(id, Frame.Kind.REQUEST, body));
             } catch (IllegalStateException e) {
-                // the channel has left its event loop: it closed a moment ago
-                open.remove(id);
+                // the channel is no longer registered with its event loop: it has just closed
+                pending.remove(id);
                 return Mono.error(notSent());
             }
-            return Delays.timeout(timers, sink.asMono(), limit, new OutcomeUnknownException("No answer in time."))
-                    .doFinally(signal -> open.remove(id));
+            return Delays.timeout(timers, sink.asMono(), timeout, new OutcomeUnknownException("No answer in time."))
+                    .doFinally(signal -> pending.remove(id));
         });
     }
 
@@ -62,11 +62,12 @@
     }
 
     /**
-     * Takes a response in the order in which it came, so that of two to one call the first counts; the caller goes on
-     * by the executor. A response that no call waits for (a second one, or one that came too late) changes nothing.
+     * Completes the call that a response belongs to. Responses are matched in order of arrival, so that the first of
+     * two responses to a call counts; the call is then completed on the executor. A response without a pending call (a
+     * duplicate or a late one) is ignored.
      */
     public void onResponse(Frame frame, Consumer<Runnable> executor) {
-        Optional.ofNullable(open.remove(frame.id()))
+        Optional.ofNullable(pending.remove(frame.id()))
                 .ifPresent(sink -> executor.accept(() -> {
                     if (frame.kind() == Frame.Kind.ERROR) {
                         sink.tryEmitError(failure(frame.body()));
@@ -76,27 +77,30 @@
                 }));
     }
 
-    /** A refusal that this build cannot read, such as one of a newer build's kind, says nothing of the outcome. */
+    /**
+     * An error that this build cannot interpret, such as one of a kind introduced by a newer build, leaves the outcome
+     * unknown.
+     */
     private static ServiceException failure(Object body) {
-        if (body instanceof Frame.ErrorResponse refusal) {
+        if (body instanceof Frame.ErrorResponse error) {
             for (ErrorKind kind : ErrorKind.values()) {
-                if (kind.name().equals(refusal.kind())) {
-                    return ServiceException.of(kind, refusal.message(), refusal.details());
+                if (kind.name().equals(error.kind())) {
+                    return ServiceException.of(kind, error.message(), error.details());
                 }
             }
         }
         return new OutcomeUnknownException("The peer's refusal cannot be read.");
     }
 
-    /** The stream has gone: every open ask has an unknown outcome, and none is sent any more. */
+    /** Fails every pending call with an unknown outcome and rejects further calls. */
     public void onConnectionLost() {
         closed = true;
-        open.keySet()
-                .forEach(id -> Optional.ofNullable(open.remove(id))
+        pending.keySet()
+                .forEach(id -> Optional.ofNullable(pending.remove(id))
                         .ifPresent(sink -> sink.tryEmitError(new OutcomeUnknownException("The stream was lost."))));
     }
 
-    /** Runs the handler and turns its result into the frame to send back. */
+    /** Runs the handler and turns its result into the frame to send back; simulated networks use it too. */
     public static Mono<Frame> serve(RpcRouter router, String from, Frame request) {
         return Mono.<Object>from(router.handle(from, request.body()))
                 .map(result -> new Frame(request.id(), Frame.Kind.RESPONSE, result))
--- a/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RecordSerializer.java
@@ -18,9 +18,10 @@
 import java.util.stream.IntStream;
 
 /**
- * A record with the count of its components: older readers drop what they do not know, newer ones fill in. Components
- * that came with format 5 or later are left out at the end of a record while they have their default value, so that its
- * bytes stay those of the format before. (docs/design.md, section 3.4)
+ * Serializes a record as the number of its components, followed by the components: older readers ignore trailing
+ * components that they do not know, newer ones fill in defaults for missing ones. Trailing components introduced in
+ * format 5 or later are omitted while they have their default value, so that the bytes stay the same as in the previous
+ * format (docs/design.md, section 3.4).
  */
 final class RecordSerializer extends Serializer<Object> {
     private static final Map<Class<?>, Object> DEFAULTS = Map.of(
@@ -44,18 +45,21 @@
             Duration.ZERO,
             Instant.class,
             Instant.EPOCH);
-    /** From this format on the last components of a record are not written while they have their default value. */
+    /** Trailing components introduced in this format or later are not written while they have their default value. */
     private static final int FIRST_FORMAT_WITH_OMISSION = 5;
 
     private final Class<?> type;
     private final RecordComponent[] components;
-    /** The components before those that may be left out. */
+    /** The number of leading components that are always written. */
     private final int alwaysWritten;
 
     private final Constructor<?> constructor;
     private final boolean firstFormat;
 
-    /** The first format had no count: its components stood in the order of their names. */
+    /**
+     * Creates the serializer of a record type. The first format had no component count and stored components in the
+     * order of their names.
+     */
     RecordSerializer(Class<?> type, boolean firstFormat) {
         this.type = type;
         this.components = type.getRecordComponents();
@@ -75,7 +79,7 @@
     @Override
     public void write(Kryo kryo, Output out, Object value) {
         if (firstFormat) {
-            throw new IllegalStateException("the first format is only read");
+            throw new IllegalStateException("the first format cannot be written");
         }
         try {
             int count = writtenComponents(value);
@@ -116,12 +120,12 @@
     }
 
     @Override
-    public Object read(Kryo kryo, Input in, Class<? extends Object> desired) {
+    public Object read(Kryo kryo, Input in, Class<? extends Object> requestedType) {
         Object[] args = Arrays.stream(components)
                 .map(component -> defaultValue(component.getType()))
                 .toArray();
         if (firstFormat) {
-            readFirst(kryo, in, args);
+            readFirstFormat(kryo, in, args);
         } else {
             int count = in.readVarInt(true);
             for (int index = 0; index < count; index++) {
@@ -134,11 +138,11 @@
         try {
             return constructor.newInstance(args);
         } catch (ReflectiveOperationException e) {
-            throw new KryoException("no " + type.getSimpleName() + " can be made of this", e);
+            throw new KryoException("cannot construct " + type.getSimpleName() + " from the decoded components", e);
         }
     }
 
-    private void readFirst(Kryo kryo, Input in, Object[] args) {
+    private void readFirstFormat(Kryo kryo, Input in, Object[] args) {
         int[] order = IntStream.range(0, components.length)
                 .boxed()
                 .filter(index -> !components[index].isAnnotationPresent(Since.class))
@@ -159,7 +163,7 @@
                 .orElse(component.getName());
     }
 
-    /** What a component is that the writer did not know yet. */
+    /** The value of a component that the writer did not know yet. */
     private static Object defaultValue(Class<?> type) {
         if (type.isEnum()) {
             return type.getEnumConstants()[0];
--- a/common/src/main/java/org/woadvale/common/rpc/RepeatableRequest.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RepeatableRequest.java
@@ -1,7 +1,7 @@
 package org.woadvale.common.rpc;
 
 /**
- * A request that may be sent again while the outcome of an earlier sending is unknown: it only reads, or sets a state
- * that a second sending sets to the same, or the receiver recognises the second sending and gives the first answer.
+ * A request that may be resent while the outcome of an earlier transmission is unknown: it only reads, or sets a state
+ * that a repetition sets to the same value, or the receiver recognizes the repetition and returns the first response.
  */
 public non-sealed interface RepeatableRequest extends RpcRequest {}
--- a/common/src/main/java/org/woadvale/common/rpc/ResendPolicy.java
+++ b/common/src/main/java/org/woadvale/common/rpc/ResendPolicy.java
@@ -9,7 +9,7 @@
     /** For an {@link AtMostOnceRequest}: only if the failure proves that nothing was executed. */
     IF_NOT_EXECUTED;
 
-    /** Whether the failure is a matter of the peer or of the way to it, and sending again is safe. */
+    /** Whether the failure is due to the peer or the connection to it and sending again is safe. */
     public boolean allows(ErrorKind failure) {
         return switch (failure) {
             case NOT_OWNER, UNREACHABLE, STOPPING, EXPIRED -> true;
--- a/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcConnection.java
@@ -24,17 +24,18 @@
 import reactor.netty.Connection;
 
 /**
- * One TCP stream: handshake first, frames after; anything else closes it with a log line. (docs/design.md, section 3.3)
+ * One TCP connection: a handshake, then frames. Anything else closes it with a warning in the log (docs/design.md,
+ * section 3.3).
  */
 final class RpcConnection {
     private static final Logger LOG = LogManager.getLogger(RpcConnection.class);
-    private static final String NAME = "[!-~]{1,64}";
+    private static final String NODE_NAME_PATTERN = "[!-~]{1,64}";
     private static final int LENGTH_BYTES = Integer.BYTES;
-    /** The magic number and two versions; the name of the peer follows. */
-    private static final int HANDSHAKE_BYTES = Integer.BYTES + 2 * Short.BYTES;
+    /** Magic number and two versions; the node name of the sender follows. */
+    private static final int MIN_HANDSHAKE_BYTES = Integer.BYTES + 2 * Short.BYTES;
 
     private static final int MAGIC = 0x574F4144;
-    private static final Duration HANDSHAKE = Duration.ofSeconds(2);
+    private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(2);
 
     private enum State {
         HANDSHAKE,
@@ -50,12 +51,17 @@
     private final AtomicLong framesSent;
     private final Optional<String> expectedPeer;
     private final PendingCalls pendingCalls;
-    private final SilenceDetector silence;
+    private final SilenceDetector silenceDetector;
     private final Sinks.One<Boolean> handshake = Sinks.one();
     private volatile State state = State.HANDSHAKE;
     private volatile String peer = "?";
 
-    /** The name that was called, on the calling side: whoever answers under another one is not asked anything. */
+    /**
+     * Creates a connection, which does nothing before it is opened.
+     *
+     * @param expectedPeer on the calling side, the name of the node to call; a peer that identifies itself by
+     *     another name receives no request
+     */
     RpcConnection(
             Connection connection,
             String self,
@@ -63,24 +69,24 @@
             RpcRouter router,
             Timers timers,
             AtomicLong framesSent,
-            Optional<String> called) {
+            Optional<String> expectedPeer) {
         this.connection = connection;
         this.self = self;
         this.codec = codec;
         this.router = router;
         this.timers = timers;
         this.framesSent = framesSent;
-        this.expectedPeer = called;
+        this.expectedPeer = expectedPeer;
         this.pendingCalls = new PendingCalls(timers);
-        this.silence =
-                new SilenceDetector(timers, connection.channel().eventLoop(), () -> refuse("its peer is silent"));
+        this.silenceDetector = new SilenceDetector(
+                timers, connection.channel().eventLoop(), () -> closeWithWarning("its peer is silent"));
     }
 
     void open() {
         connection.addHandlerLast("silence", new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                silence.onReceived();
+                silenceDetector.onReceived();
                 ctx.fireChannelRead(bytes);
             }
         });
@@ -97,7 +103,7 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext ctx, Throwable e) {
-                refuse(e instanceof IOException ? "it was lost: " + e.getMessage() : "bad frame: " + e);
+                closeWithWarning(e instanceof IOException ? "it was lost: " + e.getMessage() : "invalid frame: " + e);
             }
         });
         connection.channel().config().setAutoRead(true);
@@ -108,9 +114,9 @@
                 .writeShort(Codec.NEWEST_VERSION)
                 .writeBytes(name);
         connection.channel().writeAndFlush(hello);
-        timers.after(HANDSHAKE, () -> {
+        timers.after(HANDSHAKE_TIMEOUT, () -> {
             if (state == State.HANDSHAKE) {
-                refuse("no handshake in time");
+                closeWithWarning("the handshake timed out");
             }
         });
     }
@@ -122,30 +128,30 @@
             try {
                 onFrame(codec.read(bytes, Frame.class));
             } catch (ServiceException failure) {
-                refuse(failure.getMessage());
+                closeWithWarning(failure.getMessage());
             }
         }
     }
 
     private void onHandshake(ByteBuf in) {
-        if (in.readableBytes() < HANDSHAKE_BYTES || in.readInt() != MAGIC) {
-            refuse("foreign handshake");
+        if (in.readableBytes() < MIN_HANDSHAKE_BYTES || in.readInt() != MAGIC) {
+            closeWithWarning("not a handshake of this protocol");
             return;
         }
         int oldest = in.readShort();
         int newest = in.readShort();
         if (oldest > Codec.NEWEST_VERSION || newest < Codec.OLDEST_VERSION) {
-            refuse("versions " + oldest + ".." + newest + " do not meet ours " + Codec.OLDEST_VERSION + ".."
+            closeWithWarning("versions " + oldest + ".." + newest + " do not meet ours " + Codec.OLDEST_VERSION + ".."
                     + Codec.NEWEST_VERSION);
             return;
         }
         String name = in.toString(StandardCharsets.UTF_8);
-        if (!name.matches(NAME)) {
-            refuse("foreign name");
+        if (!name.matches(NODE_NAME_PATTERN)) {
+            closeWithWarning("invalid node name in the handshake");
             return;
         }
-        if (expectedPeer.filter(c -> !c.equals(name)).isPresent()) {
-            refuse("it is " + name + " that answers at " + expectedPeer.get());
+        if (expectedPeer.filter(expected -> !expected.equals(name)).isPresent()) {
+            closeWithWarning("the peer identifies itself as " + name + ", expected " + expectedPeer.get());
             return;
         }
         peer = name;
@@ -161,20 +167,22 @@
         }
     }
 
-    Mono<Object> call(Object body, Duration limit) {
+    Mono<Object> call(Object body, Duration timeout) {
         ServiceException notSent = new UnreachableException("The handshake took too long.");
-        return Delays.timeout(timers, handshake.asMono(), limit, notSent)
-                .then(Mono.defer(() -> callOpened(body, limit)));
+        return Delays.timeout(timers, handshake.asMono(), timeout, notSent)
+                .then(Mono.defer(() -> callAfterHandshake(body, timeout)));
     }
 
-    private Mono<Object> callOpened(Object body, Duration limit) {
-        long receptionsAtSending = silence.receiveCount();
+    private Mono<Object> callAfterHandshake(Object body, Duration timeout) {
+        long receiveCountAtSending = silenceDetector.receiveCount();
         return pendingCalls
-                .call(body, limit, this::send)
-                .doOnError(OutcomeUnknownException.class, e -> silence.onUnanswered(receptionsAtSending, limit));
+                .call(body, timeout, this::send)
+                .doOnError(
+                        OutcomeUnknownException.class,
+                        e -> silenceDetector.onUnanswered(receiveCountAtSending, timeout));
     }
 
-    /** A response whose connection has gone is dropped: nobody waits for it there. */
+    /** A response is dropped if its connection has closed: no caller waits for it any longer. */
     private void respond(Frame frame) {
         if (connection.channel().isActive()) {
             send(frame);
@@ -186,7 +194,7 @@
         connection.channel().writeAndFlush(Unpooled.wrappedBuffer(codec.write(frame)));
     }
 
-    private void refuse(String reason) {
+    private void closeWithWarning(String reason) {
         if (state != State.CLOSED) {
             LOG.warn("Closed the connection from {}: {}.", connection.channel().remoteAddress(), reason);
             close();
--- a/common/src/main/java/org/woadvale/common/rpc/RpcRequest.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcRequest.java
@@ -1,4 +1,4 @@
 package org.woadvale.common.rpc;
 
-/** A message that asks a peer for something: each says whether it may be sent again. docs/calls.md */
+/** A request to a peer; its type says whether it may be sent again (docs/calls.md). */
 public sealed interface RpcRequest permits RepeatableRequest, AtMostOnceRequest {}
--- a/common/src/main/java/org/woadvale/common/rpc/RpcRouter.java
+++ b/common/src/main/java/org/woadvale/common/rpc/RpcRouter.java
@@ -7,17 +7,17 @@
 import org.woadvale.common.error.InvalidRequestException;
 import reactor.core.publisher.Mono;
 
-/** Which part of the process answers which kind of ask. */
+/** Dispatches requests to handlers by their type. */
 public final class RpcRouter {
     private final Map<Class<?>, BiFunction<String, Object, Mono<?>>> handlers = new ConcurrentHashMap<>();
 
-    /** Adds the handler of a type of request; it is given the name of the sender. */
+    /** Adds the handler of a type of request; the handler receives the name of the sender. */
     public <T extends RpcRequest> RpcRouter on(Class<T> type, BiFunction<String, T, Mono<?>> handler) {
         handlers.put(type, (from, body) -> handler.apply(from, type.cast(body)));
         return this;
     }
 
-    /** Answers a request; fails with BAD_REQUEST if its type has no handler. */
+    /** Handles a request; fails with BAD_REQUEST if its type has no handler. */
     public Mono<?> handle(String from, Object body) {
         BiFunction<String, Object, Mono<?>> handler = handlers.get(body.getClass());
         if (handler == null) {
--- a/common/src/main/java/org/woadvale/common/rpc/SilenceDetector.java
+++ b/common/src/main/java/org/woadvale/common/rpc/SilenceDetector.java
@@ -6,13 +6,13 @@
 import org.woadvale.common.runtime.Timers;
 
 /**
- * Finds out that the peer of an open connection is gone without a close or a reset, as after a loss of power or behind
- * a cut: a call ended without an answer, and nothing at all was received from its sending until {@link #LIMIT} later.
- * TCP alone would go on sending the lost bytes again, with pauses that double, while the peer may long be back and
- * reachable by a new connection.
+ * Detects that the peer of an open connection has disappeared without a close or a reset, as after a power loss or a
+ * network partition: a call ended without a response, and nothing at all was received until {@link #LIMIT} after it was
+ * sent. TCP alone would keep retransmitting the lost bytes with exponential backoff, although the peer may long have
+ * been reachable again over a new connection.
  */
 public final class SilenceDetector {
-    /** Longer than the limits of ordinary calls, so that one slow answer is no silence. */
+    /** Longer than the timeouts of ordinary calls, so that a single slow response does not count as silence. */
     public static final Duration LIMIT = Duration.ofSeconds(1);
 
     private final Timers timers;
@@ -21,9 +21,9 @@
     private final AtomicLong receiveCount = new AtomicLong();
 
     /**
-     * The detector of one connection.
+     * Creates the detector of one connection.
      *
-     * @param eventLoop the connection's own; it takes in what has come before it runs a task
+     * @param eventLoop the event loop of the connection, which processes received bytes before it runs a task
      */
     public SilenceDetector(Timers timers, Executor eventLoop, Runnable onSilent) {
         this.timers = timers;
@@ -31,37 +31,37 @@
         this.onSilent = onSilent;
     }
 
-    /** Bytes of any kind have come. */
+    /** Records that bytes of any kind were received. */
     public void onReceived() {
         receiveCount.incrementAndGet();
     }
 
-    /** How often bytes have come so far; to be taken when a call is sent. */
+    /** How often bytes were received so far; to be read when a call is sent. */
     public long receiveCount() {
         return receiveCount.get();
     }
 
     /**
-     * A call had no answer within its limit.
+     * Handles a call that had no response within its timeout.
      *
-     * @param receptionsAtSending the number of receptions when it was sent
+     * @param receiveCountAtSending the number of receptions when it was sent
      */
-    public void onUnanswered(long receptionsAtSending, Duration callLimit) {
-        if (receiveCount.get() != receptionsAtSending) {
+    public void onUnanswered(long receiveCountAtSending, Duration callTimeout) {
+        if (receiveCount.get() != receiveCountAtSending) {
             return;
         }
-        Duration left = LIMIT.minus(callLimit);
-        if (left.isNegative()) {
-            decide(receptionsAtSending);
+        Duration remaining = LIMIT.minus(callTimeout);
+        if (remaining.isNegative()) {
+            checkSilence(receiveCountAtSending);
         } else {
-            timers.after(left, () -> decide(receptionsAtSending));
+            timers.after(remaining, () -> checkSilence(receiveCountAtSending));
         }
     }
 
-    /** On the event loop: in a process that was paused, what came meanwhile has not been taken in before. */
-    private void decide(long receptionsAtSending) {
+    /** Runs on the event loop, so that bytes received while the process was paused are processed before this check. */
+    private void checkSilence(long receiveCountAtSending) {
         eventLoop.execute(() -> {
-            if (receiveCount.get() == receptionsAtSending) {
+            if (receiveCount.get() == receiveCountAtSending) {
                 onSilent.run();
             }
         });
--- a/common/src/main/java/org/woadvale/common/rpc/Since.java
+++ b/common/src/main/java/org/woadvale/common/rpc/Since.java
@@ -6,8 +6,8 @@
 import java.lang.annotation.Target;
 
 /**
- * The format of stored and sent records that first had this component; always the last ones of a record.
- * (docs/design.md, section 3.4)
+ * The format of stored and sent records that introduced this component; such components are always the last ones of a
+ * record (docs/design.md, section 3.4).
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
--- a/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
+++ b/common/src/main/java/org/woadvale/common/rpc/TcpRpcClient.java
@@ -23,15 +23,15 @@
 import reactor.netty.tcp.TcpClient;
 import reactor.netty.tcp.TcpServer;
 
-/** Frames over Reactor Netty TCP: one stream to each peer we ask. */
+/** RPC over TCP with Reactor Netty: one connection to each called peer. */
 public final class TcpRpcClient implements RpcClient, Component {
     private static final Logger LOG = LogManager.getLogger(TcpRpcClient.class);
     private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(100);
-    private static final Duration CONNECT = Duration.ofMillis(500);
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(100);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     private final String self;
-    private final String listen;
+    private final String listenAddress;
     private final Codec codec;
     private final RpcRouter router;
     private final Timers timers;
@@ -40,15 +40,15 @@
     private final AtomicLong framesSent = new AtomicLong();
     private DisposableServer server;
 
-    /** A client that listens at the address that it is known by. */
+    /** Creates a client that listens on the address by which peers know it. */
     public TcpRpcClient(String self, Codec codec, RpcRouter router, Timers timers) {
         this(self, self, codec, router, timers);
     }
 
-    /** Known by one address, listening at another, as behind a relay. */
-    public TcpRpcClient(String self, String listen, Codec codec, RpcRouter router, Timers timers) {
+    /** Creates a client that peers know by one address and that listens on another, as behind a relay. */
+    public TcpRpcClient(String self, String listenAddress, Codec codec, RpcRouter router, Timers timers) {
         this.self = self;
-        this.listen = listen;
+        this.listenAddress = listenAddress;
         this.codec = codec;
         this.router = router;
         this.timers = timers;
@@ -71,9 +71,9 @@
 
     @Override
     public void start() throws ServiceException {
-        int colon = listen.lastIndexOf(':');
-        String ip = listen.substring(0, colon);
-        int port = Integer.parseInt(listen.substring(colon + 1));
+        int colon = listenAddress.lastIndexOf(':');
+        String ip = listenAddress.substring(0, colon);
+        int port = Integer.parseInt(listenAddress.substring(colon + 1));
         try {
             server = TcpServer.create()
                     .host(ip)
@@ -81,7 +81,7 @@
                     .doOnConnection(this::accept)
                     .bindNow(BIND_TIMEOUT);
         } catch (RuntimeException e) {
-            throw new UnavailableException("Cannot listen on " + listen + ": " + e.getMessage());
+            throw new UnavailableException("Cannot listen on " + listenAddress + ": " + e.getMessage());
         }
     }
 
@@ -94,21 +94,21 @@
     }
 
     @Override
-    public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-        Mono<Object> got = self.equals(to)
-                ? local(body, limit)
-                : connections.computeIfAbsent(to, this::connect).flatMap(connection -> connection.call(body, limit));
-        return got.flatMap(object -> answer.isInstance(object)
-                ? Mono.just(answer.cast(object))
+    public <T> Mono<T> call(String to, Object body, Class<T> responseType, Duration timeout) {
+        Mono<Object> response = self.equals(to)
+                ? callLocally(body, timeout)
+                : connections.computeIfAbsent(to, this::connect).flatMap(connection -> connection.call(body, timeout));
+        return response.flatMap(object -> responseType.isInstance(object)
+                ? Mono.just(responseType.cast(object))
                 : Mono.error(new InternalErrorException(
                         "Unexpected answer " + object.getClass().getSimpleName() + ".")));
     }
 
-    private Mono<Object> local(Object body, Duration limit) {
+    private Mono<Object> callLocally(Object body, Duration timeout) {
         return Delays.timeout(
                 timers,
                 Mono.<Object>from(router.handle(self, body)),
-                limit,
+                timeout,
                 new OutcomeUnknownException("No answer in time."));
     }
 
@@ -118,7 +118,7 @@
         opening.set(TcpClient.create()
                 .host(to.substring(0, colon))
                 .port(Integer.parseInt(to.substring(colon + 1)))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT.toMillis())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) CONNECT_TIMEOUT.toMillis())
                 .connect()
                 .map(channel -> {
                     RpcConnection connection =
@@ -131,7 +131,7 @@
                     return connection;
                 })
                 .onErrorMap(e -> new UnreachableException("No stream to " + to + "."))
-                .doOnError(e -> timers.after(RECONNECT_PAUSE, () -> connections.remove(to, opening.get())))
+                .doOnError(e -> timers.after(RECONNECT_DELAY, () -> connections.remove(to, opening.get())))
                 .cast(RpcConnection.class)
                 .cache());
         return opening.get();
--- a/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/FramePropertiesTest.java
@@ -21,10 +21,13 @@
 import org.woadvale.common.error.ErrorKind;
 import org.woadvale.common.error.ServiceException;
 
-/** Any bytes are a frame or are refused as one; nothing else comes of them. The seeds are fixed, so that CI repeats. */
+/**
+ * Arbitrary bytes either decode to a frame or are rejected as unreadable; they cause no other failure. The seeds are
+ * fixed, so that CI runs are repeatable.
+ */
 class FramePropertiesTest {
-    /** A bit of everything that travels. */
-    public record Everything(
+    /** A record with a component of each type that is sent. */
+    public record AllTypes(
             String word,
             long number,
             boolean flag,
@@ -35,7 +38,7 @@
             Instant at,
             Duration length) {}
 
-    private static final Codec CODEC = new Codec(Map.of(100, List.of(Everything.class)));
+    private static final Codec CODEC = new Codec(Map.of(100, List.of(AllTypes.class)));
     private static final String SEED = "18";
 
     private static boolean readable(byte[] bytes) {
@@ -49,14 +52,14 @@
     }
 
     @Provide
-    Arbitrary<Everything> everything() {
+    Arbitrary<AllTypes> everything() {
         Arbitrary<String> word = Arbitraries.strings().ofMaxLength(20);
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(40);
         Arbitrary<List<String>> list = word.list().ofMaxSize(5);
         Arbitrary<Map<String, Long>> map =
                 Arbitraries.maps(word, Arbitraries.longs()).ofMaxSize(5);
         return Combinators.combine(word, Arbitraries.longs(), bytes, list, map)
-                .as((w, n, b, l, m) -> new Everything(
+                .as((w, n, b, l, m) -> new AllTypes(
                         w,
                         n,
                         n % 2 == 0,
@@ -69,9 +72,9 @@
     }
 
     @Property(tries = 300, seed = SEED)
-    void whatIsWrittenIsRead(@ForAll("everything") Everything sent) throws ServiceException {
+    void encodedFrameIsDecodedUnchanged(@ForAll("everything") AllTypes sent) throws ServiceException {
         Frame frame = CODEC.read(CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent)), Frame.class);
-        Everything got = (Everything) frame.body();
+        AllTypes got = (AllTypes) frame.body();
         assertArrayEquals(sent.bytes(), got.bytes());
         assertEquals(
                 List.of(sent.word(), sent.number(), sent.flag(), sent.list(), sent.map(), sent.maybe(), sent.at()),
@@ -80,13 +83,13 @@
     }
 
     @Property(tries = 2000, seed = SEED)
-    void anyBytesAreAFrameOrRefused(@ForAll @Size(max = 200) byte[] bytes) {
+    void arbitraryBytesAreDecodedOrRejected(@ForAll @Size(max = 200) byte[] bytes) {
         readable(bytes);
     }
 
     @Property(tries = 500, seed = SEED)
-    void damagedFrameIsAFrameOrRefused(
-            @ForAll("everything") Everything sent,
+    void damagedFrameIsDecodedOrRejected(
+            @ForAll("everything") AllTypes sent,
             @ForAll @Size(min = 1, max = 4) List<@IntRange(max = 10_000) Integer> places,
             @ForAll byte damage) {
         byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent));
@@ -97,7 +100,7 @@
     }
 
     @Property(tries = 500, seed = SEED)
-    void frameThatIsCutShortIsRefused(@ForAll("everything") Everything sent, @ForAll @IntRange(max = 10_000) int cut) {
+    void truncatedFrameIsRejected(@ForAll("everything") AllTypes sent, @ForAll @IntRange(max = 10_000) int cut) {
         byte[] bytes = CODEC.write(new Frame(7, Frame.Kind.REQUEST, sent));
         assertEquals(false, readable(Arrays.copyOf(bytes, cut % bytes.length)));
     }
--- a/common/src/test/java/org/woadvale/common/rpc/PendingCallsTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/PendingCallsTest.java
@@ -20,14 +20,14 @@
         timers.close();
     }
 
-    /** Guards against a call on a channel that closed a moment ago being answered as a fault of this program. */
+    /** Guards against a call on a channel that has just closed being reported as an internal error. */
     @Test
-    void callThatTheChannelDoesNotTakeIsUnreachable() {
+    void callOnAClosedChannelIsUnreachable() {
         PendingCalls calls = new PendingCalls(timers);
         ErrorKind kind = calls.call("question", LONG, frame -> {
                     throw new IllegalStateException("channel not registered to an event loop");
                 })
-                .map(answer -> ErrorKind.INTERNAL)
+                .map(response -> ErrorKind.INTERNAL)
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind()))
                 .block(LONG);
         assertEquals(ErrorKind.UNREACHABLE, kind);
--- a/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcAnswersTest.java
@@ -18,12 +18,12 @@
 import org.woadvale.common.runtime.SystemTimers;
 import reactor.core.publisher.Mono;
 
-/** The rows of docs/calls.md for calls between our own processes, each brought about by a scripted peer. */
+/** The rows of docs/calls.md for calls between nodes, each produced by a scripted peer. */
 class RpcAnswersTest {
     public record Question(String words) implements RepeatableRequest {}
 
     private static final Duration LONG = Duration.ofSeconds(20);
-    private static final int CONNECTING = 50;
+    private static final int MAX_CONNECT_ATTEMPTS = 50;
     private static final Duration SHORT = Duration.ofMillis(300);
     private static final Codec CODEC = new Codec(Map.of(100, List.of(Question.class)));
     private final SystemTimers timers = new SystemTimers(2);
@@ -46,10 +46,10 @@
         timers.close();
     }
 
-    /** As below; what was not sent, since a busy machine connects slowly, is asked again. */
-    private String asked(String to, String words, Duration limit) {
-        for (int i = 0; i < CONNECTING; i++) {
-            String outcome = askedOnce(to, words, limit);
+    /** As {@link #callOnce}, but repeats a call that was not sent, since connecting is slow on a busy machine. */
+    private String callUntilSent(String to, String words, Duration limit) {
+        for (int i = 0; i < MAX_CONNECT_ATTEMPTS; i++) {
+            String outcome = callOnce(to, words, limit);
             if (!outcome.equals(ErrorKind.UNREACHABLE.name())) {
                 return outcome;
             }
@@ -57,19 +57,19 @@
         return ErrorKind.UNREACHABLE.name();
     }
 
-    /** The words of the answer, or the kind of the failure. */
-    private String askedOnce(String to, String words, Duration limit) {
+    /** Returns the words of the response, or the kind of the failure. */
+    private String callOnce(String to, String words, Duration limit) {
         return caller.call(to, new Question(words), Question.class, limit)
                 .map(Question::words)
                 .onErrorResume(e -> Mono.just(ServiceException.of(e).kind().name()))
                 .block(LONG);
     }
 
-    private static byte[] answer(long id, String words) {
+    private static byte[] response(long id, String words) {
         return CODEC.write(new Frame(id, Frame.Kind.RESPONSE, new Question(words)));
     }
 
-    private static boolean say(DataOutputStream out, byte[] frame) throws IOException {
+    private static boolean send(DataOutputStream out, byte[] frame) throws IOException {
         ScriptedRpcPeer.write(out, frame);
         return true;
     }
@@ -79,107 +79,113 @@
     }
 
     @Test
-    void secondAnswerReachesNobody() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+    void duplicateResponseIsIgnored() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, frame, out) -> say(out, answer(frame.id(), words(frame)))
-                        && say(out, answer(frame.id(), "second to " + words(frame))))) {
+                (connection, frame, out) -> send(out, response(frame.id(), words(frame)))
+                        && send(out, response(frame.id(), "second to " + words(frame))))) {
             for (String w : List.of("a", "b", "c", "d")) {
-                assertEquals(w, asked(scriptedRpcPeer.address(), w, LONG));
+                assertEquals(w, callUntilSent(peer.address(), w, LONG));
             }
-            assertEquals(1, scriptedRpcPeer.connections());
+            assertEquals(1, peer.connections());
         }
     }
 
     @Test
-    void answerThatNobodyAskedForReachesNobody() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+    void responseToAnUnknownRequestIsIgnored() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, frame, out) -> say(out, answer(frame.id() + 1_000_000, "another's"))
-                        && say(out, answer(frame.id(), words(frame))))) {
+                (connection, frame, out) -> send(out, response(frame.id() + 1_000_000, "another's"))
+                        && send(out, response(frame.id(), words(frame))))) {
             for (String w : List.of("a", "b", "c", "d")) {
-                assertEquals(w, asked(scriptedRpcPeer.address(), w, LONG));
+                assertEquals(w, callUntilSent(peer.address(), w, LONG));
             }
         }
     }
 
-    /** The connection goes on to be used: what tells the answers apart is the number in them. */
+    /** The connection stays in use; responses are told apart by the request id. */
     @Test
-    void answerAfterTheTimeOutIsNotTheNextCallsAnswer() throws Exception {
-        AtomicReference<Frame> held = new AtomicReference<>();
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> {
-            if (held.compareAndSet(null, frame)) {
+    void responseAfterTheTimeoutDoesNotAnswerTheNextCall() throws Exception {
+        AtomicReference<Frame> unanswered = new AtomicReference<>();
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(CODEC, "", (connection, frame, out) -> {
+            if (unanswered.compareAndSet(null, frame)) {
                 return true;
             }
-            return say(out, answer(held.get().id(), "late")) && say(out, answer(frame.id(), words(frame)));
+            return send(out, response(unanswered.get().id(), "late")) && send(out, response(frame.id(), words(frame)));
         })) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", SHORT));
-            assertEquals("b", asked(scriptedRpcPeer.address(), "b", LONG));
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), callUntilSent(peer.address(), "a", SHORT));
+            assertEquals("b", callUntilSent(peer.address(), "b", LONG));
         }
     }
 
     @Test
-    void closeBeforeTheAnswerLeavesTheOutcomeUnknownAndSendsNothingAgain() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> false)) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
-            assertEquals(1, scriptedRpcPeer.requests.size());
+    void closeBeforeTheResponseLeavesTheOutcomeUnknownAndResendsNothing() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(CODEC, "", (connection, frame, out) -> false)) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), callUntilSent(peer.address(), "a", LONG));
+            assertEquals(1, peer.requests.size());
         }
     }
 
     @Test
-    void halfAnAnswerIsNoAnswer() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, "", (c, frame, out) -> {
-            byte[] whole = answer(frame.id(), "whole");
-            out.writeInt(whole.length);
-            out.write(whole, 0, whole.length - 1);
+    void truncatedResponseLeavesTheOutcomeUnknown() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(CODEC, "", (connection, frame, out) -> {
+            byte[] complete = response(frame.id(), "complete");
+            out.writeInt(complete.length);
+            out.write(complete, 0, complete.length - 1);
             out.flush();
             return false;
         })) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), callUntilSent(peer.address(), "a", LONG));
         }
     }
 
-    /** Both connections number their calls from one; the first call's number is another call's on the second. */
+    /**
+     * Both connections number their requests from one, so the id of the first request is used again on the second one.
+     */
     @Test
-    void numbersOfAnEarlierConnectionMeanNothing() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
-                CODEC, "", (c, frame, out) -> c > 1 && say(out, answer(frame.id(), words(frame))))) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
-            assertEquals("b", asked(scriptedRpcPeer.address(), "b", LONG));
-            assertEquals(2, scriptedRpcPeer.connections());
-            assertEquals(
-                    scriptedRpcPeer.requests.get(0).id(),
-                    scriptedRpcPeer.requests.get(1).id());
+    void requestIdsOfAnEarlierConnectionAreNotMatched() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
+                CODEC,
+                "",
+                (connection, frame, out) -> connection > 1 && send(out, response(frame.id(), words(frame))))) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), callUntilSent(peer.address(), "a", LONG));
+            assertEquals("b", callUntilSent(peer.address(), "b", LONG));
+            assertEquals(2, peer.connections());
+            assertEquals(peer.requests.get(0).id(), peer.requests.get(1).id());
         }
     }
 
     @Test
-    void closeBeforeTheGreetingMeansNothingWasSent() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(CODEC, " ", (c, frame, out) -> true)) {
-            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(scriptedRpcPeer.address(), "a", LONG));
+    void closeBeforeTheHandshakeIsUnreachable() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(CODEC, " ", (connection, frame, out) -> true)) {
+            assertEquals(ErrorKind.UNREACHABLE.name(), callOnce(peer.address(), "a", LONG));
         }
     }
 
-    /** Another node listens at the address: it is not asked, and the failure says that nothing was sent. */
+    /** Another node listens at the address: no request is sent to it, and the failure says that nothing was sent. */
     @Test
-    void anotherNodeAtTheAddressIsAskedNothing() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
-                CODEC, "127.0.0.1:1", (c, frame, out) -> say(out, answer(frame.id(), words(frame))))) {
-            assertEquals(ErrorKind.UNREACHABLE.name(), askedOnce(scriptedRpcPeer.address(), "a", LONG));
-            assertEquals(List.of(), scriptedRpcPeer.requests);
+    void anotherNodeAtTheAddressReceivesNoRequest() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
+                CODEC, "127.0.0.1:1", (connection, frame, out) -> send(out, response(frame.id(), words(frame))))) {
+            assertEquals(ErrorKind.UNREACHABLE.name(), callOnce(peer.address(), "a", LONG));
+            assertEquals(List.of(), peer.requests);
         }
     }
 
-    /** A newer build may refuse by a kind that this one does not know: unknown, and at once. */
+    /**
+     * A newer build may return an error kind that this one does not know: the outcome is unknown, without a timeout.
+     */
     @Test
-    void refusalOfAnUnknownKindLeavesTheOutcomeUnknown() throws Exception {
-        Frame.ErrorResponse newer = new Frame.ErrorResponse("INVENTED_LATER", "words", List.of());
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
-                CODEC, "", (c, frame, out) -> say(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, newer))))) {
+    void errorOfAnUnknownKindLeavesTheOutcomeUnknown() throws Exception {
+        Frame.ErrorResponse error = new Frame.ErrorResponse("INVENTED_LATER", "words", List.of());
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
+                CODEC,
+                "",
+                (connection, frame, out) -> send(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, error))))) {
             ServiceException failure = ServiceException.of(
-                    caller.call(scriptedRpcPeer.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
+                    caller.call(peer.address(), new Question("a"), Question.class, Duration.ofMinutes(5))
                             .<Throwable>map(question -> new AssertionError("answered"))
                             .onErrorResume(Mono::just)
                             .block(LONG));
@@ -188,17 +194,18 @@
     }
 
     @Test
-    void refusalWithoutItsFormLeavesTheOutcomeUnknown() throws Exception {
-        try (ScriptedRpcPeer scriptedRpcPeer = new ScriptedRpcPeer(
+    void malformedErrorLeavesTheOutcomeUnknown() throws Exception {
+        try (ScriptedRpcPeer peer = new ScriptedRpcPeer(
                 CODEC,
                 "",
-                (c, frame, out) -> say(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, new Question("x")))))) {
-            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), asked(scriptedRpcPeer.address(), "a", LONG));
+                (connection, frame, out) ->
+                        send(out, CODEC.write(new Frame(frame.id(), Frame.Kind.ERROR, new Question("x")))))) {
+            assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), callUntilSent(peer.address(), "a", LONG));
         }
     }
 
     @Test
-    void handlerWithoutAnAnswerIsSaidSo() {
-        assertEquals(ErrorKind.INTERNAL.name(), asked(caller.self(), "nothing", LONG));
+    void emptyHandlerResultIsAnInternalError() {
+        assertEquals(ErrorKind.INTERNAL.name(), callUntilSent(caller.self(), "nothing", LONG));
     }
 }
--- a/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/RpcBytesTest.java
@@ -24,14 +24,14 @@
 import org.woadvale.common.runtime.SystemTimers;
 import reactor.core.publisher.Mono;
 
-/** Bytes that are no whole request of a peer of ours: nothing is executed. */
+/** Bytes that are not a complete request of a compatible peer: nothing is executed. */
 class RpcBytesTest {
     public record Question(String words) implements RepeatableRequest {}
 
     private static final Codec CODEC = new Codec(Map.of(100, List.of(Question.class)));
     private final SystemTimers timers = new SystemTimers(2);
     private final List<String> handled = Collections.synchronizedList(new ArrayList<>());
-    private TcpRpcClient called;
+    private TcpRpcClient server;
 
     @BeforeEach
     void start() throws Exception {
@@ -40,26 +40,28 @@
             return Mono.just(question);
         });
         try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            called = new TcpRpcClient("127.0.0.1:" + serverSocket.getLocalPort(), CODEC, router, timers);
+            server = new TcpRpcClient("127.0.0.1:" + serverSocket.getLocalPort(), CODEC, router, timers);
         }
-        called.start();
+        server.start();
     }
 
     @AfterEach
     void stop() {
-        called.stop();
+        server.stop();
         timers.close();
     }
 
-    /** All that the called side says to these bytes after its greeting, until it closes. */
-    private byte[] said(byte[] hello, byte[]... rest) throws IOException {
-        int port = Integer.parseInt(called.self().substring(called.self().indexOf(':') + 1));
+    /**
+     * Sends a handshake and further bytes, and returns what the server sends after its own handshake until it closes.
+     */
+    private byte[] exchange(byte[] hello, byte[]... rest) throws IOException {
+        int port = Integer.parseInt(server.self().substring(server.self().indexOf(':') + 1));
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(20_000);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             ScriptedRpcPeer.write(out, hello);
-            for (byte[] r : rest) {
-                out.write(r);
+            for (byte[] bytes : rest) {
+                out.write(bytes);
             }
             out.flush();
             socket.shutdownOutput();
@@ -69,7 +71,7 @@
         }
     }
 
-    private static byte[] framed(byte[] frame, int announced) {
+    private static byte[] withLength(byte[] frame, int announced) {
         return ByteBuffer.allocate(4 + frame.length)
                 .putInt(announced)
                 .put(frame)
@@ -77,35 +79,43 @@
     }
 
     @Test
-    void halfARequestIsNotExecuted() throws Exception {
+    void truncatedRequestIsNotExecuted() throws Exception {
         byte[] request = CODEC.write(new Frame(1, Frame.Kind.REQUEST, new Question("half")));
         byte[] hello = ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "127.0.0.1:1");
-        said(hello, framed(Arrays.copyOf(request, request.length - 1), request.length));
+        exchange(hello, withLength(Arrays.copyOf(request, request.length - 1), request.length));
         assertEquals(List.of(), handled);
     }
 
     @Test
-    void foreignNameOrVersionIsNotServed() throws Exception {
+    void invalidNameOrVersionIsNotServed() throws Exception {
         byte[] request = CODEC.write(new Frame(1, Frame.Kind.REQUEST, new Question("foreign")));
-        byte[] whole = framed(request, request.length);
-        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, ""), whole).length);
-        assertEquals(0, said(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "a b\n"), whole).length);
+        byte[] complete = withLength(request, request.length);
+        assertEquals(
+                0, exchange(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, ""), complete).length);
+        assertEquals(
+                0,
+                exchange(ScriptedRpcPeer.hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, "a b\n"), complete).length);
         assertEquals(
                 0,
-                said(ScriptedRpcPeer.hello(Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 2, "127.0.0.1:1"), whole)
+                exchange(
+                                ScriptedRpcPeer.hello(
+                                        Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 2, "127.0.0.1:1"),
+                                complete)
                         .length);
         assertEquals(List.of(), handled);
     }
 
-    /** A damaged size would otherwise ask for gigabytes, and the process ends when it has none. */
+    /**
+     * Guards against a damaged size that makes the reader allocate gigabytes and ends the process for lack of memory.
+     */
     @Test
-    void sizeThatTheFrameCannotHoldIsRefused() {
-        byte[] huge = CODEC.write(new Question("x"));
+    void sizeLargerThanTheFrameIsRejected() {
+        byte[] valid = CODEC.write(new Question("x"));
         byte[] bytes = CODEC.write(new byte[3]);
         byte[] list = CODEC.write(new ArrayList<>(List.of(1, 2, 3)));
         byte[] immutable = CODEC.write(List.of(1, 2, 3));
-        for (byte[] sound : List.of(bytes, list, immutable)) {
-            byte[] damaged = Arrays.copyOf(sound, 6);
+        for (byte[] encoded : List.of(bytes, list, immutable)) {
+            byte[] damaged = Arrays.copyOf(encoded, 6);
             int sizeAt = 1;
             damaged[sizeAt] = (byte) 0xff;
             damaged[sizeAt + 1] = (byte) 0xff;
@@ -114,7 +124,7 @@
             damaged[sizeAt + 4] = (byte) 0x07;
             assertFalse(readable(damaged));
         }
-        assertTrue(readable(huge));
+        assertTrue(readable(valid));
     }
 
     private static boolean readable(byte[] frame) {
--- a/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
+++ b/common/src/test/java/org/woadvale/common/rpc/ScriptedRpcPeer.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import org.woadvale.common.error.ServiceException;
 
-/** A peer on loopback that greets as it is told and answers each request frame by its script, byte for byte. */
+/** A loopback peer with a configurable handshake that answers each request frame by a script, byte for byte. */
 final class ScriptedRpcPeer implements AutoCloseable {
-    /** What the peer does with a request; it closes the connection on false. */
+    /** Responds to a request; the connection is closed if it returns false. */
     interface Script {
-        boolean answer(int connection, Frame request, DataOutputStream out) throws IOException;
+        boolean respond(int connection, Frame request, DataOutputStream out) throws IOException;
     }
 
     private final ServerSocket server;
@@ -25,13 +25,16 @@
     private final Script script;
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
     final List<Frame> requests = Collections.synchronizedList(new ArrayList<>());
-    private final String greetsAs;
+    private final String handshakeName;
 
-    /** Greets under the given name, or under its own address for an empty one; says nothing at all for a blank one. */
-    ScriptedRpcPeer(Codec codec, String greetsAs, Script script) throws IOException {
+    /**
+     * Identifies itself by the given name, or by its own address if the name is empty; sends no handshake if it is
+     * blank.
+     */
+    ScriptedRpcPeer(Codec codec, String handshakeName, Script script) throws IOException {
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         this.codec = codec;
-        this.greetsAs = greetsAs.isEmpty() ? address() : greetsAs;
+        this.handshakeName = handshakeName.isEmpty() ? address() : handshakeName;
         this.script = script;
         daemon(this::accept);
     }
@@ -84,21 +87,21 @@
         try (socket) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            if (greetsAs.isBlank()) {
+            if (handshakeName.isBlank()) {
                 in.readNBytes(in.readInt());
                 return;
             }
-            write(out, hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, greetsAs));
+            write(out, hello(Codec.OLDEST_VERSION, Codec.NEWEST_VERSION, handshakeName));
             in.readNBytes(in.readInt());
             while (true) {
                 Frame request = codec.read(in.readNBytes(in.readInt()), Frame.class);
                 requests.add(request);
-                if (!script.answer(connection, request, out)) {
+                if (!script.respond(connection, request, out)) {
                     return;
                 }
             }
         } catch (IOException | ServiceException e) {
-            // the caller has gone
+            // the caller closed the connection
         }
     }
 
--- a/common/src/test/java/org/woadvale/common/rpc/SilenceDetectorTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/SilenceDetectorTest.java
@@ -12,19 +12,19 @@
 import org.woadvale.common.runtime.Timers;
 
 class SilenceDetectorTest {
-    private static final Duration CALL_LIMIT = Duration.ofMillis(400);
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(400);
 
     private final Deque<Runnable> eventLoop = new ArrayDeque<>();
-    private final List<Runnable> due = new ArrayList<>();
+    private final List<Runnable> scheduled = new ArrayList<>();
     private final List<Duration> delays = new ArrayList<>();
-    private int silences;
+    private int silenceCount;
 
     private final SilenceDetector detector = new SilenceDetector(
             new Timers() {
                 @Override
                 public TimerHandle after(Duration delay, Runnable task) {
                     delays.add(delay);
-                    due.add(task);
+                    scheduled.add(task);
                     return () -> {};
                 }
 
@@ -39,38 +39,40 @@
                 }
             },
             eventLoop::add,
-            () -> silences++);
+            () -> silenceCount++);
 
     private void runAll() {
-        due.forEach(Runnable::run);
+        scheduled.forEach(Runnable::run);
         eventLoop.forEach(Runnable::run);
     }
 
     @Test
-    void nothingUntilASecondAfterTheSendingIsSilence() {
-        detector.onUnanswered(detector.receiveCount(), CALL_LIMIT);
-        assertEquals(List.of(SilenceDetector.LIMIT.minus(CALL_LIMIT)), delays);
-        assertEquals(0, silences);
+    void noBytesForASecondAfterSendingIsSilence() {
+        detector.onUnanswered(detector.receiveCount(), CALL_TIMEOUT);
+        assertEquals(List.of(SilenceDetector.LIMIT.minus(CALL_TIMEOUT)), delays);
+        assertEquals(0, silenceCount);
         runAll();
-        assertEquals(1, silences);
+        assertEquals(1, silenceCount);
     }
 
     @Test
-    void anyBytesSinceTheSendingAreNoSilence() {
-        long atSending = detector.receiveCount();
+    void bytesReceivedAfterSendingAreNoSilence() {
+        long receiveCountAtSending = detector.receiveCount();
         detector.onReceived();
-        detector.onUnanswered(atSending, CALL_LIMIT);
+        detector.onUnanswered(receiveCountAtSending, CALL_TIMEOUT);
         runAll();
-        assertEquals(0, silences);
+        assertEquals(0, silenceCount);
     }
 
-    /** Guards against a paused process that closes its connections before it reads what came in the pause. */
+    /**
+     * Guards against a process that, after a pause, closes its connections before it reads what was received meanwhile.
+     */
     @Test
-    void bytesThatTheEventLoopTakesInBeforeTheVerdictAreNoSilence() {
-        detector.onUnanswered(detector.receiveCount(), CALL_LIMIT);
-        due.forEach(Runnable::run);
+    void bytesReadBeforeTheCheckOnTheEventLoopAreNoSilence() {
+        detector.onUnanswered(detector.receiveCount(), CALL_TIMEOUT);
+        scheduled.forEach(Runnable::run);
         detector.onReceived();
         eventLoop.forEach(Runnable::run);
-        assertEquals(0, silences);
+        assertEquals(0, silenceCount);
     }
 }
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -23,16 +23,16 @@
 import reactor.core.Exceptions;
 import reactor.core.publisher.Mono;
 
-/** The real streams, on ephemeral loopback ports. */
+/** TCP connections on ephemeral loopback ports. */
 class TcpRpcClientTest {
     public record Question(String words) implements RepeatableRequest {}
 
     public record Unregistered(String words) {}
 
     private static final Codec CODEC = new Codec(Map.of(100, List.of(Question.class)));
-    private final SystemTimers schedules = new SystemTimers(2);
-    private TcpRpcClient a;
-    private TcpRpcClient tcpRpcClient;
+    private final SystemTimers timers = new SystemTimers(2);
+    private TcpRpcClient client;
+    private TcpRpcClient server;
 
     @BeforeEach
     void open() throws Exception {
@@ -42,57 +42,59 @@
                         (from, question) -> question.words().isEmpty()
                                 ? Mono.error(new ConflictException("empty", List.of("x")))
                                 : Mono.just(new Question(question.words() + "!")));
-        a = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, new RpcRouter(), schedules);
-        tcpRpcClient = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, router, schedules);
-        a.start();
-        tcpRpcClient.start();
+        client = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, new RpcRouter(), timers);
+        server = new TcpRpcClient(LoopbackPorts.freeAddress(), CODEC, router, timers);
+        client.start();
+        server.start();
     }
 
     @AfterEach
     void close() {
-        a.stop();
-        tcpRpcClient.stop();
-        schedules.close();
+        client.stop();
+        server.stop();
+        timers.close();
     }
 
-    private ServiceException fault(Mono<?> m) {
+    private ServiceException errorOf(Mono<?> call) {
         return ServiceException.of(
-                Exceptions.unwrap(assertThrows(RuntimeException.class, () -> m.block(Duration.ofSeconds(20)))));
+                Exceptions.unwrap(assertThrows(RuntimeException.class, () -> call.block(Duration.ofSeconds(20)))));
     }
 
     @Test
-    void answersAndFaultsTravel() {
+    void responsesAndErrorsAreReturned() {
         assertEquals(
                 "hi!",
-                a.call(tcpRpcClient.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
+                client.call(server.self(), new Question("hi"), Question.class, Duration.ofSeconds(10))
                         .block()
                         .words());
         ServiceException failure =
-                fault(a.call(tcpRpcClient.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
+                errorOf(client.call(server.self(), new Question(""), Question.class, Duration.ofSeconds(10)));
         assertEquals(ErrorKind.CONFLICT, failure.kind());
         assertEquals(List.of("x"), failure.details());
     }
 
     @Test
-    void nobodyThereIsUnreachable() throws Exception {
+    void refusedConnectionIsUnreachable() throws Exception {
         try (Socket refusing = LoopbackPorts.refusing()) {
             String address = "127.0.0.1:" + refusing.getLocalPort();
-            ServiceException fault = fault(a.call(address, new Question("hi"), Question.class, Duration.ofSeconds(10)));
-            assertEquals(ErrorKind.UNREACHABLE, fault.kind());
+            ServiceException error =
+                    errorOf(client.call(address, new Question("hi"), Question.class, Duration.ofSeconds(10)));
+            assertEquals(ErrorKind.UNREACHABLE, error.kind());
         }
     }
 
-    /** Returns what the socket gives after our bytes: -1 says that the stream was closed. */
-    private int afterSending(byte[]... frames) throws IOException {
+    /**
+     * Sends frames and returns the first byte received after the handshake, or -1 if the server closed the connection.
+     */
+    private int firstByteAfterSending(byte[]... frames) throws IOException {
         try (Socket socket = new Socket(
                 "127.0.0.1",
-                Integer.parseInt(
-                        tcpRpcClient.self().substring(tcpRpcClient.self().indexOf(':') + 1)))) {
+                Integer.parseInt(server.self().substring(server.self().indexOf(':') + 1)))) {
             socket.setSoTimeout(15000);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            for (byte[] f : frames) {
-                out.writeInt(f.length);
-                out.write(f);
+            for (byte[] frame : frames) {
+                out.writeInt(frame.length);
+                out.write(frame);
             }
             out.flush();
             int hello = new DataInputStream(socket.getInputStream()).readInt();
@@ -111,21 +113,23 @@
     }
 
     @Test
-    void foreignGarbledAndFutureStreamsAreClosed() throws IOException {
-        assertEquals(-1, afterSending("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(-1, afterSending(hello(1, 1), new byte[] {1, 2, 3, 99, 99}));
-        assertEquals(-1, afterSending(hello(Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 5)));
+    void foreignCorruptAndIncompatibleConnectionsAreClosed() throws IOException {
+        assertEquals(-1, firstByteAfterSending("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8)));
+        assertEquals(-1, firstByteAfterSending(hello(1, 1), new byte[] {1, 2, 3, 99, 99}));
+        assertEquals(-1, firstByteAfterSending(hello(Codec.NEWEST_VERSION + 1, Codec.NEWEST_VERSION + 5)));
         Codec other = new Codec(Map.of(100, List.of(Question.class, Unregistered.class)));
         assertEquals(
-                -1, afterSending(hello(1, 1), other.write(new Frame(1, Frame.Kind.REQUEST, new Unregistered("x")))));
+                -1,
+                firstByteAfterSending(
+                        hello(1, 1), other.write(new Frame(1, Frame.Kind.REQUEST, new Unregistered("x")))));
     }
 
     @Test
-    void newerNeighbourThatStillSpeaksOurVersionIsServed() throws IOException {
-        byte[] ask = CODEC.write(new Frame(7, Frame.Kind.REQUEST, new Question("hi")));
+    void newerPeerThatSupportsOurVersionIsServed() throws IOException {
+        byte[] request = CODEC.write(new Frame(7, Frame.Kind.REQUEST, new Question("hi")));
         assertEquals(
                 0,
-                afterSending(hello(Codec.NEWEST_VERSION, Codec.NEWEST_VERSION + 3), ask),
+                firstByteAfterSending(hello(Codec.NEWEST_VERSION, Codec.NEWEST_VERSION + 3), request),
                 "the first byte of an answer's length");
     }
 }
