--- a/common/src/main/java/org/woadvale/common/wal/BatchSelection.java
+++ b/common/src/main/java/org/woadvale/common/wal/BatchSelection.java
@@ -5,32 +5,32 @@
 import org.woadvale.common.wal.PendingWrites.PendingAppend;
 
 /**
- * Of the records that wait, those that may be written now: the ring keeps files free for the snapshots that free its
- * oldest ones, and nothing but such snapshots may take those.
+ * Divides pending appends into those that may be written now and those that must wait: the ring keeps files in reserve
+ * for the snapshots that free its oldest files, and only such snapshots may use the reserve.
  *
- * @param writable what fits, in its order
- * @param deferred what has to wait, in its order
+ * @param writable the appends that may be written, in their order
+ * @param deferred the appends that must wait, in their order
  */
 record BatchSelection(List<PendingAppend> writable, List<PendingAppend> deferred) {
     /**
-     * Chooses from the groups, in order. After the first that has to wait only snapshots of partitions that hold the
-     * oldest segment are taken, so that records of one partition keep their order.
+     * Selects from the appends in their order. After the first deferred one, only snapshots of partitions that retain
+     * the oldest segment are selected, so that the records of one partition keep their order.
      */
-    static BatchSelection of(List<PendingAppend> groups, RingWriter writer, int reservedFiles) {
+    static BatchSelection of(List<PendingAppend> appends, RingWriter writer, int reservedFiles) {
         List<PendingAppend> writable = new ArrayList<>();
         List<PendingAppend> deferred = new ArrayList<>();
         RingPosition position = writer.nextPosition();
-        for (PendingAppend group : groups) {
-            RingPosition after = position.after(group);
-            boolean freesOldest = group.isSnapshot()
-                    && writer.holdsOldest(group.entries().get(0).partition());
+        for (PendingAppend append : appends) {
+            RingPosition after = position.after(append);
+            boolean freesOldest = append.isSnapshot()
+                    && writer.retainsOldest(append.records().get(0).partition());
             int reserved = freesOldest ? 0 : reservedFiles;
             boolean mayPass = deferred.isEmpty() || freesOldest;
             if (mayPass && writer.freeFiles() - after.files() >= reserved) {
-                writable.add(group);
+                writable.add(append);
                 position = after;
             } else {
-                deferred.add(group);
+                deferred.add(append);
             }
         }
         return new BatchSelection(writable, deferred);
--- a/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** For processes without a disk: nothing may be written. */
+/** The write-ahead log of a process without a disk; appending to it throws. */
 public final class DisabledWriteAheadLog implements WriteAheadLog {
     @Override
     public Map<String, List<WalRecord>> recovered() {
@@ -12,12 +12,12 @@
     }
 
     @Override
-    public void append(List<WalRecord> entries, Runnable done) {
+    public void append(List<WalRecord> records, Runnable onSynced) {
         throw new IllegalStateException("this process has no disk");
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable giveBase) {
+    public void onSpaceNeeded(String partition, Runnable takeSnapshot) {
         throw new IllegalStateException("this process has no disk");
     }
 
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void onFailure(Consumer<String> reason) {
+    public void onFailure(Consumer<String> handler) {
         // nothing can fail
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/Disk.java
+++ b/common/src/main/java/org/woadvale/common/wal/Disk.java
@@ -3,41 +3,48 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Seam to the data folder; bytes last only once synced. */
+/**
+ * Access to the files of a data folder, as an interface that tests and simulations implement too. Written bytes are
+ * durable only once synced.
+ */
 public interface Disk {
-    /** No caller needs more at once than this, or than one record. */
+    /** Maximum number of bytes read or written at once, unless a single record is larger. */
     int CHUNK_BYTES = 64 << 10;
 
     /** One file of the folder. */
     interface DiskFile {
-        /** Its bytes. */
+        /** Size in bytes. */
         int size() throws IOException;
 
-        /** Takes all the space of the file, so that later writes need none. Must run before the first write. */
+        /**
+         * Allocates the whole size on disk, so that later writes need no more space. Must be called before the first
+         * write.
+         */
         default void allocate() throws IOException {}
 
-        /** Writes the first so many of the bytes. */
-        void write(long pos, byte[] bytes, int length) throws IOException;
+        /** Writes the first {@code length} bytes of the array. */
+        void write(long position, byte[] bytes, int length) throws IOException;
 
-        /** Fills the first so many of the bytes; what lies beyond the end of the file is zero. */
-        void read(long pos, byte[] into, int length) throws IOException;
+        /** Reads {@code length} bytes into the array; positions beyond the end of the file read as zero. */
+        void read(long position, byte[] into, int length) throws IOException;
 
-        /** All bytes written so far last from now on. */
+        /** Makes all bytes written so far durable. */
         void sync() throws IOException;
     }
 
     /** The names of the files. */
     List<String> list() throws IOException;
 
-    /** A file of at least this size; a new one is all zeros. Takes no space before it is allocated. */
+    /** Opens a file of at least this size. A new file reads as zeros and takes no disk space before it is allocated. */
     DiskFile open(String name, int size) throws IOException;
 
     /**
-     * Takes everything out of the way; a damaged folder is kept aside where the disk can, in place of any former one.
+     * Removes all files from the folder. Where the disk supports it, they are kept in a folder set aside, which replaces
+     * any earlier one.
      */
     void setAside() throws IOException;
 
-    /** Frees the space of what was set aside; true if there was any. */
+    /** Deletes what was set aside, to free its space; returns whether there was any. */
     default boolean deleteSetAside() throws IOException {
         return false;
     }
--- a/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderDisk.java
@@ -10,13 +10,16 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A real data folder. At most one damaged folder is kept aside, so that the disk never holds more than two rings. */
+/**
+ * A data folder in the file system. At most one damaged folder is kept set aside, so that the disk never holds more
+ * than two rings.
+ */
 public final class FolderDisk implements Disk {
     private static final Logger LOG = LogManager.getLogger(FolderDisk.class);
     private static final String SET_ASIDE = "set-aside-";
     private final Path folder;
 
-    /** The files of a folder, which is made if need be. */
+    /** Opens a folder, and creates it if it does not exist. */
     public FolderDisk(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
@@ -38,8 +41,8 @@
     }
 
     static void syncFolder(Path folder) throws IOException {
-        try (FileChannel dir = FileChannel.open(folder, StandardOpenOption.READ)) {
-            dir.force(true);
+        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
@@ -53,10 +56,10 @@
                 Files.move(folder.resolve(name), aside.resolve(name));
             }
         } catch (IOException e) {
-            if (!(DiskFullException.typed(e) instanceof DiskFullException)) {
+            if (!(DiskFullException.classify(e) instanceof DiskFullException)) {
                 throw e;
             }
-            LOG.warn("The disk is full, so the damaged files of {} are deleted and not set aside.", folder);
+            LOG.warn("The disk is full; deleting the damaged files of {} instead of setting them aside.", folder);
             for (String name : list()) {
                 Files.delete(folder.resolve(name));
             }
@@ -66,16 +69,16 @@
 
     @Override
     public boolean deleteSetAside() throws IOException {
-        List<Path> old;
+        List<Path> folders;
         try (Stream<Path> stream = Files.list(folder)) {
-            old = stream.filter(path -> path.getFileName().toString().startsWith(SET_ASIDE))
+            folders = stream.filter(path -> path.getFileName().toString().startsWith(SET_ASIDE))
                     .toList();
         }
-        for (Path aside : old) {
-            LOG.warn("{}, set aside earlier, is deleted to free its space.", aside);
+        for (Path aside : folders) {
+            LOG.warn("Deleting {}, which was set aside earlier, to free its space.", aside);
             deleteFolder(aside);
         }
-        return !old.isEmpty();
+        return !folders.isEmpty();
     }
 
     private static void deleteFolder(Path aside) throws IOException {
--- a/common/src/main/java/org/woadvale/common/wal/FolderFile.java
+++ b/common/src/main/java/org/woadvale/common/wal/FolderFile.java
@@ -10,25 +10,25 @@
 import java.util.Optional;
 
 /**
- * One file of a data folder, made when it is first allocated. It is read and written in small pieces only: the runtime
- * keeps a buffer outside the heap as large as the largest piece for each thread.
+ * One file of a data folder, created when it is first allocated. It is read and written in small chunks only, since the
+ * JDK keeps a direct buffer for each thread that is as large as the largest chunk transferred.
  */
 final class FolderFile implements Disk.DiskFile {
     private final Path path;
-    private final int wantedSize;
+    private final int minimumSize;
     private Optional<FileChannel> channel = Optional.empty();
 
-    FolderFile(Path path, int wantedSize) {
+    FolderFile(Path path, int minimumSize) {
         this.path = path;
-        this.wantedSize = wantedSize;
+        this.minimumSize = minimumSize;
     }
 
     @Override
     public int size() throws IOException {
-        return Files.exists(path) ? Math.max(wantedSize, (int) opened().size()) : wantedSize;
+        return Files.exists(path) ? Math.max(minimumSize, (int) openChannel().size()) : minimumSize;
     }
 
-    private FileChannel opened() throws IOException {
+    private FileChannel openChannel() throws IOException {
         if (channel.isEmpty()) {
             channel = Optional.of(FileChannel.open(
                     path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE));
@@ -39,53 +39,53 @@
     @Override
     public void allocate() throws IOException {
         try {
-            FileChannel file = opened();
-            if (file.size() >= wantedSize) {
+            FileChannel file = openChannel();
+            if (file.size() >= minimumSize) {
                 return;
             }
             byte[] zeros = new byte[Disk.CHUNK_BYTES];
-            for (long at = file.size(); at < wantedSize; at += Disk.CHUNK_BYTES) {
-                write(at, zeros, (int) Math.min(Disk.CHUNK_BYTES, wantedSize - at));
+            for (long offset = file.size(); offset < minimumSize; offset += Disk.CHUNK_BYTES) {
+                write(offset, zeros, (int) Math.min(Disk.CHUNK_BYTES, minimumSize - offset));
             }
             file.force(true);
             FolderDisk.syncFolder(path.getParent());
         } catch (IOException e) {
-            throw DiskFullException.typed(e);
+            throw DiskFullException.classify(e);
         }
     }
 
     @Override
-    public void write(long pos, byte[] bytes, int length) throws IOException {
+    public void write(long position, byte[] bytes, int length) throws IOException {
         try {
-            for (int at = 0; at < length; ) {
-                ByteBuffer piece = ByteBuffer.wrap(bytes, at, Math.min(Disk.CHUNK_BYTES, length - at));
-                at += opened().write(piece, pos + at);
+            for (int offset = 0; offset < length; ) {
+                ByteBuffer chunk = ByteBuffer.wrap(bytes, offset, Math.min(Disk.CHUNK_BYTES, length - offset));
+                offset += openChannel().write(chunk, position + offset);
             }
         } catch (IOException e) {
-            throw DiskFullException.typed(e);
+            throw DiskFullException.classify(e);
         }
     }
 
     @Override
-    public void read(long pos, byte[] into, int length) throws IOException {
-        int at = 0;
-        while (at < length && Files.exists(path)) {
-            ByteBuffer piece = ByteBuffer.wrap(into, at, Math.min(Disk.CHUNK_BYTES, length - at));
-            int read = opened().read(piece, pos + at);
+    public void read(long position, byte[] into, int length) throws IOException {
+        int offset = 0;
+        while (offset < length && Files.exists(path)) {
+            ByteBuffer chunk = ByteBuffer.wrap(into, offset, Math.min(Disk.CHUNK_BYTES, length - offset));
+            int read = openChannel().read(chunk, position + offset);
             if (read < 0) {
                 break;
             }
-            at += read;
+            offset += read;
         }
-        Arrays.fill(into, at, length, (byte) 0);
+        Arrays.fill(into, offset, length, (byte) 0);
     }
 
     @Override
     public void sync() throws IOException {
         try {
-            opened().force(false);
+            openChannel().force(false);
         } catch (IOException e) {
-            throw DiskFullException.typed(e);
+            throw DiskFullException.classify(e);
         }
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
+++ b/common/src/main/java/org/woadvale/common/wal/PendingWrites.java
@@ -3,72 +3,73 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records that wait for the disk, in their order. */
+/** Queue of the records that are still to be written to disk. */
 final class PendingWrites {
-    /** Records that were appended together, and what runs once they are synced. */
-    record PendingAppend(List<WalRecord> entries, Runnable done) {
+    /** Records that were appended together, and the callback that runs once they are synced. */
+    record PendingAppend(List<WalRecord> records, Runnable onSynced) {
         /** Bytes of the log entries; snapshots are not counted, since each replaces the one before it. */
         long entryBytes() {
-            return entries.stream()
+            return records.stream()
                     .filter(record -> record.kind() == WalRecord.Kind.ENTRY)
                     .mapToLong(record -> record.bytes().length)
                     .sum();
         }
 
-        /** Whether this is a snapshot and nothing else. */
+        /** Whether this append consists of a single snapshot. */
         boolean isSnapshot() {
-            return entries.size() == 1 && entries.get(0).kind() == WalRecord.Kind.SNAPSHOT;
+            return records.size() == 1 && records.get(0).kind() == WalRecord.Kind.SNAPSHOT;
         }
 
-        boolean isOnlyOf(String partition) {
-            return entries.stream().allMatch(record -> record.partition().equals(partition));
+        boolean belongsOnlyTo(String partition) {
+            return records.stream().allMatch(record -> record.partition().equals(partition));
         }
     }
 
-    private final List<PendingAppend> groups = new ArrayList<>();
+    private final List<PendingAppend> appends = new ArrayList<>();
     private long entryBytes;
 
     /**
-     * Adds records behind all others. A snapshot stands for all earlier records of its partition: what still waits of
-     * them is never written, and is done once the snapshot is synced.
+     * Adds an append at the end of the queue. A snapshot replaces all earlier records of its partition: queued appends
+     * of that partition alone are never written, and their callbacks run once the snapshot is synced.
      */
-    void add(PendingAppend group) {
-        PendingAppend added = group.isSnapshot() ? replacing(group) : group;
-        groups.add(added);
+    void add(PendingAppend append) {
+        PendingAppend added = append.isSnapshot() ? replaceEarlier(append) : append;
+        appends.add(added);
         entryBytes += added.entryBytes();
     }
 
-    private PendingAppend replacing(PendingAppend snapshot) {
-        String partition = snapshot.entries().get(0).partition();
-        List<PendingAppend> replaced =
-                groups.stream().filter(group -> group.isOnlyOf(partition)).toList();
+    private PendingAppend replaceEarlier(PendingAppend snapshot) {
+        String partition = snapshot.records().get(0).partition();
+        List<PendingAppend> replaced = appends.stream()
+                .filter(append -> append.belongsOnlyTo(partition))
+                .toList();
         if (replaced.isEmpty()) {
             return snapshot;
         }
-        groups.removeIf(group -> group.isOnlyOf(partition));
+        appends.removeIf(append -> append.belongsOnlyTo(partition));
         entryBytes -= replaced.stream().mapToLong(PendingAppend::entryBytes).sum();
-        return new PendingAppend(snapshot.entries(), () -> {
-            replaced.forEach(group -> group.done().run());
-            snapshot.done().run();
+        return new PendingAppend(snapshot.records(), () -> {
+            replaced.forEach(append -> append.onSynced().run());
+            snapshot.onSynced().run();
         });
     }
 
-    List<PendingAppend> takeAll() {
-        List<PendingAppend> taken = List.copyOf(groups);
-        groups.clear();
+    List<PendingAppend> drain() {
+        List<PendingAppend> drained = List.copyOf(appends);
+        appends.clear();
         entryBytes = 0;
-        return taken;
+        return drained;
     }
 
-    /** Records that were taken and could not be written wait before those that came since. */
-    void putBack(List<PendingAppend> taken) {
-        List<PendingAppend> since = takeAll();
-        taken.forEach(this::add);
-        since.forEach(this::add);
+    /** Puts drained appends that could not be written back before those that were added since. */
+    void requeue(List<PendingAppend> drained) {
+        List<PendingAppend> newer = drain();
+        drained.forEach(this::add);
+        newer.forEach(this::add);
     }
 
     boolean isEmpty() {
-        return groups.isEmpty();
+        return appends.isEmpty();
     }
 
     long entryBytes() {
--- a/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
+++ b/common/src/main/java/org/woadvale/common/wal/ReadWindow.java
@@ -3,58 +3,64 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A moving piece of one file: recovery holds no more than the record it looks at. (docs/design.md, section 4.3) */
+/**
+ * A sliding window over one file, so that recovery buffers no more than a chunk or the record that it reads
+ * (docs/design.md, section 4.3).
+ */
 final class ReadWindow {
     private final Disk.DiskFile file;
     private final int size;
     private byte[] bytes = new byte[Disk.CHUNK_BYTES];
-    private int from;
+    private int windowStart;
     private int bufferedBytes;
 
-    ReadWindow(Disk.DiskFile leaf) throws IOException {
-        this.file = leaf;
-        this.size = leaf.size();
+    ReadWindow(Disk.DiskFile file) throws IOException {
+        this.file = file;
+        this.size = file.size();
     }
 
     int size() {
         return size;
     }
 
-    /** The next so many bytes at a place; good until the next look. */
-    ByteBuffer look(int at, int length) throws IOException {
-        if (at < from || at + length > from + bufferedBytes) {
+    /** Returns {@code length} bytes at a position; the buffer is valid until the next call. */
+    ByteBuffer read(int position, int length) throws IOException {
+        if (position < windowStart || position + length > windowStart + bufferedBytes) {
             if (length > bytes.length) {
                 bytes = new byte[length];
             }
-            bufferedBytes = Math.min(bytes.length, size - at);
-            file.read(at, bytes, bufferedBytes);
-            from = at;
+            bufferedBytes = Math.min(bytes.length, size - position);
+            file.read(position, bytes, bufferedBytes);
+            windowStart = position;
         }
-        return ByteBuffer.wrap(bytes, at - from, length).slice();
+        return ByteBuffer.wrap(bytes, position - windowStart, length).slice();
     }
 
-    byte at(int pos) throws IOException {
-        return pos >= from && pos < from + bufferedBytes
-                ? bytes[pos - from]
-                : look(pos, 1).get();
+    byte byteAt(int position) throws IOException {
+        return position >= windowStart && position < windowStart + bufferedBytes
+                ? bytes[position - windowStart]
+                : read(position, 1).get();
     }
 
-    boolean zero(int start, int end) throws IOException {
+    boolean isZero(int start, int end) throws IOException {
         for (int i = start; i < end; i++) {
-            if (at(i) != 0) {
+            if (byteAt(i) != 0) {
                 return false;
             }
         }
         return true;
     }
 
-    /** No leftover may ever be read as a record (docs/design.md, section 4.3). What is zero already costs no write. */
-    void blank(int start) throws IOException {
+    /**
+     * Zeroes the file from a position to its end, so that no stale bytes can ever be read as a record (docs/design.md,
+     * section 4.3). Chunks that are zero already are not written.
+     */
+    void zeroFrom(int start) throws IOException {
         byte[] zeros = new byte[Disk.CHUNK_BYTES];
-        for (int at = start; at < size; at += Disk.CHUNK_BYTES) {
-            int end = Math.min(at + Disk.CHUNK_BYTES, size);
-            if (!zero(at, end)) {
-                file.write(at, zeros, end - at);
+        for (int position = start; position < size; position += Disk.CHUNK_BYTES) {
+            int end = Math.min(position + Disk.CHUNK_BYTES, size);
+            if (!isZero(position, end)) {
+                file.write(position, zeros, end - position);
             }
         }
         bufferedBytes = 0;
--- a/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
+++ b/common/src/main/java/org/woadvale/common/wal/RecordFormat.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-/** The bytes of a record: length, checksum, segment number, batch number, body. */
+/** Encoding of a record: length, checksum, format, segment number, batch number, kind and body. */
 final class RecordFormat {
     static final int HEADER_BYTES = 4 + 4;
     /** Format of this build's records; readers accept every format up to it. */
@@ -16,16 +16,19 @@
     /** Format, segment, batch and kind. */
     static final int PREFIX_BYTES = 1 + Long.BYTES + Long.BYTES + 1;
 
-    /** Index, term and number of bytes, after the name of the partition. */
+    /** Index, term and payload length, which follow the partition name. */
     private static final int SUFFIX_BYTES = Long.BYTES + Long.BYTES + Integer.BYTES;
 
-    /** The record that ends a segment. */
+    /** Size of the record that ends a segment. */
     static final int END_OF_SEGMENT_BYTES = HEADER_BYTES + PREFIX_BYTES;
 
     private static final int CHECKSUM_OFFSET = Integer.BYTES;
     private static final byte END_OF_SEGMENT = 9;
 
-    /** A sound record that this build cannot read: nothing may be cut or set aside for it. */
+    /**
+     * A valid record in a format that this build cannot read; the folder must be neither truncated nor set aside
+     * because of it.
+     */
     static final class NewerFormatException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -38,7 +41,7 @@
         }
     }
 
-    record DecodedRecord(long segment, long batch, int next, Optional<WalRecord> record) {
+    record DecodedRecord(long segment, long batch, int nextPosition, Optional<WalRecord> record) {
         boolean endsSegment() {
             return record.isEmpty();
         }
@@ -57,7 +60,10 @@
                 new byte[0]);
     }
 
-    /** All of the record but its bytes, which follow: a large base is not copied once more. */
+    /**
+     * Encodes the record except for its payload, which is written separately, so that a large snapshot is not copied
+     * once more.
+     */
     static byte[] header(long segment, long batch, WalRecord record) {
         byte[] partition = record.partition().getBytes(StandardCharsets.UTF_8);
         return withChecksum(
@@ -84,26 +90,26 @@
                 + record.bytes().length;
     }
 
-    private static byte[] withChecksum(ByteBuffer buffer, byte[] follow) {
+    private static byte[] withChecksum(ByteBuffer buffer, byte[] payload) {
         CRC32C crc = new CRC32C();
         crc.update(buffer.array(), HEADER_BYTES, buffer.capacity() - HEADER_BYTES);
-        crc.update(follow);
-        buffer.putInt(0, buffer.capacity() + follow.length).putInt(CHECKSUM_OFFSET, (int) crc.getValue());
+        crc.update(payload);
+        buffer.putInt(0, buffer.capacity() + payload.length).putInt(CHECKSUM_OFFSET, (int) crc.getValue());
         return buffer.array();
     }
 
-    /** Empty where no complete and valid record begins at the position. */
-    static Optional<DecodedRecord> read(ReadWindow file, int at) throws NewerFormatException, IOException {
-        if (at + HEADER_BYTES + PREFIX_BYTES > file.size()) {
+    /** Reads the record at a position; empty if no complete and valid record begins there. */
+    static Optional<DecodedRecord> read(ReadWindow file, int position) throws NewerFormatException, IOException {
+        if (position + HEADER_BYTES + PREFIX_BYTES > file.size()) {
             return Optional.empty();
         }
-        int len = file.look(at, HEADER_BYTES).getInt();
-        if (len < HEADER_BYTES + PREFIX_BYTES || len > file.size() - at) {
+        int length = file.read(position, HEADER_BYTES).getInt();
+        if (length < HEADER_BYTES + PREFIX_BYTES || length > file.size() - position) {
             return Optional.empty();
         }
-        ByteBuffer buffer = file.look(at, len);
+        ByteBuffer buffer = file.read(position, length);
         CRC32C crc = new CRC32C();
-        crc.update(buffer.slice(HEADER_BYTES, len - HEADER_BYTES));
+        crc.update(buffer.slice(HEADER_BYTES, length - HEADER_BYTES));
         if ((int) crc.getValue() != buffer.getInt(CHECKSUM_OFFSET)) {
             return Optional.empty();
         }
@@ -112,13 +118,13 @@
             throw new NewerFormatException(format);
         }
         try {
-            return body(buffer.position(HEADER_BYTES), at + len);
+            return decodeBody(buffer.position(HEADER_BYTES), position + length);
         } catch (BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
-    private static Optional<DecodedRecord> body(ByteBuffer buffer, int next) {
+    private static Optional<DecodedRecord> decodeBody(ByteBuffer buffer, int next) {
         byte format = buffer.get();
         long segment = buffer.getLong();
         long batch = buffer.getLong();
--- a/common/src/main/java/org/woadvale/common/wal/RingPosition.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingPosition.java
@@ -1,18 +1,21 @@
 package org.woadvale.common.wal;
 
 /**
- * Where the next record of a ring goes, counted from the file that is being written.
+ * Position of the next record in a ring, relative to the file that is being written.
  *
- * @param files how many further files have been begun
- * @param offset the position in the file, in bytes
- * @param fileSize bytes of a file
+ * @param files number of further files begun
+ * @param offset position in the file, in bytes
+ * @param fileSize size of a file in bytes
  */
 record RingPosition(int files, int offset, int fileSize) {
-    /** Behind the records of a group; a record that does not fit into the rest of a file begins the next one. */
-    RingPosition after(PendingWrites.PendingAppend group) {
+    /**
+     * The position after the records of an append; a record that does not fit into the rest of a file begins the next
+     * one.
+     */
+    RingPosition after(PendingWrites.PendingAppend append) {
         RingPosition position = this;
-        for (WalRecord entry : group.entries()) {
-            position = position.after(RecordFormat.size(entry));
+        for (WalRecord walRecord : append.records()) {
+            position = position.after(RecordFormat.size(walRecord));
         }
         return position;
     }
--- a/common/src/main/java/org/woadvale/common/wal/RingReserve.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingReserve.java
@@ -7,49 +7,51 @@
 import java.util.TreeMap;
 
 /**
- * How many files of a ring must stay free, so that there is always room for the snapshots that free its oldest files.
+ * Computes how many files of a ring must stay free, so that there is always space for the snapshots that free its
+ * oldest files.
  */
 final class RingReserve {
     /**
-     * What one partition holds in the ring.
+     * Space of the ring that one partition uses.
      *
      * @param oldestSegment the segment of the oldest record that it needs
-     * @param snapshotBytes the most bytes that its next snapshot takes, by which all its earlier records are freed
+     * @param snapshotBytes maximum size of its next snapshot, which frees all its earlier records
      */
-    record Holding(long oldestSegment, int snapshotBytes) {}
+    record PartitionUsage(long oldestSegment, int snapshotBytes) {}
 
     private RingReserve() {}
 
     /**
-     * The free files that are needed to write a snapshot of every partition, those that hold the oldest segments first:
-     * a segment that is freed on the way may be written again. No snapshot is divided between files, and other records
-     * may come between the snapshots of two segments, so these share no file.
+     * Returns the number of free files needed to write a snapshot of every partition, those with the oldest segments
+     * first; a segment that is freed in the process can be reused. A snapshot is never split between files, and other
+     * records may be written between the snapshots that free one segment and those that free the next, so these share
+     * no file.
      */
-    static int files(Collection<Holding> holdings, int fileSize) {
-        TreeMap<Long, List<Holding>> bySegment = new TreeMap<>();
-        holdings.forEach(holding -> bySegment
-                .computeIfAbsent(holding.oldestSegment(), segment -> new ArrayList<>())
-                .add(holding));
+    static int requiredFreeFiles(Collection<PartitionUsage> usages, int fileSize) {
+        TreeMap<Long, List<PartitionUsage>> bySegment = new TreeMap<>();
+        usages.forEach(usage -> bySegment
+                .computeIfAbsent(usage.oldestSegment(), segment -> new ArrayList<>())
+                .add(usage));
         long needed = 0;
         long written = 0;
-        for (Map.Entry<Long, List<Holding>> segment : bySegment.entrySet()) {
-            written += filesOf(segment.getValue(), fileSize);
+        for (Map.Entry<Long, List<PartitionUsage>> segment : bySegment.entrySet()) {
+            written += filesForSnapshots(segment.getValue(), fileSize);
             long freed = segment.getKey() - bySegment.firstKey();
             needed = Math.max(needed, written - freed);
         }
         return (int) needed;
     }
 
-    /** The files that the next snapshots of all partitions take, one after the other. */
-    static int filesOf(Collection<Holding> holdings, int fileSize) {
+    /** Returns the number of files that the next snapshots of all partitions take when written one after the other. */
+    static int filesForSnapshots(Collection<PartitionUsage> usages, int fileSize) {
         int files = 0;
         long position = fileSize;
-        for (Holding holding : holdings) {
-            if (position + holding.snapshotBytes() > fileSize) {
+        for (PartitionUsage usage : usages) {
+            if (position + usage.snapshotBytes() > fileSize) {
                 files++;
                 position = 0;
             }
-            position += holding.snapshotBytes();
+            position += usage.snapshotBytes();
         }
         return files;
     }
--- a/common/src/main/java/org/woadvale/common/wal/RingRetention.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingRetention.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Which segments of the ring are still needed and by whom, and which partitions were asked for a new snapshot to free
- * them.
+ * Tracks which segments of the ring each partition still needs, and which partitions were asked for a new snapshot to
+ * free them.
  */
 final class RingRetention {
-    /** So many segments later a partition is asked again. */
+    /** Number of segments after which a partition is asked again. */
     private static final long REQUEST_INTERVAL_SEGMENTS = 1;
 
     /** Segment of the oldest record still needed by each partition. */
     private final Map<String, Long> oldestByPartition;
-    /** Bytes of the records that each partition still needs: its next snapshot replaces them all. */
+    /** Bytes of the records that each partition still needs; its next snapshot replaces them all. */
     private final Map<String, Long> bytesByPartition;
-    /** In which segment a partition was asked for a snapshot that has not been written yet. */
+    /** The segment in which a partition was asked for a snapshot that has not been written yet. */
     private final Map<String, Long> requestedAt;
 
     RingRetention(Map<String, Long> oldestByPartition, Map<String, Long> bytesByPartition) {
@@ -35,58 +35,61 @@
         return new RingRetention(oldestByPartition, bytesByPartition, requestedAt);
     }
 
-    void written(WalRecord entry, long segment) {
-        long size = RecordFormat.size(entry);
-        if (entry.kind() == WalRecord.Kind.SNAPSHOT) {
-            oldestByPartition.put(entry.partition(), segment);
-            bytesByPartition.put(entry.partition(), size);
-            requestedAt.remove(entry.partition());
+    void recordWritten(WalRecord walRecord, long segment) {
+        long size = RecordFormat.size(walRecord);
+        if (walRecord.kind() == WalRecord.Kind.SNAPSHOT) {
+            oldestByPartition.put(walRecord.partition(), segment);
+            bytesByPartition.put(walRecord.partition(), size);
+            requestedAt.remove(walRecord.partition());
         } else {
-            oldestByPartition.putIfAbsent(entry.partition(), segment);
-            bytesByPartition.merge(entry.partition(), size, Long::sum);
+            oldestByPartition.putIfAbsent(walRecord.partition(), segment);
+            bytesByPartition.merge(walRecord.partition(), size, Long::sum);
         }
     }
 
-    /** The oldest segment that is needed; the given one, which is being written, if no other is. */
-    long oldest(long segment) {
+    /** The oldest segment that is needed, or the given one, which is being written, if there is no other. */
+    long oldestNeeded(long segment) {
         return oldestByPartition.values().stream()
                 .mapToLong(Long::longValue)
                 .min()
                 .orElse(segment);
     }
 
-    /** Whether the partition needs a record in the oldest segment: its snapshot helps to free that. */
-    boolean holdsOldest(String partition, long segment) {
-        return oldestByPartition.getOrDefault(partition, Long.MAX_VALUE) == oldest(segment);
+    /** Whether the partition needs a record in the oldest segment, so that its snapshot helps to free that segment. */
+    boolean retainsOldest(String partition, long segment) {
+        return oldestByPartition.getOrDefault(partition, Long.MAX_VALUE) == oldestNeeded(segment);
     }
 
     /**
-     * What each partition holds.
+     * Returns the space that each partition uses.
      *
-     * @param expectedBytes the sizes of next snapshots that are known; what is not known is taken to be as large as the
-     *     records that it replaces
+     * @param expectedBytes the known sizes of next snapshots; a partition without one is assumed to need as many
+     *     bytes as the records that its snapshot replaces
      */
-    List<RingReserve.Holding> holdings(Map<String, Long> expectedBytes, int largestRecord) {
-        List<RingReserve.Holding> holdings = new ArrayList<>();
+    List<RingReserve.PartitionUsage> usages(Map<String, Long> expectedBytes, int largestRecord) {
+        List<RingReserve.PartitionUsage> usages = new ArrayList<>();
         oldestByPartition.forEach((partition, oldest) -> {
             long bytes = expectedBytes.getOrDefault(partition, bytesByPartition.getOrDefault(partition, 0L));
-            holdings.add(new RingReserve.Holding(oldest, (int) Math.min(bytes, largestRecord)));
+            usages.add(new RingReserve.PartitionUsage(oldest, (int) Math.min(bytes, largestRecord)));
         });
-        return holdings;
+        return usages;
     }
 
-    /** Parts that hold back the oldest segments and have no snapshot under way: another would only fill the ring. */
+    /**
+     * Partitions that need records in the two oldest segments and have no snapshot in progress; a second snapshot would
+     * only fill the ring. The returned partitions are recorded as asked.
+     */
     List<String> partitionsToSnapshot(long segment) {
-        long oldest = oldest(segment);
-        List<String> holding = new ArrayList<>();
-        oldestByPartition.forEach((partition, since) -> {
-            boolean underWay = segment
+        long oldest = oldestNeeded(segment);
+        List<String> partitions = new ArrayList<>();
+        oldestByPartition.forEach((partition, oldestSegment) -> {
+            boolean snapshotInProgress = segment
                     <= requestedAt.getOrDefault(partition, -REQUEST_INTERVAL_SEGMENTS) + REQUEST_INTERVAL_SEGMENTS;
-            if (since <= oldest + 1 && !underWay) {
-                holding.add(partition);
+            if (oldestSegment <= oldest + 1 && !snapshotInProgress) {
+                partitions.add(partition);
             }
         });
-        holding.forEach(partition -> requestedAt.put(partition, segment));
-        return holding;
+        partitions.forEach(partition -> requestedAt.put(partition, segment));
+        return partitions;
     }
 }
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -14,87 +14,91 @@
 import org.woadvale.common.runtime.Timers;
 
 /**
- * A ring of preallocated files; one sync serves everything that waited. Why it loses nothing: docs/design.md, section
- * 4.
+ * A write-ahead log in a ring of preallocated files with group commit: one sync makes all pending records durable.
+ * docs/design.md, section 4, explains why it loses nothing.
  */
 public final class RingWriteAheadLog implements WriteAheadLog {
     private static final Logger LOG = LogManager.getLogger(RingWriteAheadLog.class);
-    /** How long after a write that found the disk full it is tried again. */
-    private static final Duration FULL_DISK_RETRY = Duration.ofMillis(100);
-    /** This part of the files is kept for outcomes, votes and members, beside what snapshots need. */
-    private static final int SPARE_FRACTION = 8;
-    /** What a record and the end of a segment take beside the bytes of the record. */
+    /** Delay after which a write that found the disk full is retried. */
+    private static final Duration FULL_DISK_RETRY_DELAY = Duration.ofMillis(100);
+    /**
+     * One file in this many is reserved for outcomes, votes and membership changes, in addition to the reserve for
+     * snapshots.
+     */
+    private static final int SPARE_FILES_DIVISOR = 8;
+    /** Space for the header of a record and the end of a segment, in addition to the payload of the record. */
     private static final int RECORD_OVERHEAD_BYTES = 256;
 
-    /** New work is refused while so many bytes of log entries wait for the disk. */
-    private static final long MAX_WAITING_BYTES = 2L << 20;
+    /** New work is rejected while more bytes of log entries than this wait to be written. */
+    private static final long MAX_PENDING_BYTES = 2L << 20;
 
     private final Timers timers;
     private final int fileSize;
-    private final int files;
+    private final int fileCount;
     private final Map<String, List<WalRecord>> recovered;
     private final RingWriter writer;
-    private final Map<String, Runnable> pressure = new ConcurrentHashMap<>();
+    private final Map<String, Runnable> snapshotHandlers = new ConcurrentHashMap<>();
     private final PendingWrites pending = new PendingWrites();
     private final Map<String, Long> expectedSnapshotBytes = new ConcurrentHashMap<>();
-    private Consumer<String> failure = reason -> {};
+    private Consumer<String> failureHandler = reason -> {};
     private boolean flushing;
     private boolean failed;
     private boolean diskFull;
-    /** Records wait for room in the ring. */
+    /** Whether records wait for space in the ring. */
     private boolean ringFull;
-    /** Since the last look at what waits for room something was written or appended. */
+    /** Whether anything was written or appended since the waiting records were last checked for space. */
     private boolean mayHaveRoom;
 
     private long bytesBeingWritten;
     private volatile boolean ringNearlyFull;
-    /** Free files that are kept for the snapshots that free the oldest ones; used by one thread at a time. */
+    /** Free files that are reserved for the snapshots that free the oldest ones; used by one thread at a time. */
     private volatile int reservedFiles;
-    /** New snapshots of all partitions would take fewer files than are in use; used by one thread at a time. */
+    /** Whether new snapshots of all partitions would take fewer files than are in use; used by one thread at a time. */
     private volatile boolean snapshotsFreeFiles;
 
-    private RingWriteAheadLog(Disk disk, Timers timers, int files, int fileSize)
+    private RingWriteAheadLog(Disk disk, Timers timers, int fileCount, int fileSize)
             throws IOException, RecordFormat.NewerFormatException {
         this.timers = timers;
-        this.files = files;
+        this.fileCount = fileCount;
         this.fileSize = fileSize;
-        List<Disk.DiskFile> leaves = openAll(disk);
-        Recovery found;
+        List<Disk.DiskFile> files = openAll(disk);
+        Recovery recovery;
         try {
-            found = Recovery.run(leaves);
+            recovery = Recovery.run(files);
         } catch (Recovery.DamagedLogException e) {
             LOG.error("The data folder is damaged ({}); it is set aside and the replica starts empty.", e.getMessage());
             disk.setAside();
-            leaves = openAll(disk);
-            found = new Recovery();
+            files = openAll(disk);
+            recovery = new Recovery();
         }
-        recovered = found.recordsByPartition;
-        writer = new RingWriter(disk, leaves, fileSize, found);
-        if (writer.full()) {
-            // the file that comes next still holds what is needed: nothing may be written over it. (docs/design.md,
+        recovered = recovery.recordsByPartition;
+        writer = new RingWriter(disk, files, fileSize, recovery);
+        if (writer.isFull()) {
+            // the file to be written still holds records that are needed and must not be overwritten (docs/design.md,
             // section 4.1)
             throw new IOException("the ring is full, and no file can be freed; repair this copy from the others");
         }
-        measureSpace();
+        updateSpace();
     }
 
     private List<Disk.DiskFile> openAll(Disk disk) throws IOException {
-        long present =
+        long existing =
                 disk.list().stream().filter(name -> name.startsWith("ring-")).count();
-        if (present > 0 && present < files) {
-            LOG.warn("Some ring files are missing and are created anew.");
+        if (existing > 0 && existing < fileCount) {
+            LOG.warn("Some ring files are missing and will be recreated.");
         }
         List<Disk.DiskFile> opened = new ArrayList<>();
-        for (int i = 0; i < files; i++) {
+        for (int i = 0; i < fileCount; i++) {
             opened.add(disk.open(String.format("ring-%02d", i), fileSize));
         }
         return opened;
     }
 
-    /** Opens the ring of a folder, and recovers what it holds; a damaged one is set aside. */
-    public static RingWriteAheadLog open(Disk disk, Timers timers, int files, int size) throws ServiceException {
+    /** Opens the ring of a data folder and recovers its records; a damaged folder is set aside. */
+    public static RingWriteAheadLog open(Disk disk, Timers timers, int fileCount, int fileSize)
+            throws ServiceException {
         try {
-            return new RingWriteAheadLog(disk, timers, files, size);
+            return new RingWriteAheadLog(disk, timers, fileCount, fileSize);
         } catch (RecordFormat.NewerFormatException e) {
             throw new UnavailableException("The data folder was " + e.getMessage() + ".");
         } catch (IOException e) {
@@ -108,16 +112,16 @@
     }
 
     @Override
-    public synchronized void append(List<WalRecord> entries, Runnable done) {
+    public synchronized void append(List<WalRecord> records, Runnable onSynced) {
         if (failed) {
             return;
         }
-        pending.add(new PendingWrites.PendingAppend(entries, done));
+        pending.add(new PendingWrites.PendingAppend(records, onSynced));
         mayHaveRoom = true;
-        flushSoon();
+        scheduleFlush();
     }
 
-    private synchronized void flushSoon() {
+    private synchronized void scheduleFlush() {
         if (!flushing && !failed && !pending.isEmpty()) {
             flushing = true;
             timers.executeDiskTask(this::flush);
@@ -128,26 +132,26 @@
         List<PendingWrites.PendingAppend> batch;
         synchronized (this) {
             if (ringFull) {
-                measureSpace();
+                updateSpace();
             }
             bytesBeingWritten = pending.entryBytes();
-            BatchSelection selection = BatchSelection.of(pending.takeAll(), writer, reservedFiles);
-            pending.putBack(selection.deferred());
-            noteDeferred(selection);
+            BatchSelection selection = BatchSelection.of(pending.drain(), writer, reservedFiles);
+            pending.requeue(selection.deferred());
+            updateRingFull(selection);
             batch = selection.writable();
             mayHaveRoom = !batch.isEmpty();
         }
         write(batch);
     }
 
-    private void noteDeferred(BatchSelection selection) {
-        boolean waits = !selection.deferred().isEmpty();
-        if (waits && !ringFull) {
+    private void updateRingFull(BatchSelection selection) {
+        boolean waiting = !selection.deferred().isEmpty();
+        if (waiting && !ringFull) {
             LOG.debug("The ring has room for snapshots only; other records wait until these have freed a file.");
-        } else if (!waits && ringFull) {
+        } else if (!waiting && ringFull) {
             LOG.debug("The ring has room again.");
         }
-        ringFull = waits;
+        ringFull = waiting;
     }
 
     private void write(List<PendingWrites.PendingAppend> batch) {
@@ -162,25 +166,25 @@
             fail(e.getMessage());
             return;
         }
-        batch.forEach(group -> timers.execute(group.done()));
-        measureSpace();
+        batch.forEach(append -> timers.execute(append.onSynced()));
+        updateSpace();
         requestSnapshots();
-        written();
+        onWritten();
     }
 
     /**
-     * A full disk ends nothing: what waits is neither confirmed nor lost until there is room again. (docs/design.md,
-     * section 4.4)
+     * A full disk is not fatal: pending records are neither acknowledged nor lost, and the write is retried until there
+     * is space again (docs/design.md, section 4.4).
      */
     private synchronized void retryLater(List<PendingWrites.PendingAppend> batch, String reason) {
         if (!diskFull) {
             LOG.error("The disk is full ({}); nothing is acknowledged until it accepts writes again.", reason);
         }
         diskFull = true;
-        timers.after(FULL_DISK_RETRY, () -> timers.executeDiskTask(() -> write(batch)));
+        timers.after(FULL_DISK_RETRY_DELAY, () -> timers.executeDiskTask(() -> write(batch)));
     }
 
-    private synchronized void written() {
+    private synchronized void onWritten() {
         if (diskFull) {
             LOG.info("The disk accepts writes again.");
         }
@@ -188,65 +192,69 @@
         bytesBeingWritten = 0;
         flushing = false;
         if (!ringFull || mayHaveRoom) {
-            flushSoon();
+            scheduleFlush();
         }
     }
 
     private synchronized void fail(String reason) {
         failed = true;
         LOG.error("The disk failed: {}.", reason);
-        failure.accept(reason);
+        failureHandler.accept(reason);
     }
 
-    private void measureSpace() {
-        List<RingReserve.Holding> holdings = writer.retention().holdings(expectedSnapshotBytes, largestRecordBytes());
-        reservedFiles = RingReserve.files(holdings, largestRecordBytes());
-        snapshotsFreeFiles = writer.segmentsInUse() > RingReserve.filesOf(holdings, largestRecordBytes()) + 1;
-        ringNearlyFull = writer.freeFiles() <= filesKept();
+    private void updateSpace() {
+        List<RingReserve.PartitionUsage> usages =
+                writer.retention().usages(expectedSnapshotBytes, largestRecordBytes());
+        reservedFiles = RingReserve.requiredFreeFiles(usages, largestRecordBytes());
+        snapshotsFreeFiles = writer.segmentsInUse() > RingReserve.filesForSnapshots(usages, largestRecordBytes()) + 1;
+        ringNearlyFull = writer.freeFiles() <= filesReservedFromNewWork();
     }
 
-    /** Free files that new work may not take. */
-    private int filesKept() {
-        return reservedFiles + Math.max(1, files / SPARE_FRACTION);
+    /** The number of free files that are not available to new work. */
+    private int filesReservedFromNewWork() {
+        return reservedFiles + Math.max(1, fileCount / SPARE_FILES_DIVISOR);
     }
 
-    /** Asks the partitions that hold back the oldest files for new snapshots, unless the ring holds little else. */
+    /**
+     * Asks the partitions that retain the oldest files for new snapshots, unless that would free no file and no records
+     * wait for space.
+     */
     private void requestSnapshots() {
         int free = writer.freeFiles();
-        boolean spaceNeeded = free < files / 2 || free <= filesKept();
+        boolean spaceNeeded = free < fileCount / 2 || free <= filesReservedFromNewWork();
         if (spaceNeeded && (snapshotsFreeFiles || ringFull)) {
             writer.retention()
                     .partitionsToSnapshot(writer.segment())
-                    .forEach(partition -> timers.execute(pressure.getOrDefault(partition, () -> {})));
+                    .forEach(partition -> timers.execute(snapshotHandlers.getOrDefault(partition, () -> {})));
         }
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable giveBase) {
-        pressure.put(partition, giveBase);
+    public void onSpaceNeeded(String partition, Runnable takeSnapshot) {
+        snapshotHandlers.put(partition, takeSnapshot);
     }
 
     @Override
     public void expectSnapshotBytes(String partition, long bytes) {
-        Long before = expectedSnapshotBytes.put(partition, bytes);
-        if (before == null || bytes < before) {
-            // what waits for room in the ring may have it now
-            flushSoon();
+        Long previous = expectedSnapshotBytes.put(partition, bytes);
+        if (previous == null || bytes < previous) {
+            // waiting records may fit into the ring now
+            scheduleFlush();
         }
     }
 
     @Override
     public boolean nearlyFull() {
-        return ringNearlyFull || waitingBytes() > MAX_WAITING_BYTES;
+        return ringNearlyFull || pendingBytes() > MAX_PENDING_BYTES;
     }
 
-    private synchronized long waitingBytes() {
+    private synchronized long pendingBytes() {
         return bytesBeingWritten + pending.entryBytes();
     }
 
     @Override
-    public synchronized void onFailure(Consumer<String> reason) {
-        failure = reason;
+    public synchronized void onFailure(Consumer<String> handler) {
+        failureHandler = handler;
     }
 
     @Override
--- a/common/src/main/java/org/woadvale/common/wal/RingWriter.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriter.java
@@ -8,11 +8,11 @@
     private final Disk disk;
     private final List<Disk.DiskFile> files;
     private final int fileSize;
-    private final WriteBatch batchBuffer = new WriteBatch();
+    private final WriteBuffer buffer = new WriteBuffer();
     private RingRetention retention;
     private volatile long segment;
     private int position;
-    private long batch;
+    private long batchNumber;
     private boolean prepared;
     private volatile long syncs;
 
@@ -22,8 +22,8 @@
         this.fileSize = fileSize;
         this.retention = new RingRetention(recovered.oldestNeeded, recovered.bytesNeeded);
         this.segment = recovered.segment;
-        this.position = recovered.pos;
-        this.batch = recovered.batch;
+        this.position = recovered.position;
+        this.batchNumber = recovered.lastBatch;
     }
 
     long segment() {
@@ -38,23 +38,23 @@
         return retention;
     }
 
-    /** Segments between the oldest that is needed and the one that is being written, both counted. */
+    /** The number of segments from the oldest one that is needed to the one that is being written, both included. */
     long segmentsInUse() {
-        return segment - retention.oldest(segment) + 1;
+        return segment - retention.oldestNeeded(segment) + 1;
     }
 
-    /** Files that hold nothing that is needed, beside the one that is being written. */
+    /** The number of files that hold nothing that is needed, not counting the one that is being written. */
     int freeFiles() {
         return (int) (files.size() - segmentsInUse());
     }
 
-    /** True if the file that is to be written still holds what is needed. */
-    boolean full() {
+    /** Whether the file to be written still holds records that are needed. */
+    boolean isFull() {
         return freeFiles() < 0;
     }
 
-    boolean holdsOldest(String partition) {
-        return retention.holdsOldest(partition, segment);
+    boolean retainsOldest(String partition) {
+        return retention.retainsOldest(partition, segment);
     }
 
     RingPosition nextPosition() {
@@ -66,28 +66,28 @@
     }
 
     /**
-     * Writes and syncs the records of the groups as one batch. If the disk is full, all is as it was before, and the
-     * very same groups must be written next.
+     * Writes and syncs the records of the appends as one batch. If the disk is full, the state is restored, and the
+     * next call must be given the same appends.
      */
-    void write(List<PendingWrites.PendingAppend> groups) throws IOException {
+    void write(List<PendingWrites.PendingAppend> appends) throws IOException {
         prepare();
         long segmentBefore = segment;
         int positionBefore = position;
         RingRetention retentionBefore = retention.copy();
-        batch++;
+        batchNumber++;
         try {
-            writeBatch(groups);
+            writeBatch(appends);
         } catch (DiskFullException e) {
             segment = segmentBefore;
             position = positionBefore;
             retention = retentionBefore;
-            batch--;
-            batchBuffer.clear();
+            batchNumber--;
+            buffer.clear();
             throw e;
         }
     }
 
-    /** Allocates all files, and zeroes what a former incarnation left behind the last valid record. */
+    /** Allocates all files, and zeroes what an earlier process left behind the last valid record. */
     private void prepare() throws IOException {
         if (prepared) {
             return;
@@ -100,53 +100,53 @@
             }
             allocate();
         }
-        new ReadWindow(file()).blank(position);
+        new ReadWindow(file()).zeroFrom(position);
         file().sync();
         prepared = true;
     }
 
     private void allocate() throws IOException {
-        for (Disk.DiskFile each : files) {
-            each.allocate();
+        for (Disk.DiskFile file : files) {
+            file.allocate();
         }
     }
 
-    private void writeBatch(List<PendingWrites.PendingAppend> groups) throws IOException {
-        boolean any = false;
-        for (PendingWrites.PendingAppend group : groups) {
-            for (WalRecord entry : group.entries()) {
-                put(entry);
-                any = true;
+    private void writeBatch(List<PendingWrites.PendingAppend> appends) throws IOException {
+        boolean wroteAny = false;
+        for (PendingWrites.PendingAppend append : appends) {
+            for (WalRecord walRecord : append.records()) {
+                append(walRecord);
+                wroteAny = true;
             }
         }
-        if (any) {
-            batchBuffer.flush(file(), position);
+        if (wroteAny) {
+            buffer.flush(file(), position);
             sync();
         }
     }
 
-    private void put(WalRecord entry) throws IOException {
-        int need = RecordFormat.size(entry);
-        if (need + RecordFormat.END_OF_SEGMENT_BYTES > fileSize) {
-            throw new IOException("a record of " + need + " bytes is larger than a ring file");
+    private void append(WalRecord walRecord) throws IOException {
+        int size = RecordFormat.size(walRecord);
+        if (size + RecordFormat.END_OF_SEGMENT_BYTES > fileSize) {
+            throw new IOException("a record of " + size + " bytes is larger than a ring file");
         }
-        if (!nextPosition().fits(need)) {
+        if (!nextPosition().fits(size)) {
             endSegment();
         }
-        byte[] head = RecordFormat.header(segment, batch, entry);
-        batchBuffer.add(file(), position, head);
-        batchBuffer.add(file(), position + head.length, entry.bytes());
-        position += need;
-        retention.written(entry, segment);
+        byte[] header = RecordFormat.header(segment, batchNumber, walRecord);
+        buffer.add(file(), position, header);
+        buffer.add(file(), position + header.length, walRecord.bytes());
+        position += size;
+        retention.recordWritten(walRecord, segment);
     }
 
-    /** A segment ends only where the next file is free: a ring whose next file is needed could not be opened. */
+    /** Ends the segment only if the next file is free: a ring whose next file is still needed could not be reopened. */
     private void endSegment() throws IOException {
         if (freeFiles() < 1) {
             throw new IOException("the ring is full");
         }
-        batchBuffer.add(file(), position, RecordFormat.endOfSegment(segment, batch));
-        batchBuffer.flush(file(), position + RecordFormat.END_OF_SEGMENT_BYTES);
+        buffer.add(file(), position, RecordFormat.endOfSegment(segment, batchNumber));
+        buffer.flush(file(), position + RecordFormat.END_OF_SEGMENT_BYTES);
         sync();
         segment++;
         position = 0;
--- a/common/src/main/java/org/woadvale/common/wal/WalRecord.java
+++ b/common/src/main/java/org/woadvale/common/wal/WalRecord.java
@@ -10,7 +10,7 @@
         this(partition, kind, index, term, bytes, FORMAT);
     }
 
-    /** What the bytes are. Stored by ordinal: only ever add at the end. */
+    /** The type of the payload. Stored by ordinal: add new constants only at the end. */
     public enum Kind {
         /** Replaces every earlier record of its partition. */
         SNAPSHOT,
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -4,35 +4,41 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Synced records of every partition of this process. */
+/** Durable log of the records of all partitions of this process. */
 public interface WriteAheadLog {
-    /** What each partition wrote, from its last snapshot on. */
+    /** The recovered records of each partition, beginning with its last snapshot. */
     Map<String, List<WalRecord>> recovered();
 
-    /** Done runs after the records are synced; never if the disk fails. */
-    void append(List<WalRecord> entries, Runnable done);
+    /** Appends records. The callback runs once they are synced; it never runs if the disk fails. */
+    void append(List<WalRecord> records, Runnable onSynced);
 
-    /** A partition that holds back the oldest file is asked for a new snapshot. */
-    void onSpaceNeeded(String partition, Runnable giveBase);
+    /** Sets the callback that asks a partition for a new snapshot while it retains the oldest file. */
+    void onSpaceNeeded(String partition, Runnable takeSnapshot);
 
     /**
-     * A partition's next snapshot is expected to have so many bytes at the most, which is less than the records that it
-     * replaces where messages have ended since. Until it is told, the log goes by those records.
+     * Sets the maximum expected size of a partition's next snapshot, which is less than the size of the records that it
+     * replaces if messages have ended since. Until it is set, the size of those records is assumed.
      */
     void expectSnapshotBytes(String partition, long bytes);
 
-    /** True when only room for outcomes is left. */
+    /**
+     * Whether new work must be rejected, as only the space reserved for outcomes is left or too many bytes wait to be
+     * written.
+     */
     boolean nearlyFull();
 
-    /** Called once when the disk fails; the process must stop. */
-    void onFailure(Consumer<String> reason);
+    /** Sets the callback that is called once if the disk fails; the process must then stop. */
+    void onFailure(Consumer<String> handler);
 
-    /** Syncs so far. */
+    /** The number of syncs so far. */
     long syncs();
 
-    /** Since the folder was made; more than there are files once the ring has wrapped. */
+    /**
+     * The number of files written since the folder was created; it exceeds the number of files once the ring has
+     * wrapped.
+     */
     long filesWritten();
 
-    /** The most bytes that one record can have; a partition's snapshot must fit. */
+    /** Maximum size of a record in bytes; a snapshot of a partition must fit. */
     int largestRecordBytes();
 }
--- a/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/FolderDiskTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How much of a real disk a data folder takes. */
+/** Disk space that a data folder uses. */
 class FolderDiskTest {
     private static final int SIZE = 100_000;
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Before: each damage left another whole ring behind, and the fourth filled a small disk. */
+    /** Guards against keeping one more ring for each damaged folder; the fourth one filled a small disk. */
     @Test
     void onlyTheNewestDamagedFolderIsKept() throws IOException {
         FolderDisk disk = new FolderDisk(folder);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void openingTakesNoSpaceAndAllocatingTakesAllOfIt() throws IOException {
+    void openingUsesNoSpaceAndAllocatingUsesTheWholeSize() throws IOException {
         FolderDisk disk = new FolderDisk(folder);
         Disk.DiskFile file = disk.open("ring-00", SIZE);
         byte[] bytes = {7, 7};
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aHalfAllocatedFileKeepsItsBytes() throws IOException {
+    void partlyAllocatedFileKeepsItsBytes() throws IOException {
         Files.write(folder.resolve("ring-00"), new byte[] {5, 6});
         Disk.DiskFile file = new FolderDisk(folder).open("ring-00", SIZE);
         file.allocate();
@@ -74,9 +74,11 @@
     }
 
     @Test
-    void fullDisksAreToldFromFailingOnes() {
-        assertInstanceOf(DiskFullException.class, DiskFullException.typed(new IOException("No space left on device")));
-        assertInstanceOf(DiskFullException.class, DiskFullException.typed(new IOException("/d: Disk quota exceeded")));
-        assertFalse(DiskFullException.typed(new IOException("Input/output error")) instanceof DiskFullException);
+    void diskFullIsDistinguishedFromOtherErrors() {
+        assertInstanceOf(
+                DiskFullException.class, DiskFullException.classify(new IOException("No space left on device")));
+        assertInstanceOf(
+                DiskFullException.class, DiskFullException.classify(new IOException("/d: Disk quota exceeded")));
+        assertFalse(DiskFullException.classify(new IOException("Input/output error")) instanceof DiskFullException);
     }
 }
--- a/common/src/test/java/org/woadvale/common/wal/MemoryDisk.java
+++ b/common/src/test/java/org/woadvale/common/wal/MemoryDisk.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Files in memory; whatever is written is synced. */
+/** Files in memory; every write counts as synced. */
 final class MemoryDisk implements Disk {
     final Map<String, byte[]> files = new TreeMap<>();
     boolean wasSetAside;
@@ -26,15 +26,15 @@
             }
 
             @Override
-            public void write(long pos, byte[] from, int length) {
-                System.arraycopy(from, 0, bytes, (int) pos, length);
+            public void write(long position, byte[] source, int length) {
+                System.arraycopy(source, 0, bytes, (int) position, length);
             }
 
             @Override
-            public void read(long pos, byte[] into, int length) {
-                int there = Math.max(0, Math.min(length, bytes.length - (int) pos));
-                System.arraycopy(bytes, (int) pos, into, 0, there);
-                Arrays.fill(into, there, length, (byte) 0);
+            public void read(long position, byte[] into, int length) {
+                int available = Math.max(0, Math.min(length, bytes.length - (int) position));
+                System.arraycopy(bytes, (int) position, into, 0, available);
+                Arrays.fill(into, available, length, (byte) 0);
             }
 
             @Override
--- a/common/src/test/java/org/woadvale/common/wal/NoTimers.java
+++ b/common/src/test/java/org/woadvale/common/wal/NoTimers.java
@@ -4,7 +4,7 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 
-/** Runs nothing. */
+/** Timers that never run a task. */
 final class NoTimers implements Timers {
     @Override
     public TimerHandle after(Duration delay, Runnable task) {
--- a/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/RecordFormatTest.java
@@ -28,11 +28,11 @@
                     }
 
                     @Override
-                    public void write(long pos, byte[] bytes, int length) {}
+                    public void write(long position, byte[] bytes, int length) {}
 
                     @Override
-                    public void read(long pos, byte[] into, int length) {
-                        System.arraycopy(file, (int) pos, into, 0, length);
+                    public void read(long position, byte[] into, int length) {
+                        System.arraycopy(file, (int) position, into, 0, length);
                     }
 
                     @Override
@@ -55,17 +55,17 @@
     }
 
     @Test
-    void anyFlippedBitIsSeen() throws RecordFormat.NewerFormatException, IOException {
+    void anyFlippedBitIsDetected() throws RecordFormat.NewerFormatException, IOException {
         for (int bit = 0; bit < FORMAT_1.length * 8; bit++) {
-            byte[] bad = FORMAT_1.clone();
-            bad[bit / 8] ^= (byte) (1 << bit % 8);
-            assertTrue(read(bad).isEmpty(), "bit " + bit);
+            byte[] damaged = FORMAT_1.clone();
+            damaged[bit / 8] ^= (byte) (1 << bit % 8);
+            assertTrue(read(damaged).isEmpty(), "bit " + bit);
         }
     }
 
-    /** Before: taken for damage, and the whole folder was set aside. */
+    /** Guards against treating a newer format as damage, for which the whole folder was set aside. */
     @Test
-    void aNewerFormatIsNotTakenForDamage() {
+    void newerFormatIsNotTreatedAsDamage() {
         byte[] newer = FORMAT_1.clone();
         newer[RecordFormat.HEADER_BYTES] = RecordFormat.FORMAT + 1;
         CRC32C crc = new CRC32C();
--- a/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingCorruptionProperties.java
@@ -20,13 +20,16 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 
-/** Whatever happens to the bytes of a ring: what is read back was written, in its order, and begins at a snapshot. */
+/**
+ * After any damage to the bytes of a ring, the recovered records are ones that were written, in their order, and begin
+ * with the first record or a snapshot.
+ */
 class RingCorruptionProperties {
     private static final int FILES = 4;
     private static final int SIZE = 2048;
 
-    /** Runs everything in order and at once. */
-    private static final class InOrder implements Timers {
+    /** Queues tasks and runs them in order, without their delays. */
+    private static final class QueuedTimers implements Timers {
         private final Deque<Runnable> tasks = new ArrayDeque<>();
 
         @Override
@@ -53,15 +56,15 @@
     }
 
     private final Map<String, List<WalRecord>> written = new HashMap<>();
-    /** The last record of each partition that was confirmed; later ones may wait for room in the ring. */
-    private final Map<String, Long> confirmed = new HashMap<>();
+    /** The index of the last acknowledged record of each partition; later ones may wait for space in the ring. */
+    private final Map<String, Long> acknowledged = new HashMap<>();
 
     private MemoryDisk writtenRing(Random random, int records) throws ServiceException {
         MemoryDisk disk = new MemoryDisk();
-        InOrder timers = new InOrder();
+        QueuedTimers timers = new QueuedTimers();
         RingWriteAheadLog wal = RingWriteAheadLog.open(disk, timers, FILES, SIZE);
         for (int i = 1; i <= records; i++) {
-            String part = "m" + random.nextInt(2);
+            String partition = "m" + random.nextInt(2);
             List<WalRecord> batch = new ArrayList<>();
             for (int k = random.nextInt(3); k >= 0; k--) {
                 boolean snapshot = i % 3 == 0;
@@ -69,15 +72,15 @@
                 random.nextBytes(bytes);
                 WalRecord.Kind kind = snapshot ? WalRecord.Kind.SNAPSHOT : WalRecord.Kind.ENTRY;
                 batch.add(new WalRecord(
-                        part,
+                        partition,
                         kind,
                         written.values().stream().mapToInt(List::size).sum() + batch.size() + 1L,
                         i,
                         bytes));
             }
-            written.computeIfAbsent(part, p -> new ArrayList<>()).addAll(batch);
+            written.computeIfAbsent(partition, key -> new ArrayList<>()).addAll(batch);
             long last = batch.get(batch.size() - 1).index();
-            wal.append(batch, () -> confirmed.merge(part, last, Math::max));
+            wal.append(batch, () -> acknowledged.merge(partition, last, Math::max));
             timers.run();
         }
         return disk;
@@ -106,27 +109,27 @@
                 && Arrays.equals(one.bytes(), other.bytes());
     }
 
-    private void assertWasWritten(String part, List<WalRecord> found) {
-        List<WalRecord> all = written.getOrDefault(part, List.of());
+    private void assertWasWritten(String partition, List<WalRecord> found) {
+        List<WalRecord> all = written.getOrDefault(partition, List.of());
         int start = 0;
         while (start < all.size() && !same(all.get(start), found.get(0))) {
             start++;
         }
         assertTrue(start + found.size() <= all.size(), "an entry that was never written");
         for (int i = 0; i < found.size(); i++) {
-            assertTrue(same(all.get(start + i), found.get(i)), "entry " + i + " of " + part);
+            assertTrue(same(all.get(start + i), found.get(i)), "entry " + i + " of " + partition);
             assertArrayEquals(all.get(start + i).bytes(), found.get(i).bytes());
         }
         assertTrue(start == 0 || found.get(0).kind() == WalRecord.Kind.SNAPSHOT, "begins in the middle");
     }
 
-    /** Before: a ring whose oldest file had lost its first record was read from the next file on. */
+    /** Guards against recovering a ring whose oldest file lost its first record from the next file on. */
     @Property(tries = 1500)
-    void damagedBytesNeverBecomeEntries(
+    void damagedBytesAreNeverRecoveredAsRecords(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 120) int records, @ForAll @IntRange(max = 3) int faults)
             throws ServiceException {
         written.clear();
-        confirmed.clear();
+        acknowledged.clear();
         Random random = new Random(seed);
         MemoryDisk disk = writtenRing(random, records);
         for (int i = 0; i < faults; i++) {
@@ -134,18 +137,18 @@
         }
         RingWriteAheadLog wal;
         try {
-            wal = RingWriteAheadLog.open(disk, new InOrder(), FILES, SIZE);
+            wal = RingWriteAheadLog.open(disk, new QueuedTimers(), FILES, SIZE);
         } catch (ServiceException failure) {
-            assertTrue(faults > 0, "a sound ring was not opened: " + failure.getMessage());
+            assertTrue(faults > 0, "an undamaged ring was not opened: " + failure.getMessage());
             return;
         }
         wal.recovered().forEach(this::assertWasWritten);
         if (faults == 0) {
-            confirmed.forEach((part, last) -> assertEquals(
+            acknowledged.forEach((partition, last) -> assertEquals(
                     last,
                     wal.recovered()
-                            .get(part)
-                            .get(wal.recovered().get(part).size() - 1)
+                            .get(partition)
+                            .get(wal.recovered().get(partition).size() - 1)
                             .index()));
         }
     }
--- a/common/src/test/java/org/woadvale/common/wal/RingReserveTest.java
+++ b/common/src/test/java/org/woadvale/common/wal/RingReserveTest.java
@@ -8,45 +8,63 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.error.ServiceException;
-import org.woadvale.common.wal.RingReserve.Holding;
+import org.woadvale.common.wal.RingReserve.PartitionUsage;
 
 class RingReserveTest {
-    private static final int FILE = 100;
+    private static final int FILE_SIZE = 100;
 
-    private static int files(Holding... holdings) {
-        return RingReserve.files(List.of(holdings), FILE);
+    private static int requiredFreeFiles(PartitionUsage... usages) {
+        return RingReserve.requiredFreeFiles(List.of(usages), FILE_SIZE);
     }
 
     @Test
     void emptyRingNeedsNothing() {
-        assertEquals(0, files());
+        assertEquals(0, requiredFreeFiles());
     }
 
-    /** Partitions whose first snapshots stand in one file may all have grown since. */
+    /** The snapshots of partitions that share a file may all have grown since they were written. */
     @Test
     void everySnapshotThatFreesTheOldestFileHasRoom() {
-        assertEquals(1, files(new Holding(0, 10), new Holding(0, 10), new Holding(0, 10)));
-        assertEquals(2, files(new Holding(0, 50), new Holding(0, 50), new Holding(0, 50)));
-        assertEquals(3, files(new Holding(0, 60), new Holding(0, 60), new Holding(0, 60)), "none is divided");
+        assertEquals(
+                1, requiredFreeFiles(new PartitionUsage(0, 10), new PartitionUsage(0, 10), new PartitionUsage(0, 10)));
+        assertEquals(
+                2, requiredFreeFiles(new PartitionUsage(0, 50), new PartitionUsage(0, 50), new PartitionUsage(0, 50)));
+        assertEquals(
+                3,
+                requiredFreeFiles(new PartitionUsage(0, 60), new PartitionUsage(0, 60), new PartitionUsage(0, 60)),
+                "no snapshot is split between files");
     }
 
-    /** A file that is freed on the way may be written again. */
+    /** A file that is freed in the process can be reused. */
     @Test
     void freedFilesAreUsedAgain() {
-        assertEquals(1, files(new Holding(4, 60), new Holding(5, 60), new Holding(6, 60), new Holding(7, 60)));
-        assertEquals(2, files(new Holding(4, 60), new Holding(5, 60), new Holding(5, 60)));
+        assertEquals(
+                1,
+                requiredFreeFiles(
+                        new PartitionUsage(4, 60),
+                        new PartitionUsage(5, 60),
+                        new PartitionUsage(6, 60),
+                        new PartitionUsage(7, 60)));
+        assertEquals(
+                2, requiredFreeFiles(new PartitionUsage(4, 60), new PartitionUsage(5, 60), new PartitionUsage(5, 60)));
         assertEquals(
                 3,
-                files(
-                        new Holding(7, 60),
-                        new Holding(7, 60),
-                        new Holding(9, 60),
-                        new Holding(8, 60),
-                        new Holding(8, 60)));
-        assertEquals(2, files(new Holding(4, 30), new Holding(5, 30), new Holding(5, 30), new Holding(5, 50)));
+                requiredFreeFiles(
+                        new PartitionUsage(7, 60),
+                        new PartitionUsage(7, 60),
+                        new PartitionUsage(9, 60),
+                        new PartitionUsage(8, 60),
+                        new PartitionUsage(8, 60)));
+        assertEquals(
+                2,
+                requiredFreeFiles(
+                        new PartitionUsage(4, 30),
+                        new PartitionUsage(5, 30),
+                        new PartitionUsage(5, 30),
+                        new PartitionUsage(5, 50)));
     }
 
-    /** A folder that an earlier build filled to the end is refused and left as it is: all of it is needed. */
+    /** A ring that an earlier build filled completely is rejected and left unchanged, since all of it is needed. */
     @Test
     void ringWhoseNextFileIsNeededIsNotOpened() throws ServiceException {
         MemoryDisk disk = new MemoryDisk();
