--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -17,28 +17,34 @@
 import org.woadvale.common.membership.ServiceView;
 import org.woadvale.common.ratelimit.RateLimit;
 
-/** The configuration as this node may use it: only while its age is proven. (docs/design.md, section 7.2) */
+/**
+ * The configuration in force on this node; it is only handed out while its view is proven to be fresh. (docs/design.md,
+ * section 7.2)
+ */
 public final class ConfigurationView {
     private static final Logger LOG = LogManager.getLogger(ConfigurationView.class);
     /**
-     * A leaving bucket's burst, in seconds of its rate: any 5 s stay within a tenth of the rate. (docs/design.md,
-     * section 8.3)
+     * Burst size of a delivery bucket, in seconds of its rate; it keeps the deliveries of any 5 s within a tenth of the
+     * rate. (docs/design.md, section 8.3)
      */
     private static final double DELIVERY_BURST_S = 0.4;
 
-    /** A configuration, read once. */
+    /** A parsed configuration with the indexes that requests are looked up in. */
     public record IndexedConfiguration(
             long version,
             Configuration configuration,
             Map<String, Configuration.Key> keysByHash,
             Map<String, RateLimit> rateLimits,
             Map<String, TreeMap<String, String>> lanesByHost) {
-        /** The key with a secret, if the configuration has it. */
+        /** Returns the key with the given secret, if the configuration has it. */
         public Optional<Configuration.Key> key(String secret) {
             return Optional.ofNullable(keysByHash.get(Configurations.sha256(secret)));
         }
 
-        /** The lane whose door has the host and the longest beginning of the path. (docs/design.md, section 9.12) */
+        /**
+         * Returns the lane whose route has the host and the longest matching path prefix. (docs/design.md, section
+         * 9.12)
+         */
         public Optional<String> laneFor(String host, String path) {
             TreeMap<String, String> byPrefix = lanesByHost.getOrDefault(host, new TreeMap<>());
             return byPrefix.entrySet().stream()
@@ -49,27 +55,27 @@
     }
 
     private final ViewSubscriptions subscriptions;
-    private volatile IndexedConfiguration known = read(0, new byte[0]);
+    private volatile IndexedConfiguration current = index(0, new byte[0]);
 
-    /** The configuration as the subscription of this node has it. */
+    /** A configuration view that follows the subscriptions of one node. */
     public ConfigurationView(ViewSubscriptions subscriptions) {
         this.subscriptions = subscriptions;
         subscriptions.onView((service, view) -> {
             if (service.equals(ServiceNames.CONFIGURATION)) {
-                onView(view);
+                update(view);
             }
         });
     }
 
-    private synchronized IndexedConfiguration onView(ServiceView view) {
-        if (view.configurationVersion() > known.version()) {
-            known = read(view.configurationVersion(), view.configuration());
+    private synchronized IndexedConfiguration update(ServiceView view) {
+        if (view.configurationVersion() > current.version()) {
+            current = index(view.configurationVersion(), view.configuration());
             LOG.info("Configuration {} is in force here.", view.configurationVersion());
         }
-        return known;
+        return current;
     }
 
-    private static IndexedConfiguration read(long version, byte[] json) {
+    private static IndexedConfiguration index(long version, byte[] json) {
         Configuration configuration = Configuration.empty();
         try {
             configuration = json.length == 0 ? configuration : Configurations.readAccepted(json);
@@ -78,41 +84,42 @@
         }
         Map<String, Configuration.Key> keys = new HashMap<>();
         configuration.keys().values().forEach(key -> keys.put(key.sha256(), key));
-        Map<String, RateLimit> allowances = new TreeMap<>();
+        Map<String, RateLimit> rateLimits = new TreeMap<>();
         configuration
                 .tenants()
-                .forEach((n, tenant) -> allowances.put(
-                        ServiceNames.tenantBucket(n), new RateLimit(tenant.ratePerS(), tenant.burstSize())));
+                .forEach((name, tenant) -> rateLimits.put(
+                        ServiceNames.tenantBucket(name), new RateLimit(tenant.ratePerS(), tenant.burstSize())));
         configuration
                 .services()
-                .forEach((n, service) -> deliveryLimit(n, service)
-                        .ifPresent(b -> allowances.put(
-                                b,
+                .forEach((name, service) -> deliveryBucketName(name, service)
+                        .ifPresent(bucket -> rateLimits.put(
+                                bucket,
                                 new RateLimit(
                                         service.ratePerS(), Math.max(1, service.ratePerS() * DELIVERY_BURST_S)))));
-        Map<String, TreeMap<String, String>> doors = new HashMap<>();
+        Map<String, TreeMap<String, String>> lanesByHost = new HashMap<>();
         configuration
                 .lanes()
-                .forEach((n, lane) -> lane.doors()
-                        .forEach(door -> doors.computeIfAbsent(door.host(), h -> new TreeMap<>())
-                                .put(door.prefix(), n)));
-        return new IndexedConfiguration(version, configuration, keys, allowances, doors);
+                .forEach((name, lane) -> lane.doors()
+                        .forEach(route -> lanesByHost
+                                .computeIfAbsent(route.host(), host -> new TreeMap<>())
+                                .put(route.prefix(), name)));
+        return new IndexedConfiguration(version, configuration, keys, rateLimits, lanesByHost);
     }
 
-    /** The configuration in force; empty while what is known here is too old. */
+    /** Returns the configuration in force, or empty while the view on this node is too old. */
     public Optional<IndexedConfiguration> fresh() {
         return subscriptions
                 .fresh(ServiceNames.CONFIGURATION)
-                .map(view -> view.configurationVersion() == known.version() ? known : onView(view));
+                .map(view -> view.configurationVersion() == current.version() ? current : update(view));
     }
 
-    /** The configuration in force; fails with STALE_VIEW while what is known here is too old. */
+    /** Returns the configuration in force; fails with STALE_VIEW while the view on this node is too old. */
     public IndexedConfiguration requireFresh() throws ServiceException {
         return fresh().orElseThrow(() -> new StaleViewException("This node is not in touch with the core."));
     }
 
-    /** The bucket that paces a service; empty where it is not paced. */
-    private static Optional<String> deliveryLimit(String name, Configuration.Service service) {
+    /** Returns the name of the bucket that limits deliveries to a service, or empty if they are not limited. */
+    private static Optional<String> deliveryBucketName(String name, Configuration.Service service) {
         return service.ratePerS() <= 0
                 ? Optional.empty()
                 : Optional.of(
@@ -121,20 +128,23 @@
                                 : "fetch/" + name);
     }
 
-    /** The same by the configuration that is proven fresh; all empty where none is. */
+    /**
+     * Returns the name of the delivery bucket of a service: the outer value is empty while no configuration is proven
+     * fresh, the inner one if the service is unknown or has no rate limit.
+     */
     public Optional<Optional<String>> deliveryBucket(String service) {
         return fresh().map(known -> Optional.ofNullable(
                         known.configuration().services().get(service))
-                .flatMap(s -> deliveryLimit(service, s)));
+                .flatMap(s -> deliveryBucketName(service, s)));
     }
 
-    /** The allowance behind a bucket's name; empty where the configuration has none or is not proven fresh. */
+    /** Returns the rate limit of a bucket; empty if the configuration has none or is not proven fresh. */
     public Optional<RateLimit> admissionLimit(String bucket) {
         return fresh().flatMap(known -> Optional.ofNullable(known.rateLimits().get(bucket)));
     }
 
-    /** Every shared bucket that the latest configuration calls for. */
+    /** Returns the names of all shared buckets that the latest configuration defines. */
     public Set<String> bucketNames() {
-        return known.rateLimits().keySet();
+        return current.rateLimits().keySet();
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -42,47 +42,54 @@
     private final LocalBuckets localBuckets;
     private final Optional<TokenGranters> granters;
     private final Optional<StoreRole> store;
-    private final PartitionReplicas members;
+    private final PartitionReplicas replicas;
     private final IngressNode ingress;
     private final Intake intake;
     private final PullService pullService;
     private final MessageQueries queries;
-    private final LeaseRenewal lease;
-    private TimerHandle refreshing = () -> {};
+    private final LeaseRenewal leaseRenewal;
+    private TimerHandle memberRefreshTimer = () -> {};
     private volatile boolean draining;
 
-    /** A node that delivers by the product's own protocol. */
-    public DataPlaneNode(NodeEnvironment environment, Settings boot, CoreClient core, DeliveryClient post) {
-        this(environment, boot, core, post, new NativeDeliveryProtocol());
+    /** A node that delivers with the native delivery protocol. */
+    public DataPlaneNode(NodeEnvironment environment, Settings settings, CoreClient core, DeliveryClient client) {
+        this(environment, settings, core, client, new NativeDeliveryProtocol());
     }
 
-    /** A node that is not started yet. */
+    /** A node that delivers with the given protocol; it is inactive until {@link #start}. */
     public DataPlaneNode(
             NodeEnvironment environment,
-            Settings boot,
+            Settings settings,
             CoreClient core,
-            DeliveryClient post,
+            DeliveryClient client,
             DeliveryProtocol protocol) {
         this.environment = environment;
-        this.settings = boot;
+        this.settings = settings;
         this.core = core;
-        this.subscriptions = new ViewSubscriptions(environment, core, boot.zone());
+        this.subscriptions = new ViewSubscriptions(environment, core, settings.zone());
         this.configurations = new ConfigurationView(subscriptions);
         this.localBuckets = new LocalBuckets(environment, subscriptions);
-        SubmitForwarder forwarder = new SubmitForwarder(environment, subscriptions, boot.zone());
-        this.granters = boot.roles().contains("intake")
+        SubmitForwarder forwarder = new SubmitForwarder(environment, subscriptions, settings.zone());
+        this.granters = settings.roles().contains("intake")
                 ? Optional.of(new TokenGranters(
                         environment, core, subscriptions, configurations::admissionLimit, configurations::bucketNames))
                 : Optional.empty();
-        this.store = boot.roles().contains(StoreRole.NAME)
+        this.store = settings.roles().contains(StoreRole.NAME)
                 ? Optional.of(new StoreRole(
-                        environment, boot, subscriptions, configurations, localBuckets, forwarder, post, protocol))
+                        environment,
+                        settings,
+                        subscriptions,
+                        configurations,
+                        localBuckets,
+                        forwarder,
+                        client,
+                        protocol))
                 : Optional.empty();
-        this.members = new PartitionReplicas(environment, subscriptions, store.map(StoreRole::partitions));
-        this.lease = new LeaseRenewal(environment, boot, core, subscriptions, members);
+        this.replicas = new PartitionReplicas(environment, subscriptions, store.map(StoreRole::partitions));
+        this.leaseRenewal = new LeaseRenewal(environment, settings, core, subscriptions, replicas);
         this.intake = new Intake(environment, configurations, localBuckets, forwarder);
         this.pullService =
-                new PullService(environment, subscriptions, configurations, forwarder, boot.zone(), () -> draining);
+                new PullService(environment, subscriptions, configurations, forwarder, settings.zone(), () -> draining);
         this.queries = new MessageQueries(configurations, forwarder);
         this.ingress = new IngressNode(
                 environment, configurations, intake, queries, forwarder, this::status, this::ready, this::drain);
@@ -93,13 +100,13 @@
         return "dataplane";
     }
 
-    /** What this node answers to other nodes. */
+    /** Registers the handlers for requests of other nodes. */
     public void route(RpcRouter router) {
-        router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
-                .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()));
+        router.on(ControlMessages.ServiceViewRequest.class, (from, request) -> subscriptions.onViewRequest(request))
+                .on(ControlMessages.CoreMembersRequest.class, (from, request) -> Mono.just(core.membersResponse()));
         granters.ifPresent(granters -> router.on(TokenMessages.TokenRequest.class, granters::onTokenRequest));
         store.ifPresent(storeRole -> storeRole.route(router));
-        router.on(ControlMessages.PlacementChanged.class, (f, change) -> {
+        router.on(ControlMessages.PlacementChanged.class, (from, change) -> {
             subscriptions.refresh(ServiceNames.STORES, change.version());
             return Mono.just(new ControlMessages.UpdateResult(true));
         });
@@ -113,38 +120,39 @@
         if (store.isPresent()) {
             store.get().start();
         }
-        lease.start();
-        refreshing = environment.timers().every(Duration.ofSeconds(2), core::refreshMembers);
+        leaseRenewal.start();
+        memberRefreshTimer = environment.timers().every(Duration.ofSeconds(2), core::refreshMembers);
     }
 
     /**
-     * Duties and partitions are given away first; a store that has a successor also waits until its replicas there
-     * count. True once nothing is left here. (docs/design.md, section 6.9)
+     * Releases the leases and transfers the leadership of the partitions of this node; a store that has a successor
+     * also waits until the successor has replaced it in all groups. Returns true once that is done. (docs/design.md,
+     * section 6.9)
      */
     public boolean drain() {
         if (!draining) {
             draining = true;
             granters.ifPresent(TokenGranters::drain);
-            lease.leave();
+            leaseRenewal.leave();
         }
-        boolean drained = store.map(StoreRole::drain).orElse(true) && !lease.isSuccessorTakingOver();
+        boolean drained = store.map(StoreRole::drain).orElse(true) && !leaseRenewal.isSuccessorTakingOver();
         if (drained) {
-            lease.leaveStoreRole();
+            leaseRenewal.leaveStoreRole();
         }
         return drained;
     }
 
-    /** No delivery that was begun here is still without its end. */
+    /** Whether every delivery begun on this node has ended. */
     public boolean idle() {
         return store.map(StoreRole::idle).orElse(true);
     }
 
-    /** The boot values changed while we run. */
+    /** Replaces the seed addresses of the core while the node runs. */
     public void reseed(List<String> seeds) {
         core.updateSeeds(seeds);
     }
 
-    /** Whether callers and processors may be sent here. */
+    /** Whether this node is ready to serve callers and processors. */
     public boolean ready() {
         return !draining
                 && configurations.fresh().isPresent()
@@ -152,77 +160,77 @@
                 && store.map(StoreRole::ready).orElse(true);
     }
 
-    /** The members of each message partition's group that this store knows. */
+    /** Returns the group members of each message partition on this store, as far as the store knows them. */
     public Map<String, Set<String>> partitionGroups() {
-        return members.groups();
+        return replicas.groups();
     }
 
-    /** How many replicas of this store do not vote although the placement names them. */
+    /** Returns the number of replicas that the placement assigns to this store and that do not vote yet. */
     public int notVotingCount() {
-        return members.notVoting().size();
+        return replicas.notVoting().size();
     }
 
-    /** The newest list of the core's members that is known here. */
+    /** Returns the newest list of core members that this node knows. */
     public CoreMembers core() {
         return core.members();
     }
 
-    /** Each message partition here counts in its group. */
+    /** Whether each replica on this node votes in its group. */
     public boolean votingEverywhere() {
-        return members.votingEverywhere();
+        return replicas.votingEverywhere();
     }
 
-    /** How many message partitions this node owns now. */
+    /** Returns the number of message partitions that this node leads. */
     public long ledPartitionCount() {
-        return members.ledPartitionCount();
+        return replicas.ledPartitionCount();
     }
 
-    /** The term of a message partition as known here; zero where it is not. */
+    /** Returns the term of a message partition, or zero if it has no replica on this node. */
     public long term(String partition) {
-        return members.term(partition);
+        return replicas.term(partition);
     }
 
-    /** The shared buckets that this node holds. */
+    /** Returns the shared buckets that this node owns. */
     public List<String> ownedBuckets() {
         return granters.map(TokenGranters::ownedBuckets).orElse(List.of());
     }
 
-    /** What came of the requests for tokens. */
+    /** Returns the counts of requests for tokens by their result. */
     public LocalBuckets.Counts tokenCounts() {
         return localBuckets.counts();
     }
 
-    /** The configuration in force. */
+    /** Returns the view of the configuration in force. */
     public ConfigurationView configurations() {
         return configurations;
     }
 
-    /** The way in for messages, for other doors than the ingress's. (docs/design.md, section 9.12) */
+    /** Returns the intake, for APIs other than the native ingress API. (docs/design.md, section 9.12) */
     public Intake intake() {
         return intake;
     }
 
-    /** Pulls of processors by way of this node. */
+    /** Returns the service through which processors pull messages. */
     public PullService pullService() {
         return pullService;
     }
 
-    /** Queries for messages by way of this node. */
+    /** Returns the service that looks up messages. */
     public MessageQueries queries() {
         return queries;
     }
 
-    /** Whether this node was asked to drain. */
+    /** Whether this node is draining. */
     public boolean draining() {
         return draining;
     }
 
-    /** Answers an HTTP request. */
+    /** Handles an HTTP request. */
     public Mono<Response> handle(Request request) {
         return ingress.handle(request);
     }
 
-    /** What this node knows of itself, for people. */
+    /** Returns the status of this node for operators. */
     public Map<String, Object> status() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("address", environment.self());
@@ -245,14 +253,14 @@
                         granters.requestCount(),
                         "granted",
                         granters.grantedCount())));
-        members.status(out);
+        replicas.status(out);
         return out;
     }
 
     @Override
     public void stop() {
-        lease.stop();
-        refreshing.cancel();
+        leaseRenewal.stop();
+        memberRefreshTimer.cancel();
         store.ifPresent(StoreRole::stop);
         granters.ifPresent(TokenGranters::stop);
         localBuckets.stop();
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -39,15 +39,15 @@
 import org.woadvale.dataplane.ingress.IngressNode;
 import org.woadvale.dataplane.queue.MessageCommands;
 
-/** The data plane program. */
+/** Entry point of the data plane process. */
 public final class DataPlaneProgram {
     private static final AtomicReference<Runnable> DRAIN = new AtomicReference<>(() -> {});
 
-    private static final Duration MOVES = Duration.ofMillis(3500);
-    private static final Duration RUNS = Duration.ofMillis(1500);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofMillis(3500);
+    private static final Duration IDLE_TIMEOUT = Duration.ofMillis(1500);
     private static final int MEBIBYTE_SHIFT = 20;
-    private static final Duration SHORTEST_LINGER = Duration.ofMillis(100);
-    private static final Duration STEP = Duration.ofMillis(50);
+    private static final Duration MIN_LINGER = Duration.ofMillis(100);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
     private DataPlaneProgram() {}
 
@@ -57,12 +57,12 @@
                 .main(args));
     }
 
-    /** The running node's orderly way out; nothing before it runs. */
+    /** Drains the running node; does nothing before the node is created. */
     public static void drain() {
         DRAIN.get().run();
     }
 
-    /** Checks settings beyond what their fields say by themselves. */
+    /** Checks the constraints of the data plane that the annotations of the settings cannot express. */
     public static void check(Settings settings) throws ServiceException {
         if (settings.roles().isEmpty()) {
             throw new InvalidRequestException("The boot file is invalid at roles: name intake, store or both.");
@@ -82,13 +82,17 @@
                 node -> List.of(new HttpGateway(settings.http(), IngressNode.MAX_BODY, node::handle)));
     }
 
-    /** The tree with other doors, and another way of speaking to back ends. (docs/design.md, section 1) */
+    /**
+     * Creates the supervisor of a node with the given delivery protocol and gateways. (docs/design.md, section 1)
+     *
+     * @param gatewayFactory creates the components that accept requests for the node
+     */
     public static Supervisor createSupervisor(
             Settings settings,
             SystemTimers timers,
             Runnable onGivenUp,
             DeliveryProtocol protocol,
-            Function<DataPlaneNode, List<Component>> function)
+            Function<DataPlaneNode, List<Component>> gatewayFactory)
             throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         RpcRouter router = new RpcRouter();
@@ -96,7 +100,7 @@
         WriteAheadLog wal = wal(settings, timers);
         wal.onFailure(reason -> onGivenUp.run());
         SecureRandom random = new SecureRandom();
-        Optional<CoreMembersFile> known =
+        Optional<CoreMembersFile> membersFile =
                 settings.data().isEmpty() ? Optional.empty() : Optional.of(new CoreMembersFile(settings.data()));
         NodeEnvironment environment = new NodeEnvironment(
                 new SystemClock(),
@@ -110,13 +114,13 @@
                 rpc,
                 random::nextLong,
                 settings.seeds(),
-                known.map(CoreMembersFile::read).orElse(CoreMembers.unknown()),
-                members -> known.ifPresent(coreMembersFile -> coreMembersFile.write(members)));
+                membersFile.map(CoreMembersFile::read).orElse(CoreMembers.unknown()),
+                members -> membersFile.ifPresent(file -> file.write(members)));
         DataPlaneNode node = new DataPlaneNode(environment, settings, core, new HttpDeliveryClient(), protocol);
         node.route(router);
         Supervisor supervisor =
                 new Supervisor("dataplane", timers, onGivenUp).with(rpc).with(node);
-        List<Component> gateways = function.apply(node);
+        List<Component> gateways = gatewayFactory.apply(node);
         gateways.forEach(supervisor::with);
         DRAIN.set(() -> drain(node, gateways, Duration.ofMillis(settings.lingerMs())));
         return supervisor;
@@ -138,21 +142,23 @@
     }
 
     /**
-     * Parts and duties move away before the stop, and what is under way ends; each wait is bounded. (docs/design.md,
-     * section 10.2)
+     * Moves leadership and leases to other nodes and lets deliveries in flight end before the stop; each wait is
+     * bounded. (docs/design.md, section 10.2)
      */
     private static void drain(DataPlaneNode node, List<Component> gateways, Duration linger) {
         gateways.stream()
                 .filter(HttpGateway.class::isInstance)
                 .forEach(component -> ((HttpGateway) component).closeAfterNextResponse());
-        await(MOVES, node::drain);
-        await(RUNS, node::idle);
-        pause(linger.isZero() ? SHORTEST_LINGER : linger);
+        await(DRAIN_TIMEOUT, node::drain);
+        await(IDLE_TIMEOUT, node::idle);
+        pause(linger.isZero() ? MIN_LINGER : linger);
     }
 
-    private static void await(Duration most, BooleanSupplier done) {
-        for (long left = most.toMillis(); left > 0 && !done.getAsBoolean(); left -= STEP.toMillis()) {
-            pause(STEP);
+    private static void await(Duration timeout, BooleanSupplier condition) {
+        for (long remainingMs = timeout.toMillis();
+                remainingMs > 0 && !condition.getAsBoolean();
+                remainingMs -= POLL_INTERVAL.toMillis()) {
+            pause(POLL_INTERVAL);
         }
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/LeaseRenewal.java
@@ -16,12 +16,12 @@
 import org.woadvale.common.runtime.TimerHandle;
 
 /**
- * Keeps this node a member of its roles while it serves, and tells the core at once what changed. (docs/design.md,
- * section 6.3, 6.9)
+ * Renews the membership leases of this node for each of its roles, and renews them at once when their content changes.
+ * (docs/design.md, section 6.3, 6.9)
  */
 final class LeaseRenewal {
-    /** A store that began with an empty disk is taken for the successor of one that leaves for so long. */
-    private static final Duration NEWCOMER = Duration.ofSeconds(60);
+    /** How long after its start a store that began with an empty disk counts as the successor of a leaving one. */
+    private static final Duration NEWCOMER_PERIOD = Duration.ofSeconds(60);
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
@@ -39,12 +39,12 @@
     private final String incarnation;
     private final AtomicReference<MemberLease> announced = new AtomicReference<>();
     private volatile Presence presence = Presence.SERVING;
-    private volatile boolean beganEmpty;
-    private volatile boolean sawPlacement;
+    private volatile boolean startedEmpty;
+    private volatile boolean placementSeen;
     private volatile boolean newcomer;
-    private Duration started = Duration.ZERO;
-    private TimerHandle renewing = () -> {};
-    private TimerHandle checking = () -> {};
+    private Duration startedAt = Duration.ZERO;
+    private TimerHandle renewalTimer = () -> {};
+    private TimerHandle changeTimer = () -> {};
 
     LeaseRenewal(
             NodeEnvironment environment,
@@ -60,36 +60,36 @@
         this.incarnation = Long.toHexString(environment.random().getAsLong());
     }
 
-    /** A store began with an empty disk if it holds no partition yet. */
+    /** Starts the renewal; a store that has no partition now started with an empty disk. */
     void start() {
-        started = environment.clock().monotonicTime();
-        beganEmpty = isStore() && replicas.groups().isEmpty();
+        startedAt = environment.clock().monotonicTime();
+        startedEmpty = isStore() && replicas.groups().isEmpty();
         if (isStore()) {
-            subscriptions.onView(this::sawView);
-            checking = environment.timers().every(CHECK_INTERVAL, this::renewIfChanged);
+            subscriptions.onView(this::onView);
+            changeTimer = environment.timers().every(CHECK_INTERVAL, this::renewIfChanged);
         }
         renew();
-        renewing = environment.timers().every(ReplicationTiming.defaults().heartbeat(), this::renew);
+        renewalTimer = environment.timers().every(ReplicationTiming.defaults().heartbeat(), this::renew);
     }
 
     private boolean isStore() {
         return settings.roles().contains("store");
     }
 
-    /** A store whose partitions are founded with it, or that lost its disk, is no newcomer. */
-    private void sawView(String service, ServiceView view) {
-        if (!service.equals(ServiceNames.STORES) || sawPlacement) {
+    /** A store that the first placement names lost its disk or is among the initial members; it is no newcomer. */
+    private void onView(String service, ServiceView view) {
+        if (!service.equals(ServiceNames.STORES) || placementSeen) {
             return;
         }
-        sawPlacement = true;
-        newcomer = beganEmpty
+        placementSeen = true;
+        newcomer = startedEmpty
                 && !view.placement().isEmpty()
-                && view.placement().values().stream().noneMatch(replicas -> replicas.contains(environment.self()));
+                && view.placement().values().stream().noneMatch(nodes -> nodes.contains(environment.self()));
         renewIfChanged();
     }
 
     private MemberLease lease() {
-        boolean recent = environment.clock().monotonicTime().minus(started).compareTo(NEWCOMER) < 0;
+        boolean recent = environment.clock().monotonicTime().minus(startedAt).compareTo(NEWCOMER_PERIOD) < 0;
         return new MemberLease(
                 settings.zone(),
                 settings.http(),
@@ -118,19 +118,19 @@
         });
     }
 
-    /** A leaving store serves on and says so; every other role is given up at once. */
+    /** A leaving store keeps its lease, marked as leaving; every other role is given up at once. */
     private boolean renews(String role) {
         return presence == Presence.SERVING || presence == Presence.LEAVING && role.equals("store");
     }
 
-    /** The node is draining. */
+    /** Called when the node starts to drain. */
     void leave() {
         presence = Presence.LEAVING;
         settings.roles().stream().filter(role -> role.equals("intake")).forEach(this::giveUp);
         renew();
     }
 
-    /** The node holds nothing more that others need, or its time is over. */
+    /** Gives up the store role, once no other node needs this store. */
     void leaveStoreRole() {
         if (presence != Presence.LEFT) {
             presence = Presence.LEFT;
@@ -147,18 +147,20 @@
                 .subscribe(done -> {}, e -> {});
     }
 
-    /** Another store stands ready to take over the replicas of this one, and has not taken over all of them. */
+    /** Whether a successor has yet to take over some of the replicas of this store. */
     boolean isSuccessorTakingOver() {
         Map<String, MemberLease> stores =
                 subscriptions.latest(ServiceNames.STORES).members();
-        List<String> others = stores.keySet().stream()
+        List<String> otherStores = stores.keySet().stream()
                 .filter(node -> !node.equals(environment.self()))
                 .toList();
-        return isStore() && others.stream().anyMatch(node -> stores.get(node).newcomer()) && !replicas.inNoGroup();
+        return isStore()
+                && otherStores.stream().anyMatch(node -> stores.get(node).newcomer())
+                && !replicas.inNoGroup();
     }
 
     void stop() {
-        renewing.cancel();
-        checking.cancel();
+        renewalTimer.cancel();
+        changeTimer.cancel();
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/PartitionReplicas.java
@@ -14,8 +14,8 @@
 import org.woadvale.dataplane.queue.MessagePartitions;
 
 /**
- * In which message partitions this store counts, and which it owns (docs/design.md, section 6.5). Empty on a node that
- * is no store.
+ * The replicas of message partitions on this store: which of them vote and which lead (docs/design.md, section 6.5).
+ * Empty on a node without the store role.
  */
 final class PartitionReplicas {
     private final NodeEnvironment environment;
@@ -29,14 +29,14 @@
         this.partitions = partitions;
     }
 
-    /** The group of each message partition here. */
+    /** Returns the group members of each message partition on this store. */
     Map<String, Set<String>> groups() {
-        Map<String, Set<String>> out = new TreeMap<>();
+        Map<String, Set<String>> result = new TreeMap<>();
         partitions.ifPresent(messagePartitions -> messagePartitions
                 .all()
                 .forEach((id, partition) ->
-                        out.put(id, partition.replica().members().keySet())));
-        return out;
+                        result.put(id, partition.replica().members().keySet())));
+        return result;
     }
 
     private List<String> assigned() {
@@ -49,15 +49,15 @@
                         .toList();
     }
 
-    /** The partitions that the placement gives to this store, and in which it does not count yet. */
+    /** Returns the partitions that the placement assigns to this store and in which it does not vote yet. */
     List<String> notVoting() {
         Map<String, Set<String>> groups = groups();
         return assigned().stream()
-                .filter(p -> !groups.getOrDefault(p, Set.of()).contains(environment.self()))
+                .filter(id -> !groups.getOrDefault(id, Set.of()).contains(environment.self()))
                 .toList();
     }
 
-    /** What this store tells of the groups that it leads. */
+    /** Returns the state of the groups that this store leads. */
     Map<String, LedGroup> ledGroups() {
         Map<String, LedGroup> led = new TreeMap<>();
         partitions.ifPresent(all -> all.all().forEach((id, partition) -> {
@@ -69,12 +69,12 @@
         return led;
     }
 
-    /** This store counts in no group, as far as it knows. */
+    /** Whether this store is a member of no group, as far as it knows. */
     boolean inNoGroup() {
         return groups().values().stream().noneMatch(group -> group.contains(environment.self()));
     }
 
-    /** Each replica here counts in its group under its present identity. */
+    /** Whether each replica on this store votes in its group under its present identity. */
     boolean votingEverywhere() {
         return partitions
                 .map(all -> all.all().values().stream()
@@ -90,14 +90,14 @@
                 .orElse(0L);
     }
 
-    long term(String string) {
+    long term(String partitionId) {
         return partitions
-                .map(messagePartitions -> messagePartitions.all().get(string))
+                .map(messagePartitions -> messagePartitions.all().get(partitionId))
                 .map(partition -> partition.replica().term())
                 .orElse(0L);
     }
 
-    void status(Map<String, Object> out) {
+    void status(Map<String, Object> result) {
         partitions.ifPresent(messagePartitions -> {
             Map<String, Object> parts = new LinkedHashMap<>();
             messagePartitions
@@ -121,11 +121,11 @@
                                                     partition.stateMachine().liveBytes()),
                                     "group",
                                     partition.replica().members().keySet())));
-            out.put("parts", parts);
-            out.put("owned", ledPartitionCount());
-            out.put("seated", !assigned().isEmpty() && notVoting().isEmpty());
-            out.put("syncs", environment.wal().syncs());
-            out.put("ringFilesWritten", environment.wal().filesWritten());
+            result.put("parts", parts);
+            result.put("owned", ledPartitionCount());
+            result.put("seated", !assigned().isEmpty() && notVoting().isEmpty());
+            result.put("syncs", environment.wal().syncs());
+            result.put("ringFilesWritten", environment.wal().filesWritten());
         });
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/CheckedSubmission.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/CheckedSubmission.java
@@ -7,17 +7,17 @@
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /**
- * A submission whose key and lane were found valid.
+ * A submission with a valid key and lane.
  *
- * @param tenant the key's tenant, empty where the lane asks for no key
- * @param envelope the submission's, with the name by which processors know the tenant where it has another one here
- * @param hash tells a repeat from other content under the same id
- * @param anyPartition whether any partition may take it, since a repeat of it is a message of its own
+ * @param tenant the tenant of the key; empty if the lane requires no key
+ * @param envelope the envelope of the submission; names the tenant as processors know it if its internal name differs
+ * @param hash distinguishes a repeat from different content under the same id
+ * @param anyPartition whether any partition may accept it, since a repeat of it counts as a new message
  */
 record CheckedSubmission(
         Submission submission, String tenant, Map<String, String> envelope, String hash, boolean anyPartition) {
 
-    /** The command that accepts it now, on the terms that the lane has now. */
+    /** Returns the command that accepts the submission under the present terms of its lane. */
     MessageCommands.Accept command(Configuration.Lane lane, Instant now) {
         return new MessageCommands.Accept(
                 tenant,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
@@ -29,14 +29,17 @@
 
 /** The HTTP interface of an ingress: submissions, queries, pulls and outcomes. (docs/design.md, section 9.6) */
 public final class IngressNode {
-    /** The longest body of a request, in bytes. */
+    /** Maximum size of a request body, in bytes. */
     public static final int MAX_BODY = SubmitApi.MAX_BODY;
-    /** With a view of up to 2 s and the last attempt's own limit still within 5 s of a key's withdrawal. */
-    private static final Duration LIMIT = Duration.ofSeconds(2);
+    /**
+     * With a view age of up to 2 s and the last attempt's own limit, no request is served later than 5 s after the
+     * removal of its key.
+     */
+    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final int MOST_LISTED = 100;
+    private static final int MAX_LISTED = 100;
 
     private final NodeEnvironment environment;
     private final RouteMatcher routeMatcher;
@@ -49,7 +52,7 @@
     private final Supplier<Boolean> drain;
     private final HttpRouter router;
 
-    /** The interface of one node; status, readiness and drain are those of the node. */
+    /** The HTTP interface of one node, with functions that return its status and readiness and that drain it. */
     public IngressNode(
             NodeEnvironment environment,
             ConfigurationView configurations,
@@ -71,7 +74,7 @@
         this.router = routes();
     }
 
-    /** Answers a request; a failure is an answer too. */
+    /** Handles a request; a failure becomes an error response. */
     public Mono<Response> handle(Request request) {
         return Mono.defer(() -> {
                     try {
@@ -141,7 +144,7 @@
         return json;
     }
 
-    /** Messages of the key's tenant in one state, newest first: failed ones by default. */
+    /** Lists messages of the key's tenant in one state, by default the failed ones, newest first in each partition. */
     private Mono<Response> listMessages(Request request) throws ServiceException {
         Configuration.Key key = routeMatcher.key(request, Configuration.Role.CALLER);
         String state = query(request, "state").orElse("failed").toUpperCase(Locale.ROOT);
@@ -153,9 +156,9 @@
         return Flux.fromIterable(ServiceNames.messagePartitions())
                 .flatMap(partition -> forwarder.call(
                         partition,
-                        new MessageCommands.ListRequest(partition, key.tenant(), state, MOST_LISTED),
+                        new MessageCommands.ListRequest(partition, key.tenant(), state, MAX_LISTED),
                         MessageCommands.ListResponse.class,
-                        LIMIT))
+                        LIST_TIMEOUT))
                 .collectList()
                 .map(lists -> {
                     List<Map<String, Object>> rows = new ArrayList<>();
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -20,24 +20,24 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Takes submissions in: checked, then given a rate limit token, then forwarded; stages with bounded queues.
- * (docs/design.md, section 9.6)
+ * Processes submissions in stages with bounded queues: checks them, acquires a rate limit token and forwards them to the
+ * leader of a partition. (docs/design.md, section 9.6)
  */
 public final class Intake {
-    /** How long a submission may take altogether. */
-    static final Duration LIMIT = Duration.ofMillis(4000);
+    /** Total time limit of a submission. */
+    static final Duration TIME_LIMIT = Duration.ofMillis(4000);
 
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(50);
-    /** Where another partition may take it, no leader is waited for. */
-    private static final Duration SHORT_WAIT = Duration.ofMillis(100);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(50);
+    /** How long to wait for a leader if another partition may accept the submission instead. */
+    private static final Duration LEADER_WAIT = Duration.ofMillis(100);
 
-    private static final Duration TROUBLED_WAIT = Duration.ofMillis(15);
-    /** A token is waited for at most this fraction of the caller's patience. */
-    private static final int TOKEN_WAIT_FRACTION = 16;
+    private static final Duration UNHEALTHY_WAIT = Duration.ofMillis(15);
+    /** The wait for a token is limited to the caller's timeout divided by this. */
+    private static final int TOKEN_WAIT_DIVISOR = 16;
 
     private static final int QUEUE_DEPTH = 1024;
-    private static final int FORWARDED_AT_ONCE = 256;
-    private static final int ADMITTED_AT_ONCE = 4 * FORWARDED_AT_ONCE;
+    private static final int MAX_CONCURRENT_FORWARDS = 256;
+    private static final int MAX_CONCURRENT_ADMISSIONS = 4 * MAX_CONCURRENT_FORWARDS;
 
     private final NodeEnvironment environment;
     private final SubmissionValidator validator;
@@ -58,20 +58,23 @@
         this.localBuckets = localBuckets;
         this.forwarder = forwarder;
         this.outcomes = new SubmissionOutcomes(environment.clock());
-        this.admission = new Stage<>("passes", QUEUE_DEPTH, ADMITTED_AT_ONCE, this::admit);
-        this.forwarding = new Stage<>("hand-over", QUEUE_DEPTH, FORWARDED_AT_ONCE, this::forward);
+        this.admission = new Stage<>("passes", QUEUE_DEPTH, MAX_CONCURRENT_ADMISSIONS, this::admit);
+        this.forwarding = new Stage<>("hand-over", QUEUE_DEPTH, MAX_CONCURRENT_FORWARDS, this::forward);
     }
 
-    /** Accepted, or a fault whose kind says whether it may have been taken. (docs/design.md, section 9.6) */
+    /**
+     * Submits a message. The kind of a failure says whether the message may have been accepted all the same.
+     * (docs/design.md, section 9.6)
+     */
     public Mono<MessageCommands.Accepted> submit(Submission submission) {
-        return taken(submission).doOnNext(accepted -> outcomes.onAccepted()).doOnError(outcomes::onFailure);
+        return process(submission).doOnNext(accepted -> outcomes.onAccepted()).doOnError(outcomes::onFailure);
     }
 
-    private Mono<MessageCommands.Accepted> taken(Submission submission) {
+    private Mono<MessageCommands.Accepted> process(Submission submission) {
         try {
             return admission
                     .submit(validator.check(submission))
-                    .flatMap(admitted -> forwarding.submit(admitted, () -> putBack(admitted)));
+                    .flatMap(admitted -> forwarding.submit(admitted, () -> returnToken(admitted)));
         } catch (ServiceException failure) {
             return Mono.error(failure);
         }
@@ -87,15 +90,16 @@
             LocalBucket.AdmissionToken unlimited = new LocalBucket.AdmissionToken(TokenMessages.NO_GRANT, until);
             return Mono.just(new AdmittedSubmission(checked, unlimited, partition));
         }
-        Duration longestWait = checked.submission().patience().dividedBy(TOKEN_WAIT_FRACTION);
+        Duration longestWait = checked.submission().patience().dividedBy(TOKEN_WAIT_DIVISOR);
         return localBuckets
                 .take(ServiceNames.tenantBucket(checked.tenant()), longestWait)
                 .map(token -> new AdmittedSubmission(checked, token, partition));
     }
 
     /**
-     * By the ordering key, or by the id, which every repeat has. Where a repeat is never submitted anew (lanes with
-     * doors) any partition does: one whose leader is near and in touch. (docs/design.md, section 9.13)
+     * Selects the partition by the ordering key, or else by the id, which is the same for every repeat. On lanes with
+     * HTTP routes a repeat is a new message, so any partition will do: one with a reachable leader, preferably in this
+     * zone. (docs/design.md, section 9.13)
      */
     private String partition(CheckedSubmission checked) {
         Submission submission = checked.submission();
@@ -107,28 +111,28 @@
                 : ServiceNames.messagePartition(submission.lane(), submission.id());
     }
 
-    private void putBack(AdmittedSubmission admitted) {
+    private void returnToken(AdmittedSubmission admitted) {
         localBuckets.returnToken(admitted.bucket(), admitted.token());
     }
 
-    /** Key, lane and token are checked once more, right before each attempt (docs/design.md, section 9.7). */
+    /** Forwards the submission; each attempt rechecks key, lane and token first (docs/design.md, section 9.7). */
     private Mono<MessageCommands.Accepted> forward(AdmittedSubmission admitted) {
         Duration until = environment
                 .clock()
                 .monotonicTime()
-                .plus(limit(admitted.checked().submission()));
+                .plus(timeLimit(admitted.checked().submission()));
         return attempt(admitted, until, false);
     }
 
-    /** What is not decided by half of the caller's patience is answered then, while there is time to come back. */
-    private static Duration limit(Submission submission) {
+    /** A submission still undecided after half of the caller's timeout fails then, so that the caller can retry in time. */
+    private static Duration timeLimit(Submission submission) {
         Duration patience = submission.patience();
-        return patience.compareTo(LIMIT) >= 0 ? LIMIT : patience.dividedBy(2);
+        return patience.compareTo(TIME_LIMIT) >= 0 ? TIME_LIMIT : patience.dividedBy(2);
     }
 
     /**
-     * A token covers an acceptance only while it lives: what is not decided by then is asked again, with the same
-     * message id, under a new token and by the configuration of that time. (docs/design.md, section 8.5)
+     * A token covers an acceptance only until it expires. A submission that is undecided by then is sent again with the
+     * same message id, a new token and the configuration of that time. (docs/design.md, section 8.5)
      */
     private Mono<MessageCommands.Accepted> attempt(
             AdmittedSubmission admitted, Duration until, boolean outcomeUnknown) {
@@ -136,19 +140,20 @@
         try {
             command = command(admitted);
         } catch (ServiceException failure) {
-            putBack(admitted);
-            return Mono.error(definite(failure, outcomeUnknown));
+            returnToken(admitted);
+            return Mono.error(keepUnknownOutcome(failure, outcomeUnknown));
         }
         String partition = admitted.partition();
-        Duration tokenLife = admitted.token().until().minus(environment.clock().monotonicTime());
+        Duration tokenLifetime =
+                admitted.token().until().minus(environment.clock().monotonicTime());
         return forwarder
                 .callWithDeadline(
                         partition,
                         deadline -> new MessageCommands.AcceptRequest(partition, command, deadline),
                         MessageCommands.Accepted.class,
-                        leaderWait(admitted, tokenLife))
+                        leaderWait(admitted, tokenLifetime))
                 .doOnNext(accepted -> settle(admitted, accepted))
-                .onErrorResume(error -> failed(admitted, until, outcomeUnknown, ServiceException.of(error)));
+                .onErrorResume(error -> onFailedAttempt(admitted, until, outcomeUnknown, ServiceException.of(error)));
     }
 
     private MessageCommands.Accept command(AdmittedSubmission admitted) throws ServiceException {
@@ -159,42 +164,42 @@
         return admitted.checked().command(lane, environment.clock().wallTime());
     }
 
-    private Mono<MessageCommands.Accepted> failed(
+    private Mono<MessageCommands.Accepted> onFailedAttempt(
             AdmittedSubmission admitted, Duration until, boolean outcomeUnknown, ServiceException failure) {
-        boolean unknownByNow = outcomeUnknown || !failure.kind().definite();
+        boolean nowUnknown = outcomeUnknown || !failure.kind().definite();
         if (failure.kind().definite()) {
-            putBack(admitted);
+            returnToken(admitted);
         } else {
             localBuckets.markSpent(admitted.bucket(), admitted.token());
         }
         CheckedSubmission checked = admitted.checked();
-        Optional<String> other = unknownByNow ? Optional.empty() : otherPartition(admitted, failure);
-        if (other.isPresent()) {
-            return admit(checked, other.get()).flatMap(next -> attempt(next, until, false));
+        Optional<String> alternative = nowUnknown ? Optional.empty() : otherPartition(admitted, failure);
+        if (alternative.isPresent()) {
+            return admit(checked, alternative.get()).flatMap(next -> attempt(next, until, false));
         }
-        boolean mayRepeat = unknownByNow || failure.kind() == ErrorKind.UNAVAILABLE && !checked.anyPartition();
+        boolean retryable = nowUnknown || failure.kind() == ErrorKind.UNAVAILABLE && !checked.anyPartition();
         boolean inTime = environment.clock().monotonicTime().compareTo(until) < 0;
-        if (!mayRepeat || localBuckets.isValid(admitted.token()) || !inTime) {
-            return Mono.error(definite(failure, unknownByNow));
+        if (!retryable || localBuckets.isValid(admitted.token()) || !inTime) {
+            return Mono.error(keepUnknownOutcome(failure, nowUnknown));
         }
-        return Delays.delay(environment.timers(), RETRY_PAUSE)
+        return Delays.delay(environment.timers(), RETRY_DELAY)
                 .then(admit(checked, admitted.partition()))
-                .flatMap(next -> attempt(next, until, unknownByNow))
-                .onErrorMap(error -> definite(error, unknownByNow));
+                .flatMap(next -> attempt(next, until, nowUnknown))
+                .onErrorMap(error -> keepUnknownOutcome(error, nowUnknown));
     }
 
     /**
-     * A partition that may change leaders in order is waited for shortly; one with failures is not. (docs/design.md,
-     * section 9.13)
+     * How long to wait for a leader of the partition: longer if leadership may only be changing hands, as planned, than
+     * if calls to the partition failed lately. (docs/design.md, section 9.13)
      */
-    private Duration leaderWait(AdmittedSubmission admitted, Duration tokenLife) {
+    private Duration leaderWait(AdmittedSubmission admitted, Duration tokenLifetime) {
         if (!admitted.checked().anyPartition()) {
-            return tokenLife;
+            return tokenLifetime;
         }
-        return forwarder.isUnhealthy(admitted.partition()) ? TROUBLED_WAIT : SHORT_WAIT;
+        return forwarder.isUnhealthy(admitted.partition()) ? UNHEALTHY_WAIT : LEADER_WAIT;
     }
 
-    /** Another partition, where the submission was certainly not taken and any partition may take it. */
+    /** Returns another partition if the submission was definitely not accepted and any partition may accept it. */
     private Optional<String> otherPartition(AdmittedSubmission admitted, ServiceException failure) {
         Submission submission = admitted.checked().submission();
         boolean movable = admitted.checked().anyPartition()
@@ -202,21 +207,21 @@
                 && failure.kind() == ErrorKind.UNAVAILABLE;
         return movable
                 ? Optional.of(forwarder.selectHealthyPartition(submission.id()))
-                        .filter(p -> !p.equals(admitted.partition()))
+                        .filter(partition -> !partition.equals(admitted.partition()))
                 : Optional.empty();
     }
 
-    /** A definite refusal now says nothing of an earlier unknown attempt. */
-    private static Throwable definite(Throwable error, boolean outcomeUnknown) {
+    /** A definite rejection does not settle an earlier attempt whose outcome is unknown. */
+    private static Throwable keepUnknownOutcome(Throwable error, boolean outcomeUnknown) {
         return outcomeUnknown && ServiceException.of(error).kind().definite()
                 ? new OutcomeUnknownException("It is not known whether this was taken; ask with the same id.")
                 : error;
     }
 
-    /** A repeated submission was accepted before and has paid then. */
+    /** Returns the token of a repeated submission, which was charged when it was first accepted. */
     private void settle(AdmittedSubmission admitted, MessageCommands.Accepted accepted) {
         if (accepted.repeated()) {
-            putBack(admitted);
+            returnToken(admitted);
         } else {
             localBuckets.markSpent(admitted.bucket(), admitted.token());
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -12,14 +12,14 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** What became of a message, found by its handle alone from any intake. (docs/design.md, section 9.6) */
+/** Looks up a message by its handle, on any intake. (docs/design.md, section 9.6) */
 public final class MessageQueries {
-    private static final Duration LIMIT = Duration.ofMillis(1800);
-    private static final String HANDLE = "m[0-9]{1,4}-[0-9]{1,18}";
+    private static final Duration TIMEOUT = Duration.ofMillis(1800);
+    private static final String HANDLE_PATTERN = "m[0-9]{1,4}-[0-9]{1,18}";
     private final ConfigurationView configurations;
     private final SubmitForwarder forwarder;
 
-    /** Queries by way of one node. */
+    /** Queries through one node. */
     public MessageQueries(ConfigurationView configurations, SubmitForwarder forwarder) {
         this.configurations = configurations;
         this.forwarder = forwarder;
@@ -27,13 +27,13 @@
 
     static String partitionOf(String handle) throws ServiceException {
         String partition = handle.replaceAll("-.*", "");
-        if (!handle.matches(HANDLE) || !ServiceNames.messagePartitions().contains(partition)) {
+        if (!handle.matches(HANDLE_PATTERN) || !ServiceNames.messagePartitions().contains(partition)) {
             throw new NotFoundException("No such message.");
         }
         return partition;
     }
 
-    /** The message, if it is of the secret's tenant; NOT_FOUND else, the same as for one that never was. */
+    /** Returns the message if it belongs to the tenant of the key; otherwise NOT_FOUND, as for an unknown message. */
     public Mono<Message> message(String secret, String handle) {
         return Mono.defer(() -> {
             try {
@@ -47,7 +47,7 @@
                         partition,
                         new MessageCommands.StatusRequest(partition, handle, key.tenant()),
                         Message.class,
-                        LIMIT);
+                        TIMEOUT);
             } catch (ServiceException failure) {
                 return Mono.error(failure);
             }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/OutcomeRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/OutcomeRequest.java
@@ -5,13 +5,13 @@
 import jakarta.validation.constraints.Pattern;
 import jakarta.validation.constraints.Size;
 
-/** What a processor reports of a fetched message; it repeats this until we confirm. */
+/** The outcome of a fetched message as a processor reports it; the processor repeats the report until confirmed. */
 public record OutcomeRequest(
         @NotNull @Pattern(regexp = PullRequest.ID) String processor,
         @Min(1) int attempt,
         @NotNull @Pattern(regexp = "done|failed|retry") String outcome,
         @Size(max = 256) String receipt) {
-    /** Absent texts are empty. */
+    /** Replaces an absent receipt with an empty one. */
     public OutcomeRequest {
         receipt = receipt == null ? "" : receipt;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -27,15 +27,18 @@
  * The HTTP requests of processors: pulls of messages and reports of their outcomes. (docs/design.md, section 9.3, 9.6)
  */
 final class ProcessorApi {
-    /** With a view of up to 2 s and the last attempt's own limit still within 5 s of a key's withdrawal. */
-    private static final Duration OUTCOME_LIMIT = Duration.ofSeconds(2);
+    /**
+     * With a view age of up to 2 s and the last attempt's own limit, no request is served later than 5 s after the
+     * removal of its key.
+     */
+    private static final Duration OUTCOME_TIMEOUT = Duration.ofSeconds(2);
 
-    private static final Duration PULL_LIMIT = Duration.ofMillis(200);
+    private static final Duration PULL_TIMEOUT = Duration.ofMillis(200);
     private static final Duration PULL_INTERVAL = Duration.ofMillis(100);
     private static final Duration RETRY_DELAY = Duration.ofMillis(500);
     private static final int OK = 200;
 
-    /** A processor's pull of one service's messages, and until when (monotonic time) it may wait for one. */
+    /** A processor's pull of messages of one service; {@code until} is the monotonic time at which its wait ends. */
     private record PendingPull(Request request, String service, PullRequest terms, Duration until) {}
 
     private final NodeEnvironment environment;
@@ -49,7 +52,8 @@
     }
 
     /**
-     * Messages for a processor, with an empty list once its wait is over; a repeated pull gets its first answer again.
+     * Returns messages for a processor, or an empty list once its wait is over. A repeated pull returns the messages of
+     * the first one.
      */
     Mono<Response> pull(Request request, String service) throws ServiceException {
         checkKey(request, service);
@@ -72,7 +76,7 @@
                 .flatMap(earlier -> earlier.isEmpty() ? fresh : Mono.just(answer(earlier)));
     }
 
-    /** Partition by partition; the key is checked again before every round, so a withdrawn one gets nothing. */
+    /** Pulls from one partition after the other; rechecks the key before each round, as it may have been removed. */
     private Mono<Response> pullRound(PendingPull pull, int first) {
         return Mono.defer(() -> {
             try {
@@ -86,11 +90,11 @@
                     .filter(fetched -> !fetched.messages().isEmpty())
                     .next()
                     .map(fetched -> answer(fetched.messages()))
-                    .switchIfEmpty(Mono.defer(() -> nothingFound(pull, first)));
+                    .switchIfEmpty(Mono.defer(() -> onEmptyRound(pull, first)));
         });
     }
 
-    private Mono<Response> nothingFound(PendingPull pull, int first) {
+    private Mono<Response> onEmptyRound(PendingPull pull, int first) {
         if (environment.clock().monotonicTime().compareTo(pull.until()) >= 0) {
             return Mono.just(answer(List.of()));
         }
@@ -105,7 +109,7 @@
                         until -> new MessageCommands.FetchRequest(
                                 partition, service, terms.processor(), terms.most(), until, terms.fetch(), again),
                         MessageCommands.FetchResponse.class,
-                        PULL_LIMIT)
+                        PULL_TIMEOUT)
                 .onErrorResume(error ->
                         ServiceException.of(error).kind() == ErrorKind.FORBIDDEN ? Mono.error(error) : Mono.empty());
     }
@@ -142,7 +146,7 @@
                 new RawValue(new String(message.body(), StandardCharsets.UTF_8)));
     }
 
-    /** Records the end of an attempt, if the attempt is still the present one. */
+    /** Records the outcome of an attempt if it is still the current attempt of the message. */
     Mono<Response> outcome(Request request, String handle) throws ServiceException {
         Configuration.Key key = matcher.key(request, Configuration.Role.PROCESSOR);
         OutcomeRequest outcome = matcher.body(request, OutcomeRequest.class);
@@ -152,17 +156,17 @@
         String partition = MessageQueries.partitionOf(handle);
         Instant now = environment.clock().wallTime();
         MessageCommands.End end = new MessageCommands.End(
-                handle, outcome.attempt(), ending(outcome), outcome.receipt(), now.plus(RETRY_DELAY), now);
+                handle, outcome.attempt(), attemptOutcome(outcome), outcome.receipt(), now.plus(RETRY_DELAY), now);
         return forwarder
                 .call(
                         partition,
                         new MessageCommands.OutcomeReport(partition, end, outcome.processor(), key.service()),
                         MessageCommands.TransitionResult.class,
-                        OUTCOME_LIMIT)
-                .map(ProcessorApi::recorded);
+                        OUTCOME_TIMEOUT)
+                .map(ProcessorApi::recordedResponse);
     }
 
-    private static MessageCommands.AttemptOutcome ending(OutcomeRequest outcome) {
+    private static MessageCommands.AttemptOutcome attemptOutcome(OutcomeRequest outcome) {
         return switch (outcome.outcome()) {
             case "done" -> MessageCommands.AttemptOutcome.SUCCEEDED;
             case "failed" -> MessageCommands.AttemptOutcome.FAILED;
@@ -170,8 +174,8 @@
         };
     }
 
-    private static Response recorded(MessageCommands.TransitionResult changed) {
-        String state = changed.message().state().name().toLowerCase(Locale.ROOT);
-        return Response.json(OK, Map.of("recorded", changed.applied(), "state", state));
+    private static Response recordedResponse(MessageCommands.TransitionResult result) {
+        String state = result.message().state().name().toLowerCase(Locale.ROOT);
+        return Response.json(OK, Map.of("recorded", result.applied(), "state", state));
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullRequest.java
@@ -6,7 +6,8 @@
 import jakarta.validation.constraints.Pattern;
 
 /**
- * What a processor asks for; with the same fetch id, again, if it did not get the answer. (docs/design.md, section 9.3)
+ * The body of a pull by a processor. A processor that got no response repeats the pull with the same fetch id and
+ * {@code again} set. (docs/design.md, section 9.3)
  */
 public record PullRequest(
         @NotNull @Pattern(regexp = ID) String processor,
@@ -16,7 +17,7 @@
         boolean again) {
     static final String ID = "[A-Za-z0-9][A-Za-z0-9._-]{0,62}";
 
-    /** Absent values have their usual ones. */
+    /** Replaces absent values with their defaults. */
     public PullRequest {
         most = most == 0 ? 1 : most;
         fetch = fetch == null ? "" : fetch;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -24,36 +24,39 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Fetches by processors that are on no list: work is handed out with a lease. (docs/design.md, section 9.10) */
+/**
+ * Pulls by processors that are not in the registry: messages are handed out under a lease. (docs/design.md, section
+ * 9.10)
+ */
 public final class PullService {
     private static final int RANDOM_RANGE = 1 << 16;
-    private static final Duration LIMIT = Duration.ofSeconds(2);
-    /** A fetch waits at one store for so long, then at the next. */
-    private static final Duration TURN = Duration.ofMillis(100);
-    /** At a store of its own zone. */
-    private static final Duration NEAR = Duration.ofMillis(300);
+    private static final Duration LEASE_CALL_TIMEOUT = Duration.ofSeconds(2);
+    /** How long a fetch waits at one store before it goes on to the next. */
+    private static final Duration POLL_WAIT = Duration.ofMillis(100);
+    /** How long a fetch waits at a store in the zone of this node. */
+    private static final Duration LOCAL_POLL_WAIT = Duration.ofMillis(300);
 
-    private static final Duration AGAIN = Duration.ofMillis(100);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
-    /** What a processor says of its lease: the handle, and the attempt that it has. */
+    /** Identifies the lease of a processor: the handle of the message and the number of the attempt. */
     public record LeaseId(String handle, int attempt) {
-        /** The lease of a message that was handed out. */
+        /** Returns the lease of a message that was handed out. */
         public static LeaseId of(Message message) {
             return new LeaseId(message.handle(), message.attempt());
         }
 
-        /** The text that a processor is given. */
+        /** Returns the text form that processors receive. */
         public String format() {
             return handle + "." + attempt;
         }
 
-        /** Empty where it was never one of ours. */
-        public static Optional<LeaseId> parse(String word) {
-            if (!word.matches("m[0-9]{1,4}-[0-9]{1,18}\\.[0-9]{1,9}")) {
+        /** Parses the text form; empty if it was never issued by this system. */
+        public static Optional<LeaseId> parse(String text) {
+            if (!text.matches("m[0-9]{1,4}-[0-9]{1,18}\\.[0-9]{1,9}")) {
                 return Optional.empty();
             }
             LeaseId leaseId = new LeaseId(
-                    word.substring(0, word.indexOf('.')), Integer.parseInt(word.substring(word.indexOf('.') + 1)));
+                    text.substring(0, text.indexOf('.')), Integer.parseInt(text.substring(text.indexOf('.') + 1)));
             return Optional.of(leaseId)
                     .filter(lease -> ServiceNames.messagePartitions().contains(lease.partition()));
         }
@@ -70,7 +73,7 @@
     private final String zone;
     private final BooleanSupplier draining;
 
-    /** Pulls by way of one node. */
+    /** Serves pulls through one node. */
     public PullService(
             NodeEnvironment environment,
             ViewSubscriptions subscriptions,
@@ -86,17 +89,20 @@
         this.draining = draining;
     }
 
-    /** One message for the processor, or empty after the wait. What nobody takes any more is given back unrun. */
+    /**
+     * Returns one message for the processor, or empty after the wait. A message that arrives after the caller has
+     * cancelled is returned to its queue without counting as an attempt.
+     */
     public Mono<Message> fetch(String service, String processor, Duration wait) {
         return Mono.create(sink -> {
-            AtomicBoolean gone = new AtomicBoolean();
-            sink.onCancel(() -> gone.set(true));
+            AtomicBoolean cancelled = new AtomicBoolean();
+            sink.onCancel(() -> cancelled.set(true));
             Duration until = environment.clock().monotonicTime().plus(wait);
             int first = (int) Math.floorMod(environment.random().getAsLong(), RANDOM_RANGE);
-            pullRound(service, processor, until, first, first, gone)
+            pullRound(service, processor, until, first, first, cancelled)
                     .subscribe(
                             message -> {
-                                if (gone.get()) {
+                                if (cancelled.get()) {
                                     end(LeaseId.of(message), MessageCommands.AttemptOutcome.NOT_SENT, "nobody took it")
                                             .subscribe(x -> {}, e -> {});
                                 } else {
@@ -109,87 +115,91 @@
     }
 
     private Mono<Message> pullRound(
-            String service, String processor, Duration until, int first, int n, AtomicBoolean gone) {
-        Duration left = until.minus(environment.clock().monotonicTime());
-        // a draining intake lets nobody wait for longer than one turn
-        if (left.toMillis() < 1 || gone.get() || n != first && draining.getAsBoolean()) {
+            String service, String processor, Duration until, int first, int round, AtomicBoolean cancelled) {
+        Duration remaining = until.minus(environment.clock().monotonicTime());
+        // on a draining intake a fetch waits at one store only
+        if (remaining.toMillis() < 1 || cancelled.get() || round != first && draining.getAsBoolean()) {
             return Mono.empty();
         }
         List<String> stores = stores();
-        boolean known = configurations
+        boolean fetchable = configurations
                 .fresh()
-                .map(k -> k.configuration().services().get(service))
-                .filter(s -> s.kind() == Configuration.Kind.FETCHERS)
+                .map(current -> current.configuration().services().get(service))
+                .filter(config -> config.kind() == Configuration.Kind.FETCHERS)
                 .isPresent();
-        Mono<Message> next = Mono.defer(() -> pullRound(service, processor, until, first, n + 1, gone));
-        if (!known || stores.isEmpty()) {
-            return Delays.delay(environment.timers(), least(left, AGAIN)).then(next);
+        Mono<Message> next = Mono.defer(() -> pullRound(service, processor, until, first, round + 1, cancelled));
+        if (!fetchable || stores.isEmpty()) {
+            return Delays.delay(environment.timers(), min(remaining, RETRY_DELAY))
+                    .then(next);
         }
-        String store = stores.get((n - first) % stores.size());
-        Duration here = least(left, near(store) ? NEAR : TURN);
+        String store = stores.get((round - first) % stores.size());
+        Duration storeWait = min(remaining, isLocal(store) ? LOCAL_POLL_WAIT : POLL_WAIT);
         return forwarder
                 .callStore(
                         store,
                         deadline -> new MessageCommands.LongPullRequest(
-                                service, processor, deadline, here.toMillis(), zone),
+                                service, processor, deadline, storeWait.toMillis(), zone),
                         MessageCommands.LongPullResponse.class,
-                        here)
+                        storeWait)
                 .flatMap(response -> response.messages().isEmpty()
                         ? Mono.<Message>empty()
                         : Mono.just(response.messages().get(0)))
-                .onErrorResume(e ->
-                        Delays.delay(environment.timers(), least(left, AGAIN)).then(Mono.<Message>empty()))
+                .onErrorResume(e -> Delays.delay(environment.timers(), min(remaining, RETRY_DELAY))
+                        .then(Mono.<Message>empty()))
                 .switchIfEmpty(next);
     }
 
-    private static Duration least(Duration first, Duration second) {
+    private static Duration min(Duration first, Duration second) {
         return first.compareTo(second) < 0 ? first : second;
     }
 
-    private boolean near(String store) {
+    private boolean isLocal(String store) {
         return Optional.ofNullable(
                         subscriptions.latest(ServiceNames.STORES).members().get(store))
                 .filter(lease -> lease.zone().equals(zone))
                 .isPresent();
     }
 
-    /** Those of our own zone first. */
+    /** Returns the stores, those in the zone of this node first. */
     private List<String> stores() {
         TreeSet<String> all = new TreeSet<>();
         subscriptions.latest(ServiceNames.STORES).placement().values().forEach(all::addAll);
         all.retainAll(subscriptions.latest(ServiceNames.STORES).members().keySet());
         List<String> out = new ArrayList<>(all);
-        out.sort(Comparator.comparing(s -> !near(s)));
+        out.sort(Comparator.comparing(s -> !isLocal(s)));
         return out;
     }
 
-    /** Fails with CONFLICT where the lease is gone. */
+    /** Extends a lease; fails with CONFLICT if it no longer exists. */
     public Mono<Boolean> extend(LeaseId lease) {
         return forwarder
                 .call(
                         lease.partition(),
                         new MessageCommands.ExtendLeaseRequest(lease.partition(), lease.handle(), lease.attempt()),
                         ControlMessages.UpdateResult.class,
-                        LIMIT)
+                        LEASE_CALL_TIMEOUT)
                 .map(ControlMessages.UpdateResult::accepted)
-                .onErrorMap(PullService::leaseGone);
+                .onErrorMap(PullService::toConflict);
     }
 
-    /** Taken once and for all; the same end said again is taken again. Fails with CONFLICT where the lease is gone. */
-    public Mono<Boolean> end(LeaseId lease, MessageCommands.AttemptOutcome ending, String word) {
+    /**
+     * Ends a lease with an outcome. The first outcome is final; a repeat of it is accepted again. Fails with CONFLICT if
+     * the lease no longer exists.
+     */
+    public Mono<Boolean> end(LeaseId lease, MessageCommands.AttemptOutcome outcome, String note) {
         Instant now = environment.clock().wallTime();
-        MessageCommands.End end = new MessageCommands.End(lease.handle(), lease.attempt(), ending, word, now, now);
+        MessageCommands.End end = new MessageCommands.End(lease.handle(), lease.attempt(), outcome, note, now, now);
         return forwarder
                 .call(
                         lease.partition(),
                         new MessageCommands.EndLeaseRequest(lease.partition(), end),
                         MessageCommands.TransitionResult.class,
-                        LIMIT)
+                        LEASE_CALL_TIMEOUT)
                 .map(MessageCommands.TransitionResult::applied)
-                .onErrorMap(PullService::leaseGone);
+                .onErrorMap(PullService::toConflict);
     }
 
-    private static Throwable leaseGone(Throwable e) {
+    private static Throwable toConflict(Throwable e) {
         return ServiceException.of(e).kind() == ErrorKind.NOT_FOUND ? new ConflictException("The lease is gone.") : e;
     }
 }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/RouteMatcher.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.dataplane.ConfigurationView;
 
-/** Keys and inputs are checked on every request, on open streams too (docs/design.md, section 7.2 and 9.6). */
+/** Checks the key and the input of every request, also on open streams (docs/design.md, section 7.2 and 9.6). */
 final class RouteMatcher {
     private final ConfigurationView configurations;
 
@@ -24,8 +24,8 @@
     }
 
     Configuration.Key key(Request request, Configuration.Role role) throws ServiceException {
-        ConfigurationView.IndexedConfiguration known = configurations.requireFresh();
-        Optional<Configuration.Key> key = request.bearerToken().flatMap(known::key);
+        ConfigurationView.IndexedConfiguration configuration = configurations.requireFresh();
+        Optional<Configuration.Key> key = request.bearerToken().flatMap(configuration::key);
         if (key.isEmpty()) {
             throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
         }
@@ -35,17 +35,18 @@
         return key.get();
     }
 
-    /** Empty where the lane asks for no key. */
+    /** Returns the caller's key; empty if none is given and the lane requires none. */
     Optional<Configuration.Key> callerKey(String secret, String lane) throws ServiceException {
-        ConfigurationView.IndexedConfiguration known = configurations.requireFresh();
-        Optional<Configuration.Key> key = known.key(secret).filter(x -> x.role() == Configuration.Role.CALLER);
+        ConfigurationView.IndexedConfiguration configuration = configurations.requireFresh();
+        Optional<Configuration.Key> key =
+                configuration.key(secret).filter(candidate -> candidate.role() == Configuration.Role.CALLER);
         if (key.isEmpty() && !lane(lane).keyless()) {
             throw new UnauthorizedException("The key is missing, wrong or withdrawn.");
         }
         return key;
     }
 
-    /** What processors are told as the name of a tenant, where it is not its name here; else empty. */
+    /** Returns the name by which processors know a tenant if it differs from the internal name; otherwise empty. */
     String givenName(String tenant) throws ServiceException {
         return Optional.ofNullable(
                         configurations.requireFresh().configuration().tenants().get(tenant))
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Submission.java
@@ -7,9 +7,14 @@
 import org.woadvale.common.config.Configurations;
 
 /**
- * A message as it is handed in, by whichever door. Secret: the caller's key in clear; id: the caller's, alike for every
- * repeat; delay in milliseconds from now; body and envelope are opaque; patience: how long the caller waits for an
- * answer. (docs/design.md, section 9.12)
+ * A message as a caller submits it, through any API. (docs/design.md, section 9.12)
+ *
+ * @param secret the caller's key in plain text
+ * @param id the caller's message id, the same for every repeat
+ * @param delayMs the delay in milliseconds from now
+ * @param envelope opaque to the data plane
+ * @param body opaque to the data plane
+ * @param patience how long the caller waits for a response
  */
 public record Submission(
         String secret,
@@ -20,7 +25,7 @@
         Map<String, String> envelope,
         byte[] body,
         Duration patience) {
-    /** Tells a repeat from another content under the same id. */
+    /** Returns a hash that distinguishes a repeat from different content under the same id. */
     String hash() {
         return Configurations.sha256(orderKey + "\n" + delayMs + "\n" + new TreeMap<>(envelope) + "\n"
                 + Base64.getEncoder().encodeToString(body));
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionOutcomes.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionOutcomes.java
@@ -11,9 +11,9 @@
 import org.woadvale.common.runtime.Clock;
 
 /**
- * What became of the submissions of one node: one log line for the first that is accepted after the start, and one for
- * each period in which any was refused or left unknown, with the number of each kind. A period ends with the first
- * outcome after its time is over.
+ * Counts and logs the outcomes of the submissions of one node: one log line for the first submission accepted after the
+ * start, and one for each period in which a submission was rejected or its outcome is unknown, with the number of each
+ * kind. A period ends with the first outcome after its time is over.
  */
 final class SubmissionOutcomes {
     private static final Logger LOG = LogManager.getLogger(SubmissionOutcomes.class);
@@ -42,7 +42,7 @@
         endPeriodIfOver();
     }
 
-    /** A submission was refused, or its outcome is unknown. */
+    /** A submission was rejected, or its outcome is unknown. */
     synchronized void onFailure(Throwable error) {
         failures.merge(ServiceException.of(error).kind(), 1, Integer::sum);
         endPeriodIfOver();
@@ -65,14 +65,14 @@
         periodStart = clock.monotonicTime();
     }
 
-    /** The number of failures by kind, as "2 throttled, 1 unavailable". */
+    /** Returns the number of failures by kind, such as "2 throttled, 1 unavailable". */
     synchronized String failureCounts() {
         return failures.entrySet().stream()
                 .map(entry -> entry.getValue() + " " + entry.getKey().wireName())
                 .collect(Collectors.joining(", "));
     }
 
-    /** The submissions accepted in the present period. */
+    /** Returns the number of submissions accepted in the current period. */
     synchronized int acceptedCount() {
         return accepted;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmissionValidator.java
@@ -17,7 +17,7 @@
         this.matcher = matcher;
     }
 
-    /** Fails where the key is not valid, there is no such lane, or the ordering key does not suit the lane. */
+    /** Fails if the key is invalid, the lane does not exist, or the ordering key does not match the lane's ordering. */
     CheckedSubmission check(Submission submission) throws ServiceException {
         Optional<Configuration.Key> key = matcher.callerKey(submission.secret(), submission.lane());
         Configuration.Lane lane = matcher.lane(submission.lane());
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The lane as it is configured now; fails where the key is not the same tenant's any more. */
+    /** Returns the lane as it is configured now; fails if the key no longer belongs to the same tenant. */
     Configuration.Lane recheck(CheckedSubmission checked) throws ServiceException {
         Submission submission = checked.submission();
         Configuration.Lane lane = matcher.lane(submission.lane());
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitApi.java
@@ -16,10 +16,10 @@
  * 9.6)
  */
 final class SubmitApi {
-    /** Of a request's body, in bytes. */
+    /** Maximum size of a request body, in bytes. */
     static final int MAX_BODY = 16 << 10;
 
-    private static final Duration CALLER_PATIENCE = Intake.LIMIT;
+    private static final Duration CALLER_TIMEOUT = Intake.TIME_LIMIT;
     private static final int ACCEPTED = 202;
 
     private final RouteMatcher matcher;
@@ -30,7 +30,7 @@
         this.intake = intake;
     }
 
-    /** Fails as {@link Intake#take} does, or where the request itself is wrong. */
+    /** Fails as {@link Intake#submit} does, or if the request itself is invalid. */
     Mono<Response> submit(Request request, String lane) throws ServiceException {
         Submission submission = submission(request, lane);
         return intake.submit(submission).map(accepted -> answer(submission, accepted));
@@ -48,7 +48,7 @@
                 body.delayMs(),
                 Map.of(),
                 Configurations.write(body.body()),
-                CALLER_PATIENCE);
+                CALLER_TIMEOUT);
     }
 
     private static Response answer(Submission submission, MessageCommands.Accepted accepted) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitRequest.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/SubmitRequest.java
@@ -7,7 +7,7 @@
 import jakarta.validation.constraints.Pattern;
 import jakarta.validation.constraints.Size;
 
-/** What a caller processors in. */
+/** The JSON body of a request that submits a message. */
 public record SubmitRequest(
         @NotNull @Pattern(regexp = "[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
         String id,
@@ -15,7 +15,7 @@
         @Size(max = 128) String orderingKey,
         @Min(0) @Max(86400000) long delayMs,
         @NotNull JsonNode body) {
-    /** Absent texts are empty. */
+    /** Replaces an absent ordering key with an empty one. */
     public SubmitRequest {
         orderingKey = orderingKey == null ? "" : orderingKey;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/package-info.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/package-info.java
@@ -1,2 +1,2 @@
-/** What callers and processors ask an intake, and how it gets a message to its store. */
+/** The requests of callers and processors to an intake, and the forwarding of messages to their stores. */
 package org.woadvale.dataplane.ingress;
--- a/dataplane/src/main/java/org/woadvale/dataplane/package-info.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/package-info.java
@@ -1,2 +1,2 @@
-/** The data plane program: intakes take messages, stores keep and deliver them. */
+/** The data plane: intakes accept messages, stores replicate and deliver them. */
 package org.woadvale.dataplane;
