--- a/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/AggregateBucket.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The aggregate bucket of one duty term (docs/design.md, section 8.2). */
+/** The aggregate bucket of one term of the singleton lease (docs/design.md, section 8.2). */
 public final class AggregateBucket {
     private static final int MAX_GRANTS = 1 << 20;
     private static final Duration ACTIVE_WINDOW = Duration.ofSeconds(3);
@@ -27,82 +27,93 @@
             this.until = until;
         }
 
-        int out() {
+        int outstanding() {
             return closed ? 0 : granted - spent;
         }
     }
 
-    /** A node that asked lately; its first grants are small and double, so that one cannot empty the bucket. */
-    private record Requester(Duration last, int largestRequest) {}
+    /**
+     * A node that requested tokens lately. Its first grants are small and then double, so that a single node cannot empty
+     * the bucket.
+     */
+    private record Requester(Duration lastRequest, int maxBatch) {}
 
     private final long term;
     private final TokenBucket bucket;
     private final Map<String, Grant> byId = new HashMap<>();
-    private final Deque<Grant> byEnd = new ArrayDeque<>();
+    private final Deque<Grant> byExpiry = new ArrayDeque<>();
     private final Map<String, Requester> requesters = new HashMap<>();
-    /** What earlier terms may still have out, and until when. */
+    /** Tokens of earlier terms that may still be spent, until {@link #formerOutstandingUntil}. */
     private double formerOutstanding;
 
     private final Duration formerOutstandingUntil;
     private int outstanding;
 
     /**
-     * A first term starts full; a later one at the level handed over. Unless the tokens of earlier terms are dead, as
-     * many as the bucket holds above that level may still be out. (docs/design.md, section 8.4)
+     * The first term starts with a full bucket, a later one at the level that the previous owner released. Unless all
+     * tokens of earlier terms have expired, the difference between the burst size and that level may still be
+     * outstanding. (docs/design.md, section 8.4)
+     *
+     * @param clear whether all tokens of earlier terms have expired
      */
-    public AggregateBucket(long term, double handedLevel, boolean clear, RateLimit limit, Duration now) {
+    public AggregateBucket(long term, double releasedLevel, boolean clear, RateLimit limit, Duration now) {
         this.term = term;
         boolean first = term <= 1;
-        double level = first ? limit.burst() : Math.max(0, Math.min(limit.burst(), handedLevel));
+        double level = first ? limit.burst() : Math.max(0, Math.min(limit.burst(), releasedLevel));
         this.formerOutstanding = first || clear ? 0 : limit.burst() - level;
         this.formerOutstandingUntil = now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN);
         this.bucket = new TokenBucket(limit, level, now);
     }
 
-    private void fill(Duration to) {
-        if (formerOutstanding > 0 && to.compareTo(formerOutstandingUntil) >= 0) {
+    private void fill(Duration now) {
+        if (formerOutstanding > 0 && now.compareTo(formerOutstandingUntil) >= 0) {
             bucket.fill(formerOutstandingUntil, outstanding + formerOutstanding);
             formerOutstanding = 0;
         }
-        bucket.fill(to, outstanding + formerOutstanding);
+        bucket.fill(now, outstanding + formerOutstanding);
     }
 
-    /** The term of the singleton lease under which this bucket grants. */
+    /** Returns the term of the singleton lease under which this bucket grants tokens. */
     public long term() {
         return term;
     }
 
-    /** The tokens that are left. */
+    /** Returns the number of tokens that are left. */
     public double level(Duration now) {
         expireGrants(now);
         return bucket.level();
     }
 
-    /** Granted tokens that may still be spent. */
+    /** Returns the number of granted tokens that may still be spent. */
     public int outstanding() {
         return outstanding;
     }
 
-    /** The nodes that have asked lately. */
+    /** Returns the number of nodes that requested tokens lately, at least one. */
     public int activeRequesters() {
         return Math.max(1, requesters.size());
     }
 
-    /** Another limit applies from now on. */
+    /** Replaces the limit. */
     public void setLimit(RateLimit limit, Duration now) {
         expireGrants(now);
         bucket.setLimit(limit);
     }
 
-    /** Step by step: the time in which passes were out is not counted as time of filling once they are dead. */
+    /**
+     * Expires grants one by one, refilling up to the end of each: the time in which tokens were outstanding must not count
+     * as refill time once they have expired.
+     */
     private void expireGrants(Duration now) {
-        while (!byEnd.isEmpty() && byEnd.peek().until.compareTo(now) <= 0) {
-            Grant grant = byEnd.poll();
+        while (!byExpiry.isEmpty() && byExpiry.peek().until.compareTo(now) <= 0) {
+            Grant grant = byExpiry.poll();
             fill(grant.until);
-            outstanding -= grant.out();
+            outstanding -= grant.outstanding();
             byId.remove(grant.requester + "/" + grant.id);
         }
-        requesters.values().removeIf(requester -> now.minus(requester.last()).compareTo(ACTIVE_WINDOW) > 0);
+        requesters
+                .values()
+                .removeIf(requester -> now.minus(requester.lastRequest()).compareTo(ACTIVE_WINDOW) > 0);
         fill(now);
     }
 
@@ -110,41 +121,46 @@
         Optional.ofNullable(byId.get(requester + "/" + report.grant()))
                 .filter(grant -> !grant.closed)
                 .ifPresent(grant -> {
-                    int before = grant.out();
+                    int before = grant.outstanding();
                     grant.spent = Math.max(grant.spent, Math.min(report.spent(), grant.granted));
                     if (report.closed()) {
                         bucket.putBack(grant.granted - grant.spent);
                         grant.closed = true;
                     }
-                    outstanding += grant.out() - before;
+                    outstanding += grant.outstanding() - before;
                 });
     }
 
-    /** Idempotent by asker and grant id; never grants more than the aggregate holds, nor for longer than the lease. */
+    /**
+     * Grants tokens; idempotent by requester and grant id. Never grants more tokens than the bucket has, nor for longer than
+     * the lease.
+     */
     public TokenMessages.TokenResponse grant(
             String requester, TokenMessages.TokenRequest request, Duration leaseEnd, Duration now) {
         expireGrants(now);
         request.reports().forEach(report -> report(requester, report));
         fill(now);
-        Duration left = leaseEnd.minus(now);
-        Duration lifetime = left.compareTo(TokenMessages.TOKEN_LIFETIME) < 0 ? left : TokenMessages.TOKEN_LIFETIME;
-        Grant known = byId.get(requester + "/" + request.grant());
-        if (known != null) {
-            return new TokenMessages.TokenResponse(request.grant(), known.granted, Duration.ZERO, term, lifetime);
+        Duration leaseRemaining = leaseEnd.minus(now);
+        Duration lifetime = leaseRemaining.compareTo(TokenMessages.TOKEN_LIFETIME) < 0
+                ? leaseRemaining
+                : TokenMessages.TOKEN_LIFETIME;
+        Grant existing = byId.get(requester + "/" + request.grant());
+        if (existing != null) {
+            return new TokenMessages.TokenResponse(request.grant(), existing.granted, Duration.ZERO, term, lifetime);
         }
         if (request.grant() == TokenMessages.NO_GRANT) {
             return new TokenMessages.TokenResponse(request.grant(), 0, Duration.ZERO, term, lifetime);
         }
-        int most = Optional.ofNullable(requesters.get(requester))
-                .map(Requester::largestRequest)
+        int maxBatch = Optional.ofNullable(requesters.get(requester))
+                .map(Requester::maxBatch)
                 .orElse(1);
-        requesters.put(requester, new Requester(now, Math.min(most * 2, MAX_GRANTS)));
-        // not more than half of the bucket is lent ahead of need: what is out is missing where it is wanted.
+        requesters.put(requester, new Requester(now, Math.min(maxBatch * 2, MAX_GRANTS)));
+        // at most half of the bucket is granted ahead of need: outstanding tokens are missing where they are needed
         // (docs/design.md, section 8.3)
-        RateLimit mine = bucket.limit();
-        int batch = (int) Math.max(1, Math.min(mine.ratePerS(), mine.burst() / 2.0) / activeRequesters());
-        int want = Math.max(Math.min(batch, most), request.minimum());
-        int tokens = (int) Math.min(want, Math.floor(bucket.level() + TokenBucket.ROUNDING));
+        RateLimit limit = bucket.limit();
+        int batch = (int) Math.max(1, Math.min(limit.ratePerS(), limit.burst() / 2.0) / activeRequesters());
+        int wanted = Math.max(Math.min(batch, maxBatch), request.minimum());
+        int tokens = (int) Math.min(wanted, Math.floor(bucket.level() + TokenBucket.ROUNDING));
         if (tokens <= 0 || !bucket.take(tokens)) {
             return new TokenMessages.TokenResponse(request.grant(), 0, bucket.timeUntil(1), term, lifetime);
         }
@@ -154,7 +170,7 @@
                 tokens,
                 now.plus(TokenMessages.TOKEN_LIFETIME).plus(TokenMessages.EXPIRY_MARGIN));
         byId.put(requester + "/" + request.grant(), grant);
-        byEnd.add(grant);
+        byExpiry.add(grant);
         outstanding += tokens;
         return new TokenMessages.TokenResponse(request.grant(), tokens, Duration.ZERO, term, lifetime);
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/LocalBuckets.java
@@ -16,15 +16,16 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * All local buckets of a node: asks ahead, and lets a few wait shortly on an empty one. (docs/design.md, section 8.3)
+ * All local buckets of a node. Requests tokens ahead of need and lets a bounded number of callers wait briefly on an
+ * empty bucket. (docs/design.md, section 8.3)
  */
 public final class LocalBuckets {
     private static final Duration TICK = Duration.ofMillis(25);
     private static final long MILLIS_PER_SECOND = 1000;
-    /** Ids of grants begin at random and have room to rise. */
+    /** Grant ids start at a random number, shifted so that they can increase without overflow. */
     private static final int GRANT_ID_SHIFT = 8;
 
-    /** A request waits no longer for a token. */
+    /** Maximum time that a caller waits for a token. */
     public static final Duration MAX_WAIT = Duration.ofMillis(250);
 
     private static final Duration IDLE_AFTER = Duration.ofSeconds(2);
@@ -39,46 +40,49 @@
         final LocalBucket localBucket = new LocalBucket();
         final Deque<PendingAdmission> waiting = new ArrayDeque<>();
         Duration lastUsed = Duration.ZERO;
-        Duration notBefore = Duration.ZERO;
-        Duration retry = MAX_WAIT;
+        Duration noRequestBefore = Duration.ZERO;
+        Duration retryAfter = MAX_WAIT;
         boolean requestInFlight;
-        /** Somebody wanted a token and did not wait for it. */
-        boolean requestLost;
+        /** Whether a caller found no token and did not wait for one. */
+        boolean unmetDemand;
 
         Duration lastReport = Duration.ZERO;
-        long pending;
+        long pendingGrant;
         Duration pendingSince = Duration.ZERO;
     }
 
-    /** Counts for the measurements: drawn at once, after a wait, or not at all. */
+    /**
+     * Numbers of tokens taken at once and after a wait, of callers that were throttled, and of requests to the owners of
+     * buckets.
+     */
     public record Counts(long atOnce, long waited, long throttled, long asks) {}
 
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final LockedShard shard = new LockedShard();
     private final Map<String, BucketState> buckets = new HashMap<>();
-    private TimerHandle ticking = () -> {};
+    private TimerHandle tickTimer = () -> {};
     private long nextGrant;
     private long atOnce;
     private long waited;
     private long throttled;
     private long requests;
 
-    /** Buckets of one node. */
+    /** Creates the local buckets of one node. */
     public LocalBuckets(NodeEnvironment environment, ViewSubscriptions subscriptions) {
         this.environment = environment;
         this.subscriptions = subscriptions;
         this.nextGrant = environment.random().getAsLong() >>> GRANT_ID_SHIFT;
     }
 
-    /** Asks ahead and reports until {@link #stop}. */
+    /** Requests tokens and reports their usage until {@link #stop}. */
     public void start() {
-        ticking = environment.timers().every(TICK, this::onTick);
+        tickTimer = environment.timers().every(TICK, this::onTick);
     }
 
-    /** Asks no more. */
+    /** Stops requesting tokens. */
     public void stop() {
-        ticking.cancel();
+        tickTimer.cancel();
     }
 
     private Duration now() {
@@ -86,12 +90,12 @@
     }
 
     /**
-     * At once where the local bucket holds one; else a short wait for the refill in flight, bounded by the given one
-     * and by WAIT.
+     * Takes a token: at once if the local bucket has one; otherwise waits for a refill, for at most the given time and
+     * {@link #MAX_WAIT}.
      */
     public Mono<LocalBucket.AdmissionToken> take(String bucket, Duration wait) {
         return Mono.defer(() -> shard.get(() -> {
-            BucketState bucketState = buckets.computeIfAbsent(bucket, bucketName -> new BucketState());
+            BucketState bucketState = buckets.computeIfAbsent(bucket, name -> new BucketState());
             bucketState.lastUsed = now();
             Optional<LocalBucket.AdmissionToken> token =
                     bucketState.waiting.isEmpty() ? bucketState.localBucket.take(now()) : Optional.empty();
@@ -100,8 +104,9 @@
                 refill(bucket, bucketState);
                 return Mono.just(token.get());
             }
-            boolean hopeless = bucketState.retry.compareTo(MAX_WAIT) > 0 && bucketState.notBefore.compareTo(now()) > 0;
-            if (bucketState.waiting.size() >= MAX_WAITING || hopeless) {
+            boolean refillIsTooLate =
+                    bucketState.retryAfter.compareTo(MAX_WAIT) > 0 && bucketState.noRequestBefore.compareTo(now()) > 0;
+            if (bucketState.waiting.size() >= MAX_WAITING || refillIsTooLate) {
                 throttled++;
                 return Mono.error(throttled(bucketState));
             }
@@ -113,38 +118,39 @@
         }));
     }
 
-    /** Without any wait; for the leaving direction, where the next look tries again. */
+    /** Takes a token without waiting; for deliveries, where the next dispatch round tries again. */
     public Optional<LocalBucket.AdmissionToken> tryTake(String bucket) {
         return shard.get(() -> {
-            BucketState bucketState = buckets.computeIfAbsent(bucket, bucketName -> new BucketState());
+            BucketState bucketState = buckets.computeIfAbsent(bucket, name -> new BucketState());
             bucketState.lastUsed = now();
-            Optional<LocalBucket.AdmissionToken> optional = bucketState.localBucket.take(now());
-            optional.ifPresent(token -> atOnce++);
-            bucketState.requestLost = optional.isEmpty();
+            Optional<LocalBucket.AdmissionToken> token = bucketState.localBucket.take(now());
+            token.ifPresent(taken -> atOnce++);
+            bucketState.unmetDemand = token.isEmpty();
             refill(bucket, bucketState);
-            return optional;
+            return token;
         });
     }
 
-    /** Whether a token may still be spent. */
+    /** Whether a token has not expired yet. */
     public boolean isValid(LocalBucket.AdmissionToken token) {
         return now().compareTo(token.until()) < 0;
     }
 
-    /** A token that was not spent after all. */
+    /** Returns a token that was not spent. */
     public void returnToken(String bucket, LocalBucket.AdmissionToken token) {
         shard.run(() -> Optional.ofNullable(buckets.get(bucket))
                 .ifPresent(bucketState -> bucketState.localBucket.returnToken(token)));
     }
 
-    /** A token that was spent, or that may have been. */
+    /** Marks a token as spent; also for one that may have been spent. */
     public void markSpent(String bucket, LocalBucket.AdmissionToken token) {
         shard.run(() -> Optional.ofNullable(buckets.get(bucket))
                 .ifPresent(bucketState -> bucketState.localBucket.markSpent(token)));
     }
 
     private ServiceException throttled(BucketState bucket) {
-        long retryAfterSeconds = Math.max(1, (bucket.retry.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
+        long retryAfterSeconds =
+                Math.max(1, (bucket.retryAfter.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
         return new ThrottledException("The rate limit is reached for now.", retryAfterSeconds);
     }
 
@@ -178,50 +184,50 @@
     }
 
     private void refill(String bucket, BucketState bucketState) {
-        boolean need = !bucketState.waiting.isEmpty()
-                || bucketState.requestLost
+        boolean needsTokens = !bucketState.waiting.isEmpty()
+                || bucketState.unmetDemand
                 || (bucketState.localBucket.isLow(now()) && !bucketState.localBucket.hasSingleTokenBatches());
-        if (!need || bucketState.requestInFlight || now().compareTo(bucketState.notBefore) < 0) {
+        if (!needsTokens || bucketState.requestInFlight || now().compareTo(bucketState.noRequestBefore) < 0) {
             return;
         }
         Optional<String> owner =
-                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
+                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(node -> !node.isEmpty());
         if (owner.isEmpty()) {
-            bucketState.notBefore = now().plus(RETRY_PAUSE);
+            bucketState.noRequestBefore = now().plus(RETRY_PAUSE);
             shard.afterUnlock(() -> subscriptions.pollEarly(bucket));
             return;
         }
-        if (bucketState.pending == 0
+        if (bucketState.pendingGrant == 0
                 || now().minus(bucketState.pendingSince).compareTo(TokenMessages.TOKEN_LIFETIME.dividedBy(2)) > 0) {
-            bucketState.pending = ++nextGrant;
+            bucketState.pendingGrant = ++nextGrant;
             bucketState.pendingSince = now();
         }
         bucketState.requestInFlight = true;
         bucketState.lastReport = now();
         requests++;
-        Duration since = bucketState.pendingSince;
+        Duration requestedAt = bucketState.pendingSince;
         TokenMessages.TokenRequest request = new TokenMessages.TokenRequest(
                 bucket,
-                bucketState.pending,
-                Math.max(bucketState.waiting.size(), bucketState.requestLost ? 1 : 0),
+                bucketState.pendingGrant,
+                Math.max(bucketState.waiting.size(), bucketState.unmetDemand ? 1 : 0),
                 bucketState.localBucket.reports(now()));
         shard.afterUnlock(() -> environment
                 .rpc()
                 .call(owner.get(), request, TokenMessages.TokenResponse.class, REQUEST_TIMEOUT)
                 .subscribe(
-                        response -> shard.run(() -> onGranted(bucket, bucketState, response, since)),
+                        response -> shard.run(() -> onGranted(bucket, bucketState, response, requestedAt)),
                         e -> shard.run(() -> {
                             bucketState.requestInFlight = false;
-                            bucketState.notBefore = now().plus(RETRY_PAUSE);
-                            // the owner may be another by now
+                            bucketState.noRequestBefore = now().plus(RETRY_PAUSE);
+                            // the owner may have changed
                             shard.afterUnlock(() -> subscriptions.pollEarly(bucket));
                         })));
     }
 
-    /** What was spent is reported soon: the owner fills up only what is not outstanding. */
+    /** Reports usage at short intervals, as the owner does not refill tokens that count as outstanding. */
     private void report(String bucket, BucketState bucketState) {
         Optional<String> owner =
-                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(h -> !h.isEmpty());
+                Optional.of(subscriptions.latest(bucket).singleton().owner()).filter(node -> !node.isEmpty());
         if (bucketState.requestInFlight
                 || owner.isEmpty()
                 || !bucketState.localBucket.hasUnreportedUsage()
@@ -239,21 +245,22 @@
     }
 
     private void onGranted(
-            String bucket, BucketState bucketState, TokenMessages.TokenResponse response, Duration asked) {
+            String bucket, BucketState bucketState, TokenMessages.TokenResponse response, Duration requestedAt) {
         bucketState.requestInFlight = false;
-        bucketState.requestLost = false;
-        bucketState.pending = 0;
-        bucketState.localBucket.onGranted(response.grant(), response.granted(), asked, response.lifetime(), now());
-        bucketState.retry = response.granted() > 0 ? RETRY_PAUSE : response.retryAfter();
+        bucketState.unmetDemand = false;
+        bucketState.pendingGrant = 0;
+        bucketState.localBucket.onGranted(
+                response.grant(), response.granted(), requestedAt, response.lifetime(), now());
+        bucketState.retryAfter = response.granted() > 0 ? RETRY_PAUSE : response.retryAfter();
         if (response.granted() == 0) {
             Duration pause = response.retryAfter().compareTo(MAX_WAIT) > 0 ? MAX_WAIT : response.retryAfter();
-            bucketState.notBefore = now().plus(pause.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : pause);
+            bucketState.noRequestBefore = now().plus(pause.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : pause);
         }
         servePending(bucketState);
         refill(bucket, bucketState);
     }
 
-    /** What came of the requests so far. */
+    /** Returns the counts since the start. */
     public Counts counts() {
         return shard.get(() -> new Counts(atOnce, waited, throttled, requests));
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/RateLimit.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/RateLimit.java
@@ -1,4 +1,4 @@
 package org.woadvale.common.ratelimit;
 
-/** The rate and the size of one shared bucket. */
+/** The refill rate and the burst size of a token bucket. */
 public record RateLimit(double ratePerS, double burst) {}
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenBucket.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenBucket.java
@@ -2,45 +2,47 @@
 
 import java.time.Duration;
 
-/** A plain token bucket on a given clock; the base of every other bucket here. (docs/design.md, section 8.1) */
+/** A token bucket; callers pass in the time. The other buckets build on it. (docs/design.md, section 8.1) */
 public final class TokenBucket {
-    /** A level that is short of a whole number by less than this counts as that number. */
+    /** A level that is less than this below a whole number counts as that number. */
     static final double ROUNDING = 1e-9;
 
     private static final double NANOS_PER_SECOND = 1e9;
 
     private RateLimit limit;
     private double level;
-    private Duration filled;
+    private Duration filledAt;
 
-    /** A bucket with so many tokens at a time. */
-    public TokenBucket(RateLimit allowance, double level, Duration from) {
-        this.limit = allowance;
-        this.level = Math.min(level, allowance.burst());
-        this.filled = from;
+    /** A bucket with the given level at the given time. */
+    public TokenBucket(RateLimit limit, double level, Duration now) {
+        this.limit = limit;
+        this.level = Math.min(level, limit.burst());
+        this.filledAt = now;
     }
 
-    /** A bucket with as many tokens as it can hold. */
+    /** Returns a full bucket. */
     public static TokenBucket full(RateLimit limit, Duration now) {
         return new TokenBucket(limit, limit.burst(), now);
     }
 
-    /** Another limit applies from now on; what is above it is lost. */
-    public void setLimit(RateLimit rateLimit) {
-        limit = rateLimit;
-        level = Math.min(level, rateLimit.burst());
+    /** Replaces the limit; tokens above the new burst size are dropped. */
+    public void setLimit(RateLimit newLimit) {
+        limit = newLimit;
+        level = Math.min(level, newLimit.burst());
     }
 
-    /** Fills up to the burst less what is out; a time before the start of filling adds nothing. */
+    /**
+     * Refills up to the burst size less the outstanding tokens; a time before the previous refill adds nothing.
+     */
     public void fill(Duration now, double outstanding) {
-        if (now.compareTo(filled) > 0) {
-            level += now.minus(filled).toNanos() / NANOS_PER_SECOND * limit.ratePerS();
-            filled = now;
+        if (now.compareTo(filledAt) > 0) {
+            level += now.minus(filledAt).toNanos() / NANOS_PER_SECOND * limit.ratePerS();
+            filledAt = now;
         }
         level = Math.max(0, Math.min(level, limit.burst() - outstanding));
     }
 
-    /** Takes so many tokens, or none if there are fewer. */
+    /** Takes the given number of tokens, or none if there are fewer. */
     public boolean take(double tokens) {
         if (level + ROUNDING < tokens) {
             return false;
@@ -49,22 +51,22 @@
         return true;
     }
 
-    /** Puts tokens back, up to the limit. */
+    /** Puts tokens back; the next {@link #fill} limits the level. */
     public void putBack(double tokens) {
         level += tokens;
     }
 
-    /** The tokens at the time of the last fill. */
+    /** Returns the number of tokens as of the last refill. */
     public double level() {
         return level;
     }
 
-    /** The limit that applies. */
+    /** Returns the present limit. */
     public RateLimit limit() {
         return limit;
     }
 
-    /** How long until so many tokens are there, if nobody else takes any. */
+    /** Returns the time until the given number of tokens is available if none are taken meanwhile. */
     public Duration timeUntil(double tokens) {
         double missing = Math.max(0, tokens - level);
         return Duration.ofNanos((long) (missing / limit.ratePerS() * NANOS_PER_SECOND));
--- a/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/TokenGranters.java
@@ -26,14 +26,15 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The admission node: holds the aggregate buckets that the ring draws to it, each by lease and term. (docs/design.md,
- * section 8.4)
+ * The aggregate buckets that this node owns, each under a singleton lease. Rendezvous hashing over the intakes selects
+ * the preferred owner of a bucket. (docs/design.md, section 8.4)
  */
 public final class TokenGranters {
     private static final Duration TICK = Duration.ofMillis(200);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(250);
     private static final Logger LOG = LogManager.getLogger(TokenGranters.class);
-    private static final Duration STABLE_AFTER = Duration.ofSeconds(3);
+    /** How long another intake must be the preferred owner before this node releases a bucket. */
+    private static final Duration RELEASE_DELAY = Duration.ofSeconds(3);
 
     private static final class OwnedBucket {
         AggregateBucket bucket;
@@ -49,34 +50,39 @@
     private final Supplier<Set<String>> buckets;
     private final LockedShard shard = new LockedShard();
     private final Map<String, OwnedBucket> owned = new HashMap<>();
-    private final Set<String> requesting = new TreeSet<>();
-    private TimerHandle ticking = () -> {};
+    private final Set<String> leaseRequests = new TreeSet<>();
+    private TimerHandle tickTimer = () -> {};
     private boolean draining;
     private long granted;
     private long requests;
 
-    /** Aggregate buckets of one node; the functions tell which buckets there are and their limits. */
+    /**
+     * Creates the aggregate buckets of one node.
+     *
+     * @param limits returns the limit of a bucket
+     * @param buckets returns the names of all buckets
+     */
     public TokenGranters(
             NodeEnvironment environment,
             CoreClient core,
             ViewSubscriptions subscriptions,
-            Function<String, Optional<RateLimit>> allowances,
+            Function<String, Optional<RateLimit>> limits,
             Supplier<Set<String>> buckets) {
         this.environment = environment;
         this.core = core;
         this.subscriptions = subscriptions;
-        this.limits = allowances;
+        this.limits = limits;
         this.buckets = buckets;
     }
 
     /** Acquires and releases leases until {@link #stop}. */
     public void start() {
-        ticking = environment.timers().every(TICK, this::onTick);
+        tickTimer = environment.timers().every(TICK, this::onTick);
     }
 
-    /** Grants no more. */
+    /** Stops acquiring and renewing leases. */
     public void stop() {
-        ticking.cancel();
+        tickTimer.cancel();
     }
 
     private Duration now() {
@@ -84,13 +90,14 @@
     }
 
     private void onTick() {
-        Set<String> ring = subscriptions.latest(ServiceNames.INTAKES).members().keySet();
+        Set<String> intakes =
+                subscriptions.latest(ServiceNames.INTAKES).members().keySet();
         for (String bucketName : buckets.get()) {
-            boolean mine = ServiceNames.rendezvousOwner(bucketName, ring)
+            boolean preferred = ServiceNames.rendezvousOwner(bucketName, intakes)
                     .filter(environment.self()::equals)
                     .isPresent();
-            boolean deputy = !mine && preferredOwner(bucketName, ring);
-            shard.run(() -> acquireOrRelease(bucketName, mine, deputy));
+            boolean substitute = !preferred && mayReplacePreferredOwner(bucketName, intakes);
+            shard.run(() -> acquireOrRelease(bucketName, preferred, substitute));
         }
         shard.run(() -> List.copyOf(owned.keySet()).stream()
                 .filter(bucketName -> !buckets.get().contains(bucketName))
@@ -98,38 +105,39 @@
     }
 
     /**
-     * Also the second of the ring may acquire, once the first has let its lease expire; the ring itself learns of that
-     * later. (docs/design.md, section 8.4)
+     * Whether this node is the second choice for a bucket whose lease the first choice still holds. It requests the lease
+     * as well, to acquire it as soon as it expires; the list of intakes loses the first choice only later.
+     * (docs/design.md, section 8.4)
      */
-    private boolean preferredOwner(String bucketName, Set<String> ring) {
+    private boolean mayReplacePreferredOwner(String bucketName, Set<String> intakes) {
         SingletonLease singleton = subscriptions.latest(bucketName).singleton();
-        Optional<String> first = ServiceNames.rendezvousOwner(bucketName, ring);
-        Set<String> rest = new TreeSet<>(ring);
-        first.ifPresent(rest::remove);
+        Optional<String> first = ServiceNames.rendezvousOwner(bucketName, intakes);
+        Set<String> otherIntakes = new TreeSet<>(intakes);
+        first.ifPresent(otherIntakes::remove);
         return first.filter(singleton.owner()::equals).isPresent()
-                && ServiceNames.rendezvousOwner(bucketName, rest)
+                && ServiceNames.rendezvousOwner(bucketName, otherIntakes)
                         .filter(environment.self()::equals)
                         .isPresent();
     }
 
-    private void acquireOrRelease(String bucketName, boolean mine, boolean deputy) {
+    private void acquireOrRelease(String bucketName, boolean preferred, boolean substitute) {
         Optional<OwnedBucket> ownedBucket = Optional.ofNullable(owned.get(bucketName));
         if (ownedBucket.isPresent()) {
             OwnedBucket owned = ownedBucket.get();
             owned.notPreferredSince =
-                    mine ? Duration.ZERO : owned.notPreferredSince.isZero() ? now() : owned.notPreferredSince;
-            if (draining || (!mine && now().minus(owned.notPreferredSince).compareTo(STABLE_AFTER) > 0)) {
+                    preferred ? Duration.ZERO : owned.notPreferredSince.isZero() ? now() : owned.notPreferredSince;
+            if (draining || (!preferred && now().minus(owned.notPreferredSince).compareTo(RELEASE_DELAY) > 0)) {
                 release(bucketName);
             } else {
                 requestLease(bucketName, owned.bucket.term());
             }
-        } else if ((mine || deputy) && !draining) {
+        } else if ((preferred || substitute) && !draining) {
             requestLease(bucketName, 0);
         }
     }
 
     private void requestLease(String bucketName, long term) {
-        if (!requesting.add(bucketName)) {
+        if (!leaseRequests.add(bucketName)) {
             return;
         }
         Duration sent = now();
@@ -138,8 +146,9 @@
                         new ControlMessages.SingletonLeaseRequest(
                                 bucketName, environment.self(), term, term == 0 ? ControlMessages.newRequestId() : 0),
                         ControlMessages.SingletonLeaseResponse.class)
-                .doFinally(signal ->
-                        environment.timers().after(RETRY_PAUSE, () -> shard.run(() -> requesting.remove(bucketName))))
+                .doFinally(signal -> environment
+                        .timers()
+                        .after(RETRY_PAUSE, () -> shard.run(() -> leaseRequests.remove(bucketName))))
                 .subscribe(response -> shard.run(() -> onLeaseResponse(bucketName, response, sent)), e -> {}));
     }
 
@@ -168,7 +177,7 @@
         ownedBucket.leaseEnd = end;
     }
 
-    /** The former owner stops first; then the level goes to the core for the next one. */
+    /** Stops granting first, then releases the lease with the current level for the next owner. */
     private void release(String bucketName) {
         OwnedBucket ownedBucket = owned.remove(bucketName);
         if (ownedBucket == null || ownedBucket.leaseEnd.compareTo(now()) <= 0) {
@@ -182,7 +191,7 @@
                         .subscribe(result -> {}, e -> {}));
     }
 
-    /** Releases all leases, so that other nodes grant at once. */
+    /** Releases all leases, so that other nodes can take over at once. */
     public void drain() {
         shard.run(() -> {
             draining = true;
@@ -190,18 +199,18 @@
         });
     }
 
-    /** Grants tokens of a bucket that this node owns; fails with NOT_OWNER for others. */
+    /** Grants tokens of a bucket that this node owns; fails with NOT_OWNER for other buckets. */
     public Mono<TokenMessages.TokenResponse> onTokenRequest(String requester, TokenMessages.TokenRequest request) {
-        Optional<RateLimit> allowance = limits.apply(request.bucket());
+        Optional<RateLimit> limit = limits.apply(request.bucket());
         return Mono.defer(() -> shard.get(() -> {
             OwnedBucket ownedBucket = owned.get(request.bucket());
             if (ownedBucket == null || now().compareTo(ownedBucket.leaseEnd) >= 0) {
                 return Mono.error(new NotLeaderException("This node does not hold " + request.bucket() + "."));
             }
-            if (allowance.isEmpty()) {
+            if (limit.isEmpty()) {
                 return Mono.error(new StaleViewException("The layout here is not proven fresh."));
             }
-            ownedBucket.bucket.setLimit(allowance.get(), now());
+            ownedBucket.bucket.setLimit(limit.get(), now());
             TokenMessages.TokenResponse response =
                     ownedBucket.bucket.grant(requester, request, ownedBucket.leaseEnd, now());
             requests++;
@@ -210,17 +219,17 @@
         }));
     }
 
-    /** The buckets that this node owns. */
+    /** Returns the names of the buckets that this node owns. */
     public List<String> ownedBuckets() {
         return shard.get(() -> new ArrayList<>(owned.keySet()));
     }
 
-    /** Requests that were answered so far. */
+    /** Returns the number of answered requests. */
     public long requestCount() {
         return shard.get(() -> requests);
     }
 
-    /** Tokens that were granted so far. */
+    /** Returns the number of granted tokens. */
     public long grantedCount() {
         return shard.get(() -> granted);
     }
--- a/common/src/main/java/org/woadvale/common/ratelimit/package-info.java
+++ b/common/src/main/java/org/woadvale/common/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** Rate limits over many nodes: an aggregate bucket grants tokens in batches to local ones. */
+/** Distributed rate limits: the aggregate bucket of a limit grants batches of tokens to the local buckets of nodes. */
 package org.woadvale.common.ratelimit;
