--- a/common/src/main/java/org/woadvale/common/discovery/SubscribedView.java
+++ b/common/src/main/java/org/woadvale/common/discovery/SubscribedView.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.woadvale.common.membership.ServiceView;
 
-/** One service that a node follows: what is known of it, and how it is asked for. */
+/** The state of one subscription: the latest view of a service, and when and where to poll for it. */
 final class SubscribedView {
     ServiceView view;
     boolean received;
--- a/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewCompression.java
@@ -12,8 +12,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Configurations travel deflated in view replies to nodes that say that they can inflate them. A version is deflated
- * once, however many nodes ask for it. Thread-safe. (docs/design.md, section 7.3)
+ * Deflates the configurations in view responses to nodes that announce that they can inflate them. Each version is
+ * deflated once and cached. Thread-safe. (docs/design.md, section 7.3)
  */
 public final class ViewCompression {
     static final int COMPRESSION_THRESHOLD_BYTES = 512;
@@ -22,7 +22,7 @@
 
     private volatile Deflated latest = new Deflated(-1, new byte[0]);
 
-    /** The reply as {@link #pack} makes it, or its failure. */
+    /** Returns the result of {@link #pack}, or its failure as an error. */
     public Mono<ControlMessages.ServiceViewResponse> packOrError(
             ControlMessages.ServiceViewRequest request, ControlMessages.ServiceViewResponse response) {
         try {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * The reply with its configurations deflated, where the asker reads that and it is smaller; as plain text where it
-     * does not. Fails with BAD_REQUEST if what the core keeps cannot be inflated.
+     * Returns the response with large configurations deflated, or with all of them as plain text if the requester cannot
+     * inflate them. Fails with BAD_REQUEST if the stored form cannot be inflated.
      */
     ControlMessages.ServiceViewResponse pack(
             ControlMessages.ServiceViewRequest request, ControlMessages.ServiceViewResponse response)
@@ -42,13 +42,13 @@
         if (!request.acceptsDeflated()) {
             return asText(response);
         }
-        if (response.views().stream().noneMatch(ViewCompression::isWorthwhile)) {
+        if (response.views().stream().noneMatch(ViewCompression::isLarge)) {
             return response;
         }
         List<ServiceView> views = new ArrayList<>();
         Map<String, byte[]> deflated = new HashMap<>();
         for (ServiceView view : response.views()) {
-            if (isWorthwhile(view)) {
+            if (isLarge(view)) {
                 deflated.put(view.service(), deflated(view));
                 views.add(view.withConfiguration(view.version(), new byte[0], view.configurationVersion()));
             } else {
@@ -71,7 +71,7 @@
         return new ControlMessages.ServiceViewResponse(views, response.ages(), response.coreEpoch());
     }
 
-    /** The reply as it was before it was packed; fails with BAD_REQUEST if the bytes cannot be inflated. */
+    /** Reverses {@link #pack}; fails with BAD_REQUEST if the bytes cannot be inflated. */
     public static ControlMessages.ServiceViewResponse unpack(ControlMessages.ServiceViewResponse response)
             throws ServiceException {
         if (response.deflated().isEmpty()) {
@@ -89,7 +89,7 @@
         return new ControlMessages.ServiceViewResponse(views, response.ages(), response.coreEpoch());
     }
 
-    private static boolean isWorthwhile(ServiceView view) {
+    private static boolean isLarge(ServiceView view) {
         return view.configuration().length >= COMPRESSION_THRESHOLD_BYTES;
     }
 
@@ -97,11 +97,11 @@
         if (PackedConfiguration.isDeflated(view.configuration())) {
             return PackedConfiguration.deflated(view.configuration());
         }
-        Deflated known = latest;
-        if (known.version() != view.version()) {
-            known = new Deflated(view.version(), Deflation.deflate(view.configuration()));
-            latest = known;
+        Deflated cached = latest;
+        if (cached.version() != view.version()) {
+            cached = new Deflated(view.version(), Deflation.deflate(view.configuration()));
+            latest = cached;
         }
-        return known.bytes();
+        return cached.bytes();
     }
 }
--- a/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
+++ b/common/src/main/java/org/woadvale/common/discovery/ViewSubscriptions.java
@@ -17,9 +17,9 @@
 import org.woadvale.common.runtime.TimerHandle;
 import reactor.core.publisher.Mono;
 
-/** A node's views of services, each with the proven age of its confirmation (docs/design.md, section 7). */
+/** The views of services to which a node subscribes, each with the proven age of its last confirmation (docs/design.md, section 7). */
 public final class ViewSubscriptions {
-    /** A view whose confirmation is older than this is not acted on. */
+    /** Maximum age of the last confirmation of a view that may be acted on. */
     public static final Duration MAX_AGE = Duration.ofSeconds(2);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
@@ -37,7 +37,7 @@
     private final List<BiConsumer<String, ServiceView>> listeners = new ArrayList<>();
     private TimerHandle polling = () -> {};
 
-    /** Subscriptions of one node. */
+    /** Creates the subscriptions of one node. */
     public ViewSubscriptions(NodeEnvironment environment, CoreClient core, String zone) {
         this.environment = environment;
         this.core = core;
@@ -52,38 +52,44 @@
         polling = environment.timers().every(POLL_INTERVAL, this::poll);
     }
 
-    /** Polls no more; views age from now on. */
+    /** Stops polling; the views age from now on. */
     public void stop() {
         polling.cancel();
     }
 
-    /** The listener runs for each view that is new here, with the name of its service. */
+    /** Adds a listener that is called with the name of the service and the view when a newer view arrives. */
     public void onView(BiConsumer<String, ServiceView> listener) {
         listeners.add(listener);
     }
 
-    /** Keeps the view of a service from now on. */
+    /** Subscribes to a service permanently. */
     public void subscribe(String service) {
         shard.run(() -> subscriptions.computeIfAbsent(service, SubscribedView::new).permanent = true);
     }
 
-    /** The view if its age is proven to be under the limit; empty otherwise. Wants the service from now on. */
+    /**
+     * Returns the view of a service if its age is proven to be below the limit; empty otherwise. Subscribes to the service
+     * for a while.
+     */
     public Optional<ServiceView> fresh(String service) {
         return shard.get(() -> {
             SubscribedView subscribedView = touch(service);
-            boolean ok = subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0;
-            return ok ? Optional.of(subscribedView.view) : Optional.empty();
+            boolean usable = subscribedView.received && age(subscribedView).compareTo(MAX_AGE) < 0;
+            return usable ? Optional.of(subscribedView.view) : Optional.empty();
         });
     }
 
-    /** Whatever is known, however old; only for guesses that are checked elsewhere. */
+    /**
+     * Returns the latest known view, however old. Only for hints that another node verifies. Subscribes to the service for
+     * a while.
+     */
     public ServiceView latest(String service) {
         return shard.get(() -> touch(service).view);
     }
 
-    /** ControlMessages the core for one service at once, when waiting for the next poll would refuse somebody. */
+    /** Polls the core for one service at once, if waiting for the next poll would reject a request; rate-limited. */
     public void pollEarly(String service) {
-        Map<String, Long> known = shard.get(() -> {
+        Map<String, Long> knownVersions = shard.get(() -> {
             SubscribedView subscribedView = touch(service);
             if (!subscribedView.lastEarlyPoll.isZero()
                     && now().minus(subscribedView.lastEarlyPoll).compareTo(EARLY_POLL_LIMIT) < 0) {
@@ -92,22 +98,23 @@
             subscribedView.lastEarlyPoll = now();
             return Map.of(service, subscribedView.received ? subscribedView.view.version() : -1L);
         });
-        if (!known.isEmpty()) {
-            fetch(service, known);
+        if (!knownVersions.isEmpty()) {
+            fetch(service, knownVersions);
         }
     }
 
-    /** A newer version is known to exist: it is fetched from the core at once. */
+    /** Fetches the view of a service from the core at once if the given version is newer than the known one. */
     public void refresh(String service, long version) {
-        long known = latest(service).version();
-        if (known < version) {
-            fetch(service, Map.of(service, known));
+        long knownVersion = latest(service).version();
+        if (knownVersion < version) {
+            fetch(service, Map.of(service, knownVersion));
         }
     }
 
-    private void fetch(String service, Map<String, Long> known) {
-        Duration sent = now();
-        pollCore(ServiceNames.controlPartition(service), known).subscribe(response -> adopt(response, sent), e -> {});
+    private void fetch(String service, Map<String, Long> knownVersions) {
+        Duration sentAt = now();
+        pollCore(ServiceNames.controlPartition(service), knownVersions)
+                .subscribe(response -> adopt(response, sentAt), e -> {});
     }
 
     private SubscribedView touch(String service) {
@@ -141,7 +148,7 @@
                 .orElse(Map.of());
     }
 
-    /** Versions that are known here, by whom they are asked of. */
+    /** The known versions by service, for each home node and each control partition to poll. */
     private record Polls(Map<String, Map<String, Long>> byHome, Map<String, Map<String, Long>> byPartition) {}
 
     private void poll() {
@@ -157,15 +164,16 @@
         Polls polls = new Polls(new HashMap<>(), new HashMap<>());
         subscriptions.forEach((service, subscription) -> {
             Optional<String> home = homeNode(service);
-            Map<String, Long> known = isPolledDirectly(subscription, home)
-                    ? polls.byPartition().computeIfAbsent(ServiceNames.controlPartition(service), k -> new HashMap<>())
-                    : polls.byHome().computeIfAbsent(home.orElseThrow(), k -> new HashMap<>());
-            known.put(service, subscription.received ? subscription.view.version() : -1L);
+            Map<String, Long> knownVersions = isPolledDirectly(subscription, home)
+                    ? polls.byPartition()
+                            .computeIfAbsent(ServiceNames.controlPartition(service), key -> new HashMap<>())
+                    : polls.byHome().computeIfAbsent(home.orElseThrow(), key -> new HashMap<>());
+            knownVersions.put(service, subscription.received ? subscription.view.version() : -1L);
         });
         return polls;
     }
 
-    /** The first view after a start comes from the core: a home may know less than this node knew before. */
+    /** Polls the core for the first view after a start, as a home node may have an older view than this node had. */
     private boolean isPolledDirectly(SubscribedView subscription, Optional<String> home) {
         return !subscription.received
                 || home.isEmpty()
@@ -173,9 +181,9 @@
                 || now().compareTo(subscription.bypassHomeUntil) < 0;
     }
 
-    private void pollLeader(String partition, Map<String, Long> known) {
+    private void pollLeader(String partition, Map<String, Long> knownVersions) {
         Duration sentAt = now();
-        pollCore(partition, known)
+        pollCore(partition, knownVersions)
                 .subscribe(
                         response -> {
                             adopt(response, sentAt);
@@ -184,40 +192,42 @@
                         e -> {});
     }
 
-    private void pollHome(String home, Map<String, Long> known) {
+    private void pollHome(String home, Map<String, Long> knownVersions) {
         Duration sentAt = now();
         environment
                 .rpc()
                 .call(
                         home,
-                        new ControlMessages.ServiceViewRequest(known),
+                        new ControlMessages.ServiceViewRequest(knownVersions),
                         ControlMessages.ServiceViewResponse.class,
                         HOME_REQUEST_TIMEOUT)
-                .flatMap(ViewSubscriptions::unpacked)
+                .flatMap(ViewSubscriptions::unpack)
                 .subscribe(
                         response -> {
                             adopt(response, sentAt);
                             core.onEpochSeen(response.coreEpoch(), home);
-                            bypassHome(known, response);
+                            bypassHomeIfOutdated(knownVersions, response);
                         },
-                        e -> bypassHome(known, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
+                        e -> bypassHomeIfOutdated(
+                                knownVersions, new ControlMessages.ServiceViewResponse(List.of(), Map.of(), 0)));
     }
 
-    private Mono<ControlMessages.ServiceViewResponse> pollCore(String partition, Map<String, Long> known) {
+    private Mono<ControlMessages.ServiceViewResponse> pollCore(String partition, Map<String, Long> knownVersions) {
         return core.ask(
                         partition,
-                        new ControlMessages.ServiceViewRequest(known),
+                        new ControlMessages.ServiceViewRequest(knownVersions),
                         ControlMessages.ServiceViewResponse.class)
-                .flatMap(ViewSubscriptions::unpacked);
+                .flatMap(ViewSubscriptions::unpack);
     }
 
-    private static Mono<ControlMessages.ServiceViewResponse> unpacked(ControlMessages.ServiceViewResponse response) {
+    private static Mono<ControlMessages.ServiceViewResponse> unpack(ControlMessages.ServiceViewResponse response) {
         return Mono.fromCallable(() -> ViewCompression.unpack(response));
     }
 
-    /** A home that does not serve, or serves old subscriptions, is passed over for a while. */
-    private void bypassHome(Map<String, Long> asked, ControlMessages.ServiceViewResponse response) {
-        shard.run(() -> asked.keySet().forEach(service -> {
+    /** Bypasses a home node for a while if it did not return a view or returned an outdated one. */
+    private void bypassHomeIfOutdated(
+            Map<String, Long> requestedVersions, ControlMessages.ServiceViewResponse response) {
+        shard.run(() -> requestedVersions.keySet().forEach(service -> {
             Duration age = response.ages().getOrDefault(service, MAX_AGE);
             Optional.ofNullable(subscriptions.get(service)).ifPresent(subscribedView -> {
                 if (age.compareTo(MAX_AGE.dividedBy(2)) > 0) {
@@ -227,7 +237,7 @@
         }));
     }
 
-    private void adopt(ControlMessages.ServiceViewResponse response, Duration sent) {
+    private void adopt(ControlMessages.ServiceViewResponse response, Duration sentAt) {
         Map<String, ServiceView> views = new HashMap<>();
         response.views().forEach(view -> views.put(view.service(), view));
         List<ServiceView> changed = new ArrayList<>();
@@ -246,20 +256,21 @@
                                 subscribedView.received = true;
                                 changed.add(view);
                             }
-                            Duration at = sent.minus(age);
-                            subscribedView.confirmed =
-                                    at.compareTo(subscribedView.confirmed) > 0 ? at : subscribedView.confirmed;
+                            Duration confirmed = sentAt.minus(age);
+                            subscribedView.confirmed = confirmed.compareTo(subscribedView.confirmed) > 0
+                                    ? confirmed
+                                    : subscribedView.confirmed;
                         })));
         changed.forEach(view -> listeners.forEach(listener -> listener.accept(view.service(), view)));
     }
 
-    /** As a home node: answers with the views that are here and their age, and subscribes to those that are not. */
+    /** Responds as a home node with the views that are fresh here and their ages; subscribes to the others. */
     public Mono<ControlMessages.ServiceViewResponse> onViewRequest(ControlMessages.ServiceViewRequest request) {
-        return Mono.fromSupplier(() -> byService(request))
+        return Mono.fromSupplier(() -> homeResponse(request))
                 .flatMap(response -> compression.packOrError(request, response));
     }
 
-    private ControlMessages.ServiceViewResponse byService(ControlMessages.ServiceViewRequest request) {
+    private ControlMessages.ServiceViewResponse homeResponse(ControlMessages.ServiceViewRequest request) {
         return shard.get(() -> {
             List<ServiceView> views = new ArrayList<>();
             Map<String, Duration> ages = new HashMap<>();
--- a/common/src/main/java/org/woadvale/common/discovery/package-info.java
+++ b/common/src/main/java/org/woadvale/common/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Views of services as the control plane knows them, with the age of their confirmation. */
+/** Service discovery: views of services from the control plane, with the age of their last confirmation. */
 package org.woadvale.common.discovery;
--- a/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
+++ b/common/src/test/java/org/woadvale/common/discovery/ViewCompressionTest.java
@@ -16,14 +16,14 @@
 import org.woadvale.common.membership.ControlMessages;
 import org.woadvale.common.membership.ServiceView;
 
-/** What is packed is unpacked as it was; who cannot read it gets it whole. */
+/** Unpacking restores a packed response; requesters that cannot inflate get plain text. */
 class ViewCompressionTest {
     private static final String CONFIGURATION = "configuration";
     private static final Map<String, Duration> AGES = Map.of(CONFIGURATION, Duration.ZERO, "other", Duration.ZERO);
-    private static final ControlMessages.ServiceViewRequest ASK = new ControlMessages.ServiceViewRequest(Map.of());
+    private static final ControlMessages.ServiceViewRequest REQUEST = new ControlMessages.ServiceViewRequest(Map.of());
     private final ViewCompression compression = new ViewCompression();
 
-    private static ControlMessages.ServiceViewResponse reply(byte[] configuration) {
+    private static ControlMessages.ServiceViewResponse response(byte[] configuration) {
         ServiceView large = ServiceView.empty(CONFIGURATION).withConfiguration(7, configuration, 3);
         return new ControlMessages.ServiceViewResponse(List.of(large, ServiceView.empty("other")), AGES, 17);
     }
@@ -33,9 +33,9 @@
     }
 
     @Test
-    void packedReplyIsUnpackedAsItWas() throws ServiceException {
+    void unpackRestoresPackedResponse() throws ServiceException {
         for (int bytes : new int[] {512, 9000, 262_144, 1 << 20}) {
-            ControlMessages.ServiceViewResponse packed = new ViewCompression().pack(ASK, reply(text(bytes)));
+            ControlMessages.ServiceViewResponse packed = new ViewCompression().pack(REQUEST, response(text(bytes)));
             assertTrue(packed.deflated().get(CONFIGURATION).length < bytes / 2, bytes + " bytes");
             assertEquals(0, packed.views().get(0).configuration().length);
             ControlMessages.ServiceViewResponse unpacked = ViewCompression.unpack(packed);
@@ -48,43 +48,46 @@
     }
 
     @Test
-    void smallOnesAndOlderAskersGetTheReplyAsItIs() throws ServiceException {
-        ControlMessages.ServiceViewResponse small = reply(text(100));
-        assertSame(small, compression.pack(ASK, small));
-        ControlMessages.ServiceViewResponse large = reply(text(9000));
+    void smallResponsesAndOlderRequestersAreNotPacked() throws ServiceException {
+        ControlMessages.ServiceViewResponse small = response(text(100));
+        assertSame(small, compression.pack(REQUEST, small));
+        ControlMessages.ServiceViewResponse large = response(text(9000));
         assertSame(large, compression.pack(new ControlMessages.ServiceViewRequest(Map.of(), false), large));
         assertSame(large, ViewCompression.unpack(large));
     }
 
-    /** Large ones are kept deflated by the core: askers get the same bytes, or the text if they cannot inflate. */
+    /** The core stores large ones deflated: requesters get the same bytes, or the text if they cannot inflate. */
     @Test
-    void keptDeflatedOneIsSentAsItIsKeptOrAsText() throws ServiceException {
+    void storedDeflatedConfigurationIsSentAsStoredOrAsText() throws ServiceException {
         byte[] text = text(PackedConfiguration.COMPRESSION_THRESHOLD_BYTES);
-        byte[] kept = PackedConfiguration.pack(text);
-        assertTrue(kept.length < text.length / 2);
-        ControlMessages.ServiceViewResponse packed = compression.pack(ASK, reply(kept));
-        assertArrayEquals(PackedConfiguration.deflated(kept), packed.deflated().get(CONFIGURATION));
+        byte[] stored = PackedConfiguration.pack(text);
+        assertTrue(stored.length < text.length / 2);
+        ControlMessages.ServiceViewResponse packed = compression.pack(REQUEST, response(stored));
+        assertArrayEquals(
+                PackedConfiguration.deflated(stored), packed.deflated().get(CONFIGURATION));
         assertArrayEquals(text, ViewCompression.unpack(packed).views().get(0).configuration());
         ControlMessages.ServiceViewResponse plain =
-                compression.pack(new ControlMessages.ServiceViewRequest(Map.of(), false), reply(kept));
+                compression.pack(new ControlMessages.ServiceViewRequest(Map.of(), false), response(stored));
         assertArrayEquals(text, plain.views().get(0).configuration());
     }
 
     @Test
     void versionIsDeflatedOnce() throws ServiceException {
-        byte[] first = compression.pack(ASK, reply(text(9000))).deflated().get(CONFIGURATION);
-        byte[] again = compression.pack(ASK, reply(text(9000))).deflated().get(CONFIGURATION);
-        assertSame(first, again);
+        byte[] first =
+                compression.pack(REQUEST, response(text(9000))).deflated().get(CONFIGURATION);
+        byte[] second =
+                compression.pack(REQUEST, response(text(9000))).deflated().get(CONFIGURATION);
+        assertSame(first, second);
     }
 
     @Test
-    void brokenBytesAreRefused() throws ServiceException {
-        ControlMessages.ServiceViewResponse packed = compression.pack(ASK, reply(text(9000)));
-        byte[] half = Arrays.copyOf(packed.deflated().get(CONFIGURATION), 20);
-        for (byte[] broken : List.of(new byte[0], new byte[] {1, 2, 3}, half)) {
-            ControlMessages.ServiceViewResponse bad = new ControlMessages.ServiceViewResponse(
-                    packed.views(), packed.ages(), 17, Map.of(CONFIGURATION, broken));
-            assertThrows(ServiceException.class, () -> ViewCompression.unpack(bad));
+    void invalidBytesAreRejected() throws ServiceException {
+        ControlMessages.ServiceViewResponse packed = compression.pack(REQUEST, response(text(9000)));
+        byte[] truncated = Arrays.copyOf(packed.deflated().get(CONFIGURATION), 20);
+        for (byte[] invalidBytes : List.of(new byte[0], new byte[] {1, 2, 3}, truncated)) {
+            ControlMessages.ServiceViewResponse invalid = new ControlMessages.ServiceViewResponse(
+                    packed.views(), packed.ages(), 17, Map.of(CONFIGURATION, invalidBytes));
+            assertThrows(ServiceException.class, () -> ViewCompression.unpack(invalid));
         }
     }
 }
