--- a/common/src/main/java/org/woadvale/common/config/Configuration.java
+++ b/common/src/main/java/org/woadvale/common/config/Configuration.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All that operators configure; its JSON has the names of the components. */
+/** The configuration of the system, as operators write it; the component names are the JSON names. */
 public record Configuration(
         @NotNull @Size(max = Configuration.MAX_ENTRIES)
         Map<@Pattern(regexp = NAME) String, @NotNull @Valid Tenant> tenants,
@@ -29,15 +29,15 @@
 
         @NotNull @Size(max = Configuration.MAX_ENTRIES) Map<@Pattern(regexp = NAME) String, @NotNull @Valid Key> keys) {
 
-    /** So many tenants, services, lanes or keys at the most. */
+    /** Maximum number of tenants, of services, of lanes and of keys. */
     static final int MAX_ENTRIES = 10_000;
 
-    /** What fits into one header field: printable ASCII without a space at either end. */
+    /** Tenant names that fit into one header field: printable ASCII without a space at either end. */
     public static final String GIVEN_NAME = "([!-~]([ -~]{0,253}[!-~])?)?";
 
     static final String NAME = "[a-z0-9][a-z0-9_-]{0,62}";
 
-    /** Absent components are empty. */
+    /** Replaces absent components with empty ones. */
     public Configuration {
         tenants = orEmpty(tenants);
         services = orEmpty(services);
@@ -50,9 +50,10 @@
     }
 
     /**
-     * How many messages a tenant may hand in in each second, and how large a burst.
+     * A tenant, with its limit on submitted messages: a rate per second and a burst size.
      *
-     * @param givenName what processors are told as its name, where that is not the name it has here; empty otherwise
+     * @param givenName the name by which processors know the tenant, if it differs from the name in the configuration;
+     *     otherwise empty
      */
     public record Tenant(
             @JsonProperty(required = true) @DecimalMin("0.1") @DecimalMax("100000")
@@ -63,30 +64,32 @@
 
             @JsonInclude(JsonInclude.Include.NON_EMPTY) @Pattern(regexp = Configuration.GIVEN_NAME)
             String givenName) {
-        /** An absent name is empty. */
+        /** Replaces an absent name with an empty one. */
         public Tenant {
             givenName = givenName == null ? "" : givenName;
         }
 
-        /** A tenant that processors know by the name that it has here. */
+        /** Creates a tenant that processors know by its name in the configuration. */
         public Tenant(double ratePerS, int burstSize) {
             this(ratePerS, burstSize, "");
         }
     }
 
-    /** Fetchers are on no list: they fetch, and hold what they have got by a lease. (docs/design.md, section 9.10) */
+    /** How messages reach the processors of a service. (docs/design.md, section 9.10) */
     public enum Kind {
-        /** Processors that the platform lists; messages are pushed to them. */
+        /** Messages are pushed to the processors that the platform lists. */
         PROCESSORS,
-        /** One address outside, with a rate of its own. */
+        /** Messages are pushed to one external address, at a configured rate. */
         ENDPOINT,
-        /** Processors that pull. */
+        /** Processors that the platform does not list pull messages and hold them under a lease. */
         FETCHERS
     }
 
     /**
-     * A processor group, or one outside endpoint with its stated rate. Streams: how many connections one back end takes
-     * from all stores together, 0 where it does not say. Dedupes: a repeat gets the first success again.
+     * A processor group, or one external endpoint with its rate.
+     *
+     * @param streams the number of connections that one processor accepts from all stores together; 0 if unspecified
+     * @param dedupes whether the processors answer a repeated message with their first success
      */
     public record Service(
             @NotNull Kind kind,
@@ -97,46 +100,44 @@
             @DecimalMin("0") @DecimalMax("100000") double ratePerS,
             @Min(0) @Max(100000) int streams,
             boolean dedupes) {
-        /** An absent address is empty. */
+        /** Replaces an absent address with an empty one. */
         public Service {
             address = address == null ? "" : address;
         }
 
-        /** A service without limits beyond its rate. */
+        /** Creates a service without limits beyond its rate. */
         public Service(Kind kind, String address, double ratePerS) {
             this(kind, address, ratePerS, 0, false);
         }
     }
 
-    /** In which order messages of a lane run. */
+    /** The order in which the messages of a lane are executed. */
     public enum Ordering {
-        /** Messages run in any order. */
+        /** Messages are executed in any order. */
         NONE,
-        /** Messages with the same ordering key run one after the other, in the order of acceptance. */
+        /** Messages with the same ordering key are executed one after the other, in the order of acceptance. */
         KEY
     }
 
     /**
-     * What becomes of a message when nobody can say whether it was executed; RESEND is for processors that deduplicate
+     * How to handle a message for which it is unknown whether it was executed. RESEND requires processors that deduplicate
      * (docs/design.md, section 9.11).
      */
     public enum UnknownOutcomePolicy {
-        /** It ends as failed, with a reason of its own. */
+        /** The message fails, with a distinct reason. */
         FAIL,
-        /** It runs again. */
+        /** The message is executed again in a new attempt. */
         RERUN,
-        /** It is sent again under the same attempt, which the processor recognises. */
+        /** The message is sent again with the same attempt number, which the processor recognises. */
         RESEND
     }
 
-    /**
-     * A host and the beginning of a path by which a lane is addressed, besides its name. (docs/design.md, section 9.12)
-     */
+    /** A host and a path prefix that address a lane, besides its name. (docs/design.md, section 9.12) */
     public record HttpRoute(
             @NotNull @Pattern(regexp = "[!-~]{1,255}") String host,
             @NotNull @Pattern(regexp = "/[!-~]{0,1023}") String prefix) {}
 
-    /** Leads one kind of message to a service. */
+    /** Routes messages of one kind to a service. */
     public record Lane(
             @NotNull @Pattern(regexp = NAME) String service,
             @NotNull Ordering ordering,
@@ -149,17 +150,17 @@
             UnknownOutcomePolicy ifUnclear,
             @Size(max = 100) List<@NotNull @Valid HttpRoute> doors,
             boolean keyless) {
-        private static final long USUAL_ATTEMPT_MS = 5000;
+        private static final long DEFAULT_ATTEMPT_MS = 5000;
 
-        /** Absent prefixes are none. */
+        /** Replaces absent values with their defaults. */
         public Lane {
-            attemptMs = attemptMs == 0 ? USUAL_ATTEMPT_MS : attemptMs;
+            attemptMs = attemptMs == 0 ? DEFAULT_ATTEMPT_MS : attemptMs;
             ordering = ordering == null ? Ordering.NONE : ordering;
             ifUnclear = ifUnclear == null ? UnknownOutcomePolicy.FAIL : ifUnclear;
             doors = doors == null ? List.of() : List.copyOf(doors);
         }
 
-        /** A lane that callers with a key use by its name. */
+        /** Creates a lane without HTTP routes, which requires a key. */
         public Lane(
                 String service,
                 Ordering ordering,
@@ -170,41 +171,41 @@
             this(service, ordering, timeLimitMs, attempts, attemptMs, ifUnclear, List.of(), false);
         }
 
-        /** From acceptance to the end. */
+        /** Returns the time limit from the acceptance of a message to its end. */
         @JsonIgnore
         public Duration timeLimit() {
             return Duration.ofMillis(timeLimitMs);
         }
 
-        /** From the sending of an attempt to its answer. */
+        /** Returns the time limit from the sending of an attempt to its response. */
         @JsonIgnore
         public Duration attemptLimit() {
             return Duration.ofMillis(attemptMs);
         }
     }
 
-    /** What a key allows. */
+    /** The operations that a key permits. */
     public enum Role {
-        /** Submits messages of one tenant and asks for them. */
+        /** Submits and queries messages of one tenant. */
         CALLER,
         /** Pulls messages of one service and reports their outcome. */
         PROCESSOR
     }
 
-    /** A key is known by the SHA-256 of its secret only. */
+    /** An API key; only the SHA-256 digest of its secret is stored. */
     public record Key(
             @NotNull Role role,
             String tenant,
             String service,
             @NotNull @Pattern(regexp = "[0-9a-f]{64}") String sha256) {
-        /** Absent names are empty. */
+        /** Replaces absent names with empty ones. */
         public Key {
             tenant = tenant == null ? "" : tenant;
             service = service == null ? "" : service;
         }
     }
 
-    /** The configuration before the first one was accepted. */
+    /** Returns the configuration that is in force before the first one is accepted. */
     public static Configuration empty() {
         return new Configuration(Map.of(), Map.of(), Map.of(), Map.of());
     }
--- a/common/src/main/java/org/woadvale/common/config/Configurations.java
+++ b/common/src/main/java/org/woadvale/common/config/Configurations.java
@@ -26,9 +26,9 @@
 import org.woadvale.common.error.InvalidConfigurationException;
 import org.woadvale.common.error.ServiceException;
 
-/** Reading and checking of JSON that people write (docs/design.md, section 6.1). */
+/** Parses and validates JSON documents that operators and clients write (docs/design.md, section 6.1). */
 public final class Configurations {
-    /** Reads and writes all JSON of the product. */
+    /** The mapper for all JSON documents. */
     public static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -43,12 +43,12 @@
 
     private Configurations() {}
 
-    /** A configuration that keeps all rules; fails with every fault by its path. */
+    /** Parses a configuration and checks all rules; fails with a list of all faults by their paths. */
     public static Configuration parseAndValidate(byte[] json) throws ServiceException {
         Configuration configuration = read(json, Configuration.class, ErrorKind.INVALID_LAYOUT);
         List<String> faults = new ArrayList<>(faults(configuration));
         if (faults.isEmpty()) {
-            faults.addAll(crossFaults(configuration));
+            faults.addAll(crossReferenceFaults(configuration));
         }
         if (!faults.isEmpty()) {
             throw new InvalidConfigurationException("The layout has " + faults.size() + " faults.", faults);
@@ -56,9 +56,12 @@
         return configuration;
     }
 
-    /** A configuration that was taken: it is used as the core keeps it, whatever this build would say of it. */
-    public static Configuration readAccepted(byte[] kept) throws ServiceException {
-        byte[] json = PackedConfiguration.unpack(kept);
+    /**
+     * Reads an accepted configuration in its stored form. It stays usable even if this build would reject it: it is not
+     * validated and unknown fields are ignored.
+     */
+    public static Configuration readAccepted(byte[] stored) throws ServiceException {
+        byte[] json = PackedConfiguration.unpack(stored);
         try {
             return JSON.readerFor(Configuration.class)
                     .without(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -68,7 +71,7 @@
         }
     }
 
-    /** A document of a type; fails with the kind given, and each fault by its path. */
+    /** Parses a document of the given type; fails with the given kind and the fault by its path. */
     public static <T> T read(byte[] json, Class<T> type, ErrorKind kind) throws ServiceException {
         try {
             T value = JSON.readValue(json, type);
@@ -83,23 +86,23 @@
         }
     }
 
-    /** Why a document cannot be read: in one line, and by path where there is one. */
+    /** Describes in one line why a document cannot be read, with the path of the fault if there is one. */
     public static String fault(IOException e) {
         StringBuilder path = new StringBuilder();
         String reason = String.valueOf(e.getMessage());
         if (e instanceof JsonMappingException mapping) {
             mapping.getPath()
-                    .forEach(r -> path.append(
-                            r.getFieldName() == null
-                                    ? "[" + r.getIndex() + "]"
-                                    : (path.length() == 0 ? "" : ".") + r.getFieldName()));
+                    .forEach(reference -> path.append(
+                            reference.getFieldName() == null
+                                    ? "[" + reference.getIndex() + "]"
+                                    : (path.length() == 0 ? "" : ".") + reference.getFieldName()));
             reason = String.valueOf(mapping.getOriginalMessage());
         }
         return (path.length() == 0 ? "" : path + ": ")
                 + reason.lines().findFirst().orElse("");
     }
 
-    /** Every fault of the annotations, by path. */
+    /** Returns all violations of the constraint annotations by their paths. */
     public static List<String> faults(Object value) {
         return VALIDATOR.validate(value).stream()
                 .map(violation -> violation.getPropertyPath() + ": " + violation.getMessage())
@@ -107,7 +110,7 @@
                 .toList();
     }
 
-    private static List<String> crossFaults(Configuration configuration) {
+    private static List<String> crossReferenceFaults(Configuration configuration) {
         List<String> faults = new ArrayList<>();
         serviceFaults(configuration, faults);
         laneFaults(configuration, faults);
@@ -116,12 +119,13 @@
     }
 
     private static void serviceFaults(Configuration configuration, List<String> faults) {
-        Map<String, String> byAddress = new HashMap<>();
+        Map<String, String> serviceByAddress = new HashMap<>();
         configuration.services().forEach((name, service) -> {
             String path = "services." + name;
             boolean hasAddress = !service.address().isEmpty();
             if (hasAddress) {
-                Optional.ofNullable(byAddress.putIfAbsent(service.address().replaceAll("/+$", ""), name))
+                Optional.ofNullable(
+                                serviceByAddress.putIfAbsent(service.address().replaceAll("/+$", ""), name))
                         .ifPresent(other ->
                                 faults.add(path + ".address: is " + other + "'s too; it would get both rates"));
             }
@@ -139,13 +143,13 @@
     }
 
     private static void laneFaults(Configuration configuration, List<String> faults) {
-        Map<Configuration.HttpRoute, String> byDoor = new HashMap<>();
+        Map<Configuration.HttpRoute, String> laneByRoute = new HashMap<>();
         configuration.lanes().forEach((name, lane) -> {
             String path = "lanes." + name;
             lane.doors()
-                    .forEach(door -> Optional.ofNullable(byDoor.putIfAbsent(door, name))
+                    .forEach(route -> Optional.ofNullable(laneByRoute.putIfAbsent(route, name))
                             .ifPresent(other -> faults.add(
-                                    path + ".doors: " + door.host() + door.prefix() + " is " + other + "'s too")));
+                                    path + ".doors: " + route.host() + route.prefix() + " is " + other + "'s too")));
             if (!configuration.services().containsKey(lane.service())) {
                 faults.add(path + ".service: no service " + lane.service());
             }
@@ -173,7 +177,7 @@
         });
     }
 
-    /** The JSON of a value. */
+    /** Returns the JSON of a value. */
     public static byte[] write(Object value) {
         try {
             return JSON.writeValueAsBytes(value);
@@ -182,12 +186,12 @@
         }
     }
 
-    /** The SHA-256 of a text in hexadecimal. */
-    public static String sha256(String secret) {
-        return sha256(secret.getBytes(StandardCharsets.UTF_8));
+    /** Returns the SHA-256 digest of the UTF-8 bytes of a text, in hexadecimal. */
+    public static String sha256(String text) {
+        return sha256(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The digest of the bytes as they are, in hexadecimal digits. */
+    /** Returns the SHA-256 digest of the given bytes, in hexadecimal. */
     public static String sha256(byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/common/src/main/java/org/woadvale/common/config/Deflation.java
+++ b/common/src/main/java/org/woadvale/common/config/Deflation.java
@@ -7,14 +7,14 @@
 import org.woadvale.common.error.InvalidRequestException;
 import org.woadvale.common.error.ServiceException;
 
-/** Bytes in the deflate format, with a bound on what they may become. */
+/** Deflates and inflates bytes; the size of the inflated bytes is limited. */
 public final class Deflation {
-    private static final int LARGEST_BYTES = 16 << 20;
+    private static final int MAX_INFLATED_BYTES = 16 << 20;
     private static final int BUFFER_BYTES = 8 << 10;
 
     private Deflation() {}
 
-    /** The bytes, deflated. */
+    /** Returns the deflated bytes. */
     public static byte[] deflate(byte[] bytes) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The bytes as they were; fails with BAD_REQUEST if they cannot be inflated or become too many. */
+    /** Returns the inflated bytes; fails with BAD_REQUEST if the input is invalid or its inflated size is over the limit. */
     public static byte[] inflate(byte[] bytes) throws ServiceException {
         Inflater inflater = new Inflater();
         try {
@@ -40,7 +40,7 @@
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int length = inflater.inflate(buffer);
-                if (length == 0 || out.size() > LARGEST_BYTES) {
+                if (length == 0 || out.size() > MAX_INFLATED_BYTES) {
                     throw unreadable();
                 }
                 out.write(buffer, 0, length);
--- a/common/src/main/java/org/woadvale/common/config/Settings.java
+++ b/common/src/main/java/org/woadvale/common/config/Settings.java
@@ -20,7 +20,7 @@
 import org.woadvale.common.membership.FaultTolerance;
 import org.woadvale.common.membership.ServiceNames;
 
-/** What a process learns of its place (docs/design.md, section 10.1). */
+/** The settings of a process, read from its boot file (docs/design.md, section 10.1). */
 public record Settings(
         @NotNull @Pattern(regexp = ADDRESS, message = "must be IP:port")
         String address,
@@ -55,35 +55,35 @@
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]{1,2})";
     private static final String PORT = "(6553[0-5]|655[0-2][0-9]|65[0-4][0-9]{2}|6[0-4][0-9]{3}|[1-5]?[0-9]{1,4})";
     static final String ADDRESS = OCTET + "(\\." + OCTET + "){3}:" + PORT;
-    private static final int FEWEST_FILES = 4;
+    private static final int MIN_RING_FILES = 4;
     private static final int MEBIBYTE_SHIFT = 20;
-    /** A replica keeps this part of a file of its log in memory. */
+    /** The log of a replica since its latest snapshot, which is kept in memory, may take a ring file divided by this. */
     private static final int COMPACTION_FRACTION = 4;
 
-    private static final int USUAL_FILES = 16;
-    private static final int USUAL_MB = 16;
-    private static final int USUAL_PART_MB = 8;
-    private static final int LOG_MB = 4;
-    private static final long USUAL_LEASE_MS = 3000;
-    private static final int USUAL_KEEP_ENDED_S = 120;
-    /** Messages in memory, a view of them being written, and one on its way. */
-    private static final double HEAP_PER_MB = 2.5;
+    private static final int DEFAULT_RING_FILES = 16;
+    private static final int DEFAULT_RING_FILE_MB = 16;
+    private static final int DEFAULT_PART_MB = 8;
+    private static final int MAX_LOG_MB = 4;
+    private static final long DEFAULT_LEASE_MS = 3000;
+    private static final int DEFAULT_KEEP_ENDED_S = 120;
+    /** Heap for the messages, for a snapshot of them that is being written and for one that is being transferred. */
+    private static final double HEAP_MB_PER_PART_MB = 2.5;
 
-    /** Absent values have their usual ones. */
+    /** Replaces absent values with their defaults. */
     public Settings {
         roles = roles == null ? Set.of() : Set.copyOf(roles);
         data = data == null ? "" : data;
-        ringFiles = ringFiles == 0 ? USUAL_FILES : ringFiles;
-        ringFileMb = ringFileMb == 0 ? USUAL_MB : ringFileMb;
-        partMb = partMb == 0 ? USUAL_PART_MB : partMb;
+        ringFiles = ringFiles == 0 ? DEFAULT_RING_FILES : ringFiles;
+        ringFileMb = ringFileMb == 0 ? DEFAULT_RING_FILE_MB : ringFileMb;
+        partMb = partMb == 0 ? DEFAULT_PART_MB : partMb;
         listen = listen == null ? "" : listen;
         operatorKeySha256 = operatorKeySha256 == null ? "" : operatorKeySha256;
-        leaseMs = leaseMs == 0 ? USUAL_LEASE_MS : leaseMs;
-        keepEndedS = keepEndedS == 0 ? USUAL_KEEP_ENDED_S : keepEndedS;
+        leaseMs = leaseMs == 0 ? DEFAULT_LEASE_MS : leaseMs;
+        keepEndedS = keepEndedS == 0 ? DEFAULT_KEEP_ENDED_S : keepEndedS;
         faultTolerance = faultTolerance == null ? FaultTolerance.ONE_MACHINE : faultTolerance;
     }
 
-    /** Settings with the usual lease, retention and linger times, for fleets that bear the loss of one machine. */
+    /** Creates settings with the default lease, retention and linger times and a fault tolerance of one machine. */
     public Settings(
             String address,
             String http,
@@ -116,7 +116,7 @@
                 FaultTolerance.ONE_MACHINE);
     }
 
-    /** The settings in a file; fails with each fault by its field. */
+    /** Reads the settings from a file; fails with a message that names the first invalid field. */
     public static Settings read(String file) throws ServiceException {
         try {
             return checked(
@@ -124,17 +124,17 @@
         } catch (IOException e) {
             throw new InvalidRequestException("Cannot read the boot file " + file + ".");
         } catch (ServiceException failure) {
-            String where = failure.details().isEmpty()
+            String location = failure.details().isEmpty()
                     ? failure.getMessage()
                     : failure.details().get(0).replace(".<list element>", "").replace(".<iterable element>", "");
-            throw new InvalidRequestException("The boot file " + file + " is invalid at " + where + ".");
+            throw new InvalidRequestException("The boot file " + file + " is invalid at " + location + ".");
         }
     }
 
-    /** The same settings, if their values fit one another and this machine. */
+    /** Returns the settings if their values are valid, consistent and feasible on this machine. */
     public static Settings checked(Settings settings) throws ServiceException {
         List<String> faults = new ArrayList<>(Configurations.faults(settings));
-        if (faults.isEmpty() && settings.ringFiles() < FEWEST_FILES) {
+        if (faults.isEmpty() && settings.ringFiles() < MIN_RING_FILES) {
             faults.add("ringFiles: must be at least 4");
         }
         if (faults.isEmpty()
@@ -152,43 +152,46 @@
         return settings;
     }
 
-    /** Whole partitions must fit into ring files, into the ring twice, and into the heap (docs/design.md, section 9.8). */
+    /**
+     * Returns why the sizes are infeasible, or empty if they are feasible. A partition must fit into half a ring file, all
+     * partitions twice into the ring, and all of them into the heap (docs/design.md, section 9.8).
+     */
     static Optional<String> sizeFault(Settings settings, long heapMb) {
-        int parts = ServiceNames.MESSAGE_PARTITIONS;
+        int partitions = ServiceNames.MESSAGE_PARTITIONS;
         if (settings.partMb() * 2 > settings.ringFileMb()) {
             return Optional.of("partMb: a part of " + settings.partMb() + " MB needs ringFileMb of at least "
                     + 2 * settings.partMb());
         }
-        // of each partition an old snapshot, a new one and the log between them, and the file that is being written
-        int ring = parts
+        // for each partition an old snapshot, a new one and the log between them, plus the file that is being written
+        int ringMb = partitions
                         * (2 * settings.partMb()
-                                + Math.min(LOG_MB, Math.max(1, settings.ringFileMb() / COMPACTION_FRACTION)))
+                                + Math.min(MAX_LOG_MB, Math.max(1, settings.ringFileMb() / COMPACTION_FRACTION)))
                 + settings.ringFileMb();
-        if (ring > settings.ringFiles() * settings.ringFileMb()) {
-            return Optional.of("partMb: " + parts + " parts of " + settings.partMb() + " MB need a ring of " + ring
-                    + " MB, it has " + settings.ringFiles() * settings.ringFileMb());
+        if (ringMb > settings.ringFiles() * settings.ringFileMb()) {
+            return Optional.of("partMb: " + partitions + " parts of " + settings.partMb() + " MB need a ring of "
+                    + ringMb + " MB, it has " + settings.ringFiles() * settings.ringFileMb());
         }
-        return parts * settings.partMb() * HEAP_PER_MB <= heapMb
+        return partitions * settings.partMb() * HEAP_MB_PER_PART_MB <= heapMb
                 ? Optional.empty()
-                : Optional.of("partMb: " + parts + " parts of " + settings.partMb() + " MB need a heap of "
-                        + (int) (parts * settings.partMb() * HEAP_PER_MB) + " MB, it has " + heapMb);
+                : Optional.of("partMb: " + partitions + " parts of " + settings.partMb() + " MB need a heap of "
+                        + (int) (partitions * settings.partMb() * HEAP_MB_PER_PART_MB) + " MB, it has " + heapMb);
     }
 
-    /** Where to listen, if that is not the address by which others know this process. */
+    /** Returns the address to listen on, which may differ from the address that other processes connect to. */
     public String listenAddress() {
         return listen.isEmpty() ? address : listen;
     }
 
-    /** With the flags that the command line gave; an empty flag changes nothing. */
+    /** Returns the settings with values from the command line; an empty flag changes nothing. */
     public Settings withFlags(String flagAddress, String flagHttp, String flagZone, String flagData)
             throws ServiceException {
         return checked(new Settings(
-                or(flagAddress, address),
-                or(flagHttp, http),
-                or(flagZone, zone),
+                orElse(flagAddress, address),
+                orElse(flagHttp, http),
+                orElse(flagZone, zone),
                 seeds,
                 roles,
-                or(flagData, data),
+                orElse(flagData, data),
                 ringFiles,
                 ringFileMb,
                 operatorKeySha256,
@@ -201,7 +204,7 @@
                 faultTolerance));
     }
 
-    private static String or(String flag, String given) {
-        return flag.isEmpty() ? given : flag;
+    private static String orElse(String flag, String setting) {
+        return flag.isEmpty() ? setting : flag;
     }
 }
--- a/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
+++ b/common/src/test/java/org/woadvale/common/config/ConfigurationsTest.java
@@ -24,18 +24,20 @@
 
     @Test
     void everyFaultIsListedByPath() {
-        List<String> f = faults("""
+        List<String> found = faults("""
             {"tenants":{"a":{"ratePerS":0,"burstSize":0}},
              "services":{"s":{"kind":"endpoint"}},
              "lanes":{"l":{"service":"s","ordering":"none","timeLimitMs":5,"attempts":0}},"keys":{}}""");
         assertEquals(
                 List.of("lanes[l].attempts", "lanes[l].timeLimitMs", "tenants[a].burstSize", "tenants[a].ratePerS"),
-                f.stream().map(x -> x.substring(0, x.indexOf(':'))).toList());
+                found.stream()
+                        .map(fault -> fault.substring(0, fault.indexOf(':')))
+                        .toList());
     }
 
     @Test
-    void crossFaultsNameWhatIsMissing() {
-        List<String> f = faults("""
+    void crossReferenceFaultsNameTheMissingEntry() {
+        List<String> found = faults("""
             {"tenants":{},"services":{"s":{"kind":"endpoint"}},
              "lanes":{"l":{"service":"gone","ordering":"none","timeLimitMs":5000,"attempts":1,"attemptMs":9000}},
              "keys":{"k":{"role":"caller","tenant":"nobody","sha256":"%s"}}}""".formatted("0".repeat(64)));
@@ -46,10 +48,13 @@
                         "lanes.l.service: no service gone",
                         "lanes.l.attemptMs: longer than timeLimitMs",
                         "keys.k.tenant: no tenant nobody"),
-                f);
+                found);
     }
 
-    /** Before: taken, and the endpoint got both rates. A configuration that was taken before is used all the same. */
+    /**
+     * Guards against an endpoint that is listed twice and gets the rates of both services. A configuration that was
+     * accepted before this rule existed stays usable.
+     */
     @Test
     void twoServicesWithOneAddressAreAFault() throws ServiceException {
         String json = """
@@ -72,9 +77,9 @@
         assertEquals(1, faults("{\"tenants\":{},\"tenants\":{}}").size());
     }
 
-    /** Each bound, and the usual sizes within all of them. */
+    /** Checks each limit, and that the default sizes are within all of them. */
     @Test
-    void partsThatRingOrHeapCannotCarryAreRefused() throws ServiceException {
+    void partitionsThatExceedRingOrHeapAreRejected() throws ServiceException {
         assertEquals(Optional.empty(), Settings.sizeFault(store(16, 16, 8), 160));
         assertEquals(
                 "partMb: a part of 16 MB needs ringFileMb of at least 32",
@@ -104,14 +109,14 @@
     }
 
     @Test
-    void badBootFileIsOneSentenceNamingTheField(@TempDir Path dir) throws Exception {
+    void invalidBootFileIsReportedInOneSentenceWithTheField(@TempDir Path dir) throws Exception {
         Path path = dir.resolve("boot.json");
         Files.writeString(path, """
             {"address":"nowhere","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"]}""");
-        String m = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
+        String message = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
                 .getMessage();
-        assertTrue(m.contains("invalid at address: "), m);
-        assertTrue(m.contains("must be IP:port"), m);
+        assertTrue(message.contains("invalid at address: "), message);
+        assertTrue(message.contains("must be IP:port"), message);
         Files.writeString(path, """
             {"address":"127.0.0.1:70000","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"]}""");
         assertTrue(assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
@@ -119,8 +124,8 @@
                 .contains("at address: "));
         Files.writeString(path, """
             {"address":"127.0.0.1:3","http":"127.0.0.1:1","hall":"h","seeds":["127.0.0.1:2"],"roles":["store"]}""");
-        String m2 = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
+        String secondMessage = assertThrows(ServiceException.class, () -> Settings.read(path.toString()))
                 .getMessage();
-        assertTrue(m2.contains("invalid at data: a store needs a data folder"), m2);
+        assertTrue(secondMessage.contains("invalid at data: a store needs a data folder"), secondMessage);
     }
 }
