--- a/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ConfigurationView.java
@@ -133,14 +133,14 @@
      * fresh, the inner one if the service is unknown or has no rate limit.
      */
     public Optional<Optional<String>> deliveryBucket(String service) {
-        return fresh().map(known -> Optional.ofNullable(
-                        known.configuration().services().get(service))
+        return fresh().map(fresh -> Optional.ofNullable(
+                        fresh.configuration().services().get(service))
                 .flatMap(s -> deliveryBucketName(service, s)));
     }
 
     /** Returns the rate limit of a bucket; empty if the configuration has none or is not proven fresh. */
     public Optional<RateLimit> admissionLimit(String bucket) {
-        return fresh().flatMap(known -> Optional.ofNullable(known.rateLimits().get(bucket)));
+        return fresh().flatMap(fresh -> Optional.ofNullable(fresh.rateLimits().get(bucket)));
     }
 
     /** Returns the names of all shared buckets that the latest configuration defines. */
