--- a/common/src/main/java/org/woadvale/common/error/ConflictException.java
+++ b/common/src/main/java/org/woadvale/common/error/ConflictException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The present state, or an earlier request with the same id, contradicts the request. */
+/** The request conflicts with the current state or with an earlier request that has the same id. */
 public final class ConflictException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public ConflictException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public ConflictException(String message, List<String> details) {
         super(ErrorKind.CONFLICT, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/ErrorKind.java
+++ b/common/src/main/java/org/woadvale/common/error/ErrorKind.java
@@ -4,47 +4,47 @@
 import org.apache.logging.log4j.Level;
 
 /**
- * The one closed list of error kinds, with the table from kind to HTTP answer. Names are sent between nodes and to
- * callers.
+ * The closed list of error kinds. Each kind has its HTTP status, whether the failure is definite, whether a retry may
+ * succeed, and the log level. The names are sent to other nodes and to callers.
  */
 public enum ErrorKind {
-    /** The request cannot be read or has a value that is not allowed. */
+    /** The request cannot be parsed or contains a value that is not allowed. */
     BAD_REQUEST(400, true, false, Level.INFO),
     /** The key is missing or unknown. */
     UNAUTHORISED(401, true, false, Level.INFO),
-    /** The key does not allow this. */
+    /** The key does not permit the request. */
     FORBIDDEN(403, true, false, Level.INFO),
-    /** No such thing. */
+    /** The requested resource does not exist. */
     NOT_FOUND(404, true, false, Level.DEBUG),
-    /** The configuration has no such lane. */
+    /** The configuration does not contain the lane. */
     UNKNOWN_LANE(404, true, false, Level.INFO),
-    /** Contradicts the state, or an earlier request of the same id. */
+    /** The request conflicts with the current state or with an earlier request that has the same id. */
     CONFLICT(409, true, false, Level.INFO),
-    /** Made from another version than the present one. */
+    /** The update is based on a version other than the current one. */
     STALE_BASE(412, true, false, Level.INFO),
-    /** Too many bytes. */
+    /** The request exceeds the size limit. */
     TOO_LARGE(413, true, false, Level.INFO),
-    /** A configuration that breaks its rules. */
+    /** The configuration fails validation. */
     INVALID_LAYOUT(422, true, false, Level.INFO),
-    /** A rate limit is reached. */
+    /** A rate limit was exceeded. */
     THROTTLED(429, true, true, Level.DEBUG),
-    /** A fault of this program. */
+    /** An internal error of this program; the outcome of the request is unknown. */
     INTERNAL(500, false, true, Level.ERROR),
-    /** No room in a bounded queue or store. */
+    /** A bounded queue or store is full. */
     QUEUE_FULL(503, true, true, Level.WARN),
-    /** What is known here is too old to act on. */
+    /** This node's view of the configuration or of a service is too old to act on. */
     STALE_VIEW(503, true, true, Level.WARN),
-    /** Another node leads the partition, or none. */
+    /** This node does not lead the partition. */
     NOT_OWNER(503, true, true, Level.DEBUG),
-    /** What the request needs cannot be reached. */
+    /** Something that the request depends on is temporarily unavailable. */
     UNAVAILABLE(503, true, true, Level.WARN),
-    /** Arrived after its deadline and was not executed. */
+    /** The request arrived after its deadline and was not executed. */
     EXPIRED(503, true, true, Level.INFO),
     /** The node is stopping. */
     STOPPING(503, true, true, Level.INFO),
-    /** Not sent: no connection to the peer. */
+    /** The request was not sent because there is no connection to the peer. */
     UNREACHABLE(503, true, true, Level.WARN),
-    /** Sent, and not known whether executed. */
+    /** The request was sent, but whether it was executed is unknown. */
     UNKNOWN_OUTCOME(504, false, true, Level.WARN);
 
     private final int status;
@@ -59,12 +59,12 @@
         this.level = level;
     }
 
-    /** The HTTP status. */
+    /** The HTTP status of the response. */
     public int status() {
         return status;
     }
 
-    /** True where the asked thing has not happened and never will through this request. */
+    /** Whether it is certain that the request was not executed and never will be. */
     public boolean definite() {
         return definite;
     }
@@ -74,12 +74,12 @@
         return retryable;
     }
 
-    /** At which level it is logged. */
+    /** The level at which failures of this kind are logged. */
     public Level level() {
         return level;
     }
 
-    /** Its name in HTTP bodies. */
+    /** The name in HTTP bodies. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/common/src/main/java/org/woadvale/common/error/ForbiddenException.java
+++ b/common/src/main/java/org/woadvale/common/error/ForbiddenException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The key is valid and does not allow this. */
+/** The key is valid but does not permit the request. */
 public final class ForbiddenException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public ForbiddenException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public ForbiddenException(String message, List<String> details) {
         super(ErrorKind.FORBIDDEN, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/InternalErrorException.java
+++ b/common/src/main/java/org/woadvale/common/error/InternalErrorException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** A fault of this program; the outcome is unknown. */
+/** An internal error of this program; the outcome of the request is unknown. */
 public final class InternalErrorException extends ServiceException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public InternalErrorException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public InternalErrorException(String message, List<String> details) {
         super(ErrorKind.INTERNAL, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/InvalidConfigurationException.java
+++ b/common/src/main/java/org/woadvale/common/error/InvalidConfigurationException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** A configuration breaks its rules; the details name each place. */
+/** A configuration fails validation; the details name each invalid place. */
 public final class InvalidConfigurationException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public InvalidConfigurationException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public InvalidConfigurationException(String message, List<String> details) {
         super(ErrorKind.INVALID_LAYOUT, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/InvalidRequestException.java
+++ b/common/src/main/java/org/woadvale/common/error/InvalidRequestException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The request cannot be read, or one of its values is not allowed; the details name each place. */
+/** The request cannot be parsed or contains a value that is not allowed; the details name each invalid place. */
 public final class InvalidRequestException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public InvalidRequestException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public InvalidRequestException(String message, List<String> details) {
         super(ErrorKind.BAD_REQUEST, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/NotFoundException.java
+++ b/common/src/main/java/org/woadvale/common/error/NotFoundException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** There is no such thing. */
+/** The requested resource does not exist. */
 public final class NotFoundException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public NotFoundException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public NotFoundException(String message, List<String> details) {
         super(ErrorKind.NOT_FOUND, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/OutcomeUnknownException.java
+++ b/common/src/main/java/org/woadvale/common/error/OutcomeUnknownException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The request was sent, and it is not known whether it was executed. */
+/** The request was sent, but whether it was executed is unknown. */
 public final class OutcomeUnknownException extends ServiceException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public OutcomeUnknownException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public OutcomeUnknownException(String message, List<String> details) {
         super(ErrorKind.UNKNOWN_OUTCOME, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/QueueFullException.java
+++ b/common/src/main/java/org/woadvale/common/error/QueueFullException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** A bounded queue or store has no room. */
+/** A bounded queue or store is full. */
 public final class QueueFullException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public QueueFullException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public QueueFullException(String message, List<String> details) {
         super(ErrorKind.QUEUE_FULL, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/RejectedException.java
+++ b/common/src/main/java/org/woadvale/common/error/RejectedException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The request is at fault: it was not executed, and the same request will not succeed later. */
+/** The request is invalid or not permitted: it was not executed, and repeating it unchanged will not succeed. */
 public abstract sealed class RejectedException extends ServiceException
         permits ConflictException,
                 ForbiddenException,
--- a/common/src/main/java/org/woadvale/common/error/RequestTooLargeException.java
+++ b/common/src/main/java/org/woadvale/common/error/RequestTooLargeException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The request has more bytes than are accepted. */
+/** The request exceeds the size limit. */
 public final class RequestTooLargeException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public RequestTooLargeException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public RequestTooLargeException(String message, List<String> details) {
         super(ErrorKind.TOO_LARGE, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/RetriableException.java
+++ b/common/src/main/java/org/woadvale/common/error/RetriableException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The request was not executed, and may succeed later or at another node. */
+/** The request was not executed and may succeed later or at another node. */
 public abstract sealed class RetriableException extends ServiceException
         permits DeadlineExpiredException,
                 NotLeaderException,
--- a/common/src/main/java/org/woadvale/common/error/ServiceException.java
+++ b/common/src/main/java/org/woadvale/common/error/ServiceException.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** The checked exception of all requests between processes and into them; its type says what the caller may believe. */
+/**
+ * The checked exception of all requests between nodes and from outside callers. Its type tells the caller whether the
+ * request may have been executed and whether to retry it.
+ */
 public abstract sealed class ServiceException extends Exception
         permits RejectedException, RetriableException, OutcomeUnknownException, InternalErrorException {
     private static final long serialVersionUID = 1L;
@@ -16,17 +19,17 @@
         this.details = List.copyOf(details);
     }
 
-    /** The row of the table of kinds: HTTP status, whether definite, whether to retry. */
+    /** The kind, which determines the HTTP status, whether the failure is definite and whether to retry. */
     public ErrorKind kind() {
         return kind;
     }
 
-    /** What else the caller may need, such as the places that are invalid; often empty. */
+    /** Additional information for the caller, such as the places that are invalid; often empty. */
     public List<String> details() {
         return details;
     }
 
-    /** The exception of a kind that was read, such as one that a peer has sent. */
+    /** Creates the exception for a kind that was received, for example from a peer. */
     public static ServiceException of(ErrorKind kind, String message, List<String> details) {
         return switch (kind) {
             case BAD_REQUEST -> new InvalidRequestException(message, details);
@@ -51,7 +54,10 @@
         };
     }
 
-    /** Any throwable as one of ours; what is not ours is an internal error with unknown outcome. */
+    /**
+     * Returns the throwable itself if it is a {@code ServiceException}; any other becomes an internal error, whose
+     * outcome is unknown.
+     */
     public static ServiceException of(Throwable error) {
         if (error instanceof ServiceException failure) {
             return failure;
--- a/common/src/main/java/org/woadvale/common/error/StaleVersionException.java
+++ b/common/src/main/java/org/woadvale/common/error/StaleVersionException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** An update was made from another version than the present one; the details name that. */
+/** An update is based on a version other than the current one; the details name the current version. */
 public final class StaleVersionException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public StaleVersionException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public StaleVersionException(String message, List<String> details) {
         super(ErrorKind.STALE_BASE, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/StaleViewException.java
+++ b/common/src/main/java/org/woadvale/common/error/StaleViewException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** What is known here of the configuration or of a service is too old to act on. */
+/** This node's view of the configuration or of a service is too old to act on. */
 public final class StaleViewException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public StaleViewException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public StaleViewException(String message, List<String> details) {
         super(ErrorKind.STALE_VIEW, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/StoppingException.java
+++ b/common/src/main/java/org/woadvale/common/error/StoppingException.java
@@ -6,12 +6,12 @@
 public final class StoppingException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public StoppingException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public StoppingException(String message, List<String> details) {
         super(ErrorKind.STOPPING, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/ThrottledException.java
+++ b/common/src/main/java/org/woadvale/common/error/ThrottledException.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A rate limit is reached; the caller may come back after the time that it carries. */
+/** A rate limit was exceeded; carries the time after which the caller may retry, if it is known. */
 public final class ThrottledException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public ThrottledException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public ThrottledException(String message, List<String> details) {
         super(ErrorKind.THROTTLED, message, details);
     }
 
-    /** The caller may come back after so many seconds. */
+    /** Creates an exception with the number of seconds after which the caller may retry. */
     public ThrottledException(String message, long retryAfterSeconds) {
         this(message, List.of(Long.toString(retryAfterSeconds)));
     }
 
-    /** When the caller may come back, in seconds, if that is known. */
+    /** The number of seconds after which the caller may retry, if it is known. */
     public Optional<String> retryAfterSeconds() {
         return details().stream().findFirst();
     }
--- a/common/src/main/java/org/woadvale/common/error/UnavailableException.java
+++ b/common/src/main/java/org/woadvale/common/error/UnavailableException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** What the request needs cannot be reached right now. */
+/** Something that the request depends on is temporarily unavailable. */
 public final class UnavailableException extends RetriableException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public UnavailableException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public UnavailableException(String message, List<String> details) {
         super(ErrorKind.UNAVAILABLE, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/UnknownLaneException.java
+++ b/common/src/main/java/org/woadvale/common/error/UnknownLaneException.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** The configuration in force has no such lane. */
+/** The active configuration does not contain the lane. */
 public final class UnknownLaneException extends RejectedException {
     private static final long serialVersionUID = 1L;
 
-    /** Without details. */
+    /** Creates an exception without details. */
     public UnknownLaneException(String message) {
         this(message, List.of());
     }
 
-    /** With details, which the caller is shown. */
+    /** Creates an exception whose details are returned to the caller. */
     public UnknownLaneException(String message, List<String> details) {
         super(ErrorKind.UNKNOWN_LANE, message, details);
     }
--- a/common/src/main/java/org/woadvale/common/error/package-info.java
+++ b/common/src/main/java/org/woadvale/common/error/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What can go wrong with a request, as types over the one table of kinds. A {@code RejectedException} is the request's
- * own fault; a {@code RetriableException} was not executed and may succeed later; after an {@code
- * OutcomeUnknownException} only asking again with the same id tells what happened.
+ * The errors of requests, as exception types over one table of error kinds. A {@code RejectedException} means that the
+ * request itself is invalid or not permitted; a {@code RetriableException} means that it was not executed and may
+ * succeed later; after an {@code OutcomeUnknownException}, only repeating the request with the same id shows what
+ * happened.
  */
 package org.woadvale.common.error;
