--- a/common/src/main/java/org/woadvale/common/runtime/Component.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Component.java
@@ -2,18 +2,18 @@
 
 import org.woadvale.common.error.ServiceException;
 
-/** A long-lived thing in the supervisor tree. */
+/** A long-lived part of a process, managed by a {@link Supervisor}. */
 public interface Component {
-    /** For logs. */
+    /** The name of the component in logs. */
     String name();
 
-    /** Begins its work; called once, and again after a failure. */
+    /** Starts the component; called once, and again after a failure. */
     void start() throws ServiceException;
 
-    /** Ends its work in order. */
+    /** Stops the component in an orderly way. */
     void stop();
 
-    /** False when the component has died and should be started again. */
+    /** Whether the component is running; false if it has failed and is to be restarted. */
     default boolean alive() {
         return true;
     }
--- a/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
+++ b/common/src/main/java/org/woadvale/common/runtime/LockedShard.java
@@ -5,12 +5,15 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
 
-/** A piece of state under its own lock; what leaves the shard runs after unlocking (docs/design.md, section 2.3). */
+/**
+ * The lock of a piece of state. Tasks that call out of the shard are deferred until the lock is released
+ * (docs/design.md, section 2.3).
+ */
 public final class LockedShard {
     private final ReentrantLock lock = new ReentrantLock();
     private final Deque<Runnable> deferred = new ArrayDeque<>();
 
-    /** Runs the body alone. */
+    /** Runs the body while holding the lock. */
     public void run(Runnable body) {
         get(() -> {
             body.run();
@@ -18,7 +21,7 @@
         });
     }
 
-    /** Runs the body alone and answers with its result. */
+    /** Runs the body while holding the lock and returns its result. */
     public <T> T get(Supplier<T> body) {
         lock.lock();
         try {
@@ -27,20 +30,20 @@
             if (lock.getHoldCount() > 1 || deferred.isEmpty()) {
                 lock.unlock();
             } else {
-                Runnable[] out = deferred.toArray(Runnable[]::new);
+                Runnable[] tasks = deferred.toArray(Runnable[]::new);
                 deferred.clear();
                 lock.unlock();
-                for (Runnable task : out) {
+                for (Runnable task : tasks) {
                     task.run();
                 }
             }
         }
     }
 
-    /** Call only while inside; the task runs once the lock is free. */
+    /** Defers a task until the lock is released; may be called only while the lock is held. */
     public void afterUnlock(Runnable task) {
         if (!lock.isHeldByCurrentThread()) {
-            throw new IllegalStateException("leave outside of the shard");
+            throw new IllegalStateException("afterUnlock was called without holding the lock of the shard");
         }
         deferred.add(task);
     }
--- a/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
+++ b/common/src/main/java/org/woadvale/common/runtime/RepeatingTimer.java
@@ -5,7 +5,7 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** A task that sets itself again after each run, whatever the run threw. */
+/** A task that is scheduled again after each run, even if the run threw a {@link RuntimeException}. */
 final class RepeatingTimer implements TimerHandle {
     private static final Logger LOG = LogManager.getLogger(RepeatingTimer.class);
     private final Timers timers;
--- a/common/src/main/java/org/woadvale/common/runtime/Stage.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Stage.java
@@ -8,79 +8,87 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** One stage of a request's way: a bounded queue before a bounded number of running works. */
+/** One stage of request processing: a bounded queue in front of a bounded number of concurrent tasks. */
 public final class Stage<I, O> {
-    private record Waiting<I, O>(I in, Sinks.One<O> out) {}
+    private record QueuedTask<I, O>(I input, Sinks.One<O> result) {}
 
     private final LockedShard shard = new LockedShard();
-    private final Deque<Waiting<I, O>> queue = new ArrayDeque<>();
+    private final Deque<QueuedTask<I, O>> queue = new ArrayDeque<>();
     private final String name;
-    private final int depth;
-    private final int width;
+    private final int queueCapacity;
+    private final int maxConcurrency;
     private final Function<I, Mono<O>> work;
     private final AtomicLong rejectedCount = new AtomicLong();
     private int running;
 
-    /** Work of which so many run at once and so many wait. */
-    public Stage(String name, int depth, int width, Function<I, Mono<O>> work) {
+    /**
+     * Creates a stage.
+     *
+     * @param queueCapacity how many inputs may wait while {@code maxConcurrency} are being processed
+     * @param maxConcurrency how many inputs are processed at the same time
+     */
+    public Stage(String name, int queueCapacity, int maxConcurrency, Function<I, Mono<O>> work) {
         this.name = name;
-        this.depth = depth;
-        this.width = width;
+        this.queueCapacity = queueCapacity;
+        this.maxConcurrency = maxConcurrency;
         this.work = work;
     }
 
-    /** A full queue is a definite refusal, never silent growth. */
-    public Mono<O> submit(I in) {
-        return submit(in, () -> {});
+    /**
+     * Processes an input, or fails with {@link QueueFullException} if the queue is full: overload is rejected
+     * explicitly and never lets the queue grow unnoticed.
+     */
+    public Mono<O> submit(I input) {
+        return submit(input, () -> {});
     }
 
-    /** The same; the task runs if this stage refuses, and not for what its work answers. */
-    public Mono<O> submit(I in, Runnable onRefused) {
+    /** Like {@link #submit(Object)}; {@code onRejected} runs if the queue is full, but not if the work fails. */
+    public Mono<O> submit(I input, Runnable onRejected) {
         return Mono.defer(() -> {
-            Sinks.One<O> out = Sinks.one();
-            boolean taken = shard.get(() -> {
-                if (running >= width && queue.size() >= depth) {
+            Sinks.One<O> result = Sinks.one();
+            boolean accepted = shard.get(() -> {
+                if (running >= maxConcurrency && queue.size() >= queueCapacity) {
                     return false;
                 }
-                queue.add(new Waiting<>(in, out));
+                queue.add(new QueuedTask<>(input, result));
                 pump();
                 return true;
             });
-            if (!taken) {
+            if (!accepted) {
                 rejectedCount.incrementAndGet();
-                onRefused.run();
+                onRejected.run();
                 return Mono.error(new QueueFullException("The stage " + name + " is full."));
             }
-            return out.asMono();
+            return result.asMono();
         });
     }
 
     private void pump() {
-        while (running < width && !queue.isEmpty()) {
-            Waiting<I, O> waiting = queue.poll();
+        while (running < maxConcurrency && !queue.isEmpty()) {
+            QueuedTask<I, O> task = queue.poll();
             running++;
-            shard.afterUnlock(() -> begin(waiting));
+            shard.afterUnlock(() -> begin(task));
         }
     }
 
-    private void begin(Waiting<I, O> waiting) {
-        Mono.defer(() -> work.apply(waiting.in()))
+    private void begin(QueuedTask<I, O> task) {
+        Mono.defer(() -> work.apply(task.input()))
                 .doFinally(signal -> shard.run(() -> {
                     running--;
                     pump();
                 }))
                 .subscribe(
-                        v -> waiting.out().tryEmitValue(v),
-                        e -> waiting.out().tryEmitError(e),
-                        () -> waiting.out().tryEmitEmpty());
+                        value -> task.result().tryEmitValue(value),
+                        error -> task.result().tryEmitError(error),
+                        () -> task.result().tryEmitEmpty());
     }
 
-    /** How many wait now. */
+    /** The number of inputs in the queue. */
     public int queueLength() {
         return shard.get(queue::size);
     }
 
-    /** How many were refused so far. */
+    /** The number of inputs rejected so far because the queue was full. */
     public long rejectedCount() {
         return rejectedCount.get();
     }
--- a/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
+++ b/common/src/main/java/org/woadvale/common/runtime/Supervisor.java
@@ -11,7 +11,10 @@
 import org.apache.logging.log4j.Logger;
 import org.woadvale.common.error.ServiceException;
 
-/** Starts components in order, restarts dead ones with backoff, stops in reverse (docs/design.md, section 2.4). */
+/**
+ * Starts components in order, restarts failed ones with exponential backoff and stops them in reverse order
+ * (docs/design.md, section 2.4).
+ */
 public final class Supervisor implements Component {
     private static final Logger LOG = LogManager.getLogger(Supervisor.class);
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
@@ -20,23 +23,23 @@
     private final String name;
     private final Timers timers;
     private final Runnable onGiveUp;
-    private final List<Component> children = new ArrayList<>();
-    private final Map<Component, Integer> restarts = new HashMap<>();
-    private final Set<Component> pending = new HashSet<>();
-    private TimerHandle checking = () -> {};
+    private final List<Component> components = new ArrayList<>();
+    private final Map<Component, Integer> restartCounts = new HashMap<>();
+    private final Set<Component> scheduledRestarts = new HashSet<>();
+    private TimerHandle checkTimer = () -> {};
     private boolean running;
     private boolean gaveUp;
 
-    /** Without components; the task runs if one cannot be kept running. */
-    public Supervisor(String name, Timers timers, Runnable onGivenUp) {
+    /** Creates a supervisor without components; {@code onGiveUp} runs once a component has failed too often. */
+    public Supervisor(String name, Timers timers, Runnable onGiveUp) {
         this.name = name;
         this.timers = timers;
-        this.onGiveUp = onGivenUp;
+        this.onGiveUp = onGiveUp;
     }
 
-    /** Adds a component; it starts after those added before. */
+    /** Adds a component, which is started after those added before it. */
     public synchronized Supervisor with(Component component) {
-        children.add(component);
+        components.add(component);
         return this;
     }
 
@@ -48,36 +51,36 @@
     @Override
     public synchronized void start() throws ServiceException {
         running = true;
-        for (Component component : children) {
+        for (Component component : components) {
             component.start();
             LOG.info("Started {}.", component.name());
         }
-        checking = timers.every(CHECK_INTERVAL, this::checkComponents);
+        checkTimer = timers.every(CHECK_INTERVAL, this::checkComponents);
     }
 
     private synchronized void checkComponents() {
-        for (Component component : children) {
-            if (running && !gaveUp && !component.alive() && !pending.contains(component)) {
+        for (Component component : components) {
+            if (running && !gaveUp && !component.alive() && !scheduledRestarts.contains(component)) {
                 restart(component);
             }
         }
     }
 
     private void restart(Component component) {
-        int restartCount = restarts.merge(component, 1, Integer::sum);
+        int restartCount = restartCounts.merge(component, 1, Integer::sum);
         if (restartCount > MAX_RESTARTS) {
-            LOG.error("{} failed {} times, giving up.", component.name(), restartCount);
+            LOG.error("{} failed {} times; the supervisor gives up.", component.name(), restartCount);
             gaveUp = true;
             onGiveUp.run();
             return;
         }
-        LOG.warn("{} failed, restarting it.", component.name());
-        pending.add(component);
+        LOG.warn("{} failed; restarting it.", component.name());
+        scheduledRestarts.add(component);
         timers.after(CHECK_INTERVAL.multipliedBy(1L << restartCount), () -> restartNow(component));
     }
 
     private synchronized void restartNow(Component component) {
-        pending.remove(component);
+        scheduledRestarts.remove(component);
         if (!running || component.alive()) {
             return;
         }
@@ -92,10 +95,10 @@
     @Override
     public synchronized void stop() {
         running = false;
-        checking.cancel();
-        for (int i = children.size() - 1; i >= 0; i--) {
-            children.get(i).stop();
-            LOG.info("Stopped {}.", children.get(i).name());
+        checkTimer.cancel();
+        for (int i = components.size() - 1; i >= 0; i--) {
+            components.get(i).stop();
+            LOG.info("Stopped {}.", components.get(i).name());
         }
     }
 
--- a/common/src/main/java/org/woadvale/common/runtime/SystemClock.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemClock.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The machine's clocks. */
+/** The clocks of the operating system. */
 public final class SystemClock implements Clock {
     private final long start = System.nanoTime();
 
--- a/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
+++ b/common/src/main/java/org/woadvale/common/runtime/SystemTimers.java
@@ -10,13 +10,13 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Several threads for work, one for the disk. */
+/** Runs tasks on a pool of threads, and disk tasks on one thread of their own. */
 public final class SystemTimers implements Timers {
     private static final Logger LOG = LogManager.getLogger(SystemTimers.class);
     private final ScheduledThreadPoolExecutor pool;
     private final ExecutorService disk;
 
-    /** Timers that run on so many threads. */
+    /** Creates timers whose pool has the given number of threads, apart from the disk thread. */
     public SystemTimers(int threads) {
         pool = new ScheduledThreadPoolExecutor(threads, task -> daemon(task, "work"));
         pool.setRemoveOnCancelPolicy(true);
@@ -45,7 +45,7 @@
         try {
             pool.execute(guarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.debug("Dropped a task after the stop.");
+            LOG.debug("Discarded a task that was submitted after the timers were closed.");
         }
     }
 
@@ -54,7 +54,7 @@
         try {
             disk.execute(guarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.debug("Dropped a disk task after the stop.");
+            LOG.debug("Discarded a disk task that was submitted after the timers were closed.");
         }
     }
 
@@ -68,7 +68,7 @@
         };
     }
 
-    /** Drops what has not run yet. */
+    /** Discards tasks that have not started and interrupts running ones; disk tasks already submitted still run. */
     public void close() {
         pool.shutdownNow();
         disk.shutdown();
--- a/common/src/main/java/org/woadvale/common/runtime/TimerHandle.java
+++ b/common/src/main/java/org/woadvale/common/runtime/TimerHandle.java
@@ -1,8 +1,8 @@
 package org.woadvale.common.runtime;
 
-/** A pending call; cancelling one that has run does nothing. */
+/** A scheduled task; cancelling one that has already run has no effect. */
 @FunctionalInterface
 public interface TimerHandle {
-    /** The task does not run any more, unless it runs already. */
+    /** Prevents the task from running, unless it has already started. */
     void cancel();
 }
