--- a/common/src/main/java/org/woadvale/common/cli/Program.java
+++ b/common/src/main/java/org/woadvale/common/cli/Program.java
@@ -17,81 +17,89 @@
 import org.woadvale.common.runtime.Supervisor;
 import org.woadvale.common.runtime.SystemTimers;
 
-/** The command line of a daemon: run, check-boot, --help, --version. (docs/design.md, section 10.1) */
+/** The command line of a daemon: run, check-boot, --help, --version (docs/design.md, section 10.1). */
 public final class Program {
     /** The version of all programs. */
     public static final String VERSION = "0.1.0";
 
     private static final Logger LOG = LogManager.getLogger(Program.class);
     private static final int STOP_TIMEOUT_S = 10;
-    private static final int THREADS = 4;
+    private static final int TIMER_THREADS = 4;
 
-    /** Builds the supervisor tree of the program. */
+    /** Creates the supervisor of a program. */
     @FunctionalInterface
     public interface SupervisorFactory {
-        /** The components of the program, in the order of their start; none is started yet. */
-        Supervisor create(Settings boot, SystemTimers timers, Runnable onGivenUp) throws ServiceException;
+        /**
+         * Creates the supervisor with the program's components in the order of their start, and starts none of them.
+         *
+         * @param onGiveUp runs when the supervisor cannot keep a component running
+         */
+        Supervisor create(Settings boot, SystemTimers timers, Runnable onGiveUp) throws ServiceException;
     }
 
-    /** Refuses a boot file that this program cannot use. */
+    /** Checks the settings of the boot file and the command line. */
     @FunctionalInterface
     public interface SettingsValidator {
-        /** Refuses settings that this program cannot run with. */
+        /** Throws an exception if this program cannot run with the settings. */
         void validate(Settings boot) throws ServiceException;
     }
 
-    /** Where the settings come from: the command line and its file, or the platform. */
+    /** Loads the settings, from the command line and its boot file or from the platform. */
     @FunctionalInterface
     public interface SettingsSource {
-        /** The settings that the command line names. */
+        /** Loads the settings for the given command-line arguments. */
         Settings load(String[] args) throws ServiceException;
     }
 
     private final String name;
-    private final SettingsValidator check;
-    private final SupervisorFactory tree;
-    private final Supplier<Runnable> onStop;
-    private SettingsSource source = args -> options(args).boot();
+    private final SettingsValidator validator;
+    private final SupervisorFactory supervisorFactory;
+    private final Supplier<Runnable> drainTask;
+    private SettingsSource source = args -> options(args).readSettings();
 
-    /** A program that reads its settings itself. */
-    public Program(String name, SettingsValidator check, SupervisorFactory tree, Supplier<Runnable> onStop) {
+    /** Creates a program that reads its settings from the command line and the boot file. */
+    public Program(
+            String name,
+            SettingsValidator validator,
+            SupervisorFactory supervisorFactory,
+            Supplier<Runnable> drainTask) {
         this.name = name;
-        this.check = check;
-        this.tree = tree;
-        this.onStop = onStop;
+        this.validator = validator;
+        this.supervisorFactory = supervisorFactory;
+        this.drainTask = drainTask;
     }
 
-    /** With boot values from elsewhere. */
-    public Program withSettingsSource(SettingsSource other) {
-        source = other;
+    /** Replaces the source of the settings. */
+    public Program withSettingsSource(SettingsSource replacement) {
+        source = replacement;
         return this;
     }
 
-    /** What is done between SIGTERM and the stop. (docs/design.md, section 10.2) */
+    /** Drains the program, between SIGTERM and the stop of its components (docs/design.md, section 10.2). */
     public void drain() {
-        onStop.get().run();
+        drainTask.get().run();
     }
 
-    /** Runs the command line and answers with the exit code. */
+    /** Runs the command that the arguments name and returns the exit code. */
     public int main(String[] args) {
-        String verb = args.length == 0 ? "--help" : args[0];
+        String command = args.length == 0 ? "--help" : args[0];
         String[] rest = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
         try {
-            switch (verb) {
+            switch (command) {
                 case "run":
-                    return help(rest) ? 0 : run(source.load(rest));
+                    return printHelpIfRequested(rest) ? 0 : run(source.load(rest));
                 case "check-boot":
-                    check.validate(source.load(rest));
+                    validator.validate(source.load(rest));
                     System.out.println("The boot file is valid.");
                     return 0;
                 case "--version":
                     System.out.println(name + " " + VERSION);
                     return 0;
                 case "--help", "-h", "help":
-                    usage();
+                    printUsage();
                     return args.length == 0 ? 2 : 0;
                 default:
-                    throw new InvalidRequestException("There is no command " + verb + "; see " + name + " --help.");
+                    throw new InvalidRequestException("There is no command " + command + "; see " + name + " --help.");
             }
         } catch (ServiceException failure) {
             System.err.println(name + ": " + failure.getMessage()
@@ -100,7 +108,7 @@
         }
     }
 
-    private void usage() throws ServiceException {
+    private void printUsage() throws ServiceException {
         System.out.println(name + " run --boot FILE [flags]    runs the program");
         System.out.println(name + " check-boot --boot FILE     checks a boot file and stops");
         System.out.println(name + " --version | --help");
@@ -119,26 +127,27 @@
         }
     }
 
-    private boolean help(String[] rest) throws ServiceException {
-        boolean desired = Arrays.stream(rest).anyMatch(argument -> argument.equals("-h") || argument.equals("--help"));
-        if (desired) {
-            usage();
+    private boolean printHelpIfRequested(String[] arguments) throws ServiceException {
+        boolean requested =
+                Arrays.stream(arguments).anyMatch(argument -> argument.equals("-h") || argument.equals("--help"));
+        if (requested) {
+            printUsage();
         }
-        return desired;
+        return requested;
     }
 
     private int run(Settings boot) throws ServiceException {
-        check.validate(boot);
-        SystemTimers timers = new SystemTimers(THREADS);
-        CountDownLatch end = new CountDownLatch(1);
+        validator.validate(boot);
+        SystemTimers timers = new SystemTimers(TIMER_THREADS);
+        CountDownLatch shutdownRequested = new CountDownLatch(1);
         boolean[] failed = {false};
-        Supervisor root = tree.create(boot, timers, () -> {
+        Supervisor root = supervisorFactory.create(boot, timers, () -> {
             failed[0] = true;
-            end.countDown();
+            shutdownRequested.countDown();
         });
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            end.countDown();
+            shutdownRequested.countDown();
             try {
                 stopped.await(STOP_TIMEOUT_S, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
@@ -149,7 +158,7 @@
         try {
             root.start();
             LOG.info("{} {} runs at {}, HTTP at {}.", name, VERSION, boot.address(), boot.http());
-            end.await();
+            shutdownRequested.await();
             drain();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/common/src/main/java/org/woadvale/common/cli/RunCommand.java
+++ b/common/src/main/java/org/woadvale/common/cli/RunCommand.java
@@ -2,6 +2,6 @@
 
 import com.github.rvesse.airline.annotations.Command;
 
-/** The flags of run and check-boot. */
+/** The options of the {@code run} and {@code check-boot} commands. */
 @Command(name = "run", description = "Runs the program, or checks its boot file")
 public final class RunCommand extends SettingsOptions {}
--- a/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
+++ b/common/src/main/java/org/woadvale/common/cli/SettingsOptions.java
@@ -4,10 +4,10 @@
 import org.woadvale.common.config.Settings;
 import org.woadvale.common.error.ServiceException;
 
-/** The flags that both programs share. */
+/** The command-line options that both programs share. */
 public class SettingsOptions {
     @Option(name = "--boot", title = "FILE", description = "Boot file (JSON)")
-    private String boot = "boot.json";
+    private String bootFile = "boot.json";
 
     @Option(name = "--address", title = "IP:PORT", description = "Internal address, instead of the boot file's")
     private String address = "";
@@ -26,12 +26,12 @@
             description = "Shows this help")
     private boolean help;
 
-    /** The settings from the file and the flags; flags go first. */
-    public Settings boot() throws ServiceException {
-        return Settings.read(boot).withFlags(address, http, zone, data);
+    /** Reads the boot file and applies the options, which take precedence over the file. */
+    public Settings readSettings() throws ServiceException {
+        return Settings.read(bootFile).withFlags(address, http, zone, data);
     }
 
-    /** Whether help was asked for. */
+    /** Whether the help was requested. */
     public boolean help() {
         return help;
     }
--- a/common/src/main/java/org/woadvale/common/cli/package-info.java
+++ b/common/src/main/java/org/woadvale/common/cli/package-info.java
@@ -1,2 +1,2 @@
-/** What the programs have in common on their command line: settings, start and orderly stop. */
+/** The command line of the programs: settings, startup and orderly shutdown. */
 package org.woadvale.common.cli;
