--- a/common/src/main/java/org/woadvale/common/http/HttpGateway.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpGateway.java
@@ -28,30 +28,30 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** HTTP/1.1 by Reactor Netty in front of one function from request to answer. */
+/** An HTTP/1.1 server on Reactor Netty that passes each request to one handler function. */
 public final class HttpGateway implements Component {
     private static final Logger LOG = LogManager.getLogger(HttpGateway.class);
-    private static final int MAX_HEADER = 16 << 10;
-    /** After this time without a request a kept-alive connection is closed. */
+    private static final int MAX_HEADER_BYTES = 16 << 10;
+    /** A kept-alive connection is closed after this time without a request. */
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
 
     private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
-    /** How long a stop waits for the answers to requests that were read. */
+    /** How long {@link #stop} waits for requests that were already read to be answered. */
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(2);
 
     private final String address;
-    private final int maxBody;
-    private final Function<Request, Mono<Response>> app;
-    private final ChannelGroup streams = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+    private final int maxBodyBytes;
+    private final Function<Request, Mono<Response>> handler;
+    private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private volatile boolean closing;
     private volatile boolean stopping;
     private DisposableServer server;
 
-    /** A server that is not started yet, for requests with bodies of so many bytes at the most. */
-    public HttpGateway(String address, int maxBody, Function<Request, Mono<Response>> app) {
+    /** Creates a server, not yet started, that rejects request bodies of more than {@code maxBodyBytes} bytes. */
+    public HttpGateway(String address, int maxBodyBytes, Function<Request, Mono<Response>> handler) {
         this.address = address;
-        this.maxBody = maxBody;
-        this.app = app;
+        this.maxBodyBytes = maxBodyBytes;
+        this.handler = handler;
     }
 
     @Override
@@ -66,10 +66,11 @@
             server = HttpServer.create()
                     .host(address.substring(0, colon))
                     .port(Integer.parseInt(address.substring(colon + 1)))
-                    .httpRequestDecoder(s -> s.maxHeaderSize(MAX_HEADER).maxInitialLineLength(MAX_HEADER))
+                    .httpRequestDecoder(
+                            spec -> spec.maxHeaderSize(MAX_HEADER_BYTES).maxInitialLineLength(MAX_HEADER_BYTES))
                     .idleTimeout(IDLE_TIMEOUT)
-                    .channelGroup(streams)
-                    .doOnChannelInit((o, c, a) -> c.pipeline()
+                    .channelGroup(connections)
+                    .doOnChannelInit((observer, channel, remoteAddress) -> channel.pipeline()
                             .addAfter(NettyPipeline.HttpCodec, "broken", new MalformedRequestHandler())
                             .addAfter(
                                     NettyPipeline.HttpCodec,
@@ -83,7 +84,7 @@
     }
 
     private Mono<Void> serve(HttpServerRequest in, HttpServerResponse out) {
-        return body(in).flatMap(buffer -> app.apply(new Request(in.method().name(), in.uri(), headers(in), buffer)))
+        return body(in).flatMap(buffer -> handler.apply(new Request(in.method().name(), in.uri(), headers(in), buffer)))
                 .switchIfEmpty(Mono.error(new InternalErrorException("No answer was made.")))
                 .onErrorResume(e -> {
                     ServiceException failure = ServiceException.of(e);
@@ -110,17 +111,17 @@
 
     private Mono<byte[]> body(HttpServerRequest in) {
         long declared = in.requestHeaders().getInt("content-length", 0);
-        if (declared > maxBody) {
+        if (declared > maxBodyBytes) {
             return Mono.error(tooLarge());
         }
         return in.receive()
                 .map(HttpGateway::bytes)
-                .reduceWith(() -> new byte[0], (a, buffer) -> {
-                    if (a.length + buffer.length > maxBody) {
+                .reduceWith(() -> new byte[0], (received, buffer) -> {
+                    if (received.length + buffer.length > maxBodyBytes) {
                         throw Exceptions.propagate(tooLarge());
                     }
-                    byte[] all = Arrays.copyOf(a, a.length + buffer.length);
-                    System.arraycopy(buffer, 0, all, a.length, buffer.length);
+                    byte[] all = Arrays.copyOf(received, received.length + buffer.length);
+                    System.arraycopy(buffer, 0, all, received.length, buffer.length);
                     return all;
                 })
                 .onErrorMap(Exceptions::unwrap)
@@ -130,7 +131,7 @@
     }
 
     private ServiceException tooLarge() {
-        return new RequestTooLargeException("The body is over " + maxBody + " bytes.");
+        return new RequestTooLargeException("The body is over " + maxBodyBytes + " bytes.");
     }
 
     private static byte[] bytes(ByteBuf buffer) {
@@ -145,7 +146,10 @@
         return out;
     }
 
-    /** From now on every answer is the last of its stream: callers go elsewhere. (docs/design.md, section 10.2) */
+    /**
+     * From now on, each connection is closed after the next response behind which no pipelined request waits, so that
+     * callers move to other nodes (docs/design.md, section 10.2).
+     */
     public void closeAfterNextResponse() {
         closing = true;
     }
@@ -156,9 +160,9 @@
     }
 
     /**
-     * New connections are not taken any more; each request that was read gets its answer first, for a bounded time.
-     * Whether a connection has such a request is looked at on its own event loop: looked at from here, a request that
-     * is being read meanwhile would lose its connection.
+     * Stops accepting connections and waits, for a bounded time, until each request that was already read is answered.
+     * Each connection checks on its own event loop whether it has such a request; a check from this thread could close
+     * a connection while a request is being read from it.
      */
     @Override
     public void stop() {
@@ -167,16 +171,16 @@
         if (server == null) {
             return;
         }
-        long until = System.nanoTime() + STOP_TIMEOUT.toNanos();
+        long deadline = System.nanoTime() + STOP_TIMEOUT.toNanos();
         server.channel().close().awaitUninterruptibly(STOP_TIMEOUT.toMillis());
-        // again while there are any: a connection that was just accepted joins the others a moment later
-        while (!streams.isEmpty() && System.nanoTime() < until) {
-            streams.forEach(RequestTracker::drain);
-            streams.newCloseFuture().awaitUninterruptibly(until - System.nanoTime(), TimeUnit.NANOSECONDS);
+        // repeated while any are open: a connection that was just accepted is added to the group slightly later
+        while (!connections.isEmpty() && System.nanoTime() < deadline) {
+            connections.forEach(RequestTracker::drain);
+            connections.newCloseFuture().awaitUninterruptibly(deadline - System.nanoTime(), TimeUnit.NANOSECONDS);
         }
-        if (!streams.isEmpty()) {
-            LOG.warn("{} connections still have requests without an answer; they are closed.", streams.size());
-            streams.close();
+        if (!connections.isEmpty()) {
+            LOG.warn("{} connections still have requests without an answer; they are closed.", connections.size());
+            connections.close();
         }
         server.dispose();
     }
--- a/common/src/main/java/org/woadvale/common/http/HttpRouter.java
+++ b/common/src/main/java/org/woadvale/common/http/HttpRouter.java
@@ -9,37 +9,39 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Chooses the handler of a request by method and path. A route is written as {@code GET v1/messages/{handle}}; a last
- * segment {@code **} stands for any number of further ones. Of several routes that fit the one added first is taken.
+ * Selects the handler of a request by method and path. A route is written as {@code GET v1/messages/{handle}}; a last
+ * segment {@code **} matches any number of further segments. If several routes match, the one added first is used.
  */
 public final class HttpRouter {
-    private static final String ANY_REST = "**";
+    private static final String WILDCARD_SUFFIX = "**";
 
-    /** Answers the requests of one route. */
+    /** Handles the requests of one route. */
     @FunctionalInterface
     public interface Handler {
         /**
-         * Answers a request.
+         * Handles a request.
          *
-         * @param path the segments that the route names, by name
-         * @throws ServiceException if the request is refused before anything was begun
+         * @param path the values of the path segments that the route names, by name
+         * @throws ServiceException if the request is rejected before any work has started
          */
         Mono<Response> handle(Request request, Map<String, String> path) throws ServiceException;
     }
 
-    private record Route(String method, List<String> segments, boolean openEnd, Handler handler) {
+    private record Route(String method, List<String> segments, boolean wildcardSuffix, Handler handler) {
         Optional<Map<String, String>> match(Request request) {
-            List<String> given = request.segments();
-            boolean sizeFits = openEnd ? given.size() >= segments.size() : given.size() == segments.size();
-            if (!sizeFits || !request.method().equals(method)) {
+            List<String> actualSegments = request.segments();
+            boolean sizeMatches = wildcardSuffix
+                    ? actualSegments.size() >= segments.size()
+                    : actualSegments.size() == segments.size();
+            if (!sizeMatches || !request.method().equals(method)) {
                 return Optional.empty();
             }
             Map<String, String> path = new LinkedHashMap<>();
             for (int i = 0; i < segments.size(); i++) {
-                String desired = segments.get(i);
-                if (desired.startsWith("{")) {
-                    path.put(desired.substring(1, desired.length() - 1), given.get(i));
-                } else if (!desired.equals(given.get(i))) {
+                String expected = segments.get(i);
+                if (expected.startsWith("{")) {
+                    path.put(expected.substring(1, expected.length() - 1), actualSegments.get(i));
+                } else if (!expected.equals(actualSegments.get(i))) {
                     return Optional.empty();
                 }
             }
@@ -54,12 +56,12 @@
         int space = route.indexOf(' ');
         List<String> segments =
                 new ArrayList<>(List.of(route.substring(space + 1).split("/")));
-        boolean openEnd = segments.remove(ANY_REST);
-        routes.add(new Route(route.substring(0, space), List.copyOf(segments), openEnd, handler));
+        boolean wildcardSuffix = segments.remove(WILDCARD_SUFFIX);
+        routes.add(new Route(route.substring(0, space), List.copyOf(segments), wildcardSuffix, handler));
         return this;
     }
 
-    /** The answer of the first route that fits; empty if none does. */
+    /** The response of the first route that matches, or empty if none does. */
     public Optional<Mono<Response>> route(Request request) throws ServiceException {
         for (Route route : routes) {
             Optional<Map<String, String>> path = route.match(request);
--- a/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
+++ b/common/src/main/java/org/woadvale/common/http/MalformedRequestHandler.java
@@ -11,34 +11,38 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Notes on a stream that what came cannot be decoded: the server then ends the body as if it were complete. */
+/**
+ * Marks a connection on which an undecodable or ambiguous request has arrived. Without the mark, the application would
+ * see a request with an undecodable body as complete, because the server ends its body as if all of it had arrived.
+ */
 final class MalformedRequestHandler extends ChannelInboundHandlerAdapter {
-    private static final AttributeKey<Boolean> KEY = AttributeKey.valueOf("woadvale.broken");
+    private static final AttributeKey<Boolean> MALFORMED = AttributeKey.valueOf("woadvale.broken");
 
-    static boolean isMalformed(HttpServerRequest in) {
-        AtomicBoolean out = new AtomicBoolean();
-        in.withConnection(connection -> out.set(connection.channel().hasAttr(KEY)));
-        return out.get();
+    static boolean isMalformed(HttpServerRequest request) {
+        AtomicBoolean malformed = new AtomicBoolean();
+        request.withConnection(connection -> malformed.set(connection.channel().hasAttr(MALFORMED)));
+        return malformed.get();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        boolean undecoded = message instanceof DecoderResultProvider decoded
+        boolean decodingFailed = message instanceof DecoderResultProvider decoded
                 && decoded.decoderResult().isFailure();
-        if (undecoded || message instanceof HttpRequest request && ambiguous(request)) {
-            context.channel().attr(KEY).set(true);
+        if (decodingFailed || message instanceof HttpRequest request && isAmbiguous(request)) {
+            context.channel().attr(MALFORMED).set(true);
         }
         context.fireChannelRead(message);
     }
 
-    /** Where one reader may see another end of the body, or another host, than the next one does. */
-    private static boolean ambiguous(HttpRequest request) {
-        List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean plain = codings.isEmpty()
-                || codings.size() == 1
-                        && codings.get(0).equalsIgnoreCase("chunked")
+    /** Whether HTTP implementations could disagree on the end of the body or on the host (request smuggling). */
+    private static boolean isAmbiguous(HttpRequest request) {
+        List<String> transferCodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        boolean unambiguousLength = transferCodings.isEmpty()
+                || transferCodings.size() == 1
+                        && transferCodings.get(0).equalsIgnoreCase("chunked")
                         && request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                         && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-        return !plain || request.headers().getAll(HttpHeaderNames.HOST).size() > 1;
+        return !unambiguousLength
+                || request.headers().getAll(HttpHeaderNames.HOST).size() > 1;
     }
 }
--- a/common/src/main/java/org/woadvale/common/http/Request.java
+++ b/common/src/main/java/org/woadvale/common/http/Request.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An HTTP request, free of any HTTP library; header names are in lower case. */
+/** An HTTP request, independent of any HTTP library; header names are in lower case. */
 public record Request(String method, String path, Map<String, String> headers, byte[] body) {
     private static final String BEARER = "Bearer ";
 
@@ -14,12 +14,12 @@
         return List.of(path.replaceAll("\\?.*", "").replaceAll("^/+", "").split("/"));
     }
 
-    /** A header by its name in any case; blank ones count as absent. */
+    /** The value of a header, whose name is matched without regard to case; a blank value counts as absent. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(headers.get(name.toLowerCase(Locale.ROOT))).filter(s -> !s.isBlank());
     }
 
-    /** The secret of a bearer key. */
+    /** The bearer token of the {@code Authorization} header. */
     public Optional<String> bearerToken() {
         return header("authorization")
                 .filter(value -> value.startsWith(BEARER))
--- a/common/src/main/java/org/woadvale/common/http/RequestTracker.java
+++ b/common/src/main/java/org/woadvale/common/http/RequestTracker.java
@@ -15,13 +15,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts the requests of one connection that were read and have no complete answer. While the server says goodbye, the
- * answer to the last of them tells the caller that the connection ends with it; once the connection is draining, it is
- * closed as soon as there are none. All of it happens on the connection's event loop, so no request can be read between
- * the look and the close.
+ * Counts the requests of one connection that were read and are not completely answered. While the server is closing
+ * connections, the response to the last of them carries {@code Connection: close}; a draining connection is closed as
+ * soon as no request is outstanding. All of this runs on the connection's event loop, so no request can be read between
+ * the check and the close.
  */
 final class RequestTracker extends ChannelDuplexHandler {
-    /** So long a connection that is just open may take to bring its first request while the server stops. */
+    /** How long a new connection may take to send its first request while the server stops. */
     static final Duration FIRST_REQUEST_GRACE = Duration.ofMillis(200);
 
     private enum Event {
@@ -30,23 +30,23 @@
 
     private final BooleanSupplier closing;
     private final BooleanSupplier stopping;
-    private int unanswered;
+    private int outstanding;
     private boolean draining;
-    private boolean anyRequest;
+    private boolean requestReceived;
     private boolean informational;
 
     /**
-     * The handler of one connection.
+     * Creates the handler of one connection.
      *
-     * @param closing whether each connection ends with the next answer after which no request waits for one
-     * @param stopping whether new connections drain from their beginning
+     * @param closing whether each connection is closed after the next response that leaves no request outstanding
+     * @param stopping whether new connections drain as soon as they are open
      */
     RequestTracker(BooleanSupplier closing, BooleanSupplier stopping) {
         this.closing = closing;
         this.stopping = stopping;
     }
 
-    /** From now on the connection is closed as soon as each request that was read has its answer. */
+    /** Closes the connection as soon as each request that was read has been answered. */
     static void drain(Channel channel) {
         channel.pipeline().fireUserEventTriggered(Event.DRAIN);
     }
@@ -62,8 +62,8 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         if (message instanceof HttpRequest) {
-            unanswered++;
-            anyRequest = true;
+            outstanding++;
+            requestReceived = true;
         }
         context.fireChannelRead(message);
     }
@@ -81,14 +81,14 @@
     }
 
     private void announceClose(HttpResponse response) {
-        if (!informational && unanswered == 1 && closing.getAsBoolean()) {
+        if (!informational && outstanding == 1 && closing.getAsBoolean()) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             draining = true;
         }
     }
 
     private void onAnswered(ChannelHandlerContext context) {
-        unanswered--;
+        outstanding--;
         closeIfDrained(context);
     }
 
@@ -101,10 +101,10 @@
         context.fireUserEventTriggered(event);
     }
 
-    /** A caller that has just connected has its request on its way: it is waited for. */
+    /** A connection without any request so far gets a grace period, as its first request may be in transit. */
     private void drain(ChannelHandlerContext context) {
         draining = true;
-        if (anyRequest) {
+        if (requestReceived) {
             closeIfDrained(context);
         } else {
             context.executor()
@@ -113,7 +113,7 @@
     }
 
     private void closeIfDrained(ChannelHandlerContext context) {
-        if (draining && unanswered <= 0) {
+        if (draining && outstanding <= 0) {
             context.close();
         }
     }
--- a/common/src/main/java/org/woadvale/common/http/Response.java
+++ b/common/src/main/java/org/woadvale/common/http/Response.java
@@ -7,23 +7,23 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.ThrottledException;
 
-/** An HTTP answer, free of any HTTP library so that the simulator sees what a caller sees. */
+/** An HTTP response, independent of any HTTP library so that the simulator sees what a caller sees. */
 public record Response(int status, Map<String, String> headers, byte[] body) {
     private static final String DEFAULT_RETRY_AFTER_SECONDS = "1";
 
-    /** A JSON document. */
+    /** Creates a response whose body is a JSON document. */
     public static Response json(int status, Object body) {
         return new Response(status, Map.of("Content-Type", "application/json"), Configurations.write(body));
     }
 
-    /** The same response with one more header. */
+    /** A copy of this response with one more header. */
     public Response withHeader(String header, String value) {
         Map<String, String> copy = new LinkedHashMap<>(headers);
         copy.put(header, value);
         return new Response(status, copy, body);
     }
 
-    /** The table from kind to answer is ErrorKind itself. */
+    /** Creates the response to a failed request; {@link ErrorKind} determines its status. */
     public static Response of(ServiceException failure) {
         Map<String, Object> body = new LinkedHashMap<>();
         body.put("kind", failure.kind().wireName());
@@ -31,7 +31,7 @@
         body.put("details", failure.details());
         Response response = json(failure.kind().status(), body);
         return retryAfter(failure)
-                .map(s -> response.withHeader("Retry-After", s))
+                .map(seconds -> response.withHeader("Retry-After", seconds))
                 .orElse(response);
     }
 
--- a/common/src/main/java/org/woadvale/common/http/Status.java
+++ b/common/src/main/java/org/woadvale/common/http/Status.java
@@ -1,36 +1,36 @@
 package org.woadvale.common.http;
 
-/** HTTP status codes that the product answers or reads. */
+/** HTTP status codes that the nodes send or interpret. */
 public final class Status {
-    /** The request was done. */
+    /** The request succeeded. */
     public static final int OK = 200;
-    /** A message was accepted for later. */
+    /** A message was accepted for later processing. */
     public static final int ACCEPTED = 202;
-    /** There is nothing to hand out. */
+    /** No message is available. */
     public static final int NO_CONTENT = 204;
-    /** The first code that is no success. */
+    /** The lowest redirection code; success codes are below it. */
     public static final int FIRST_REDIRECT = 300;
-    /** The request is at fault. */
+    /** The request is malformed or invalid. */
     public static final int BAD_REQUEST = 400;
-    /** No such thing. */
+    /** The resource does not exist. */
     public static final int NOT_FOUND = 404;
-    /** The request took too long to arrive. */
+    /** The request took too long to arrive completely. */
     public static final int REQUEST_TIMEOUT = 408;
-    /** The request contradicts the state. */
+    /** The request conflicts with the current state. */
     public static final int CONFLICT = 409;
-    /** The request reached another server than the one that it is for. */
+    /** The request reached a server other than the one it was meant for. */
     public static final int MISDIRECTED = 421;
-    /** The content breaks its rules. */
+    /** The content is well-formed but fails validation. */
     public static final int UNPROCESSABLE = 422;
-    /** A rate limit is reached. */
+    /** A rate limit was exceeded. */
     public static final int TOO_MANY_REQUESTS = 429;
-    /** A fault of the server. */
+    /** An internal error of the server. */
     public static final int INTERNAL_ERROR = 500;
-    /** A fault behind the server. */
+    /** An error of an upstream server. */
     public static final int BAD_GATEWAY = 502;
-    /** Not right now. */
+    /** The service is temporarily unavailable. */
     public static final int UNAVAILABLE = 503;
-    /** No status is larger. */
+    /** The largest three-digit status code. */
     public static final int LARGEST = 999;
 
     private Status() {}
