--- a/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
@@ -26,12 +26,13 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * The rows of docs/calls.md for what we serve: each caller its own answer, and nothing in a request but the request.
+ * Covers the rows of docs/calls.md for requests that the gateway serves: each caller receives only the responses to its
+ * own requests, and no other request can be smuggled inside a request.
  */
 class GatewayAnswersTest {
-    private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
-    private final Sinks.One<String> held = Sinks.one();
-    private final CountDownLatch holding = new CountDownLatch(1);
+    private final List<String> receivedPaths = Collections.synchronizedList(new ArrayList<>());
+    private final Sinks.One<String> heldResponse = Sinks.one();
+    private final CountDownLatch heldRequestReceived = new CountDownLatch(1);
     private HttpGateway gateway;
     private int port;
 
@@ -41,12 +42,12 @@
             port = serverSocket.getLocalPort();
         }
         gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
-            reached.add(request.path());
+            receivedPaths.add(request.path());
             if (request.path().equals("/held")) {
-                holding.countDown();
-                return held.asMono().map(x -> answer(request));
+                heldRequestReceived.countDown();
+                return heldResponse.asMono().map(x -> respond(request));
             }
-            return Mono.just(answer(request));
+            return Mono.just(respond(request));
         });
         gateway.start();
     }
@@ -56,7 +57,7 @@
         gateway.stop();
     }
 
-    private static Response answer(Request request) {
+    private static Response respond(Request request) {
         return new Response(
                 request.path().equals("/empty") ? 204 : 200,
                 Map.of("X-Path", request.path()),
@@ -69,7 +70,7 @@
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n";
     }
 
-    private static String last(String path) {
+    private static String getAndClose(String path) {
         return "GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
     }
 
@@ -79,35 +80,35 @@
         return socket;
     }
 
-    private static void say(Socket socket, String text) throws IOException {
+    private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
     }
 
-    private static String rest(Socket socket) throws IOException {
+    private static String readToEnd(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** What comes up to the given end of it. */
-    private static String until(Socket socket, String end) throws IOException {
+    /** Reads up to and including the given text. */
+    private static String readUntil(Socket socket, String end) throws IOException {
         StringBuilder out = new StringBuilder();
         while (out.indexOf(end) < 0) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, "ended after " + out);
+            assertTrue(next >= 0, "the connection ended after " + out);
             out.append((char) next);
         }
         return out.toString();
     }
 
-    private String said(String text) throws IOException {
+    private String exchange(String text) throws IOException {
         try (Socket socket = open()) {
-            say(socket, text);
-            return rest(socket);
+            send(socket, text);
+            return readToEnd(socket);
         }
     }
 
-    private static List<String> paths(String answers) {
-        Matcher matcher = Pattern.compile("(?i)\r\nx-path: (\\S+)").matcher(answers);
+    private static List<String> paths(String responses) {
+        Matcher matcher = Pattern.compile("(?i)\r\nx-path: (\\S+)").matcher(responses);
         List<String> out = new ArrayList<>();
         while (matcher.find()) {
             out.add(matcher.group(1));
@@ -115,77 +116,77 @@
         return out;
     }
 
-    /** The second and third are there while the first is still being answered. */
+    /** The second and third request arrive while the first is still being processed. */
     @RepeatedTest(20)
     void pipelinedRequestsGetTheirAnswersInOrder() throws Exception {
         try (Socket socket = open()) {
-            say(socket, get("/held") + get("/2") + get("/3"));
-            assertTrue(holding.await(20, TimeUnit.SECONDS));
-            held.tryEmitValue("go");
-            assertEquals(List.of("/held", "/2", "/3"), paths(until(socket, "body of /3")));
+            send(socket, get("/held") + get("/2") + get("/3"));
+            assertTrue(heldRequestReceived.await(20, TimeUnit.SECONDS));
+            heldResponse.tryEmitValue("go");
+            assertEquals(List.of("/held", "/2", "/3"), paths(readUntil(socket, "body of /3")));
         }
     }
 
-    /** The answer comes when its caller has gone; another caller on another connection gets only its own. */
+    /** A response that is ready only after its caller has disconnected must not reach another connection. */
     @Test
-    void answerOfACallerWhoLeftReachesNobody() throws Exception {
-        try (Socket gone = open();
-                Socket stays = open()) {
-            say(gone, get("/held"));
-            assertTrue(holding.await(20, TimeUnit.SECONDS));
-            gone.setSoLinger(true, 0);
-            gone.close();
-            say(stays, get("/1"));
-            String first = until(stays, "body of /1");
-            held.tryEmitValue("go");
-            say(stays, last("/2"));
-            assertEquals(List.of("/1", "/2"), paths(first + rest(stays)));
+    void responseForADisconnectedCallerReachesNoOtherCaller() throws Exception {
+        try (Socket disconnecting = open();
+                Socket remaining = open()) {
+            send(disconnecting, get("/held"));
+            assertTrue(heldRequestReceived.await(20, TimeUnit.SECONDS));
+            disconnecting.setSoLinger(true, 0);
+            disconnecting.close();
+            send(remaining, get("/1"));
+            String first = readUntil(remaining, "body of /1");
+            heldResponse.tryEmitValue("go");
+            send(remaining, getAndClose("/2"));
+            assertEquals(List.of("/1", "/2"), paths(first + readToEnd(remaining)));
         }
     }
 
-    /** A body that came with the answer to HEAD, or to a 204, would be read as the next answer. */
+    /** The client would parse a body sent with a response to HEAD, or with a 204, as the next response. */
     @Test
-    void answersWithoutABodyHaveNone() throws Exception {
-        String answers;
+    void responsesThatMayNotHaveABodyHaveNone() throws Exception {
+        String responses;
         try (Socket socket = open()) {
-            say(socket, "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + get("/empty") + get("/3"));
-            answers = until(socket, "body of /3");
+            send(socket, "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n" + get("/empty") + get("/3"));
+            responses = readUntil(socket, "body of /3");
         }
-        assertEquals(List.of("/1", "/empty", "/3"), paths(answers));
-        assertFalse(answers.contains("body of /1"), answers);
-        assertTrue(answers.matches("(?s)HTTP/1.1 200.*?\r\n\r\nHTTP/1.1 204.*?\r\n\r\nHTTP/1.1 200.*"), answers);
+        assertEquals(List.of("/1", "/empty", "/3"), paths(responses));
+        assertFalse(responses.contains("body of /1"), responses);
+        assertTrue(responses.matches("(?s)HTTP/1.1 200.*?\r\n\r\nHTTP/1.1 204.*?\r\n\r\nHTTP/1.1 200.*"), responses);
     }
 
     @Test
-    void requestThatComesInPiecesIsOneRequest() throws Exception {
-        String whole = "POST /pieces HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
+    void requestThatArrivesByteByByteIsOneRequest() throws Exception {
+        String request = "POST /pieces HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
         try (Socket socket = open()) {
             socket.setTcpNoDelay(true);
-            for (int i = 0; i < whole.length(); i++) {
-                say(socket, whole.substring(i, i + 1));
+            for (int i = 0; i < request.length(); i++) {
+                send(socket, request.substring(i, i + 1));
             }
-            assertEquals(List.of("/pieces"), paths(rest(socket)));
+            assertEquals(List.of("/pieces"), paths(readToEnd(socket)));
         }
-        assertEquals(List.of("/pieces"), reached);
+        assertEquals(List.of("/pieces"), receivedPaths);
     }
 
     @Test
-    void callerWhoAsksFirstIsToldToGoOn() throws Exception {
-        String answers = said("POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n"
+    void expectContinueIsAnsweredWith100() throws Exception {
+        String responses = exchange("POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n"
                 + "Connection: close\r\n\r\nhello");
-        assertTrue(answers.startsWith("HTTP/1.1 100 Continue\r\n"), answers);
-        assertEquals(List.of("/1"), paths(answers));
+        assertTrue(responses.startsWith("HTTP/1.1 100 Continue\r\n"), responses);
+        assertEquals(List.of("/1"), paths(responses));
     }
 
-    /** After what cannot be read nothing more is read: it might be a part of it. */
+    /** Bytes after an undecodable request are not parsed as a request, because they may be part of it. */
     @Test
-    void whatFollowsABrokenRequestIsNoRequest() throws Exception {
-        said(get("/1") + "POST /broken HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n" + last("/3"));
-        assertFalse(reached.contains("/3"), reached.toString());
-        assertFalse(reached.contains("/broken"), reached.toString());
+    void bytesAfterAMalformedRequestAreNotParsedAsARequest() throws Exception {
+        exchange(get("/1") + "POST /broken HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n" + getAndClose("/3"));
+        assertFalse(receivedPaths.contains("/3"), receivedPaths.toString());
+        assertFalse(receivedPaths.contains("/broken"), receivedPaths.toString());
     }
 
-    /** Each could be two requests to one reader and one to another. */
+    /** One HTTP implementation could parse each of these as two requests and another one as a single request. */
     @Test
     void formsThatTwoReadersTakeDifferentlyReachNobody() throws Exception {
         String smuggled = get("/smuggled");
@@ -203,9 +204,9 @@
                 "Host: other\r\n",
                 "X-A: b\u0000c\r\n");
         for (String head : heads) {
-            String answers = said("POST /odd HTTP/1.1\r\nHost: h\r\n" + head + "\r\n" + chunks + smuggled);
-            assertEquals(List.of(), reached, head.toLowerCase(Locale.ROOT));
-            assertTrue(answers.startsWith("HTTP/1.1 400"), head.toLowerCase(Locale.ROOT) + answers);
+            String responses = exchange("POST /odd HTTP/1.1\r\nHost: h\r\n" + head + "\r\n" + chunks + smuggled);
+            assertEquals(List.of(), receivedPaths, head.toLowerCase(Locale.ROOT));
+            assertTrue(responses.startsWith("HTTP/1.1 400"), head.toLowerCase(Locale.ROOT) + responses);
         }
     }
 }
--- a/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayPropertiesTest.java
@@ -25,7 +25,7 @@
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Schedulers;
 
-/** Callers who send any requests, cut into any pieces, and any damage to them. The seeds are fixed. */
+/** Sends arbitrary requests in fragments of arbitrary size, and corrupted requests. The seeds are fixed. */
 class GatewayPropertiesTest {
     private static final String SEED = "18";
     private static final Pattern HEAD =
@@ -34,7 +34,7 @@
     private static HttpGateway gateway;
     private static int port;
 
-    /** The answer is the request said again, by another thread than the one that read it. */
+    /** The server echoes each request, on a thread other than the one that read it. */
     @BeforeContainer
     static void start() throws IOException, ServiceException {
         try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -79,42 +79,48 @@
         return out.toByteArray();
     }
 
-    /** Reads until so many answers have come, or until the gateway closes; the caller ends its side for none. */
-    private static List<String> answers(byte[] bytes, int piece, int expected) throws IOException {
+    /**
+     * Sends the bytes and reads until the expected number of responses has arrived or the gateway closes the
+     * connection. If none is expected, the client closes its sending side after the last byte.
+     */
+    private static List<String> responses(byte[] bytes, int fragmentSize, int expected) throws IOException {
         ByteArrayOutputStream in = new ByteArrayOutputStream();
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(60_000);
             socket.setTcpNoDelay(true);
-            for (int i = 0; i < bytes.length; i += piece) {
-                socket.getOutputStream().write(bytes, i, Math.min(piece, bytes.length - i));
+            for (int i = 0; i < bytes.length; i += fragmentSize) {
+                socket.getOutputStream().write(bytes, i, Math.min(fragmentSize, bytes.length - i));
             }
             if (expected == 0) {
                 socket.shutdownOutput();
             }
-            byte[] part = new byte[4096];
-            int n = 0;
-            while (n >= 0) {
-                in.write(part, 0, n);
-                boolean complete = expected > 0 && answers(in.toByteArray()).size() >= expected;
-                n = complete ? -1 : socket.getInputStream().read(part);
+            byte[] buffer = new byte[4096];
+            int read = 0;
+            while (read >= 0) {
+                in.write(buffer, 0, read);
+                boolean complete = expected > 0 && responses(in.toByteArray()).size() >= expected;
+                read = complete ? -1 : socket.getInputStream().read(buffer);
             }
         } catch (SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // the gateway has refused and closed before it had read everything
+            // the gateway rejected the request and closed the connection before it had read all bytes
         }
-        return answers(in.toByteArray());
+        return responses(in.toByteArray());
     }
 
-    /** Status and body of each whole answer; fails on bytes that are no answer, nor the beginning of one at the end. */
-    private static List<String> answers(byte[] bytes) {
+    /**
+     * Parses the status and body of each complete response. The bytes may end with an incomplete response; any other
+     * bytes that are not part of a response fail the test.
+     */
+    private static List<String> responses(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         List<String> out = new ArrayList<>();
         Matcher head = HEAD.matcher(text);
-        int at = 0;
-        while (at < text.length()) {
-            assertTrue(text.startsWith("HTTP/", at), "no answer at " + at + " of " + text);
-            if (!head.find(at)) {
+        int offset = 0;
+        while (offset < text.length()) {
+            assertTrue(text.startsWith("HTTP/", offset), "not a response at offset " + offset + " of " + text);
+            if (!head.find(offset)) {
                 return out;
             }
             Matcher length = LENGTH.matcher(head.group(2));
@@ -123,35 +129,35 @@
                 return out;
             }
             out.add(head.group(1) + " " + text.substring(head.end(), head.end() + size));
-            at = head.end() + size;
+            offset = head.end() + size;
         }
         return out;
     }
 
     @Property(tries = 60, seed = SEED)
-    void eachRequestHasItsAnswerInItsPlace(
+    void responsesAreInTheOrderOfTheRequests(
             @ForAll @Size(min = 1, max = 6) List<@Size(max = 300) byte[]> bodies,
-            @ForAll @IntRange(min = 1, max = 200) int piece)
+            @ForAll @IntRange(min = 1, max = 200) int fragmentSize)
             throws IOException {
         List<String> expected = bodies.stream()
                 .map(b -> "200 " + new String(b, StandardCharsets.ISO_8859_1))
                 .toList();
-        assertEquals(expected, answers(requests(bodies), piece, expected.size()));
+        assertEquals(expected, responses(requests(bodies), fragmentSize, expected.size()));
     }
 
     /**
-     * An answer has the version of its request, also one that there is not. Whatever is damaged: only answers come, not
-     * more than there were requests and one refusal.
+     * Whichever byte is corrupted, the gateway sends nothing but responses, at most one more than there are requests,
+     * because of the rejection. A response carries the HTTP version of its request, even one that does not exist.
      */
     @Property(tries = 150, seed = SEED)
-    void damagedRequestsGetWholeAnswersOrNone(
+    void corruptedRequestsGetWellFormedResponsesOrNone(
             @ForAll @Size(min = 1, max = 4) List<@Size(max = 40) byte[]> bodies,
-            @ForAll @IntRange(max = 10_000) int place,
-            @ForAll byte damage)
+            @ForAll @IntRange(max = 10_000) int position,
+            @ForAll byte mask)
             throws IOException {
         byte[] bytes = requests(bodies);
-        bytes[place % bytes.length] ^= (byte) (damage | 1);
-        List<String> answers = answers(bytes, bytes.length, 0);
-        assertTrue(answers.size() <= bodies.size() + 1, answers.toString());
+        bytes[position % bytes.length] ^= (byte) (mask | 1);
+        List<String> responses = responses(bytes, bytes.length, 0);
+        assertTrue(responses.size() <= bodies.size() + 1, responses.toString());
     }
 }
--- a/common/src/test/java/org/woadvale/common/http/GatewayStopTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayStopTest.java
@@ -23,21 +23,21 @@
 import reactor.core.publisher.Sinks;
 import reactor.core.scheduler.Schedulers;
 
-/** Guards against a stop that closes a connection on which a whole request has just been read. */
+/** Guards against a stop that closes a connection on which a complete request has just been read. */
 class GatewayStopTest {
     private static final int TIMEOUT_MS = 15_000;
-    private static final int SHARING = 3;
-    /** The order in which the event loop meets the two requests is not ours: one round in three shows the fault. */
+    private static final int CONNECTIONS_PER_EVENT_LOOP = 3;
+    /** The event loop reads the two requests in either order; one repetition in three reproduces the fault. */
     private static final int REPETITIONS = 12;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final CountDownLatch firstBlocked = new CountDownLatch(1);
     private final CountDownLatch firstRelease = new CountDownLatch(1);
     private final CountDownLatch secondBlocked = new CountDownLatch(1);
     private final CountDownLatch secondRelease = new CountDownLatch(1);
     private final CountDownLatch submitted = new CountDownLatch(1);
-    private final Sinks.One<Response> submissionAnswer = Sinks.one();
+    private final Sinks.One<Response> submissionResponse = Sinks.one();
     private final List<Client> clients = new ArrayList<>();
     private String address;
     private HttpGateway gateway;
@@ -45,7 +45,7 @@
     @BeforeEach
     void start() throws Exception {
         address = LoopbackPorts.freeAddress();
-        gateway = new HttpGateway(address, 1 << 10, this::answer);
+        gateway = new HttpGateway(address, 1 << 10, this::respond);
         gateway.start();
     }
 
@@ -57,14 +57,14 @@
         }
     }
 
-    private Mono<Response> answer(Request request) {
+    private Mono<Response> respond(Request request) {
         switch (request.path()) {
             case "/first" -> await(firstBlocked, firstRelease);
             case "/second" -> await(secondBlocked, secondRelease);
             case "/submit" -> {
                 submitted.countDown();
-                // never while the request is still being decoded: that is another case (docs/limits.md)
-                return submissionAnswer.asMono().publishOn(Schedulers.parallel());
+                // never responds while the request is still being decoded, which is a separate case (docs/limits.md)
+                return submissionResponse.asMono().publishOn(Schedulers.parallel());
             }
             default -> {}
         }
@@ -72,7 +72,7 @@
         return Mono.just(new Response(Status.OK, Map.of(), eventLoop));
     }
 
-    /** Holds the event loop up. */
+    /** Blocks the event loop. */
     private static void await(CountDownLatch blocked, CountDownLatch release) {
         blocked.countDown();
         try {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** One kept-alive connection. */
+    /** A client with one kept-alive connection. */
     private final class Client {
         private final Socket socket;
         private final BufferedReader in;
@@ -107,7 +107,7 @@
             socket.getOutputStream().flush();
         }
 
-        /** The status line and the body of the next answer; empty where the connection ended. */
+        /** The status line and the body of the next response, or empty if the connection was closed. */
         List<String> read() throws IOException {
             String status = in.readLine();
             if (status == null) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Connections that are served by the same event loop. */
+    /** Opens connections until enough of them are served by the same event loop, and returns these. */
     private List<Client> clientsOfOneEventLoop() throws IOException {
         Map<String, List<Client>> byEventLoop = new HashMap<>();
         while (true) {
@@ -137,18 +137,18 @@
             client.send("/which");
             List<Client> sharing = byEventLoop.computeIfAbsent(client.read().get(1), loop -> new ArrayList<>());
             sharing.add(client);
-            if (sharing.size() == SHARING) {
+            if (sharing.size() == CONNECTIONS_PER_EVENT_LOOP) {
                 return sharing;
             }
         }
     }
 
     @RepeatedTest(REPETITIONS)
-    void requestReadAsTheStopLooksForIdleConnectionsIsAnswered() throws Exception {
+    void requestReadWhileTheStopClosesIdleConnectionsIsAnswered() throws Exception {
         List<Client> sharing = clientsOfOneEventLoop();
         sharing.get(0).send("/first");
         assertTrue(firstBlocked.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        // both are there when the event loop looks again, and it comes to them one after the other
+        // both have arrived when the event loop next polls, and it reads them one after the other
         sharing.get(1).send("/second");
         sharing.get(2).send("/submit");
         firstRelease.countDown();
@@ -161,14 +161,14 @@
         }
         secondRelease.countDown();
         assertTrue(submitted.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
-        submissionAnswer.tryEmitValue(new Response(Status.ACCEPTED, Map.of(), NOTHING));
+        submissionResponse.tryEmitValue(new Response(Status.ACCEPTED, Map.of(), EMPTY_BODY));
 
         assertEquals(List.of("HTTP/1.1 202 Accepted", ""), sharing.get(2).read());
         assertEquals(List.of(), sharing.get(2).read(), "the connection is closed after its answer");
         stopping.join(TIMEOUT_MS);
     }
 
-    /** Guards against an answer that ends the connection while the next pipelined request waits for its own. */
+    /** Guards against a response that closes the connection while the next pipelined request is still unanswered. */
     @Test
     void pipelinedRequestsAreAllAnsweredWhileTheGatewayCloses() throws Exception {
         Client client = new Client();
@@ -176,7 +176,7 @@
         client.sendTogether("/submit", "/which");
         assertTrue(submitted.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
         gateway.closeAfterNextResponse();
-        submissionAnswer.tryEmitValue(new Response(Status.ACCEPTED, Map.of(), NOTHING));
+        submissionResponse.tryEmitValue(new Response(Status.ACCEPTED, Map.of(), EMPTY_BODY));
         assertEquals("HTTP/1.1 202 Accepted", client.read().get(0));
         assertEquals("HTTP/1.1 200 OK", client.read().get(0));
     }
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
@@ -23,11 +23,11 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Requests that are written oddly, byte for byte: a definite answer and the end of the stream, and nothing reaches the
- * application.
+ * Sends malformed and unusual requests byte for byte. Guards against request smuggling and truncated bodies: a
+ * malformed request is rejected, its connection is closed, and nothing reaches the application.
  */
 class HttpGatewayEdgeTest {
-    private final List<String> reached = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> received = Collections.synchronizedList(new ArrayList<>());
     private HttpGateway gateway;
     private int port;
 
@@ -35,7 +35,7 @@
     void start() throws Exception {
         port = LoopbackPorts.free();
         gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
-            reached.add(request.path() + " " + new String(request.body(), StandardCharsets.ISO_8859_1));
+            received.add(request.path() + " " + new String(request.body(), StandardCharsets.ISO_8859_1));
             return Mono.just(new Response(200, Map.of("X-Path", request.path()), new byte[] {'o', 'k'}));
         });
         gateway.start();
@@ -46,8 +46,8 @@
         gateway.stop();
     }
 
-    /** All that comes back until the other side ends the stream; the caller says no more. */
-    private String said(String text, boolean halfClose) throws IOException {
+    /** Sends the text and returns everything that the gateway sends until it closes the connection. */
+    private String exchange(String text, boolean halfClose) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -59,8 +59,8 @@
         }
     }
 
-    private static List<String> statuses(String answer) {
-        Matcher matcher = Pattern.compile("HTTP/1\\.1 ([0-9]{3})").matcher(answer);
+    private static List<String> statuses(String responses) {
+        Matcher matcher = Pattern.compile("HTTP/1\\.1 ([0-9]{3})").matcher(responses);
         List<String> out = new ArrayList<>();
         while (matcher.find()) {
             out.add(matcher.group(1));
@@ -68,11 +68,13 @@
         return out;
     }
 
-    /** The stream ends by itself, after one refusal at most. */
-    private void refused(String what, String text) throws IOException {
-        String answer = said(text, false);
-        assertTrue(statuses(answer).size() == 1 && statuses(answer).get(0).startsWith("4"), what + ": " + answer);
-        assertEquals(List.of(), reached, what);
+    /** The gateway rejects the request once, closes the connection and passes nothing to the application. */
+    private void assertRejected(String description, String text) throws IOException {
+        String responses = exchange(text, false);
+        assertTrue(
+                statuses(responses).size() == 1 && statuses(responses).get(0).startsWith("4"),
+                description + ": " + responses);
+        assertEquals(List.of(), received, description);
     }
 
     private static String post(String headers, String body) {
@@ -80,106 +82,108 @@
     }
 
     @Test
-    void twoLengths() throws IOException {
-        refused("two lengths", post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello!"));
-        refused("a list of lengths", post("Content-Length: 5, 6\r\n", "hello!"));
+    void conflictingContentLengthsAreRejected() throws IOException {
+        assertRejected("two lengths", post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello!"));
+        assertRejected("a list of lengths", post("Content-Length: 5, 6\r\n", "hello!"));
     }
 
     @Test
-    void lengthWithChunks() throws IOException {
-        refused("both", post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"));
-        refused(
+    void contentLengthWithChunkedEncodingIsRejected() throws IOException {
+        assertRejected("both", post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"));
+        assertRejected(
                 "both, other order",
                 post("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "5\r\nhello\r\n0\r\n\r\n"));
     }
 
     @Test
-    void oddLengths() throws IOException {
-        for (String l : List.of("-1", "five", "0x5", "+5", "99999999999999999999")) {
-            refused("length " + l, post("Content-Length: " + l + "\r\n", "hello"));
+    void invalidContentLengthsAreRejected() throws IOException {
+        for (String length : List.of("-1", "five", "0x5", "+5", "99999999999999999999")) {
+            assertRejected("length " + length, post("Content-Length: " + length + "\r\n", "hello"));
         }
     }
 
-    /** Before: the body ended where it could not be read, and that much of it was handed in. */
+    /** Guards against an undecodable chunk ending the body, so that the application receives a truncated body. */
     @Test
-    void brokenChunks() throws IOException {
-        refused("no size", post("Transfer-Encoding: chunked\r\n", "zz\r\nhello\r\n0\r\n\r\n"));
-        refused("broken later", post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n"));
-        refused("negative size", post("Transfer-Encoding: chunked\r\n", "-5\r\nhello\r\n0\r\n\r\n"));
+    void malformedChunksAreRejected() throws IOException {
+        assertRejected("no size", post("Transfer-Encoding: chunked\r\n", "zz\r\nhello\r\n0\r\n\r\n"));
+        assertRejected(
+                "broken later", post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\nzz\r\nhello\r\n0\r\n\r\n"));
+        assertRejected("negative size", post("Transfer-Encoding: chunked\r\n", "-5\r\nhello\r\n0\r\n\r\n"));
     }
 
     @Test
-    void oddHeads() throws IOException {
-        refused("no request", "nonsense\r\n\r\n");
-        refused("space before the colon", post("Content-Length : 5\r\n", "hello"));
-        refused("header over the limit", post("X-Long: " + "x".repeat(20_000) + "\r\n", ""));
-        refused("line over the limit", "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\nHost: h\r\n\r\n");
+    void malformedHeadsAreRejected() throws IOException {
+        assertRejected("no request", "nonsense\r\n\r\n");
+        assertRejected("space before the colon", post("Content-Length : 5\r\n", "hello"));
+        assertRejected("header over the limit", post("X-Long: " + "x".repeat(20_000) + "\r\n", ""));
+        assertRejected("line over the limit", "GET /" + "x".repeat(20_000) + " HTTP/1.1\r\nHost: h\r\n\r\n");
     }
 
     @Test
-    void halfARequestReachesNobody() throws IOException {
-        said(post("Content-Length: 50\r\n", "half"), true);
-        said(post("Transfer-Encoding: chunked\r\n", "5\r\nhel"), true);
-        said("POST /a HTTP/1.1\r\nHost", true);
-        assertEquals(List.of(), reached);
+    void incompleteRequestDoesNotReachTheApplication() throws IOException {
+        exchange(post("Content-Length: 50\r\n", "half"), true);
+        exchange(post("Transfer-Encoding: chunked\r\n", "5\r\nhel"), true);
+        exchange("POST /a HTTP/1.1\r\nHost", true);
+        assertEquals(List.of(), received);
     }
 
     @Test
-    void bodyThatLooksLikeARequestIsABody() throws IOException {
+    void bodyThatLooksLikeARequestIsNotParsedAsOne() throws IOException {
         String inner = "POST /evil HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
-        String answer = said(post("Connection: close\r\nContent-Length: " + inner.length() + "\r\n", inner), false);
-        assertEquals(List.of("200"), statuses(answer));
-        assertEquals(List.of("/a " + inner), reached);
+        String responses =
+                exchange(post("Connection: close\r\nContent-Length: " + inner.length() + "\r\n", inner), false);
+        assertEquals(List.of("200"), statuses(responses));
+        assertEquals(List.of("/a " + inner), received);
     }
 
     @Test
-    void chunksAreTakenAsTheWholeBody() throws IOException {
-        String answer = said(
+    void chunksAreJoinedIntoOneBody() throws IOException {
+        String responses = exchange(
                 post("Connection: close\r\nTransfer-Encoding: chunked\r\n", "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"),
                 false);
-        assertEquals(List.of("200"), statuses(answer));
-        assertEquals(List.of("/a hello world"), reached);
+        assertEquals(List.of("200"), statuses(responses));
+        assertEquals(List.of("/a hello world"), received);
     }
 
-    /** Two requests at once on one stream: each its own answer, in their order. */
+    /** Two pipelined requests on one connection each get their own response, in the order of the requests. */
     @Test
     void answersComeInTheOrderOfTheRequests() throws IOException {
-        String answer = said(
+        String responses = exchange(
                 "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", false);
-        assertEquals(List.of("200", "200"), statuses(answer));
-        assertTrue(answer.toLowerCase(Locale.ROOT).matches("(?s).*x-path: /1.*x-path: /2.*"), answer);
+        assertEquals(List.of("200", "200"), statuses(responses));
+        assertTrue(responses.toLowerCase(Locale.ROOT).matches("(?s).*x-path: /1.*x-path: /2.*"), responses);
     }
 
-    /** The server is told to stop while a request is open: no new streams, and the open one gets its whole answer. */
+    /** If the server stops during a request, it accepts no new connections but answers that request completely. */
     @Test
     void openRequestGetsItsAnswerWhileTheGateStops() throws Exception {
         stop();
-        Sinks.One<Response> later = Sinks.one();
-        CountDownLatch open = new CountDownLatch(1);
+        Sinks.One<Response> pendingResponse = Sinks.one();
+        CountDownLatch requestReceived = new CountDownLatch(1);
         gateway = new HttpGateway("127.0.0.1:" + port, 1000, request -> {
-            open.countDown();
-            return later.asMono();
+            requestReceived.countDown();
+            return pendingResponse.asMono();
         });
         gateway.start();
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream()
                     .write(post("Content-Length: 5\r\n", "hello").getBytes(StandardCharsets.ISO_8859_1));
-            assertTrue(open.await(10, TimeUnit.SECONDS));
+            assertTrue(requestReceived.await(10, TimeUnit.SECONDS));
             Thread stopping = new Thread(gateway::stop);
             stopping.start();
-            while (takesStreams()) {
+            while (acceptsConnections()) {
                 Thread.onSpinWait();
             }
-            later.tryEmitValue(new Response(200, Map.of(), "whole".getBytes()));
-            String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("\r\n\r\nwhole"), answer);
-            assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
+            pendingResponse.tryEmitValue(new Response(200, Map.of(), "whole".getBytes()));
+            String responses = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            assertTrue(responses.startsWith("HTTP/1.1 200") && responses.endsWith("\r\n\r\nwhole"), responses);
+            assertTrue(responses.toLowerCase(Locale.ROOT).contains("connection: close"), responses);
             stopping.join();
         }
     }
 
-    private boolean takesStreams() {
+    private boolean acceptsConnections() {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             return socket.isConnected();
         } catch (IOException e) {
@@ -187,13 +191,13 @@
         }
     }
 
-    /** What is refused for its size ends its stream, so that the rest of it is not read as another request. */
+    /** Rejecting a request for its size closes the connection, so that the rest is not parsed as a request. */
     @Test
-    void restOfATooLargeBodyIsNoRequest() throws IOException {
+    void restOfATooLargeBodyIsNotParsedAsARequest() throws IOException {
         String inner = "GET /evil HTTP/1.1\r\nHost: h\r\n\r\n";
-        String answer = said(
+        String responses = exchange(
                 post("Content-Length: 2000\r\n", "x".repeat(1990 - inner.length()) + inner + "x".repeat(10)), true);
-        assertEquals("413", statuses(answer).get(0));
-        assertEquals(List.of(), reached);
+        assertEquals("413", statuses(responses).get(0));
+        assertEquals(List.of(), received);
     }
 }
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayTest.java
@@ -16,20 +16,20 @@
 import org.woadvale.common.error.ThrottledException;
 import reactor.core.publisher.Mono;
 
-/** The real HTTP server in front of the application function. */
+/** Tests the HTTP server with a real client and a handler function. */
 class HttpGatewayTest {
-    private final AtomicInteger reached = new AtomicInteger();
+    private final AtomicInteger handledRequests = new AtomicInteger();
 
     private HttpResponse<String> post(String address, int bytes, boolean lengthKnown) throws Exception {
         byte[] body = "x".repeat(bytes).getBytes();
-        HttpRequest.BodyPublisher p = HttpRequest.BodyPublishers.ofByteArray(body);
+        HttpRequest.BodyPublisher publisher = HttpRequest.BodyPublishers.ofByteArray(body);
         return HttpClient.newHttpClient()
                 .send(
                         HttpRequest.newBuilder(URI.create("http://" + address + "/a"))
                                 .version(HttpClient.Version.HTTP_1_1)
                                 .POST(
                                         lengthKnown
-                                                ? p
+                                                ? publisher
                                                 : HttpRequest.BodyPublishers.ofInputStream(
                                                         () -> new ByteArrayInputStream(body)))
                                 .build(),
@@ -37,10 +37,10 @@
     }
 
     @Test
-    void oversizedBodiesNeverReachTheApplicationAndFaultsBecomeAnswers() throws Exception {
+    void oversizedBodiesNeverReachTheHandlerAndErrorsBecomeResponses() throws Exception {
         String address = LoopbackPorts.freeAddress();
         HttpGateway gateway = new HttpGateway(address, 100, request -> {
-            reached.incrementAndGet();
+            handledRequests.incrementAndGet();
             return request.body().length == 3
                     ? Mono.error(new ThrottledException("later", List.of("7")))
                     : Mono.just(Response.json(200, request.body().length));
@@ -51,7 +51,7 @@
             HttpResponse<String> chunked = post(address, 5000, false);
             assertEquals(413, chunked.statusCode());
             assertTrue(chunked.body().contains("\"kind\":\"too_large\""), chunked.body());
-            assertEquals(0, reached.get());
+            assertEquals(0, handledRequests.get());
             assertEquals("100", post(address, 100, true).body());
             HttpResponse<String> throttled = post(address, 3, true);
             assertEquals(429, throttled.statusCode());
@@ -61,9 +61,9 @@
         }
     }
 
-    /** By its declared length a caller can tell an answer that was cut off; that goes for each kind of answer. */
+    /** Every kind of response declares its length, so that a caller can detect a truncated one. */
     @Test
-    void everyAnswerDeclaresItsLength() throws Exception {
+    void everyResponseDeclaresItsLength() throws Exception {
         String address = LoopbackPorts.freeAddress();
         HttpGateway gateway = new HttpGateway(address, 100, request -> switch (request.body().length) {
             case 1 -> Mono.just(Response.json(202, "taken"));
--- a/common/src/test/java/org/woadvale/common/http/RequestTrackerTest.java
+++ b/common/src/test/java/org/woadvale/common/http/RequestTrackerTest.java
@@ -26,56 +26,56 @@
         channel.finishAndReleaseAll();
     }
 
-    private static void request(EmbeddedChannel channel) {
+    private static void receiveRequest(EmbeddedChannel channel) {
         channel.writeInbound(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/"));
     }
 
-    /** The value of the answer's Connection header; empty where it has none. */
-    private static String answer(EmbeddedChannel channel, HttpResponseStatus status) {
+    /** Sends a response and returns its Connection header, or an empty string if it has none. */
+    private static String sendResponse(EmbeddedChannel channel, HttpResponseStatus status) {
         channel.writeOutbound(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status));
         FullHttpResponse sent = channel.readOutbound();
         return sent.headers().get(HttpHeaderNames.CONNECTION, "");
     }
 
-    private static void pass(EmbeddedChannel channel, long ms) {
+    private static void advanceTime(EmbeddedChannel channel, long ms) {
         channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
     }
 
     @Test
-    void connectionWithoutAnyRequestIsGivenTimeToBringItsFirst() {
+    void newConnectionMaySendItsFirstRequestWithinTheGracePeriod() {
         RequestTracker.drain(channel);
-        pass(channel, RequestTracker.FIRST_REQUEST_GRACE.toMillis() - 1);
+        advanceTime(channel, RequestTracker.FIRST_REQUEST_GRACE.toMillis() - 1);
         assertTrue(channel.isOpen());
-        request(channel);
-        pass(channel, 1);
+        receiveRequest(channel);
+        advanceTime(channel, 1);
         assertTrue(channel.isOpen(), "its request has no answer yet");
-        answer(channel, HttpResponseStatus.ACCEPTED);
+        sendResponse(channel, HttpResponseStatus.ACCEPTED);
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void connectionThatBringsNoRequestIsClosedAfterThatTime() {
+    void connectionWithoutARequestIsClosedAfterTheGracePeriod() {
         RequestTracker.drain(channel);
-        pass(channel, RequestTracker.FIRST_REQUEST_GRACE.toMillis());
+        advanceTime(channel, RequestTracker.FIRST_REQUEST_GRACE.toMillis());
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void connectionThatOpensDuringTheStopIsServedOnce() {
+    void connectionOpenedDuringTheStopServesOneRequest() {
         closing = true;
         stopping = true;
         EmbeddedChannel late = new EmbeddedChannel(new RequestTracker(() -> closing, () -> stopping));
         assertTrue(late.isOpen());
-        request(late);
-        assertEquals("close", answer(late, HttpResponseStatus.OK));
+        receiveRequest(late);
+        assertEquals("close", sendResponse(late, HttpResponseStatus.OK));
         assertFalse(late.isOpen());
     }
 
     @Test
     void idleConnectionIsClosedAtOnce() {
-        request(channel);
-        answer(channel, HttpResponseStatus.OK);
+        receiveRequest(channel);
+        sendResponse(channel, HttpResponseStatus.OK);
         assertTrue(channel.isOpen());
         RequestTracker.drain(channel);
         channel.runPendingTasks();
@@ -83,14 +83,14 @@
     }
 
     @Test
-    void onlyTheAnswerToTheLastPipelinedRequestEndsTheConnection() {
+    void onlyTheResponseToTheLastPipelinedRequestClosesTheConnection() {
         closing = true;
-        request(channel);
-        request(channel);
-        assertEquals("", answer(channel, HttpResponseStatus.CONTINUE));
-        assertEquals("", answer(channel, HttpResponseStatus.OK));
+        receiveRequest(channel);
+        receiveRequest(channel);
+        assertEquals("", sendResponse(channel, HttpResponseStatus.CONTINUE));
+        assertEquals("", sendResponse(channel, HttpResponseStatus.OK));
         assertTrue(channel.isOpen());
-        assertEquals("close", answer(channel, HttpResponseStatus.OK));
+        assertEquals("close", sendResponse(channel, HttpResponseStatus.OK));
         assertFalse(channel.isOpen());
     }
 }
