--- a/common/src/test/java/org/woadvale/common/error/ServiceExceptionTest.java
+++ b/common/src/test/java/org/woadvale/common/error/ServiceExceptionTest.java
@@ -13,7 +13,7 @@
 class ServiceExceptionTest {
     @ParameterizedTest
     @EnumSource
-    void everyKindHasATypeThatSaysWhatTheTableSays(ErrorKind kind) {
+    void exceptionTypeOfEachKindMatchesItsProperties(ErrorKind kind) {
         ServiceException failure = ServiceException.of(kind, "text", List.of("detail"));
         assertEquals(kind, failure.kind());
         assertEquals("text", failure.getMessage());
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theLeaderTravelsAsADetail() {
+    void leaderIsCarriedInTheDetails() {
         NotLeaderException sent = new NotLeaderException("text", Optional.of("10.0.0.1:1"));
         ServiceException read = ServiceException.of(sent.kind(), sent.getMessage(), sent.details());
         assertEquals(
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whatIsNotOursIsAnInternalErrorAndOursStaysItself() {
+    void otherThrowablesBecomeInternalErrorsAndServiceExceptionsAreKept() {
         assertInstanceOf(InternalErrorException.class, ServiceException.of(new IllegalArgumentException("text")));
         ThrottledException own = new ThrottledException("text", 3);
         assertSame(own, ServiceException.of(own));
--- a/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
+++ b/common/src/test/java/org/woadvale/common/runtime/ErrorKindTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.error.ErrorKind;
 
-/** The table from kind to answer, written out a second time on purpose. */
+/** Compares the error kinds with an independent copy of their table, so that no value changes unnoticed. */
 class ErrorKindTest {
     private static final String TABLE = """
         bad_request 400 definite final
