--- a/operator/src/main/java/org/woadvale/operator/HttpTransport.java
+++ b/operator/src/main/java/org/woadvale/operator/HttpTransport.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Seam to the public APIs. */
+/** Sends HTTP requests to the nodes' public APIs; tests substitute it. */
 @FunctionalInterface
 interface HttpTransport {
     record HttpResult(int status, Map<String, String> headers, byte[] body) {}
--- a/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorCommands.java
@@ -26,7 +26,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.UnavailableException;
 
-/** list, check and run. */
+/** The subcommands list, check and run. */
 final class OperatorCommands {
     private OperatorCommands() {}
 
@@ -50,12 +50,12 @@
     public static final class Check implements Command {
         @Required
         @Arguments(description = "A shipped runbook's name, or a file")
-        private String book;
+        private String runbook;
 
         @Override
         public int execute(Consumer<String> out) throws ServiceException {
-            out.accept(Runbooks.load(book).name() + ": "
-                    + Runbooks.load(book).steps().size() + " steps, valid.");
+            out.accept(Runbooks.load(runbook).name() + ": "
+                    + Runbooks.load(runbook).steps().size() + " steps, valid.");
             return 0;
         }
     }
@@ -64,42 +64,47 @@
     public static final class Run implements Command {
         @Required
         @Arguments(description = "A shipped runbook's name, or a file")
-        private String book;
+        private String runbook;
 
-        @Option(name = "--set", title = "NAME=VALUE", description = "A value; @FILE takes a file's content")
-        private List<String> set = new ArrayList<>();
+        @Option(
+                name = "--set",
+                title = "NAME=VALUE",
+                description = "Sets a variable; @FILE reads the value from a file")
+        private List<String> assignments = new ArrayList<>();
 
-        @Option(name = "--dry-run", description = "Checks what must hold and shows the steps, changes nothing")
-        private boolean dry;
+        @Option(
+                name = "--dry-run",
+                description = "Checks the required conditions and prints the steps without changing anything")
+        private boolean dryRun;
 
-        @Option(name = "--yes", description = "Takes every step by hand as done")
+        @Option(name = "--yes", description = "Treats every manual step as done")
         private boolean yes;
 
-        @Option(name = "--record", title = "FILE", description = "Appends what was done to a file")
+        @Option(name = "--record", title = "FILE", description = "Appends a record of the run to a file")
         private String record = "";
 
-        @Option(name = "--operator-key", title = "SECRET", description = "Operator key, if the core asks for one")
+        @Option(name = "--operator-key", title = "SECRET", description = "Operator key, if the core requires one")
         private String key = "";
 
         @Override
         public int execute(Consumer<String> out) throws ServiceException {
-            RunbookRunner runbookRunner = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dry);
-            boolean ok = runbookRunner.run(Runbooks.load(book), values());
+            RunbookRunner runbookRunner = new RunbookRunner(new Http()::send, new Terminal(out, yes), key, dryRun);
+            boolean succeeded = runbookRunner.run(Runbooks.load(runbook), values());
             if (!record.isEmpty()) {
                 try {
-                    List<String> lines = new ArrayList<>(List.of("# " + Instant.now() + " " + book));
+                    List<String> lines = new ArrayList<>(List.of("# " + Instant.now() + " " + runbook));
                     lines.addAll(runbookRunner.record());
                     Files.write(Path.of(record), lines, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
                 } catch (IOException e) {
-                    throw new UnavailableException("The record was not written: " + e.getMessage());
+                    throw new UnavailableException("Cannot write the record of the run: " + e.getMessage());
                 }
             }
-            return ok ? 0 : 1;
+            return succeeded ? 0 : 1;
         }
 
         private Map<String, String> values() throws ServiceException {
             Map<String, String> out = new HashMap<>();
-            for (String assignment : set) {
+            for (String assignment : assignments) {
                 int i = assignment.indexOf('=');
                 if (i < 1) {
                     throw new InvalidRequestException("--set takes NAME=VALUE, not " + assignment + ".");
@@ -117,7 +122,7 @@
         }
     }
 
-    /** The real wire. */
+    /** The transport over the JDK's HTTP client. */
     private static final class Http {
         private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(8);
         private final HttpClient client =
@@ -131,9 +136,11 @@
                         .method(method, HttpRequest.BodyPublishers.ofByteArray(body));
                 headers.forEach(builder::header);
                 HttpResponse<byte[]> response = client.send(builder.build(), HttpResponse.BodyHandlers.ofByteArray());
-                Map<String, String> map = new HashMap<>();
-                response.headers().map().forEach((k, value) -> map.put(k.toLowerCase(Locale.ROOT), value.get(0)));
-                return new HttpTransport.HttpResult(response.statusCode(), map, response.body());
+                Map<String, String> firstValues = new HashMap<>();
+                response.headers()
+                        .map()
+                        .forEach((k, value) -> firstValues.put(k.toLowerCase(Locale.ROOT), value.get(0)));
+                return new HttpTransport.HttpResult(response.statusCode(), firstValues, response.body());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted");
@@ -145,8 +152,8 @@
 
     private record Terminal(Consumer<String> out, boolean yes) implements OperatorIo {
         @Override
-        public boolean confirmDone(String what) {
-            out.accept("BY HAND: " + what + (yes ? "" : "  [press Enter when done, n to stop]"));
+        public boolean confirmDone(String instruction) {
+            out.accept("BY HAND: " + instruction + (yes ? "" : "  [press Enter when done, n to stop]"));
             return yes || !"n".equals(new Scanner(System.in).nextLine().trim());
         }
 
--- a/operator/src/main/java/org/woadvale/operator/OperatorIo.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorIo.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 
-/** Seam to the person at the terminal and to time. */
+/** Interaction with the person at the terminal, and the clock; tests substitute it. */
 interface OperatorIo {
-    /** False: the person says no, and the run stops. */
-    boolean confirmDone(String what);
+    /** Asks the person to confirm that a manual step is done; on false the run stops. */
+    boolean confirmDone(String instruction);
 
     void print(String line);
 
--- a/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/woadvale/operator/OperatorProgram.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.woadvale.common.error.ServiceException;
 
-/** The operator's tool: runbooks that can be executed. It starts no process. */
+/** Command line tool that lists, checks and runs runbooks. It starts no other process. */
 @Cli(
         name = "operator",
         description = "Lists, checks and runs runbooks",
@@ -20,18 +20,18 @@
 public final class OperatorProgram {
     private OperatorProgram() {}
 
-    /** Runs the command line; the exit code says whether all went well. */
+    /** Runs the command line; exits with 0 on success, 1 if a runbook failed and 2 on any other error. */
     public static void main(String[] args) {
         System.exit(main(args, System.out::println));
     }
 
     static int main(String[] args, Consumer<String> out) {
         try {
-            Object object = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
-            if (object instanceof OperatorCommands.Command command) {
+            Object parsed = new com.github.rvesse.airline.Cli<Object>(OperatorProgram.class).parse(args);
+            if (parsed instanceof OperatorCommands.Command command) {
                 return command.execute(out);
             }
-            ((Runnable) object).run();
+            ((Runnable) parsed).run();
             return 0;
         } catch (ParseException e) {
             out.accept("operator: " + e.getMessage());
--- a/operator/src/main/java/org/woadvale/operator/Runbook.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbook.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.woadvale.common.http.Status;
 
-/** A runbook as it stands in its file (docs/design.md, section 11.1). */
+/** A runbook in the form of its JSON file (docs/design.md, section 11.1). */
 public record Runbook(
         @NotNull @Pattern(regexp = "[a-z0-9-]{1,64}") String name,
         @NotNull String purpose,
@@ -24,23 +24,23 @@
         steps = steps == null ? List.of() : List.copyOf(steps);
     }
 
-    /** REQUIRE: must hold now. ASK: an action. WAIT: until it holds. REMOVE: edits a kept document. PERSON: by hand. */
+    /** What a step does. */
     public enum Kind {
-        /** Must hold, or the runbook ends. */
+        /** Sends a request once; the runbook stops unless the response is as expected. */
         REQUIRE,
-        /** A request whose answer is expected. */
+        /** Sends a request that performs an action; it is repeated only after a retryable error. */
         ASK,
-        /** Is repeated until the answer is as expected. */
+        /** Repeats a request until the response is as expected. */
         WAIT,
-        /** Takes a value out of a document that was kept. */
+        /** Removes a value from a document that an earlier step stored. */
         REMOVE,
-        /** Is done by a person. */
+        /** Is done by a person, who confirms it. */
         PERSON
     }
 
-    /** What an answer must show; an empty pointer looks at the status only. */
+    /** The expected response; with an empty pointer only the status is checked. */
     public record Expect(@Min(0) @Max(599) int status, String pointer, String equals) {
-        /** Absent components are not looked at; the status is 200 unless told otherwise. */
+        /** Absent components are not checked; the status defaults to 200. */
         public Expect {
             status = status == 0 ? Status.OK : status;
             pointer = pointer == null ? "" : pointer;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** One step: what it asks, what it expects, and what it keeps of the answer for later steps. */
+    /** One step: its request, the expected response, and the values that it stores for later steps. */
     public record Step(
             @NotNull String title,
             @NotNull Kind kind,
@@ -62,9 +62,9 @@
             String each,
             String from,
             String pointer) {
-        private static final long USUAL_MS = 30000;
+        private static final long DEFAULT_TIME_LIMIT_MS = 30000;
 
-        /** Absent components are empty. */
+        /** Absent components are empty; the method defaults to GET and the time limit to 30 s. */
         public Step {
             method = method == null ? "GET" : method;
             url = url == null ? "" : url;
@@ -72,7 +72,7 @@
             body = body == null ? "" : body;
             expect = expect == null ? new Expect(0, "", "") : expect;
             keep = keep == null ? Map.of() : keep;
-            withinMs = withinMs == 0 ? USUAL_MS : withinMs;
+            withinMs = withinMs == 0 ? DEFAULT_TIME_LIMIT_MS : withinMs;
             each = each == null ? "" : each;
             from = from == null ? "" : from;
             pointer = pointer == null ? "" : pointer;
--- a/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
+++ b/operator/src/main/java/org/woadvale/operator/RunbookRunner.java
@@ -21,23 +21,23 @@
 import org.woadvale.common.error.UnreachableException;
 import org.woadvale.common.http.Status;
 
-/** Runs a checked runbook step by step and stops at the first that fails (docs/design.md, section 11.1). */
+/** Runs a validated runbook step by step and stops at the first failure (docs/design.md, section 11.1). */
 final class RunbookRunner {
-    /** Begins the place of a header among what a step keeps. */
-    private static final String HEADER = "header:";
+    /** Prefix of a keep entry that names a response header. */
+    private static final String HEADER_PREFIX = "header:";
 
-    private static final Duration AGAIN = Duration.ofMillis(300);
-    private final HttpTransport wire;
-    private final OperatorIo processors;
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(300);
+    private final HttpTransport transport;
+    private final OperatorIo operator;
     private final String key;
-    private final boolean dry;
+    private final boolean dryRun;
     private final List<String> record = new ArrayList<>();
 
-    RunbookRunner(HttpTransport wire, OperatorIo processors, String key, boolean dry) {
-        this.wire = wire;
-        this.processors = processors;
+    RunbookRunner(HttpTransport transport, OperatorIo operator, String key, boolean dryRun) {
+        this.transport = transport;
+        this.operator = operator;
         this.key = key;
-        this.dry = dry;
+        this.dryRun = dryRun;
     }
 
     List<String> record() {
@@ -46,13 +46,13 @@
 
     private void note(String line) {
         record.add(line);
-        processors.print(line);
+        operator.print(line);
     }
 
-    /** True when every step succeeded. */
+    /** Returns true if every step succeeded. */
     boolean run(Runbook runbook, Map<String, String> given) {
         List<String> missing = runbook.needs().keySet().stream()
-                .filter(n -> !given.containsKey(n))
+                .filter(name -> !given.containsKey(name))
                 .sorted()
                 .toList();
         if (!missing.isEmpty()) {
@@ -73,21 +73,21 @@
             }
             i = end;
         }
-        note(dry ? "Dry run: nothing was changed." : "Done: " + runbook.name() + ".");
+        note(dryRun ? "Dry run: nothing was changed." : "Done: " + runbook.name() + ".");
         return true;
     }
 
-    /** Steps with the same list run together for each of its items. */
+    /** Runs consecutive steps with the same list together, once for each item of the list. */
     private boolean runEach(List<Runbook.Step> steps, String each, Variables variables) {
         List<String> items =
                 each.isEmpty() ? List.of("") : List.of(variables.get(each).split(","));
         for (String item : items) {
-            Variables here = each.isEmpty() ? variables : variables.with("it", item.trim());
+            Variables scope = each.isEmpty() ? variables : variables.with("it", item.trim());
             for (Runbook.Step step : steps) {
                 try {
-                    step(step, here);
+                    step(step, scope);
                 } catch (ServiceException failure) {
-                    note("STOP at \"" + here.substitute(step.title()) + "\": " + failure.getMessage());
+                    note("STOP at \"" + scope.substitute(step.title()) + "\": " + failure.getMessage());
                     return false;
                 }
             }
@@ -96,9 +96,9 @@
     }
 
     private void step(Runbook.Step step, Variables variables) throws ServiceException {
-        String what = step.kind() + " " + variables.substitute(step.title());
-        if (dry && step.kind() != Runbook.Kind.REQUIRE) {
-            note("would " + what
+        String description = step.kind() + " " + variables.substitute(step.title());
+        if (dryRun && step.kind() != Runbook.Kind.REQUIRE) {
+            note("would " + description
                     + (step.sendsRequest() ? ": " + step.method() + " " + variables.substitute(step.url()) : ""));
             return;
         }
@@ -107,31 +107,31 @@
             case ASK, WAIT -> keep(step, waitUntil(step, variables), variables);
             case REMOVE -> remove(step, variables);
             case PERSON -> {
-                if (!processors.confirmDone(variables.substitute(step.title()))) {
-                    throw new ConflictException("not confirmed");
+                if (!operator.confirmDone(variables.substitute(step.title()))) {
+                    throw new ConflictException("the operator did not confirm the step");
                 }
             }
-            default -> throw new InvalidRequestException("unknown kind");
+            default -> throw new InvalidRequestException("unknown step kind");
         }
-        note("ok " + what);
+        note("ok " + description);
     }
 
     private HttpTransport.HttpResult runOnce(Runbook.Step step, Variables variables) throws ServiceException {
         Map<String, String> headers = new TreeMap<>();
-        step.headers().forEach((k, x) -> headers.put(k, variables.substitute(x)));
+        step.headers().forEach((header, value) -> headers.put(header, variables.substitute(value)));
         if (!key.isEmpty()) {
             headers.put("Authorization", "Bearer " + key);
         }
         HttpTransport.HttpResult result;
         try {
-            result = wire.send(
+            result = transport.send(
                     step.method(),
                     variables.substitute(step.url()),
                     headers,
                     variables.substitute(step.body()).getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UnreachableException(
-                    "no answer from " + variables.substitute(step.url()) + " (" + e.getMessage() + ")");
+                    "no response from " + variables.substitute(step.url()) + " (" + e.getMessage() + ")");
         }
         String found = step.expect().pointer().isEmpty()
                 ? ""
@@ -139,10 +139,10 @@
                         .at(variables.substitute(step.expect().pointer()))
                         .asText("");
         if (result.status() != step.expect().status()) {
-            boolean later = result.status() == Status.TOO_MANY_REQUESTS || result.status() >= Status.INTERNAL_ERROR;
+            boolean retryable = result.status() == Status.TOO_MANY_REQUESTS || result.status() >= Status.INTERNAL_ERROR;
             throw ServiceException.of(
-                    later ? ErrorKind.UNAVAILABLE : ErrorKind.CONFLICT,
-                    "answer " + result.status() + ", expected " + step.expect().status() + ": "
+                    retryable ? ErrorKind.UNAVAILABLE : ErrorKind.CONFLICT,
+                    "status " + result.status() + ", expected " + step.expect().status() + ": "
                             + new String(result.body(), StandardCharsets.UTF_8),
                     List.of());
         }
@@ -154,9 +154,12 @@
         return result;
     }
 
-    /** A wait asks until it holds; an action is asked again only where the answer was to come back later. */
+    /**
+     * Repeats a WAIT request until the response is as expected, an ASK request only after a retryable error; withinMs
+     * limits the time of both.
+     */
     private HttpTransport.HttpResult waitUntil(Runbook.Step step, Variables variables) throws ServiceException {
-        Duration end = processors.now().plusMillis(step.withinMs());
+        Duration end = operator.now().plusMillis(step.withinMs());
         while (true) {
             try {
                 return runOnce(step, variables);
@@ -164,42 +167,42 @@
                 if (step.kind() == Runbook.Kind.ASK && !failure.kind().retryable()) {
                     throw failure;
                 }
-                if (processors.now().compareTo(end) >= 0) {
+                if (operator.now().compareTo(end) >= 0) {
                     throw ServiceException.of(
                             failure.kind(),
                             "not within " + step.withinMs() + " ms: " + failure.getMessage(),
                             List.of());
                 }
-                processors.sleep(AGAIN);
+                operator.sleep(RETRY_INTERVAL);
             }
         }
     }
 
-    /** A pointer keeps that field, "header:NAME" a header, "body" the whole answer. */
+    /** Stores response values: a JSON pointer selects a field, "header:NAME" a header, "body" the complete body. */
     private static void keep(Runbook.Step step, HttpTransport.HttpResult result, Variables variables) {
         step.keep()
-                .forEach((name, where) -> variables.put(
+                .forEach((name, source) -> variables.put(
                         name,
-                        where.equals("body")
+                        source.equals("body")
                                 ? new String(result.body(), StandardCharsets.UTF_8)
-                                : where.startsWith(HEADER)
+                                : source.startsWith(HEADER_PREFIX)
                                         ? result.headers()
                                                 .getOrDefault(
-                                                        where.substring(HEADER.length())
+                                                        source.substring(HEADER_PREFIX.length())
                                                                 .toLowerCase(Locale.ROOT),
                                                         "")
-                                        : json(result.body()).at(where).asText("")));
+                                        : json(result.body()).at(source).asText("")));
     }
 
     private static void remove(Runbook.Step step, Variables variables) throws ServiceException {
-        JsonNode doc = json(variables.get(step.from()).getBytes(StandardCharsets.UTF_8));
+        JsonNode document = json(variables.get(step.from()).getBytes(StandardCharsets.UTF_8));
         JsonPointer pointer = JsonPointer.compile(variables.substitute(step.pointer()));
-        JsonNode parent = doc.at(pointer.head());
+        JsonNode parent = document.at(pointer.head());
         if (!(parent instanceof ObjectNode object) || !object.has(pointer.last().getMatchingProperty())) {
-            throw new NotFoundException("there is nothing at " + pointer);
+            throw new NotFoundException("the document has no value at " + pointer);
         }
         object.remove(pointer.last().getMatchingProperty());
-        variables.put(step.from(), new String(Configurations.write(doc), StandardCharsets.UTF_8));
+        variables.put(step.from(), new String(Configurations.write(document), StandardCharsets.UTF_8));
     }
 
     private static JsonNode json(byte[] body) {
--- a/operator/src/main/java/org/woadvale/operator/Runbooks.java
+++ b/operator/src/main/java/org/woadvale/operator/Runbooks.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.error.NotFoundException;
 import org.woadvale.common.error.ServiceException;
 
-/** Finds and checks runbooks: the shipped ones by name, others by file. */
+/** Loads and validates runbooks: shipped ones by name, others by file. */
 final class Runbooks {
     static final List<String> SHIPPED = List.of(
             "put-layout",
@@ -32,7 +32,7 @@
         Runbook runbook = Configurations.read(bytes(nameOrFile), Runbook.class, ErrorKind.BAD_REQUEST);
         List<String> faults = new ArrayList<>(Configurations.faults(runbook));
         if (faults.isEmpty()) {
-            faults.addAll(crossFaults(runbook));
+            faults.addAll(referenceFaults(runbook));
         }
         if (!faults.isEmpty()) {
             throw new InvalidRequestException(
@@ -54,23 +54,23 @@
         }
     }
 
-    /** Every value used must be needed, kept before, or the turn's own. */
-    private static List<String> crossFaults(Runbook runbook) {
-        List<String> out = new ArrayList<>();
-        Set<String> known = new HashSet<>(runbook.needs().keySet());
+    /** Each variable used must be listed under needs, stored by an earlier step, or the current item of each. */
+    private static List<String> referenceFaults(Runbook runbook) {
+        List<String> faults = new ArrayList<>();
+        Set<String> defined = new HashSet<>(runbook.needs().keySet());
         for (int i = 0; i < runbook.steps().size(); i++) {
             Runbook.Step step = runbook.steps().get(i);
-            Set<String> here = new HashSet<>(known);
+            Set<String> visible = new HashSet<>(defined);
             if (!step.each().isEmpty()) {
-                here.add("it");
+                visible.add("it");
             }
-            String at = "steps[" + i + "]";
+            String path = "steps[" + i + "]";
             if (step.sendsRequest() && step.url().isEmpty()) {
-                out.add(at + ".url: missing");
+                faults.add(path + ".url: missing");
             }
             if (step.kind() == Runbook.Kind.REMOVE
                     && (step.from().isEmpty() || step.pointer().isEmpty())) {
-                out.add(at + ": REMOVE needs from and pointer");
+                faults.add(path + ": REMOVE needs from and pointer");
             }
             Matcher matcher = Variables.REFERENCE.matcher(step.url()
                     + step.body()
@@ -81,12 +81,13 @@
                     + (step.each().isEmpty() ? "" : "${" + step.each() + "}")
                     + (step.from().isEmpty() ? "" : "${" + step.from() + "}"));
             while (matcher.find()) {
-                if (!here.contains(matcher.group(1))) {
-                    out.add(at + ": ${" + matcher.group(1) + "} is neither needed nor kept before");
+                if (!visible.contains(matcher.group(1))) {
+                    faults.add(path + ": ${" + matcher.group(1)
+                            + "} is neither listed under needs nor stored by an earlier step");
                 }
             }
-            known.addAll(step.keep().keySet());
+            defined.addAll(step.keep().keySet());
         }
-        return out;
+        return faults;
     }
 }
--- a/operator/src/main/java/org/woadvale/operator/Variables.java
+++ b/operator/src/main/java/org/woadvale/operator/Variables.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The values of one run: given ones and kept ones. */
+/** The variables of one run: values given by the operator and values stored by earlier steps. */
 final class Variables {
     static final Pattern REFERENCE = Pattern.compile("\\$\\{([a-zA-Z][a-zA-Z0-9]*)}");
     private final Map<String, String> values;
--- a/operator/src/main/java/org/woadvale/operator/package-info.java
+++ b/operator/src/main/java/org/woadvale/operator/package-info.java
@@ -1,2 +1,2 @@
-/** Runbooks for operators: files of steps over HTTP that are checked, shown and executed. */
+/** Runbooks for operators: files of HTTP and manual steps that are validated, shown and executed. */
 package org.woadvale.operator;
--- a/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/woadvale/operator/OperatorProgramTest.java
@@ -21,41 +21,42 @@
 import org.woadvale.common.error.ServiceException;
 
 class OperatorProgramTest {
-    /** A scripted core: answers by method and path, notes what it was asked; its clock moves only by resting. */
+    /** A scripted cluster: responds by method and URL and records all requests; its clock advances only in sleep. */
     private static final class Script implements HttpTransport, OperatorIo {
-        final Map<String, List<HttpResult>> answers = new HashMap<>();
-        final List<String> asked = new ArrayList<>();
+        final Map<String, List<HttpResult>> responses = new HashMap<>();
+        final List<String> requests = new ArrayList<>();
         final List<String> bodies = new ArrayList<>();
-        final List<String> said = new ArrayList<>();
-        boolean willing = true;
+        final List<String> printed = new ArrayList<>();
+        boolean confirms = true;
         Duration now = Duration.ZERO;
 
-        Script on(String what, int status, String body) {
-            answers.computeIfAbsent(what, k -> new ArrayList<>())
+        Script on(String request, int status, String body) {
+            responses
+                    .computeIfAbsent(request, k -> new ArrayList<>())
                     .add(new HttpResult(status, Map.of("etag", "\"4\""), body.getBytes(StandardCharsets.UTF_8)));
             return this;
         }
 
         @Override
         public HttpResult send(String method, String url, Map<String, String> headers, byte[] body) throws IOException {
-            String what = method + " " + url;
-            asked.add(what + (headers.containsKey("If-Match") ? " base " + headers.get("If-Match") : ""));
+            String request = method + " " + url;
+            requests.add(request + (headers.containsKey("If-Match") ? " base " + headers.get("If-Match") : ""));
             bodies.add(new String(body, StandardCharsets.UTF_8));
-            List<HttpResult> left = answers.getOrDefault(what, List.of());
-            if (left.isEmpty()) {
+            List<HttpResult> remaining = responses.getOrDefault(request, List.of());
+            if (remaining.isEmpty()) {
                 throw new IOException("connection refused");
             }
-            return left.size() > 1 ? left.remove(0) : left.get(0);
+            return remaining.size() > 1 ? remaining.remove(0) : remaining.get(0);
         }
 
         @Override
-        public boolean confirmDone(String what) {
-            return willing;
+        public boolean confirmDone(String instruction) {
+            return confirms;
         }
 
         @Override
         public void print(String line) {
-            said.add(line);
+            printed.add(line);
         }
 
         @Override
@@ -64,12 +65,12 @@
         }
 
         @Override
-        public void sleep(Duration d) {
-            now = now.plus(d);
+        public void sleep(Duration duration) {
+            now = now.plus(duration);
         }
 
-        boolean run(String controlNode, boolean dry, Map<String, String> values) throws ServiceException {
-            return new RunbookRunner(this, this, "", dry).run(Runbooks.load(controlNode), values);
+        boolean run(String runbook, boolean dry, Map<String, String> values) throws ServiceException {
+            return new RunbookRunner(this, this, "", dry).run(Runbooks.load(runbook), values);
         }
     }
 
@@ -88,57 +89,61 @@
                 "drain-processor",
                 "check-after-outage"
             })
-    void everyShippedRunbookIsValidAndAsksForWhatItNeeds(String name) throws ServiceException {
+    void everyShippedRunbookIsValidAndReportsMissingValues(String name) throws ServiceException {
         assertEquals(name, Runbooks.load(name).name());
         Script script = new Script();
         assertFalse(script.run(name, true, Map.of()));
-        assertTrue(script.said.get(0).startsWith("STOP: missing values"), script.said.toString());
-        assertEquals(List.of(), script.asked);
+        assertTrue(script.printed.get(0).startsWith("STOP: missing values"), script.printed.toString());
+        assertEquals(List.of(), script.requests);
     }
 
     @Test
-    void withdrawnKeyLeavesTheRestAsItWas() throws ServiceException {
+    void withdrawKeyRemovesOnlyThatKey() throws ServiceException {
         Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":4}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":5}");
-        assertTrue(script.run("withdraw-key", false, KEY), script.said.toString());
-        assertTrue(script.asked.contains("PUT http://l/v1/layout base \"4\""), script.asked.toString());
+        assertTrue(script.run("withdraw-key", false, KEY), script.printed.toString());
+        assertTrue(script.requests.contains("PUT http://l/v1/layout base \"4\""), script.requests.toString());
         assertEquals("{\"keys\":{\"new\":{}},\"lanes\":{}}", script.bodies.get(1));
     }
 
     @Test
-    void lostRaceStopsTheRunAndSaysWhy() throws ServiceException {
+    void staleBaseVersionStopsTheRunWithItsReason() throws ServiceException {
         Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 412, "{\"kind\":\"stale_base\"}");
         assertFalse(script.run("withdraw-key", false, KEY));
-        assertTrue(script.said.get(script.said.size() - 1).contains("stale_base"), script.said.toString());
-        assertEquals(2, script.asked.size(), "nothing may follow the failed step");
+        assertTrue(script.printed.get(script.printed.size() - 1).contains("stale_base"), script.printed.toString());
+        assertEquals(2, script.requests.size(), "nothing may follow the failed step");
     }
 
     @Test
-    void actionThatIsToComeBackLaterIsAskedAgain() throws ServiceException {
+    void actionIsRetriedAfterARetryableError() throws ServiceException {
         Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 503, "{}")
                 .on("PUT http://l/v1/layout", 504, "{}")
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":5}");
-        assertTrue(script.run("withdraw-key", false, KEY), script.said.toString());
-        assertEquals(3, script.asked.stream().filter(a -> a.startsWith("PUT")).count());
+        assertTrue(script.run("withdraw-key", false, KEY), script.printed.toString());
+        assertEquals(
+                3,
+                script.requests.stream()
+                        .filter(request -> request.startsWith("PUT"))
+                        .count());
     }
 
     @Test
     void dryRunChangesNothing() throws ServiceException {
         Script script = new Script().on("GET http://l/v1/layout", 200, CONFIGURATION);
         assertTrue(script.run("withdraw-key", true, KEY));
-        assertEquals(List.of("GET http://l/v1/layout"), script.asked);
+        assertEquals(List.of("GET http://l/v1/layout"), script.requests);
     }
 
     @Test
-    void valuesAreFilledIntoPointersToo() throws ServiceException {
+    void variablesAreSubstitutedInPointers() throws ServiceException {
         Script script = new Script()
                 .on("GET http://l/v1/services/s/processors", 200, "{\"p1\":{\"address\":\"http://p\"}}")
                 .on("PUT http://l/v1/services/s/processors/p1", 200, "{}")
@@ -148,28 +153,31 @@
                         "drain-processor",
                         false,
                         Map.of("lighthouse", "http://l", "service", "s", "processor", "p1", "address", "http://p")),
-                script.said.toString());
+                script.printed.toString());
     }
 
     @Test
-    void waitHasADeadline() throws ServiceException {
+    void waitStepTimesOut() throws ServiceException {
         Script script = new Script()
                 .on("GET http://l/v1/layout", 200, CONFIGURATION)
                 .on("PUT http://l/v1/layout", 200, "{\"version\":5}")
                 .on("GET http://i/v1/status", 200, "{\"layout\":4}");
         assertFalse(script.run("withdraw-key", false, KEY));
-        assertTrue(script.said.get(script.said.size() - 1).contains("not within 5000 ms"), script.said.toString());
+        assertTrue(
+                script.printed.get(script.printed.size() - 1).contains("not within 5000 ms"),
+                script.printed.toString());
     }
 
     @Test
-    void rollingRestartFinishesOneNodeBeforeTheNext() throws ServiceException {
+    void rollingRestartProceedsNodeByNode() throws ServiceException {
         Script script = new Script();
-        for (String n : List.of("http://a", "http://b")) {
-            script.on("GET " + n + "/v1/readiness", 200, "{}")
-                    .on("POST " + n + "/v1/drain", 200, "{\"drained\":false}")
-                    .on("POST " + n + "/v1/drain", 200, "{\"drained\":true}");
+        for (String node : List.of("http://a", "http://b")) {
+            script.on("GET " + node + "/v1/readiness", 200, "{}")
+                    .on("POST " + node + "/v1/drain", 200, "{\"drained\":false}")
+                    .on("POST " + node + "/v1/drain", 200, "{\"drained\":true}");
         }
-        assertTrue(script.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")), script.said.toString());
+        assertTrue(
+                script.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")), script.printed.toString());
         assertEquals(
                 List.of(
                         "GET http://a/v1/readiness",
@@ -180,16 +188,16 @@
                         "POST http://b/v1/drain",
                         "POST http://b/v1/drain",
                         "GET http://b/v1/readiness"),
-                script.asked);
-        Script refusing = new Script()
+                script.requests);
+        Script declining = new Script()
                 .on("GET http://a/v1/readiness", 200, "{}")
                 .on("POST http://a/v1/drain", 200, "{\"drained\":true}");
-        refusing.willing = false;
-        assertFalse(refusing.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")));
+        declining.confirms = false;
+        assertFalse(declining.run("rolling-restart", false, Map.of("nodes", "http://a,http://b")));
     }
 
     @Test
-    void badRunbookFilesAreRefusedWithEveryFault(@TempDir Path dir) throws IOException {
+    void invalidRunbookIsRejectedWithEveryFault(@TempDir Path dir) throws IOException {
         Path path = dir.resolve("b.json");
         Files.writeString(path, """
             {"name":"b","purpose":"p","steps":[{"title":"${nowhere}","kind":"ASK"},{"title":"t","kind":"REMOVE"}]}""");
