--- a/testkit/src/main/java/org/woadvale/testkit/explore/Action.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Action.java
@@ -1,13 +1,18 @@
 package org.woadvale.testkit.explore;
 
-/** One choice of a schedule: a node's name where it concerns one, and a message number or a time in milliseconds. */
+/**
+ * One step of a schedule.
+ *
+ * @param node the node that the action concerns, or empty
+ * @param number a message id, or a time in milliseconds for {@link ActionKind#TICK}; otherwise 0
+ */
 record Action(ActionKind kind, String node, long number) {
     static Action of(ActionKind kind, String node) {
         return new Action(kind, node, 0);
     }
 
-    static Action message(ActionKind kind, long message) {
-        return new Action(kind, "", message);
+    static Action message(ActionKind kind, long messageId) {
+        return new Action(kind, "", messageId);
     }
 
     static Action tick(long milliseconds) {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ActionKind.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ActionKind.java
@@ -1,35 +1,35 @@
 package org.woadvale.testkit.explore;
 
-/** What may happen next in the model; each is one step of the schedule. */
+/** The kinds of action in the model; each action is one step of a schedule. */
 enum ActionKind {
-    /** A node's pending writes reach its disk, and their callbacks run. */
+    /** A node's pending writes are synced, and their callbacks run. */
     SYNC,
-    /** A message is handed to its receiver. */
+    /** A message is delivered to its receiver. */
     DELIVER,
-    /** A message is kept back; it may be delivered at any later step, or never. */
+    /** A message is delayed; it may be delivered at any later step, or never. */
     HOLD,
-    /** A request is delivered, and a copy of it is kept back. */
+    /** A request is delivered, and a copy of it is delayed. */
     DUPLICATE,
-    /** Time passes, and the due timers of the nodes that are not frozen run. */
+    /** Time advances, and the due timers of all nodes that are not frozen run. */
     TICK,
     /** A client proposes a command at a node. */
     PROPOSE,
-    /** The process ends and starts again; what was written and not synced survives. */
+    /** The process restarts; records that were written but not yet synced survive. */
     CRASH,
-    /** The machine loses power and starts again; what was not synced is lost. */
+    /** The machine loses power and restarts; unsynced records are lost. */
     POWER_LOSS,
-    /** The disk is lost, and the node starts again with an empty one. */
+    /** The disk is lost, and the node restarts with an empty one. */
     WIPE,
-    /** The node does nothing while its clock runs on. */
+    /** The node pauses while its clock keeps running. */
     FREEZE,
-    /** A frozen node goes on. */
+    /** A frozen node resumes. */
     THAW,
-    /** Another list of members is wanted; the nodes have not heard of it. */
+    /** The desired members change; no node has been notified yet. */
     CHANGE_MEMBERS,
-    /** A node is told which members are wanted now. */
+    /** A node is notified of the current desired members. */
     LEARN_MEMBERS,
-    /** The leader hands leadership to its best successor. */
+    /** The leader transfers leadership to its preferred successor. */
     TRANSFER,
-    /** A node writes a snapshot and drops the log before it. */
+    /** A node writes a snapshot and discards the log before it. */
     COMPACT
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
@@ -9,7 +9,7 @@
 import org.woadvale.testkit.explore.history.RegisterInput;
 import org.woadvale.testkit.explore.history.RegisterOutcome;
 
-/** Clients of the replicated register: what they asked, and what they were answered. */
+/** Clients of the replicated register; records their operations and the results. */
 final class Clients {
     private final ModelCluster cluster;
     private final OperationRecorder<RegisterInput, RegisterOutcome> recorder = new OperationRecorder<>();
@@ -21,7 +21,7 @@
         this.cluster = cluster;
     }
 
-    /** A put on what the node's machine holds at present, whether the node leads or not. */
+    /** Proposes a put based on the current value of the node's state machine, whether or not the node leads. */
     void propose(ModelNode node) {
         proposed++;
         lastProposal = cluster.now();
@@ -30,26 +30,26 @@
         long call = recorder.invoke(new RegisterInput.Put(base, next));
         node.replica()
                 .propose(RegisterMachine.put(base, next), String.class)
-                .subscribe(answer -> answered(call, answer), error -> failed(call, error));
+                .subscribe(result -> recordReply(call, result), error -> recordFailure(call, error));
     }
 
-    private void answered(long call, String answer) {
-        if (answer.startsWith(RegisterMachine.ACCEPTED)) {
-            acknowledged = Math.max(acknowledged, Long.parseLong(answer.substring(RegisterMachine.ACCEPTED.length())));
+    private void recordReply(long call, String result) {
+        if (result.startsWith(RegisterMachine.ACCEPTED)) {
+            acknowledged = Math.max(acknowledged, Long.parseLong(result.substring(RegisterMachine.ACCEPTED.length())));
             recorder.complete(call, new RegisterOutcome.Accepted());
         } else {
             recorder.complete(call, new RegisterOutcome.Refused());
         }
     }
 
-    /** A definite refusal never takes effect; anything else may still do so at any time. */
-    private void failed(long call, Throwable error) {
-        if (ServiceException.of(cluster.expected(error)).kind().definite()) {
-            recorder.withdraw(call);
+    /** A put that failed with a definite error never takes effect; after any other error it may still do so later. */
+    private void recordFailure(long call, Throwable error) {
+        if (ServiceException.of(cluster.recordIfUnexpected(error)).kind().definite()) {
+            recorder.discard(call);
         }
     }
 
-    /** Reads at every node that answers reads; the reads are part of the history. */
+    /** Reads from every node that is not frozen. Successful reads are part of the history. */
     void readEverywhere() {
         for (ModelNode node : cluster.nodes()) {
             if (!node.frozen()) {
@@ -64,7 +64,7 @@
                 .read(applied -> node.machine().value())
                 .subscribe(
                         value -> recorder.complete(call, new RegisterOutcome.Value(value)),
-                        error -> recorder.withdraw(call));
+                        error -> recorder.discard(call));
     }
 
     List<Operation<RegisterInput, RegisterOutcome>> history() {
@@ -79,7 +79,7 @@
         return cluster.now().minus(lastProposal);
     }
 
-    /** How many puts the register had accepted when the latest acknowledged one was. */
+    /** The number of accepted puts that the latest acknowledged put reported. */
     long acknowledged() {
         return acknowledged;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/DurableRecords.java
@@ -11,18 +11,18 @@
 import org.woadvale.common.rpc.Codec;
 import org.woadvale.common.wal.WalRecord;
 
-/** Which entries have ever been synced, and under which identity. */
+/** Records which log entries have ever been synced, and under which replica identity. */
 final class DurableRecords {
-    private record Mark(String identity, long index, long term) {}
+    private record SyncedEntry(String identity, long index, long term) {}
 
     private final Codec codec;
-    private final Set<Mark> marks = new HashSet<>();
-    /** By identity: everything up to this index lies in a synced snapshot. */
-    private final Map<String, Long> snapshots = new HashMap<>();
+    private final Set<SyncedEntry> syncedEntries = new HashSet<>();
+    /** Per identity: the highest index that a synced snapshot covers. */
+    private final Map<String, Long> snapshotIndexes = new HashMap<>();
 
-    private final Map<String, WalRecord> bases = new HashMap<>();
+    private final Map<String, WalRecord> latestSnapshots = new HashMap<>();
     private final Map<String, String> identities = new HashMap<>();
-    private final Map<String, Integer> seen = new HashMap<>();
+    private final Map<String, Integer> observedRecords = new HashMap<>();
 
     DurableRecords(Codec codec) {
         this.codec = codec;
@@ -31,44 +31,46 @@
     void observe(ModelNode node) {
         List<WalRecord> records = node.disk().durable();
         if (records.isEmpty()) {
-            seen.put(node.name(), 0);
+            observedRecords.put(node.name(), 0);
             return;
         }
-        WalRecord base = records.get(0);
-        if (base.kind() == WalRecord.Kind.SNAPSHOT && bases.get(node.name()) != base) {
-            observeBase(node.name(), base);
+        WalRecord first = records.get(0);
+        if (first.kind() == WalRecord.Kind.SNAPSHOT && latestSnapshots.get(node.name()) != first) {
+            observeSnapshot(node.name(), first);
         }
-        for (int i = seen.getOrDefault(node.name(), 0); i < records.size(); i++) {
-            WalRecord entry = records.get(i);
-            if (entry.kind() == WalRecord.Kind.ENTRY) {
-                marks.add(new Mark(identities.getOrDefault(node.name(), ""), entry.index(), entry.term()));
+        for (int i = observedRecords.getOrDefault(node.name(), 0); i < records.size(); i++) {
+            WalRecord walRecord = records.get(i);
+            if (walRecord.kind() == WalRecord.Kind.ENTRY) {
+                syncedEntries.add(
+                        new SyncedEntry(identities.getOrDefault(node.name(), ""), walRecord.index(), walRecord.term()));
             }
         }
-        seen.put(node.name(), records.size());
+        observedRecords.put(node.name(), records.size());
     }
 
-    private void observeBase(String node, WalRecord entry) {
-        ReplicationMessages.ReplicaSnapshot base = decode(entry);
-        bases.put(node, entry);
-        identities.put(node, base.identity());
-        seen.put(node, 1);
-        snapshots.merge(base.identity(), base.index(), Math::max);
-        long index = base.index();
-        for (LogEntry item : base.entries()) {
+    private void observeSnapshot(String node, WalRecord walRecord) {
+        ReplicationMessages.ReplicaSnapshot snapshot = decode(walRecord);
+        latestSnapshots.put(node, walRecord);
+        identities.put(node, snapshot.identity());
+        observedRecords.put(node, 1);
+        snapshotIndexes.merge(snapshot.identity(), snapshot.index(), Math::max);
+        long index = snapshot.index();
+        for (LogEntry entry : snapshot.entries()) {
             index++;
-            marks.add(new Mark(base.identity(), index, item.term()));
+            syncedEntries.add(new SyncedEntry(snapshot.identity(), index, entry.term()));
         }
     }
 
-    private ReplicationMessages.ReplicaSnapshot decode(WalRecord entry) {
+    private ReplicationMessages.ReplicaSnapshot decode(WalRecord walRecord) {
         try {
-            return codec.read(entry.bytes(), ReplicationMessages.ReplicaSnapshot.class);
+            return codec.read(walRecord.bytes(), ReplicationMessages.ReplicaSnapshot.class);
         } catch (ServiceException failure) {
-            throw new IllegalStateException("unreadable base", failure);
+            throw new IllegalStateException("cannot decode replica snapshot", failure);
         }
     }
 
-    boolean held(String identity, long index, long term) {
-        return snapshots.getOrDefault(identity, 0L) >= index || marks.contains(new Mark(identity, index, term));
+    boolean isDurable(String identity, long index, long term) {
+        return snapshotIndexes.getOrDefault(identity, 0L) >= index
+                || syncedEntries.contains(new SyncedEntry(identity, index, term));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ActionMenu.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/EnabledActions.java
@@ -6,30 +6,30 @@
 import java.util.Map;
 import org.woadvale.common.replication.ReplicaProbe;
 
-/** What may happen next in a state: first the calm course of things, then everything that deviates from it. */
-final class ActionMenu {
-    private static final int MOST_MEMBERSHIP_CHANGES = 2;
-    private static final Duration BETWEEN_PROPOSALS = ModelCluster.UNIT.multipliedBy(3);
+/** The actions that are possible in a state: first those of the default schedule, then the deviations from it. */
+final class EnabledActions {
+    private static final int MAX_MEMBERSHIP_CHANGES = 2;
+    private static final Duration PROPOSAL_INTERVAL = ModelCluster.TICK.multipliedBy(3);
     private final ModelCluster cluster;
     private final List<Action> actions = new ArrayList<>();
 
-    private ActionMenu(ModelCluster cluster) {
+    private EnabledActions(ModelCluster cluster) {
         this.cluster = cluster;
     }
 
-    /** Never empty; the first action is the default one. The order depends on the state alone. */
+    /** Never empty; the first action is the default one. The order depends only on the state. */
     static List<Action> of(ModelCluster cluster) {
-        ActionMenu menu = new ActionMenu(cluster);
-        menu.fill();
-        return menu.actions;
+        EnabledActions enabled = new EnabledActions(cluster);
+        enabled.addAll();
+        return enabled.actions;
     }
 
-    private void fill() {
+    private void addAll() {
         addSyncs();
-        addLearning();
+        addMemberUpdates();
         addDeliveries();
         addProposal();
-        add(Action.tick(ModelCluster.UNIT.toMillis()));
+        add(Action.tick(ModelCluster.TICK.toMillis()));
         addNetworkFaults();
         cluster.nodes().forEach(this::addNodeFaults);
         addMembership();
@@ -47,29 +47,29 @@
         }
     }
 
-    private void addLearning() {
+    private void addMemberUpdates() {
         cluster.nodes().stream()
-                .filter(node -> !node.frozen() && !node.wanted().equals(cluster.wanted()))
+                .filter(node -> !node.frozen() && !node.desiredMembers().equals(cluster.desiredMembers()))
                 .forEach(node -> add(Action.of(ActionKind.LEARN_MEMBERS, node.name())));
     }
 
-    private boolean arrives(ModelNetwork.Message message) {
+    private boolean isDeliverable(ModelNetwork.Message message) {
         return !cluster.node(message.to()).frozen();
     }
 
     private void addDeliveries() {
         cluster.network().messages().stream()
-                .filter(message -> !message.held() && arrives(message))
+                .filter(message -> !message.held() && isDeliverable(message))
                 .forEach(message -> add(Action.message(ActionKind.DELIVER, message.id())));
     }
 
-    /** By default clients propose at the acting leader, from time to time. */
+    /** In the default schedule, clients propose at the active leader at a fixed interval. */
     private void addProposal() {
         if (cluster.clients().proposed() >= cluster.settings().commands()) {
             return;
         }
-        boolean due = cluster.clients().sinceLastProposal().compareTo(BETWEEN_PROPOSALS) >= 0;
-        cluster.actingLeader()
+        boolean due = cluster.clients().sinceLastProposal().compareTo(PROPOSAL_INTERVAL) >= 0;
+        cluster.activeLeader()
                 .filter(leader -> due)
                 .ifPresent(leader -> add(Action.of(ActionKind.PROPOSE, leader.name())));
     }
@@ -77,9 +77,9 @@
     private void addNetworkFaults() {
         boolean first = true;
         for (ModelNetwork.Message message : cluster.network().messages()) {
-            if (message.held() && arrives(message)) {
+            if (message.held() && isDeliverable(message)) {
                 add(Action.message(ActionKind.DELIVER, message.id()));
-            } else if (first && arrives(message)) {
+            } else if (first && isDeliverable(message)) {
                 first = false;
                 add(Action.message(ActionKind.HOLD, message.id()));
                 if (!message.reply()) {
@@ -94,7 +94,7 @@
         if (node.disk().hasPending()) {
             add(Action.of(ActionKind.POWER_LOSS, node.name()));
         }
-        if (mayLoseDisk(node)) {
+        if (canLoseDisk(node)) {
             add(Action.of(ActionKind.WIPE, node.name()));
         }
         add(Action.of(node.frozen() ? ActionKind.THAW : ActionKind.FREEZE, node.name()));
@@ -104,23 +104,23 @@
         }
     }
 
-    /** One disk is lost at a time: the next only when the group names the present disk of every other member. */
-    private boolean mayLoseDisk(ModelNode lost) {
-        Map<String, String> group = cluster.committedGroup();
+    /** Disks are lost one at a time: the committed members must hold the current identity of every other member. */
+    private boolean canLoseDisk(ModelNode node) {
+        Map<String, String> group = cluster.committedMembers();
         if (group.isEmpty()) {
-            return cluster.nodes().stream().allMatch(node -> node.diskGeneration() == 0);
+            return cluster.nodes().stream().allMatch(other -> other.diskGeneration() == 0);
         }
         return group.entrySet().stream()
-                .filter(member -> !member.getKey().equals(lost.name()))
+                .filter(member -> !member.getKey().equals(node.name()))
                 .allMatch(member ->
                         cluster.node(member.getKey()).state().identity().equals(member.getValue()));
     }
 
     private void addMembership() {
-        if (cluster.membershipChanges() < MOST_MEMBERSHIP_CHANGES) {
-            cluster.wanted().forEach(name -> add(Action.of(ActionKind.CHANGE_MEMBERS, name)));
+        if (cluster.membershipChanges() < MAX_MEMBERSHIP_CHANGES) {
+            cluster.desiredMembers().forEach(name -> add(Action.of(ActionKind.CHANGE_MEMBERS, name)));
         }
-        cluster.actingLeader()
+        cluster.activeLeader()
                 .filter(leader -> leader.replica().successor().isPresent())
                 .ifPresent(leader -> add(Action.of(ActionKind.TRANSFER, leader.name())));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ExploreBounds.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ExploreBounds.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Where an enumeration ends.
+ * The limits of an enumeration.
  *
- * @param depth the most steps of a schedule after the start state
- * @param deviations the most steps of a schedule that are not the default one; no bound if not below depth
- * @param states the most different states
- * @param time the most time; for runs that need not be the same each time
+ * @param depth the maximum number of steps of a schedule after the start state
+ * @param deviations the maximum number of non-default steps of a schedule; has no effect unless it is below depth
+ * @param states the maximum number of distinct states
+ * @param time the time limit; a run that reaches it is not reproducible
  */
 record ExploreBounds(int depth, int deviations, long states, Duration time) {
     private static final Duration UNLIMITED = Duration.ofDays(1000);
 
-    /** Bounds that give the same run each time. */
+    /** Bounds without a time limit, so that equal bounds give equal runs. */
     static ExploreBounds of(int depth, int deviations, long states) {
         return new ExploreBounds(depth, deviations, states, UNLIMITED);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ExploreCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ExploreCommand.java
@@ -10,7 +10,7 @@
 import org.apache.logging.log4j.core.config.Configurator;
 import org.woadvale.common.replication.Replica;
 
-/** Enumerates schedules for a while, then walks at random for as long, and prints what was seen. */
+/** Enumerates schedules for a given time, then runs random walks for the same time, and prints the results. */
 public final class ExploreCommand {
     private static final int WALK_STEPS = 600;
     private final PrintStream out;
@@ -26,20 +26,20 @@
         this.out = out;
     }
 
-    /** Zero if nothing broke, one if something did, two if the arguments are wrong. */
+    /** Returns the exit code: 0 if every invariant held, 1 on a violation, 2 on invalid arguments. */
     public int run(String... arguments) {
         try {
-            read(arguments);
+            parse(arguments);
         } catch (IllegalArgumentException e) {
             out.println(e.getMessage());
             return 2;
         }
         Configurator.setAllLevels(Replica.class.getPackageName(), Level.OFF);
-        boolean sound = enumerate();
-        return walk() && sound ? 0 : 1;
+        boolean passed = enumerate();
+        return walk() && passed ? 0 : 1;
     }
 
-    private void read(String... arguments) {
+    private void parse(String... arguments) {
         Map<String, String> options = new HashMap<>();
         for (int i = 1; i < arguments.length; i += 2) {
             options.put(arguments[i - 1], arguments[i]);
@@ -54,7 +54,7 @@
                 case "--seed" -> seed = Long.parseLong(value);
                 case "--start" -> start = StartState.valueOf(value.toUpperCase(Locale.ROOT));
                 case "--mutant" -> mutant = Mutants.named(value);
-                default -> throw new IllegalArgumentException("no option " + option.getKey());
+                default -> throw new IllegalArgumentException("unknown option: " + option.getKey());
             }
         }
     }
@@ -75,24 +75,25 @@
                 report.deepest(),
                 report.deviations(),
                 report.complete() ? "complete" : "not complete",
-                report.took().toMillis());
+                report.elapsed().toMillis());
         report.violations().forEach(violation -> out.println("VIOLATION " + violation));
         return report.violations().isEmpty();
     }
 
     private boolean walk() {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         long walks = 0;
         Optional<Violation> violation = Optional.empty();
         while (violation.isEmpty()
-                && System.nanoTime() - began < Duration.ofSeconds(seconds).toNanos()) {
+                && System.nanoTime() - startNanos < Duration.ofSeconds(seconds).toNanos()) {
             violation = new RandomWalk(ModelSettings.of(nodes).withMutant(mutant), seed + walks).run(WALK_STEPS);
             walks++;
         }
-        long took = Math.max(1, Duration.ofNanos(System.nanoTime() - began).toMillis());
+        long elapsedMillis =
+                Math.max(1, Duration.ofNanos(System.nanoTime() - startNanos).toMillis());
         out.printf(
                 "random walks: seeds %d to %d, %d states, %d a second%n",
-                seed, seed + walks - 1, walks * WALK_STEPS, walks * WALK_STEPS * 1000 / took);
+                seed, seed + walks - 1, walks * WALK_STEPS, walks * WALK_STEPS * 1000 / elapsedMillis);
         violation.ifPresent(found -> out.println("VIOLATION " + found));
         return violation.isEmpty();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ExploreReport.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ExploreReport.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What an enumeration has seen.
+ * The result of an enumeration.
  *
- * @param deepest the longest schedule that led to a new state
- * @param deviations every schedule with fewer deviations, and within the depth, was tried
- * @param complete whether everything within depth and deviations was tried
+ * @param deepest the length of the longest schedule that reached a new state
+ * @param deviations every schedule with fewer deviations that stays within the depth was tried
+ * @param complete whether every schedule within the bounds of depth and deviations was tried
  */
 record ExploreReport(
         long states,
@@ -16,9 +16,9 @@
         int deepest,
         int deviations,
         boolean complete,
-        Duration took,
+        Duration elapsed,
         List<Violation> violations) {
     long statesPerSecond() {
-        return states * 1000 / Math.max(1, took.toMillis());
+        return states * 1000 / Math.max(1, elapsed.toMillis());
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Explorer.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Explorer.java
@@ -9,74 +9,84 @@
 import java.util.Map;
 
 /**
- * Enumerates schedules of the model, those with fewer deviations from the calm course first. The engine cannot be
- * copied, so a state is reached by replaying its choices from the start. A state that was seen at the same depth or
- * earlier is not followed again.
+ * Enumerates schedules of the model in the order of their number of deviations from the default schedule. The engine
+ * cannot be copied, so a state is reached by replaying its actions from the start. A state that was already reached at
+ * the same or a smaller depth is not explored again.
  */
 final class Explorer {
     private final ModelSettings settings;
     private final List<Action> start;
     private final ExploreBounds bounds;
-    private final Map<Long, Integer> depths = new HashMap<>();
+    private final Map<Long, Integer> depthByDigest = new HashMap<>();
     private final List<Violation> violations = new ArrayList<>();
-    private Deque<Trace> present = new ArrayDeque<>();
-    private Deque<Trace> next = new ArrayDeque<>();
+    private Deque<Trace> currentLevel = new ArrayDeque<>();
+    private Deque<Trace> nextLevel = new ArrayDeque<>();
     private long steps;
     private int deepest;
-    private int level;
-    private final long began = System.nanoTime();
+    private int completedDeviations;
+    private final long startNanos = System.nanoTime();
 
-    /** Schedules begin after the start actions, see {@link StartState}. */
+    /** Every schedule begins with the start actions, see {@link StartState}. */
     Explorer(ModelSettings settings, List<Action> start, ExploreBounds bounds) {
         this.settings = settings;
         this.start = start;
         this.bounds = bounds;
     }
 
-    /** Ends at the first violation, at a bound, or when all is tried. */
+    /** Ends at the first violation, at a bound, or when every schedule has been tried. */
     ExploreReport run() {
-        follow(Trace.empty());
-        present = next;
-        next = new ArrayDeque<>();
-        while (goesOn() && level < bounds.deviations() && !present.isEmpty()) {
-            while (goesOn() && !present.isEmpty()) {
-                branch(present.poll());
+        runDefaultSchedule(Trace.empty());
+        currentLevel = nextLevel;
+        nextLevel = new ArrayDeque<>();
+        while (shouldContinue() && completedDeviations < bounds.deviations() && !currentLevel.isEmpty()) {
+            while (shouldContinue() && !currentLevel.isEmpty()) {
+                branch(currentLevel.poll());
             }
-            if (present.isEmpty()) {
-                level++;
-                present = next;
-                next = new ArrayDeque<>();
+            if (currentLevel.isEmpty()) {
+                completedDeviations++;
+                currentLevel = nextLevel;
+                nextLevel = new ArrayDeque<>();
             }
         }
-        boolean complete = violations.isEmpty() && (level >= bounds.deviations() || present.isEmpty());
-        return new ExploreReport(depths.size(), steps, deepest, level, complete, took(), List.copyOf(violations));
+        boolean complete =
+                violations.isEmpty() && (completedDeviations >= bounds.deviations() || currentLevel.isEmpty());
+        return new ExploreReport(
+                depthByDigest.size(),
+                steps,
+                deepest,
+                completedDeviations,
+                complete,
+                elapsed(),
+                List.copyOf(violations));
     }
 
-    private Duration took() {
-        return Duration.ofNanos(System.nanoTime() - began);
+    private Duration elapsed() {
+        return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 
-    private boolean goesOn() {
-        return violations.isEmpty() && depths.size() < bounds.states() && took().compareTo(bounds.time()) < 0;
+    private boolean shouldContinue() {
+        return violations.isEmpty()
+                && depthByDigest.size() < bounds.states()
+                && elapsed().compareTo(bounds.time()) < 0;
     }
 
-    /** Tries everything that may happen in a state besides the default action. */
+    /** Tries every action that is possible in a state, except the default one. */
     private void branch(Trace trace) {
-        List<Action> menu = alternatives(trace);
-        for (int i = 1; i < menu.size() && goesOn(); i++) {
-            follow(trace.then(menu.get(i), true));
+        List<Action> actions = enabledActions(trace);
+        for (int i = 1; i < actions.size() && shouldContinue(); i++) {
+            runDefaultSchedule(trace.append(actions.get(i), true));
         }
     }
 
-    private List<Action> alternatives(Trace trace) {
+    private List<Action> enabledActions(Trace trace) {
         try {
-            return ActionMenu.of(replay(trace));
-        } catch (BrokenInvariant e) {
-            throw new IllegalStateException("a state that was sound is not when it is replayed", e);
+            return EnabledActions.of(replay(trace));
+        } catch (InvariantViolationException e) {
+            throw new IllegalStateException("an invariant held at first but not on replay", e);
         }
     }
 
-    private ModelCluster replay(Trace trace) throws BrokenInvariant {
+    private ModelCluster replay(Trace trace) throws InvariantViolationException {
         ModelCluster cluster = new ModelCluster(settings);
         for (Action action : start) {
             cluster.apply(action);
@@ -87,38 +97,38 @@
         return cluster;
     }
 
-    /** Replays a schedule and goes on calmly until the depth is reached or a state is known. */
-    private void follow(Trace from) {
+    /** Replays a schedule, then takes default actions until it reaches the depth bound or a state seen before. */
+    private void runDefaultSchedule(Trace from) {
         Trace trace = from;
         try {
             ModelCluster cluster = replay(trace);
-            while (depths.size() < bounds.states() && isNew(cluster, trace)) {
+            while (depthByDigest.size() < bounds.states() && isNew(cluster, trace)) {
                 if (trace.depth() >= bounds.depth()) {
                     return;
                 }
-                next.add(trace);
-                Action action = ActionMenu.of(cluster).get(0);
-                trace = trace.then(action, false);
+                nextLevel.add(trace);
+                Action action = EnabledActions.of(cluster).get(0);
+                trace = trace.append(action, false);
                 steps++;
                 cluster.apply(action);
             }
-        } catch (BrokenInvariant e) {
-            violations.add(new Violation(e.invariant(), e.getMessage(), wholeTrace(trace)));
+        } catch (InvariantViolationException e) {
+            violations.add(new Violation(e.invariant(), e.getMessage(), fullTrace(trace)));
         }
     }
 
     private boolean isNew(ModelCluster cluster, Trace trace) {
         long digest = StateDigest.of(cluster);
-        int known = depths.getOrDefault(digest, Integer.MAX_VALUE);
-        if (known <= trace.depth()) {
+        int previousDepth = depthByDigest.getOrDefault(digest, Integer.MAX_VALUE);
+        if (previousDepth <= trace.depth()) {
             return false;
         }
-        depths.put(digest, trace.depth());
+        depthByDigest.put(digest, trace.depth());
         deepest = Math.max(deepest, trace.depth());
         return true;
     }
 
-    private List<Action> wholeTrace(Trace trace) {
+    private List<Action> fullTrace(Trace trace) {
         List<Action> actions = new ArrayList<>(start);
         actions.addAll(trace.actions());
         return actions;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
@@ -6,7 +6,7 @@
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 
-/** Hands everything on to another log; mutants change single calls. */
+/** Forwards every call to another log; mutants override single methods. */
 abstract class ForwardingLog implements WriteAheadLog {
     private final WriteAheadLog log;
 
@@ -25,13 +25,13 @@
     }
 
     @Override
-    public void onSpaceNeeded(String part, Runnable giveBase) {
-        log.onSpaceNeeded(part, giveBase);
+    public void onSpaceNeeded(String partition, Runnable requestSnapshot) {
+        log.onSpaceNeeded(partition, requestSnapshot);
     }
 
     @Override
-    public void expectSnapshotBytes(String part, long bytes) {
-        log.expectSnapshotBytes(part, bytes);
+    public void expectSnapshotBytes(String partition, long bytes) {
+        log.expectSnapshotBytes(partition, bytes);
     }
 
     @Override
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public void onFailure(Consumer<String> why) {
-        log.onFailure(why);
+    public void onFailure(Consumer<String> reason) {
+        log.onFailure(reason);
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Invariant.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Invariant.java
@@ -1,6 +1,6 @@
 package org.woadvale.testkit.explore;
 
-/** What must hold in every state of the model. */
+/** The properties that must hold in every state of the model. */
 enum Invariant {
     ONE_LEADER_ACTS,
     ONE_LEADER_PER_TERM,
@@ -12,6 +12,6 @@
     ONLY_VOTERS_STAND,
     NO_STALE_READ,
     LINEARIZABLE,
-    /** The engine threw what it does not declare. */
+    /** The engine never fails with an error other than a {@code ServiceException}. */
     NO_UNEXPECTED_ERROR
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/InvariantChecker.java
@@ -9,13 +9,13 @@
 import org.woadvale.common.replication.ReplicaProbe;
 import org.woadvale.common.replication.Role;
 
-/** Looks at every invariant of the replication engine in one state of the model. */
+/** Checks every invariant of the replication engine in one state of the model. */
 final class InvariantChecker {
     private final ModelCluster cluster;
     private final DurableRecords durable;
     private final CommittedLog committed;
-    private final Map<Long, String> leaders = new TreeMap<>();
-    private final Map<Long, String> contents = new HashMap<>();
+    private final Map<Long, String> leadersByTerm = new TreeMap<>();
+    private final Map<Long, String> contentsByIndex = new HashMap<>();
 
     InvariantChecker(ModelCluster cluster) {
         this.cluster = cluster;
@@ -23,65 +23,70 @@
         this.committed = new CommittedLog(cluster.codec(), durable);
     }
 
-    void check() throws BrokenInvariant {
+    void check() throws InvariantViolationException {
         Map<ModelNode, ReplicaProbe.Snapshot> states = new LinkedHashMap<>();
         for (ModelNode node : cluster.nodes()) {
             durable.observe(node);
             states.put(node, node.state());
         }
-        checkActing(states);
+        checkSingleActiveLeader(states);
         for (Map.Entry<ModelNode, ReplicaProbe.Snapshot> each : states.entrySet()) {
             check(each.getKey(), each.getValue());
         }
-        // what was committed in this very step binds the leaders too
+        // after all nodes, because entries committed in this step apply to the leaders as well
         for (Map.Entry<ModelNode, ReplicaProbe.Snapshot> each : states.entrySet()) {
             checkLeader(each.getKey(), each.getValue());
         }
     }
 
-    private static void checkActing(Map<ModelNode, ReplicaProbe.Snapshot> states) throws BrokenInvariant {
-        List<String> acting = new ArrayList<>();
+    private static void checkSingleActiveLeader(Map<ModelNode, ReplicaProbe.Snapshot> states)
+            throws InvariantViolationException {
+        List<String> activeLeaders = new ArrayList<>();
         states.forEach((node, state) -> {
             if (state.activeLeader()) {
-                acting.add(node.name() + " in term " + state.term());
+                activeLeaders.add(node.name() + " in term " + state.term());
             }
         });
-        if (acting.size() > 1) {
-            throw new BrokenInvariant(Invariant.ONE_LEADER_ACTS, "leaders acting at once: " + acting);
+        if (activeLeaders.size() > 1) {
+            throw new InvariantViolationException(
+                    Invariant.ONE_LEADER_ACTS, "several active leaders: " + activeLeaders);
         }
     }
 
-    private void check(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
+    private void check(ModelNode node, ReplicaProbe.Snapshot state) throws InvariantViolationException {
         committed.observe(node, state);
-        committed.checkChanges(node, state);
+        committed.checkUncommittedMembership(node, state);
         String content = node.machine().content();
-        String before = contents.putIfAbsent(state.appliedIndex(), content);
-        if (before != null && !before.equals(content)) {
-            throw new BrokenInvariant(
+        String previous = contentsByIndex.putIfAbsent(state.appliedIndex(), content);
+        if (previous != null && !previous.equals(content)) {
+            throw new InvariantViolationException(
                     Invariant.STATE_MACHINES_AGREE,
-                    node.name() + " has " + content + " after entry " + state.appliedIndex() + ", another " + before);
+                    node.name() + " has " + content + " after entry " + state.appliedIndex() + ", another replica had "
+                            + previous);
         }
-        boolean candidate = state.role() == Role.CANDIDATE || state.role() == Role.LEADER;
-        if (candidate && !state.voter()) {
-            throw new BrokenInvariant(Invariant.ONLY_VOTERS_STAND, node.name() + " stands and is no voter");
+        boolean candidateOrLeader = state.role() == Role.CANDIDATE || state.role() == Role.LEADER;
+        if (candidateOrLeader && !state.voter()) {
+            throw new InvariantViolationException(
+                    Invariant.ONLY_VOTERS_STAND, node.name() + " is a candidate or leader but not a voter");
         }
     }
 
-    private void checkLeader(ModelNode node, ReplicaProbe.Snapshot state) throws BrokenInvariant {
+    private void checkLeader(ModelNode node, ReplicaProbe.Snapshot state) throws InvariantViolationException {
         if (state.role() != Role.LEADER) {
             return;
         }
-        String other = leaders.putIfAbsent(state.term(), node.name());
-        if (other != null && !other.equals(node.name())) {
-            throw new BrokenInvariant(
-                    Invariant.ONE_LEADER_PER_TERM, node.name() + " and " + other + " led term " + state.term());
+        String previous = leadersByTerm.putIfAbsent(state.term(), node.name());
+        if (previous != null && !previous.equals(node.name())) {
+            throw new InvariantViolationException(
+                    Invariant.ONE_LEADER_PER_TERM, node.name() + " and " + previous + " led term " + state.term());
         }
         committed.checkLeader(node, state);
         long acknowledged = cluster.clients().acknowledged();
         if (state.activeLeader() && node.machine().accepted() < acknowledged) {
-            throw new BrokenInvariant(
+            throw new InvariantViolationException(
                     Invariant.NO_STALE_READ,
-                    node.name() + " reads state " + node.machine().accepted() + ", acknowledged was " + acknowledged);
+                    node.name() + " reads state " + node.machine().accepted() + " but the acknowledged state is "
+                            + acknowledged);
         }
     }
 
@@ -89,12 +94,12 @@
         return committed;
     }
 
-    /** What the later verdicts depend on besides the states of the nodes. */
-    List<Object> memory() {
+    /** The state of this checker that later checks depend on, in addition to the states of the nodes. */
+    List<Object> checkerState() {
         return List.of(
                 committed.entries(),
                 committed.group(),
-                leaders,
+                leadersByTerm,
                 cluster.clients().acknowledged());
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/MembershipMutants.java
@@ -14,16 +14,16 @@
 import org.woadvale.common.wal.WriteAheadLog;
 import reactor.core.publisher.Mono;
 
-/** Engines without one of the rules of identity and membership change. */
+/** Mutants of the engine that each omit one rule of replica identity or membership change. */
 final class MembershipMutants {
     private MembershipMutants() {}
 
-    /** A node that lost its disk goes on under its old identity, as a voter with an empty log. */
-    static Mutant countedWithoutPromotion() {
+    /** A node that lost its disk keeps its old identity and votes with an empty log, without being promoted again. */
+    static Mutant voterAfterDiskLoss() {
         return new Mutant() {
             @Override
             public WriteAheadLog log(ModelNode node, WriteAheadLog log) {
-                Map<String, String> group = node.cluster().committedGroup();
+                Map<String, String> group = node.cluster().committedMembers();
                 if (!log.recovered().isEmpty() || !group.containsKey(node.name())) {
                     return log;
                 }
@@ -54,62 +54,62 @@
         };
     }
 
-    /** The leader appends a membership entry while another is under way. */
-    static Mutant secondChangeUnderWay() {
+    /** The leader appends a membership entry while another is uncommitted. */
+    static Mutant overlappingMembershipChange() {
         return new Mutant() {
             @Override
             public void afterStep(ModelCluster cluster) {
-                cluster.actingLeader()
+                cluster.activeLeader()
                         .filter(leader -> cluster.membershipChanges() > 0)
-                        .filter(leader -> changeUnderWay(cluster, leader))
+                        .filter(leader -> hasUncommittedMembership(cluster, leader))
                         .ifPresent(leader -> ReplicaProbe.forceMembers(
                                 leader.replica(), leader.state().members()));
             }
         };
     }
 
-    private static boolean changeUnderWay(ModelCluster cluster, ModelNode leader) {
+    private static boolean hasUncommittedMembership(ModelCluster cluster, ModelNode leader) {
         ReplicaProbe.Snapshot state = leader.state();
         return state.lastIndex() > state.commitIndex()
                 && state.entry(state.lastIndex()).kind() == LogEntry.Kind.MEMBERSHIP;
     }
 
-    /** When the wanted members change, the leader goes on with all that were not in the group. */
-    static Mutant wholeGroupExchanged() {
+    /** When the desired members change, the leader replaces all other members at once by all non-members. */
+    static Mutant wholeGroupReplaced() {
         return new Mutant() {
-            private int exchanges;
+            private int handledChanges;
 
             @Override
             public void afterStep(ModelCluster cluster) {
-                boolean changed = cluster.membershipChanges() > exchanges;
-                cluster.actingLeader().filter(leader -> changed).ifPresent(leader -> {
-                    exchanges = cluster.membershipChanges();
-                    ReplicaProbe.forceMembers(leader.replica(), leaderWithNewcomers(cluster, leader));
+                boolean changed = cluster.membershipChanges() > handledChanges;
+                cluster.activeLeader().filter(leader -> changed).ifPresent(leader -> {
+                    handledChanges = cluster.membershipChanges();
+                    ReplicaProbe.forceMembers(leader.replica(), leaderWithNonMembers(cluster, leader));
                 });
             }
         };
     }
 
-    private static Map<String, String> leaderWithNewcomers(ModelCluster cluster, ModelNode leader) {
-        Map<String, String> next = new TreeMap<>();
+    private static Map<String, String> leaderWithNonMembers(ModelCluster cluster, ModelNode leader) {
+        Map<String, String> members = new TreeMap<>();
         cluster.nodes().stream()
-                .filter(node -> node == leader || !cluster.committedGroup().containsKey(node.name()))
-                .forEach(node -> next.put(node.name(), node.state().identity()));
-        return next;
+                .filter(node -> node == leader || !cluster.committedMembers().containsKey(node.name()))
+                .forEach(node -> members.put(node.name(), node.state().identity()));
+        return members;
     }
 
-    /** Whoever founds the group takes the promise and the acceptance of every second node for given. */
-    static Mutant foundedByHalf() {
+    /** The proposer of a bootstrap assumes the promise and the acceptance of every second node without asking it. */
+    static Mutant bootstrapWithoutMajority() {
         return new Mutant() {
             @Override
             public RpcClient rpc(ModelNode node, RpcClient rpc) {
-                return new HalfAskingRpc(node, rpc);
+                return new PartialBootstrapRpc(node, rpc);
             }
         };
     }
 
-    /** Answers for the nodes of odd places itself when a group is founded, under an identity that is theirs. */
-    private record HalfAskingRpc(ModelNode node, RpcClient rpc) implements RpcClient {
+    /** Forges the bootstrap responses of every second node (b, d, ...), with the real identity of that node. */
+    private record PartialBootstrapRpc(ModelNode node, RpcClient rpc) implements RpcClient {
         @Override
         public String self() {
             return rpc.self();
@@ -117,21 +117,21 @@
 
         @Override
         public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-            boolean asked = (to.charAt(0) - 'a') % 2 == 0;
-            if (!asked && body instanceof BootstrapMessages.PrepareRequest prepare) {
+            boolean forwarded = (to.charAt(0) - 'a') % 2 == 0;
+            if (!forwarded && body instanceof BootstrapMessages.PrepareRequest prepare) {
                 String identity = node.cluster().node(to).state().identity();
                 return Mono.just(answer.cast(new BootstrapMessages.PrepareResponse(
                         true, false, prepare.ballot(), identity, prepare.ballot(), Map.of(), false)));
             }
-            if (!asked && body instanceof BootstrapMessages.AcceptRequest accept) {
+            if (!forwarded && body instanceof BootstrapMessages.AcceptRequest accept) {
                 return Mono.just(answer.cast(new BootstrapMessages.AcceptResponse(true, accept.ballot())));
             }
             return rpc.call(to, body, answer, limit);
         }
     }
 
-    /** A replica whose log is not trusted takes part in elections. */
-    static Mutant unswornCandidate() {
+    /** An uninitialized replica, which is not a voter, takes part in elections. */
+    static Mutant nonVoterCandidate() {
         return new Mutant() {
             @Override
             public void afterStep(ModelCluster cluster) {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelCluster.java
@@ -12,16 +12,17 @@
 import org.woadvale.common.rpc.Codec;
 
 /**
- * The shipped replication engine on a few nodes; every step is an explicit action, so equal actions give equal runs.
+ * The production replication engine on a few simulated nodes. Every step is an explicit action, so equal actions give
+ * equal runs.
  */
 final class ModelCluster {
-    /** One tick of the enumeration; timers of the model's timing fall on its multiples. */
-    static final Duration UNIT = Duration.ofMillis(100);
+    /** The length of one tick of the enumeration; all timings of the model are multiples of it. */
+    static final Duration TICK = Duration.ofMillis(100);
 
     private static final Duration START = Duration.ofSeconds(1000);
-    private static final Duration LONGEST_FREEZE = UNIT.multipliedBy(12);
+    private static final Duration MAX_FREEZE = TICK.multipliedBy(12);
     private static final ReplicationTiming TIMING =
-            new ReplicationTiming(UNIT.multipliedBy(4), UNIT, UNIT, UNIT.multipliedBy(2), UNIT.multipliedBy(4));
+            new ReplicationTiming(TICK.multipliedBy(4), TICK, TICK, TICK.multipliedBy(2), TICK.multipliedBy(4));
     private static final Codec CODEC = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of());
 
     private final ModelSettings settings;
@@ -30,10 +31,10 @@
     private final Clients clients = new Clients(this);
     private final InvariantChecker checker;
     private final String spare;
-    private List<String> wanted;
+    private List<String> desiredMembers;
     private int membershipChanges;
     private Duration now = START;
-    private Optional<Throwable> unexpected = Optional.empty();
+    private Optional<Throwable> unexpectedError = Optional.empty();
 
     ModelCluster(ModelSettings settings) {
         this.settings = settings;
@@ -42,24 +43,24 @@
         for (int i = 0; i < settings.members(); i++) {
             names.add(String.valueOf((char) ('a' + i)));
         }
-        wanted = List.copyOf(names);
+        desiredMembers = List.copyOf(names);
         spare = String.valueOf((char) ('a' + settings.members()));
         names.add(spare);
         names.forEach(name -> nodes.put(name, new ModelNode(this, name)));
     }
 
-    /** Takes one step and looks at every invariant. */
-    void apply(Action action) throws BrokenInvariant {
+    /** Takes one step and checks every invariant. */
+    void apply(Action action) throws InvariantViolationException {
         try {
             perform(action);
             mutant().afterStep(this);
-            network.dropUnawaited();
+            network.dropUnawaitedReplies();
         } catch (RuntimeException e) {
-            unexpected = Optional.of(e);
+            unexpectedError = Optional.of(e);
         }
-        if (unexpected.isPresent()) {
-            throw new BrokenInvariant(
-                    Invariant.NO_UNEXPECTED_ERROR, unexpected.get().toString());
+        if (unexpectedError.isPresent()) {
+            throw new InvariantViolationException(
+                    Invariant.NO_UNEXPECTED_ERROR, unexpectedError.get().toString());
         }
         checker.check();
     }
@@ -77,18 +78,18 @@
             case WIPE -> node(action.node()).wipe();
             case FREEZE -> node(action.node()).freeze();
             case THAW -> node(action.node()).thaw();
-            case CHANGE_MEMBERS -> exchange(action.node());
-            case LEARN_MEMBERS -> node(action.node()).learnWanted(wanted);
+            case CHANGE_MEMBERS -> changeDesiredMembers(action.node());
+            case LEARN_MEMBERS -> node(action.node()).updateDesiredMembers(desiredMembers);
             case TRANSFER -> transfer(node(action.node()));
             case COMPACT -> node(action.node()).compact();
-            default -> throw new IllegalStateException("not an action: " + action.kind());
+            default -> throw new IllegalStateException("unknown action: " + action.kind());
         }
     }
 
     private void tick(Duration time) {
         now = now.plus(time);
         for (ModelNode node : nodes.values()) {
-            if (node.frozen() && now.minus(node.frozenSince()).compareTo(LONGEST_FREEZE) >= 0) {
+            if (node.frozen() && now.minus(node.frozenSince()).compareTo(MAX_FREEZE) >= 0) {
                 node.thaw();
             }
             if (!node.frozen()) {
@@ -97,39 +98,39 @@
         }
     }
 
-    /** The spare takes the place of one wanted member, or a member that was exchanged takes the spare's place again. */
-    private void exchange(String name) {
+    /** Replaces a desired member by the one node that is not desired: the spare or a member replaced earlier. */
+    private void changeDesiredMembers(String name) {
         membershipChanges++;
-        List<String> next = new ArrayList<>(wanted);
-        if (wanted.contains(name)) {
-            String incoming = nodes.keySet().stream()
-                    .filter(other -> !wanted.contains(other))
+        List<String> members = new ArrayList<>(desiredMembers);
+        if (desiredMembers.contains(name)) {
+            String replacement = nodes.keySet().stream()
+                    .filter(other -> !desiredMembers.contains(other))
                     .findFirst()
                     .orElseThrow();
-            next.set(wanted.indexOf(name), incoming);
+            members.set(desiredMembers.indexOf(name), replacement);
         }
-        wanted = List.copyOf(next);
+        desiredMembers = List.copyOf(members);
     }
 
     private static void transfer(ModelNode leader) {
         leader.replica().successor().ifPresent(leader.replica()::transferLeadership);
     }
 
-    /** Refusals are answers; anything else is an error of the engine. */
-    Throwable expected(Throwable error) {
+    /** Returns the error. A {@code ServiceException} is a valid response; anything else is a fault of the engine. */
+    Throwable recordIfUnexpected(Throwable error) {
         if (!(error instanceof ServiceException)) {
-            unexpected = Optional.of(error);
+            unexpectedError = Optional.of(error);
         }
         return error;
     }
 
-    /** The time by the clock of a node. */
+    /** The time according to the clock of a node. */
     Duration localTime(String name) {
         double rate = settings.clockRates().getOrDefault(name, 1.0);
         return rate == 1.0 ? now : Duration.ofNanos((long) (now.toNanos() * rate));
     }
 
-    Optional<ModelNode> actingLeader() {
+    Optional<ModelNode> activeLeader() {
         return nodes.values().stream()
                 .filter(node -> !node.frozen() && node.replica().isActiveLeader())
                 .findFirst();
@@ -171,13 +172,13 @@
         return CODEC;
     }
 
-    /** By the latest membership entry that anyone holds for committed. */
-    Map<String, String> committedGroup() {
+    /** The members set by the latest membership entry that any replica considers committed. */
+    Map<String, String> committedMembers() {
         return checker.committed().group();
     }
 
-    List<String> wanted() {
-        return wanted;
+    List<String> desiredMembers() {
+        return desiredMembers;
     }
 
     int membershipChanges() {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelDisk.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import org.woadvale.common.wal.WalRecord;
 
-/** What a machine's disk holds of the partition, over all lives of the process. */
+/** The records of the partition on a machine's disk; it outlives restarts of the process. */
 final class ModelDisk {
-    /** Records written together, and what runs once they are synced. */
-    record Write(List<WalRecord> entries, Runnable done) {}
+    /** Records that are written together, and the callback that runs once they are synced. */
+    record Write(List<WalRecord> records, Runnable done) {}
 
     private final List<WalRecord> durable = new ArrayList<>();
     private List<Write> pending = new ArrayList<>();
@@ -17,7 +17,7 @@
         return List.copyOf(durable);
     }
 
-    /** Empty before the first record was synced. */
+    /** The first record on the disk; empty until a record was synced. */
     Optional<WalRecord> base() {
         return durable.isEmpty() ? Optional.empty() : Optional.of(durable.get(0));
     }
@@ -30,21 +30,21 @@
         return !pending.isEmpty();
     }
 
-    void write(List<WalRecord> entries, Runnable done) {
-        pending.add(new Write(entries, done));
+    void write(List<WalRecord> records, Runnable done) {
+        pending.add(new Write(records, done));
     }
 
-    /** One sync serves everything that waits, as in the write-ahead log. */
+    /** One sync covers all pending writes, as in the write-ahead log. */
     void sync() {
         List<Write> synced = pending;
         pending = new ArrayList<>();
-        synced.forEach(write -> write.entries().forEach(this::store));
+        synced.forEach(write -> write.records().forEach(this::store));
         synced.forEach(write -> write.done().run());
     }
 
-    /** The process is gone, the written records stay; nobody waits for their callbacks. */
+    /** The process crashed: written records survive, and their callbacks never run. */
     void keepWritten() {
-        pending.forEach(write -> write.entries().forEach(this::store));
+        pending.forEach(write -> write.records().forEach(this::store));
         pending = new ArrayList<>();
     }
 
@@ -57,11 +57,11 @@
         durable.clear();
     }
 
-    /** A base makes the earlier records needless. */
-    private void store(WalRecord entry) {
-        if (entry.kind() == WalRecord.Kind.SNAPSHOT) {
+    /** A snapshot replaces all earlier records. */
+    private void store(WalRecord walRecord) {
+        if (walRecord.kind() == WalRecord.Kind.SNAPSHOT) {
             durable.clear();
         }
-        durable.add(entry);
+        durable.add(walRecord);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNetwork.java
@@ -11,24 +11,24 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Messages between the nodes; none arrives before the model says so. */
+/** The messages between the nodes; each is delivered only when the model schedules it. */
 final class ModelNetwork {
-    /** A request under way, from the caller's side. */
+    /** An outstanding request, as the caller sees it. */
     static final class Call {
         final ModelNode caller;
-        final long callerLife;
+        final long callerIncarnation;
         final MonoSink<Object> sink;
         boolean open = true;
         TimerHandle timeout = () -> {};
 
         Call(ModelNode caller, MonoSink<Object> sink) {
             this.caller = caller;
-            this.callerLife = caller.life();
+            this.callerIncarnation = caller.incarnation();
             this.sink = sink;
         }
     }
 
-    /** One message in the network. A held one is delivered only by an explicit choice. */
+    /** One message in the network. A held message is not delivered by the default schedule. */
     record Message(
             long id, String from, String to, Object body, boolean reply, boolean held, Duration sent, Call call) {
         Message withHeld(long newId) {
@@ -36,7 +36,7 @@
         }
     }
 
-    private static final int MOST_MESSAGES = 48;
+    private static final int MAX_MESSAGES = 48;
     private final ModelCluster cluster;
     private final List<Message> messages = new ArrayList<>();
     private long lastId;
@@ -53,13 +53,13 @@
         return messages.stream().filter(message -> message.id() == id).findFirst();
     }
 
-    <T> Mono<T> ask(ModelNode caller, String to, Object body, Class<T> answer, Duration limit) {
+    <T> Mono<T> call(ModelNode caller, String to, Object body, Class<T> responseType, Duration timeout) {
         return Mono.<Object>create(sink -> {
                     Call call = new Call(caller, sink);
-                    call.timeout = caller.timers().after(limit, () -> timedOut(call));
+                    call.timeout = caller.timers().after(timeout, () -> timedOut(call));
                     add(caller.name(), to, body, false, call);
                 })
-                .map(answer::cast);
+                .map(responseType::cast);
     }
 
     private void timedOut(Call call) {
@@ -71,7 +71,7 @@
 
     private void add(String from, String to, Object body, boolean reply, Call call) {
         messages.add(new Message(++lastId, from, to, body, reply, false, cluster.now(), call));
-        if (messages.size() > MOST_MESSAGES) {
+        if (messages.size() > MAX_MESSAGES) {
             messages.remove(0);
         }
     }
@@ -88,47 +88,47 @@
     void deliver(Message message) {
         messages.remove(message);
         if (message.reply()) {
-            answer(message);
+            deliverReply(message);
         } else {
-            request(message);
+            deliverRequest(message);
         }
     }
 
-    private void request(Message message) {
+    private void deliverRequest(Message message) {
         ModelNode target = cluster.node(message.to());
-        long life = target.life();
+        long incarnation = target.incarnation();
         target.handle(message.from(), (ReplicationRequest) message.body())
                 .subscribe(
-                        reply -> reply(message, target, life, reply),
-                        error -> reply(message, target, life, cluster.expected(error)));
+                        reply -> sendReply(message, target, incarnation, reply),
+                        error -> sendReply(message, target, incarnation, cluster.recordIfUnexpected(error)));
     }
 
-    private void reply(Message request, ModelNode target, long life, Object body) {
-        if (target.life() == life && awaited(request.call())) {
+    private void sendReply(Message request, ModelNode target, long incarnation, Object body) {
+        if (target.incarnation() == incarnation && isAwaited(request.call())) {
             add(request.to(), request.from(), body, true, request.call());
         }
     }
 
-    private static boolean awaited(Call call) {
-        return call.open && call.caller.life() == call.callerLife;
+    private static boolean isAwaited(Call call) {
+        return call.open && call.caller.incarnation() == call.callerIncarnation;
     }
 
-    private void answer(Message message) {
+    private void deliverReply(Message message) {
         Call call = message.call();
-        if (!awaited(call)) {
+        if (!isAwaited(call)) {
             return;
         }
         call.open = false;
         call.timeout.cancel();
-        if (message.body() instanceof ServiceException refusal) {
-            call.sink.error(refusal);
+        if (message.body() instanceof ServiceException error) {
+            call.sink.error(error);
         } else {
             call.sink.success(message.body());
         }
     }
 
-    /** Answers that nobody waits for any more change nothing. */
-    void dropUnawaited() {
-        messages.removeIf(message -> message.reply() && !awaited(message.call()));
+    /** Drops replies whose caller has restarted or no longer waits, as they have no effect. */
+    void dropUnawaitedReplies() {
+        messages.removeIf(message -> message.reply() && !isAwaited(message.call()));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelNode.java
@@ -12,22 +12,22 @@
 import org.woadvale.common.rpc.RpcClient;
 import reactor.core.publisher.Mono;
 
-/** A machine with the shipped replica on it; it can be frozen and started again. */
+/** A simulated machine that runs the production replica; it can be frozen and restarted. */
 final class ModelNode {
     static final String PARTITION = "m0";
     private final ModelCluster cluster;
     private final String name;
     private final ModelDisk disk = new ModelDisk();
-    private long life;
+    private long incarnation;
     private long diskGeneration;
     private boolean frozen;
     private Duration frozenSince = Duration.ZERO;
-    private Duration frozenInAll = Duration.ZERO;
+    private Duration totalFrozenTime = Duration.ZERO;
     private ModelTimers timers;
     private ModelWriteAheadLog log;
     private RegisterMachine machine;
     private Replica<String, String> replica;
-    private List<String> wanted = List.of();
+    private List<String> desiredMembers = List.of();
 
     ModelNode(ModelCluster cluster, String name) {
         this.cluster = cluster;
@@ -35,9 +35,9 @@
         boot();
     }
 
-    /** Starts the process on what the disk holds. */
+    /** Starts the process with the contents of the disk. */
     private void boot() {
-        life++;
+        incarnation++;
         frozen = false;
         Mutant mutant = cluster.mutant();
         timers = new ModelTimers(() -> mutant.clock(this, cluster.localTime(name)));
@@ -51,8 +51,8 @@
                 mutant.log(this, log),
                 random(),
                 mutant.timing(this, cluster.timing()));
-        wanted = cluster.wanted();
-        replica = new Replica<>(PARTITION, wanted, mutant.machine(this, machine), environment);
+        desiredMembers = cluster.desiredMembers();
+        replica = new Replica<>(PARTITION, desiredMembers, mutant.machine(this, machine), environment);
         try {
             replica.start(environment.wal().recovered().getOrDefault(PARTITION, List.of()));
         } catch (ServiceException failure) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Constant for a node and its disk: identities differ, and the same choices give the same run. */
+    /** A constant per node and disk, so that identities differ and runs are reproducible. */
     private LongSupplier random() {
         long value = Math.floorMod(Objects.hash(name, diskGeneration) * 0x9E3779B97F4A7C15L, Long.MAX_VALUE);
         return () -> value;
@@ -80,7 +80,7 @@
         disk.wipe();
         diskGeneration++;
         boot();
-        cluster.mutant().wiped(this);
+        cluster.mutant().afterWipe(this);
     }
 
     void freeze() {
@@ -90,7 +90,7 @@
 
     void thaw() {
         frozen = false;
-        frozenInAll = frozenInAll.plus(cluster.now().minus(frozenSince));
+        totalFrozenTime = totalFrozenTime.plus(cluster.now().minus(frozenSince));
     }
 
     boolean frozen() {
@@ -101,23 +101,23 @@
         return frozenSince;
     }
 
-    /** How long the node has done nothing so far, all freezes together. */
-    Duration frozenInAll() {
-        return frozen ? frozenInAll.plus(cluster.now().minus(frozenSince)) : frozenInAll;
+    /** The total time for which the node has been frozen so far. */
+    Duration totalFrozenTime() {
+        return frozen ? totalFrozenTime.plus(cluster.now().minus(frozenSince)) : totalFrozenTime;
     }
 
-    void learnWanted(List<String> members) {
-        wanted = members;
+    void updateDesiredMembers(List<String> members) {
+        desiredMembers = members;
         replica.setDesiredMembers(members);
     }
 
-    /** The members that this node was told to be wanted. */
-    List<String> wanted() {
-        return wanted;
+    /** The desired members that this node was last notified of. */
+    List<String> desiredMembers() {
+        return desiredMembers;
     }
 
     void compact() {
-        log.press();
+        log.requestSnapshot();
     }
 
     Mono<?> handle(String from, ReplicationRequest request) {
@@ -132,8 +132,8 @@
         return name;
     }
 
-    long life() {
-        return life;
+    long incarnation() {
+        return incarnation;
     }
 
     long diskGeneration() {
@@ -168,7 +168,7 @@
 
         @Override
         public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-            return cluster.network().ask(ModelNode.this, to, body, answer, limit);
+            return cluster.network().call(ModelNode.this, to, body, answer, limit);
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelSettings.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelSettings.java
@@ -3,11 +3,12 @@
 import java.util.Map;
 
 /**
- * The bounds of a model.
+ * The configuration of a model.
  *
- * @param members how many nodes the group has; one more stands by with an empty disk
- * @param commands how many commands clients propose
- * @param clockRates how fast each node's clock runs, 1 where none is given
+ * @param members the number of nodes in the group; the model has one more, a spare with an empty disk
+ * @param commands the maximum number of commands that clients propose
+ * @param clockRates the rate of each node's clock relative to the simulated time; 1 for nodes that are not listed
+ * @param mutant the modified engine to run, or {@link Mutant#NONE}
  */
 record ModelSettings(int members, int commands, Map<String, Double> clockRates, Mutant mutant) {
     static ModelSettings of(int members) {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelTimers.java
@@ -10,9 +10,9 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 
-/** Clock and timers of one life of a node; timers run only when the model says so. */
+/** Clock and timers of one incarnation of a node; timers run only when the model schedules them. */
 final class ModelTimers implements Clock, Timers {
-    /** A timer that has not run; {@code label} tells timers of different code apart. */
+    /** A timer that has not run; {@code label} distinguishes timers that are set by different code. */
     record Pending(Duration due, long order, String label, Runnable task) {}
 
     private static final Instant EPOCH = Instant.parse("2030-01-01T00:00:00Z");
@@ -53,7 +53,7 @@
         after(Duration.ZERO, task);
     }
 
-    /** Runs what is due at the present time, earliest first; what that sets for now runs too. */
+    /** Runs all timers that are due, earliest first, including those that a task sets for the current time. */
     void runDue() {
         Duration now = monotonicTime();
         while (!pending.isEmpty() && pending.get(0).due().compareTo(now) <= 0) {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
@@ -7,40 +7,40 @@
 import org.woadvale.common.wal.WalRecord;
 import org.woadvale.common.wal.WriteAheadLog;
 
-/** The write-ahead log of one life of a node; syncs happen when the model says so. */
+/** The write-ahead log of one incarnation of a node; syncs happen only when the model schedules them. */
 final class ModelWriteAheadLog implements WriteAheadLog {
     private static final int LARGEST_RECORD_BYTES = 1 << 20;
     private final ModelDisk disk;
-    private Optional<Runnable> snapshot = Optional.empty();
+    private Optional<Runnable> snapshotRequest = Optional.empty();
 
     ModelWriteAheadLog(ModelDisk disk) {
         this.disk = disk;
     }
 
-    /** Asks the replica for a snapshot, as a filling disk does. */
-    void press() {
-        snapshot.ifPresent(Runnable::run);
+    /** Requests a snapshot from the replica, as a log does that is running out of space. */
+    void requestSnapshot() {
+        snapshotRequest.ifPresent(Runnable::run);
     }
 
     @Override
     public Map<String, List<WalRecord>> recovered() {
-        List<WalRecord> entries = disk.durable();
-        return entries.isEmpty() ? Map.of() : Map.of(ModelNode.PARTITION, entries);
+        List<WalRecord> records = disk.durable();
+        return records.isEmpty() ? Map.of() : Map.of(ModelNode.PARTITION, records);
     }
 
     @Override
-    public void append(List<WalRecord> entries, Runnable done) {
-        disk.write(entries, done);
+    public void append(List<WalRecord> records, Runnable done) {
+        disk.write(records, done);
     }
 
     @Override
-    public void onSpaceNeeded(String part, Runnable giveBase) {
-        snapshot = Optional.of(giveBase);
+    public void onSpaceNeeded(String partition, Runnable requestSnapshot) {
+        snapshotRequest = Optional.of(requestSnapshot);
     }
 
     @Override
     public void expectSnapshotBytes(String partition, long bytes) {
-        // there is no ring that could fill
+        // the model has no ring of files that could fill up
     }
 
     @Override
@@ -49,8 +49,8 @@
     }
 
     @Override
-    public void onFailure(Consumer<String> why) {
-        // the model's disks do not fail, they are lost
+    public void onFailure(Consumer<String> reason) {
+        // disks in the model are lost as a whole and never report an error
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
@@ -6,9 +6,9 @@
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.wal.WriteAheadLog;
 
-/** Seams around the engine through which a test leaves out one of its rules; by itself it changes nothing. */
+/** Hooks around the engine with which a test disables one of its rules. The default methods change nothing. */
 interface Mutant {
-    /** The shipped engine. */
+    /** The unmodified engine. */
     Mutant NONE = new Mutant() {};
 
     default Duration clock(ModelNode node, Duration localTime) {
@@ -31,8 +31,8 @@
         return machine;
     }
 
-    /** Called right after a node was started again with an empty disk. */
-    default void wiped(ModelNode node) {}
+    /** Called right after a node was restarted with an empty disk. */
+    default void afterWipe(ModelNode node) {}
 
     /** Called after each step of the schedule. */
     default void afterStep(ModelCluster cluster) {}
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutants.java
@@ -13,34 +13,35 @@
 import org.woadvale.common.wal.WriteAheadLog;
 import reactor.core.publisher.Mono;
 
-/** Engines with one rule left out; each breaks an invariant, or the invariant could not be trusted. */
+/** Mutants of the engine that each omit one rule. Each must violate an invariant, which shows that the check works. */
 final class Mutants {
     private static final Map<String, Supplier<Mutant>> ALL = Map.ofEntries(
             Map.entry("unsynced-log", Mutants::unsyncedLog),
-            Map.entry("forgotten-votes", Mutants::forgottenVotes),
+            Map.entry("forgotten-votes", Mutants::votesNotPersisted),
             Map.entry("long-lease", Mutants::longLease),
-            Map.entry("stopping-clock", Mutants::stoppingClock),
-            Map.entry("vote-for-shorter-log", Mutants::voteForShorterLog),
-            Map.entry("counted-without-promotion", MembershipMutants::countedWithoutPromotion),
-            Map.entry("second-change-under-way", MembershipMutants::secondChangeUnderWay),
-            Map.entry("whole-group-exchanged", MembershipMutants::wholeGroupExchanged),
-            Map.entry("founded-by-half", MembershipMutants::foundedByHalf),
-            Map.entry("unsworn-candidate", MembershipMutants::unswornCandidate),
+            Map.entry("stopping-clock", Mutants::clockStopsWhileFrozen),
+            Map.entry("vote-for-shorter-log", Mutants::voteForOutdatedLog),
+            Map.entry("counted-without-promotion", MembershipMutants::voterAfterDiskLoss),
+            Map.entry("second-change-under-way", MembershipMutants::overlappingMembershipChange),
+            Map.entry("whole-group-exchanged", MembershipMutants::wholeGroupReplaced),
+            Map.entry("founded-by-half", MembershipMutants::bootstrapWithoutMajority),
+            Map.entry("unsworn-candidate", MembershipMutants::nonVoterCandidate),
             Map.entry("snapshot-not-applied", StateMutants::snapshotNotApplied),
             Map.entry("lost-commands", StateMutants::lostCommands),
             Map.entry("wrong-answers", StateMutants::wrongAnswers));
 
     private Mutants() {}
 
-    /** A new engine without the rule of that name. */
+    /** Creates the mutant with the given name. */
     static Mutant named(String name) {
         if (!ALL.containsKey(name)) {
-            throw new IllegalArgumentException("no mutant " + name + "; there are " + new TreeSet<>(ALL.keySet()));
+            throw new IllegalArgumentException(
+                    "unknown mutant " + name + "; known mutants: " + new TreeSet<>(ALL.keySet()));
         }
         return ALL.get(name).get();
     }
 
-    /** The log says "synced" at once. */
+    /** The log confirms a write before it is synced. */
     static Mutant unsyncedLog() {
         return new Mutant() {
             @Override
@@ -56,8 +57,8 @@
         };
     }
 
-    /** Votes are not written. */
-    static Mutant forgottenVotes() {
+    /** Votes are not written to the log. */
+    static Mutant votesNotPersisted() {
         return new Mutant() {
             @Override
             public WriteAheadLog log(ModelNode node, WriteAheadLog log) {
@@ -75,7 +76,7 @@
         };
     }
 
-    /** One node's lease is longer than the others wait. */
+    /** The lease of node "a" is longer than the time that the other nodes wait before an election. */
     static Mutant longLease() {
         return new Mutant() {
             @Override
@@ -92,44 +93,44 @@
         };
     }
 
-    /** The clock that the lease is measured by stands still while a node is frozen. */
-    static Mutant stoppingClock() {
+    /** A node's clock, by which its lease is measured, stops while the node is frozen. */
+    static Mutant clockStopsWhileFrozen() {
         return new Mutant() {
             @Override
             public Duration clock(ModelNode node, Duration localTime) {
-                return localTime.minus(node.frozenInAll());
+                return localTime.minus(node.totalFrozenTime());
             }
         };
     }
 
-    /** A candidate's log is taken for complete whatever it holds. */
-    static Mutant voteForShorterLog() {
+    /** Vote requests claim the highest index and term, so that a candidate with an outdated log gets votes. */
+    static Mutant voteForOutdatedLog() {
         return new Mutant() {
             @Override
             public RpcClient rpc(ModelNode node, RpcClient rpc) {
-                return new ChangingRpc(
+                return new RequestRewritingRpc(
                         rpc,
-                        body -> body instanceof ReplicationMessages.VoteRequest ask
+                        body -> body instanceof ReplicationMessages.VoteRequest request
                                 ? new ReplicationMessages.VoteRequest(
-                                        ask.partition(),
-                                        ask.term(),
+                                        request.partition(),
+                                        request.term(),
                                         Integer.MAX_VALUE,
                                         Integer.MAX_VALUE,
-                                        ask.preVote(),
-                                        ask.leadershipTransferred())
+                                        request.preVote(),
+                                        request.leadershipTransferred())
                                 : body);
             }
         };
     }
 
-    /** Sends each request in another form. */
-    private static final class ChangingRpc implements RpcClient {
+    /** Rewrites each request before it is sent. */
+    private static final class RequestRewritingRpc implements RpcClient {
         private final RpcClient rpc;
-        private final UnaryOperator<Object> change;
+        private final UnaryOperator<Object> rewrite;
 
-        ChangingRpc(RpcClient rpc, UnaryOperator<Object> change) {
+        RequestRewritingRpc(RpcClient rpc, UnaryOperator<Object> rewrite) {
             this.rpc = rpc;
-            this.change = change;
+            this.rewrite = rewrite;
         }
 
         @Override
@@ -139,7 +140,7 @@
 
         @Override
         public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-            return rpc.call(to, change.apply(body), answer, limit);
+            return rpc.call(to, rewrite.apply(body), answer, limit);
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/RegisterMachine.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 import org.woadvale.common.replication.StateMachine;
 
-/** The replicated state of the model: a register with compare-and-set, as configurations are. */
+/** The replicated state of the model: a register with compare-and-set, like the configurations. */
 final class RegisterMachine implements StateMachine<String, String> {
-    /** The answer to a put whose base was not the present value. */
+    /** The result of a put whose base was not the current value. */
     static final String REFUSED = "refused";
 
-    /** Begins the answer to a put that was applied; how many were accepted by then follows. */
+    /** The prefix of the result of an accepted put; the number of puts accepted so far follows. */
     static final String ACCEPTED = "accepted ";
 
     static final String INITIAL = "0";
@@ -24,7 +24,7 @@
         return value;
     }
 
-    /** How many puts were accepted; never goes back in a correct system. */
+    /** The number of accepted puts; it never decreases in a correct system. */
     long accepted() {
         return accepted;
     }
@@ -56,8 +56,8 @@
     }
 
     @Override
-    public void restore(byte[] view) {
-        String[] parts = new String(view, StandardCharsets.UTF_8).split(SEPARATOR);
+    public void restore(byte[] snapshot) {
+        String[] parts = new String(snapshot, StandardCharsets.UTF_8).split(SEPARATOR);
         accepted = Long.parseLong(parts[0]);
         value = parts[1];
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StartState.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StartState.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Where an enumeration begins, as the actions that lead there from empty disks. */
+/** The state in which an enumeration begins, reached from empty disks by the default schedule. */
 enum StartState {
-    /** Every disk is empty; the group is not founded. */
+    /** Every disk is empty; the group is not bootstrapped. */
     EMPTY(cluster -> true),
-    /** A leader acts, and one command has been acknowledged. */
+    /** A leader is active, and one command has been acknowledged. */
     LED(cluster -> cluster.clients().acknowledged() > 0);
 
-    private static final int MOST_STEPS = 500;
+    private static final int MAX_STEPS = 500;
     private final Predicate<ModelCluster> reached;
 
     StartState(Predicate<ModelCluster> reached) {
@@ -23,15 +23,16 @@
         ModelCluster cluster = new ModelCluster(settings);
         try {
             while (!reached.test(cluster)) {
-                Action action = ActionMenu.of(cluster).get(0);
+                Action action = EnabledActions.of(cluster).get(0);
                 actions.add(action);
                 cluster.apply(action);
-                if (actions.size() > MOST_STEPS) {
-                    throw new IllegalStateException("the calm course does not reach " + this);
+                if (actions.size() > MAX_STEPS) {
+                    throw new IllegalStateException("the default schedule does not reach the start state " + this);
                 }
             }
-        } catch (BrokenInvariant e) {
-            throw new IllegalStateException(e.invariant() + " broke on the calm course: " + e.getMessage(), e);
+        } catch (InvariantViolationException e) {
+            throw new IllegalStateException(
+                    e.invariant() + " was violated in the default schedule: " + e.getMessage(), e);
         }
         return actions;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateDigest.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateDigest.java
@@ -15,14 +15,14 @@
 import org.woadvale.common.wal.WalRecord;
 
 /**
- * A number for a state of the model: equal states have equal numbers. It follows the fields of the engine's objects, so
- * a new field of the engine is part of it at once; times count as distances from the present. Callbacks count by their
- * class and by the request or timer that they belong to, not by what they captured.
+ * A hash of a state of the model: equal states have equal hashes. It traverses the fields of the engine's objects by
+ * reflection, so new fields of the engine are included automatically. Times are hashed relative to the current time.
+ * Callbacks are hashed by their class and by the request or timer that they belong to, not by what they captured.
  */
 final class StateDigest {
     private static final String ENGINE = "org.woadvale.common.replication.";
     private static final String MODEL = "org.woadvale.testkit.explore.";
-    private static final Duration FAR_PAST = ModelCluster.UNIT.multipliedBy(-8);
+    private static final Duration FAR_PAST = ModelCluster.TICK.multipliedBy(-8);
     private static final Map<Class<?>, List<Field>> FIELDS = new HashMap<>();
 
     private final Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -37,10 +37,10 @@
         StateDigest digest = new StateDigest(cluster.now());
         cluster.nodes().forEach(digest::addNode);
         cluster.network().messages().forEach(digest::addMessage);
-        digest.add(cluster.wanted());
+        digest.add(cluster.desiredMembers());
         digest.mix(cluster.membershipChanges());
         digest.mix(cluster.clients().proposed());
-        digest.add(cluster.checker().memory());
+        digest.add(cluster.checker().checkerState());
         return digest.hash;
     }
 
@@ -54,20 +54,20 @@
         node.disk().durable().forEach(digest::addRecord);
         node.disk().pending().forEach(write -> {
             digest.mix(write.done().getClass().hashCode());
-            write.entries().forEach(digest::addRecord);
+            write.records().forEach(digest::addRecord);
         });
         digest.add(node.machine().content());
         digest.mix(node.frozen() ? now.minus(node.frozenSince()).toMillis() : -1);
         digest.mix(node.diskGeneration());
-        digest.add(node.wanted());
+        digest.add(node.desiredMembers());
         mix(digest.hash);
     }
 
-    private void addRecord(WalRecord entry) {
-        mix(entry.kind().ordinal());
-        mix(entry.index());
-        mix(entry.term());
-        mix(Arrays.hashCode(entry.bytes()));
+    private void addRecord(WalRecord walRecord) {
+        mix(walRecord.kind().ordinal());
+        mix(walRecord.index());
+        mix(walRecord.term());
+        mix(Arrays.hashCode(walRecord.bytes()));
     }
 
     private void addMessage(ModelNetwork.Message message) {
@@ -100,17 +100,21 @@
         } else if (value instanceof Collection<?> collection) {
             mix(collection.size());
             collection.forEach(this::add);
-        } else if (walked(value.getClass())) {
+        } else if (isTraversed(value.getClass())) {
             addFields(value);
         }
     }
 
-    private static boolean walked(Class<?> type) {
-        boolean ours = type.getName().startsWith(ENGINE) || type.getName().startsWith(MODEL);
-        return ours && !type.isSynthetic() && !type.getName().equals(ENGINE + "Env") && type != RegisterMachine.class;
+    private static boolean isTraversed(Class<?> type) {
+        boolean traversable =
+                type.getName().startsWith(ENGINE) || type.getName().startsWith(MODEL);
+        return traversable
+                && !type.isSynthetic()
+                && !type.getName().equals(ENGINE + "Env")
+                && type != RegisterMachine.class;
     }
 
-    /** Zero stands for "never" in the engine; what is long past makes no difference any more. */
+    /** Zero means "never" in the engine; times far in the past are all equivalent. */
     private void addTime(Duration time) {
         Duration distance = time.minus(now);
         if (time.isZero()) {
@@ -120,7 +124,7 @@
         }
     }
 
-    /** The order of a map that is not sorted must not matter. */
+    /** Independent of the iteration order, because some maps are unordered. */
     private void addMap(Map<?, ?> map) {
         long sum = map.size();
         for (Map.Entry<?, ?> entry : map.entrySet()) {
@@ -142,7 +146,7 @@
             try {
                 add(field.get(value));
             } catch (IllegalAccessException e) {
-                throw new IllegalStateException("unreadable " + field, e);
+                throw new IllegalStateException("cannot read field " + field, e);
             }
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/StateMutants.java
@@ -3,24 +3,24 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.replication.StateMachine;
 
-/** Engines whose state machines break their contract. */
+/** Mutants whose state machines violate their contract. */
 final class StateMutants {
     private StateMutants() {}
 
-    /** A snapshot is taken and not applied. */
+    /** A snapshot is received but not applied to the state machine. */
     static Mutant snapshotNotApplied() {
         return new Mutant() {
             @Override
             public StateMachine<String, String> machine(ModelNode node, StateMachine<String, String> machine) {
                 return new ForwardingMachine(machine) {
                     @Override
-                    public void restore(byte[] view) {}
+                    public void restore(byte[] snapshot) {}
                 };
             }
         };
     }
 
-    /** A command is answered, and forgotten by every replica. */
+    /** The command at every third log index is acknowledged but not applied on any replica. */
     static Mutant lostCommands() {
         return new Mutant() {
             @Override
@@ -35,7 +35,7 @@
         };
     }
 
-    /** A put that was applied is answered as refused. */
+    /** Every command is applied but reported as refused. */
     static Mutant wrongAnswers() {
         return new Mutant() {
             @Override
@@ -51,7 +51,7 @@
         };
     }
 
-    /** Hands everything on. */
+    /** Forwards every call to another state machine. */
     private abstract static class ForwardingMachine implements StateMachine<String, String> {
         private final StateMachine<String, String> machine;
 
@@ -75,8 +75,8 @@
         }
 
         @Override
-        public void restore(byte[] view) {
-            machine.restore(view);
+        public void restore(byte[] snapshot) {
+            machine.restore(snapshot);
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Trace.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Trace.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The choices that lead to a state, as a list that shares its beginning with others. */
+/** The actions that lead to a state, as a linked list that shares its prefix with other traces. */
 final class Trace {
     private final Optional<Trace> parent;
     private final Action action;
@@ -19,30 +19,30 @@
         this.deviations = deviations;
     }
 
-    /** No choice yet. */
+    /** The trace of the start state. */
     static Trace empty() {
         return new Trace(Optional.empty(), Action.tick(0), 0, 0);
     }
 
-    Trace then(Action next, boolean deviation) {
-        return new Trace(Optional.of(this), next, depth + 1, deviations + (deviation ? 1 : 0));
+    Trace append(Action action, boolean deviation) {
+        return new Trace(Optional.of(this), action, depth + 1, deviations + (deviation ? 1 : 0));
     }
 
     int depth() {
         return depth;
     }
 
-    /** How many of the choices were not the default ones. */
+    /** The number of actions that were not the default one. */
     int deviations() {
         return deviations;
     }
 
     List<Action> actions() {
         List<Action> actions = new ArrayList<>(depth);
-        Trace at = this;
-        while (at.parent.isPresent()) {
-            actions.add(at.action);
-            at = at.parent.get();
+        Trace current = this;
+        while (current.parent.isPresent()) {
+            actions.add(current.action);
+            current = current.parent.get();
         }
         Collections.reverse(actions);
         return actions;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Violation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Violation.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An invariant that did not hold, and the choices that led there. */
+/** An invariant that did not hold, and the schedule that led to that state. */
 record Violation(Invariant invariant, String detail, List<Action> trace) {
     @Override
     public String toString() {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/ConfigurationHistory.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/ConfigurationHistory.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Orders and reads of a configuration as clients saw them, checked as a register with compare-and-set over version
- * names. Each order names the version that it was made from and the one that it makes; calls may overlap.
+ * Puts and reads of a configuration as clients observed them, checked against a register with compare-and-set over
+ * version names. Each put names the version that it is based on and the version that it creates. Calls may overlap.
  */
 public final class ConfigurationHistory {
     private final String firstVersion;
@@ -14,34 +14,34 @@
         this.firstVersion = firstVersion;
     }
 
-    /** An order is sent; without a later answer its outcome is unknown. */
-    public synchronized long order(String baseVersion, String nextVersion) {
+    /** A put was sent; its outcome is unknown until a response is recorded. */
+    public synchronized long putSent(String baseVersion, String nextVersion) {
         return recorder.invoke(new RegisterInput.Put(baseVersion, nextVersion));
     }
 
-    /** A read is sent. */
-    public synchronized long read() {
+    /** A read was sent. */
+    public synchronized long readSent() {
         return recorder.invoke(new RegisterInput.Read());
     }
 
-    /** The order was answered with yes. */
-    public synchronized void confirmed(long call) {
+    /** The put was accepted. */
+    public synchronized void putAccepted(long call) {
         recorder.complete(call, new RegisterOutcome.Accepted());
     }
 
-    /** The order was answered with no, for good: its base was not the present version. */
-    public synchronized void refused(long call) {
+    /** The put was finally refused because its base was not the current version. */
+    public synchronized void putRefused(long call) {
         recorder.complete(call, new RegisterOutcome.Refused());
     }
 
-    /** The read was answered with a version. */
-    public synchronized void returned(long call, String version) {
+    /** The read returned a version. */
+    public synchronized void readReturned(long call, String version) {
         recorder.complete(call, new RegisterOutcome.Value(version));
     }
 
-    /** The call was answered with "later", or not sent at all: it has no effect. */
-    public synchronized void notTaken(long call) {
-        recorder.withdraw(call);
+    /** The call was refused for now or was never sent, so it has no effect. */
+    public synchronized void notExecuted(long call) {
+        recorder.discard(call);
     }
 
     public synchronized boolean linearizable() {
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/LinearizabilityChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/LinearizabilityChecker.java
@@ -8,16 +8,17 @@
 import java.util.Set;
 
 /**
- * Decides whether a history has an order of its calls that respects their times and that the sequential model allows.
- * The search is that of Wing and Gong with the visited pairs of placed calls and state remembered, as Lowe proposed.
+ * Decides whether a history is linearizable: whether its calls can be ordered so that the order respects their times
+ * and the sequential model allows it. Uses the search of Wing and Gong with Lowe's memoization of the visited pairs of
+ * linearized calls and state.
  */
 public final class LinearizabilityChecker<S, I, O> {
-    private record Visited<T>(BitSet placed, T state) {}
+    private record Visited<T>(BitSet linearized, T state) {}
 
     private final SequentialModel<S, I, O> model;
     private final List<Operation<I, O>> operations;
     private final Set<Visited<S>> visited = new HashSet<>();
-    private final BitSet placed = new BitSet();
+    private final BitSet linearized = new BitSet();
 
     private LinearizabilityChecker(SequentialModel<S, I, O> model, List<Operation<I, O>> history) {
         this.model = model;
@@ -31,21 +32,21 @@
         return new LinearizabilityChecker<>(model, history).search(model.initial());
     }
 
-    /** The recursion is as deep as there are calls. */
+    /** The depth of the recursion is at most the number of calls. */
     private boolean search(S state) {
-        if (!visited.add(new Visited<>((BitSet) placed.clone(), state))) {
+        if (!visited.add(new Visited<>((BitSet) linearized.clone(), state))) {
             return false;
         }
         long earliestResponse = earliestResponse();
         if (earliestResponse == Operation.NEVER) {
             return true;
         }
-        for (int i = placed.nextClearBit(0); i < operations.size(); i = placed.nextClearBit(i + 1)) {
+        for (int i = linearized.nextClearBit(0); i < operations.size(); i = linearized.nextClearBit(i + 1)) {
             Operation<I, O> operation = operations.get(i);
             if (operation.invoked() > earliestResponse) {
                 return false;
             }
-            Optional<S> next = after(state, operation);
+            Optional<S> next = nextState(state, operation);
             if (next.isPresent() && searchWith(i, next.get())) {
                 return true;
             }
@@ -54,25 +55,25 @@
     }
 
     private boolean searchWith(int operation, S next) {
-        placed.set(operation);
+        linearized.set(operation);
         boolean found = search(next);
-        placed.clear(operation);
+        linearized.clear(operation);
         return found;
     }
 
-    /** A call that nobody saw answered is placed only where it has an effect: elsewhere it may as well never happen. */
-    private Optional<S> after(S state, Operation<I, O> operation) {
+    /** A call without a response is linearized only where it has an effect; without one it need not happen at all. */
+    private Optional<S> nextState(S state, Operation<I, O> operation) {
         if (operation.outcome().isPresent()) {
             return model.step(state, operation.input(), operation.outcome().get());
         }
-        S next = model.stepUnseen(state, operation.input());
+        S next = model.stepWithoutOutcome(state, operation.input());
         return next.equals(state) ? Optional.empty() : Optional.of(next);
     }
 
-    /** Of the calls that are not placed yet; NEVER if all that were answered are placed. */
+    /** The earliest response of the calls that are not linearized yet; NEVER if no completed call is left. */
     private long earliestResponse() {
         long earliest = Operation.NEVER;
-        for (int i = placed.nextClearBit(0); i < operations.size(); i = placed.nextClearBit(i + 1)) {
+        for (int i = linearized.nextClearBit(0); i < operations.size(); i = linearized.nextClearBit(i + 1)) {
             earliest = Math.min(earliest, operations.get(i).responded());
         }
         return earliest;
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/OperationRecorder.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/OperationRecorder.java
@@ -5,30 +5,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Writes down calls and answers in the order in which they are seen; for use by one thread at a time. */
+/** Records calls and responses in the order in which they are observed. Not thread-safe. */
 public final class OperationRecorder<I, O> {
     private final Map<Long, Operation<I, O>> operations = new TreeMap<>();
-    private long place;
+    private long lastPosition;
 
-    /** A call begins; the number returned names it in the other methods. */
+    /** Records the start of a call and returns the id of the call for the other methods. */
     public long invoke(I input) {
-        place++;
-        operations.put(place, Operation.unknown(place, input));
-        return place;
+        lastPosition++;
+        operations.put(lastPosition, Operation.unknown(lastPosition, input));
+        return lastPosition;
     }
 
-    /** The call was answered now. */
+    /** Records the response to a call. */
     public void complete(long call, O outcome) {
-        place++;
-        operations.computeIfPresent(call, (key, open) -> Operation.completed(key, place, open.input(), outcome));
+        lastPosition++;
+        operations.computeIfPresent(
+                call, (invoked, pending) -> Operation.completed(invoked, lastPosition, pending.input(), outcome));
     }
 
-    /** The call certainly has no effect, now or later. */
-    public void withdraw(long call) {
+    /** Removes a call that certainly has no effect, now or later. */
+    public void discard(long call) {
         operations.remove(call);
     }
 
-    /** All calls so far, by invocation; those without an answer have an unknown outcome. */
+    /** All calls so far in the order of invocation; calls without a response have an unknown outcome. */
     public List<Operation<I, O>> history() {
         return new ArrayList<>(operations.values());
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/RegisterModel.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/RegisterModel.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A register with compare-and-set, as one caller at a time sees it. */
+/** The sequential specification of a register with compare-and-set. */
 public record RegisterModel(String initial) implements SequentialModel<String, RegisterInput, RegisterOutcome> {
     @Override
     public Optional<String> step(String state, RegisterInput input, RegisterOutcome outcome) {
@@ -18,8 +18,8 @@
     }
 
     @Override
-    public String stepUnseen(String state, RegisterInput input) {
-        boolean sets = input instanceof RegisterInput.Put put && put.base().equals(state);
-        return sets ? ((RegisterInput.Put) input).next() : state;
+    public String stepWithoutOutcome(String state, RegisterInput input) {
+        boolean applies = input instanceof RegisterInput.Put put && put.base().equals(state);
+        return applies ? ((RegisterInput.Put) input).next() : state;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/RegisterOutcome.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/RegisterOutcome.java
@@ -1,13 +1,13 @@
 package org.woadvale.testkit.explore.history;
 
-/** What a register with compare-and-set answers. */
+/** The outcome of a request to a register with compare-and-set. */
 public sealed interface RegisterOutcome {
     /** The value that a read returned. */
     record Value(String value) implements RegisterOutcome {}
 
-    /** The put has set its value. */
+    /** The put set its value. */
     record Accepted() implements RegisterOutcome {}
 
-    /** The put's base was not the present value. */
+    /** The base of the put was not the current value. */
     record Refused() implements RegisterOutcome {}
 }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/SequentialModel.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/SequentialModel.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** An object used by one caller at a time; states are values with equals and hashCode. */
+/** The sequential specification of an object. States must implement equals and hashCode. */
 public interface SequentialModel<S, I, O> {
     /** The state before the first call. */
     S initial();
@@ -10,6 +10,6 @@
     /** The state after the call, or empty if the call cannot have the outcome in this state. */
     Optional<S> step(S state, I input, O outcome);
 
-    /** The state after a call whose outcome nobody has seen. */
-    S stepUnseen(S state, I input);
+    /** The state after a call whose outcome is unknown. */
+    S stepWithoutOutcome(S state, I input);
 }
--- a/testkit/src/test/java/org/woadvale/testkit/explore/QuietEngine.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/EngineLoggingDisabled.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 import org.woadvale.common.replication.Replica;
 
-/** Thousands of elections a second need not be logged. */
-final class QuietEngine implements BeforeAllCallback {
+/** Disables the logging of the replication engine, because explorations run thousands of elections per second. */
+final class EngineLoggingDisabled implements BeforeAllCallback {
     @Override
     public void beforeAll(ExtensionContext context) {
         Configurator.setAllLevels(Replica.class.getPackageName(), Level.OFF);
--- a/testkit/src/test/java/org/woadvale/testkit/explore/ExplorerTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/ExplorerTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Enumerations bounded by states, so that each run is the same. (docs/design.md, section 12.4) */
-@ExtendWith(QuietEngine.class)
+/** Enumerations without a time limit, so that runs are reproducible. (docs/design.md, section 12.4) */
+@ExtendWith(EngineLoggingDisabled.class)
 class ExplorerTest {
     private static ExploreReport explore(StartState start, ExploreBounds bounds) {
         ModelSettings settings = ModelSettings.of(3);
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void everyScheduleOfAFewStepsFromALedGroup() {
+    void allShortSchedulesFromAnActiveLeaderKeepTheInvariants() {
         ExploreReport report = explore(StartState.LED, ExploreBounds.of(2, 2, 20_000));
         assertEquals(List.of(), report.violations());
         assertTrue(report.complete(), report.toString());
@@ -26,19 +26,19 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 4, 5})
-    void theCalmCourseLeadsEveryGroup(int members) {
+    void defaultScheduleElectsALeader(int members) {
         assertTrue(StartState.LED.actions(ModelSettings.of(members)).size() > members);
     }
 
     @Test
-    void oneDeviationAnywhereInTheFounding() {
+    void boundedDeviationsDuringBootstrapKeepTheInvariants() {
         ExploreReport report = explore(StartState.EMPTY, ExploreBounds.of(50, 2, 3_000));
         assertEquals(List.of(), report.violations());
         assertEquals(3_000, report.states());
     }
 
     @Test
-    void equalBoundsSeeEqualStates() {
+    void equalBoundsExploreEqualStates() {
         ExploreReport first = explore(StartState.LED, ExploreBounds.of(40, 1, 300));
         ExploreReport second = explore(StartState.LED, ExploreBounds.of(40, 1, 300));
         assertEquals(first.states(), second.states());
--- a/testkit/src/test/java/org/woadvale/testkit/explore/FoundingRaceTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/FoundingRaceTest.java
@@ -8,18 +8,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.extension.ExtendWith;
 
-/** The list of members changes while the group is founded, and the nodes hear of it at different times. */
-@ExtendWith(QuietEngine.class)
+/**
+ * Guards against two groups being bootstrapped for one partition: the desired members change during the bootstrap, and
+ * the nodes are notified at different times.
+ */
+@ExtendWith(EngineLoggingDisabled.class)
 class FoundingRaceTest {
-    private static final Set<String> CONNECTED = Set.of("ab", "ba", "cd", "dc");
+    private static final Set<String> CONNECTED_PAIRS = Set.of("ab", "ba", "cd", "dc");
     private static final int ROUNDS = 12;
-    private static final int CALM_STEPS = 500;
+    private static final int MAX_DEFAULT_STEPS = 500;
     private final ModelCluster cluster = new ModelCluster(ModelSettings.of(3));
 
     @Test
-    void oneGroupIsFounded() {
+    void concurrentProposersBootstrapOneGroup() {
         assertDoesNotThrow(() -> {
-            bothFoundersCollectReports();
+            prepareTwoProposals();
             deliver("a", "b");
             deliver("d", "c");
             syncAll();
@@ -27,16 +30,16 @@
                 cluster.apply(Action.of(ActionKind.LEARN_MEMBERS, name));
             }
             for (int round = 0; round < ROUNDS; round++) {
-                onlyPairsHearEachOther();
+                runPartitionedRound();
             }
-            for (int step = 0; step < CALM_STEPS && cluster.clients().acknowledged() == 0; step++) {
-                cluster.apply(ActionMenu.of(cluster).get(0));
+            for (int step = 0; step < MAX_DEFAULT_STEPS && cluster.clients().acknowledged() == 0; step++) {
+                cluster.apply(EnabledActions.of(cluster).get(0));
             }
         });
-        assertEquals(1, cluster.clients().acknowledged(), "a command of the group that was founded in the end");
+        assertEquals(1, cluster.clients().acknowledged(), "the bootstrapped group acknowledges one command");
     }
 
-    private void bothFoundersCollectReports() throws BrokenInvariant {
+    private void prepareTwoProposals() throws InvariantViolationException {
         syncAll();
         tick();
         deliver("a", "b");
@@ -48,14 +51,17 @@
         deliver("d", "b");
         deliver("d", "c");
         syncAll();
-        for (String founder : List.of("a", "d")) {
-            deliver("b", founder);
-            deliver("c", founder);
+        for (String proposer : List.of("a", "d")) {
+            deliver("b", proposer);
+            deliver("c", proposer);
         }
     }
 
-    /** Only a and d look at their clocks, so that they stand first. */
-    private void onlyPairsHearEachOther() throws BrokenInvariant {
+    /**
+     * Delivers only messages within the pairs, and runs only the timers of a and d, so that these two are the first to
+     * become candidates.
+     */
+    private void runPartitionedRound() throws InvariantViolationException {
         syncAll();
         while (deliverWithinPairs()) {
             syncAll();
@@ -69,9 +75,9 @@
         }
     }
 
-    private boolean deliverWithinPairs() throws BrokenInvariant {
+    private boolean deliverWithinPairs() throws InvariantViolationException {
         for (ModelNetwork.Message message : cluster.network().messages()) {
-            if (CONNECTED.contains(message.from() + message.to())) {
+            if (CONNECTED_PAIRS.contains(message.from() + message.to())) {
                 cluster.apply(Action.message(ActionKind.DELIVER, message.id()));
                 return true;
             }
@@ -79,7 +85,7 @@
         return false;
     }
 
-    private void deliver(String from, String to) throws BrokenInvariant {
+    private void deliver(String from, String to) throws InvariantViolationException {
         ModelNetwork.Message first = cluster.network().messages().stream()
                 .filter(message -> message.from().equals(from) && message.to().equals(to))
                 .findFirst()
@@ -87,11 +93,11 @@
         cluster.apply(Action.message(ActionKind.DELIVER, first.id()));
     }
 
-    private void tick() throws BrokenInvariant {
-        cluster.apply(Action.tick(ModelCluster.UNIT.toMillis()));
+    private void tick() throws InvariantViolationException {
+        cluster.apply(Action.tick(ModelCluster.TICK.toMillis()));
     }
 
-    private void syncAll() throws BrokenInvariant {
+    private void syncAll() throws InvariantViolationException {
         for (ModelNode node : cluster.nodes()) {
             cluster.apply(Action.of(ActionKind.SYNC, node.name()));
         }
--- a/testkit/src/test/java/org/woadvale/testkit/explore/LateHeartbeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/LateHeartbeatTest.java
@@ -10,20 +10,23 @@
 import org.woadvale.common.replication.ReplicationMessages.StartElectionRequest;
 import org.woadvale.common.replication.Role;
 
-/** A heartbeat that the former leader had sent arrives after it has asked its successor to stand. */
-@ExtendWith(QuietEngine.class)
+/** A heartbeat of the former leader arrives after the leader has asked its successor to start an election. */
+@ExtendWith(EngineLoggingDisabled.class)
 class LateHeartbeatTest {
-    private static final int CALM_STEPS = 200;
-    private static final int MOST_TICKS = 20;
+    private static final int MAX_STEPS = 200;
+    private static final int MAX_TICKS = 20;
     private final ModelCluster cluster = new ModelCluster(ModelSettings.of(3));
 
-    /** Guards against a partition without a leader until leases have run out: the heartbeat ended the candidacy. */
+    /**
+     * Guards against a delayed heartbeat that ends the candidacy of the successor and leaves the partition without a
+     * leader until leases expire.
+     */
     @Test
-    void aTransferredLeadershipIsNotLostToALateHeartbeat() throws BrokenInvariant {
+    void delayedHeartbeatDoesNotEndCandidacyAfterTransfer() throws InvariantViolationException {
         for (Action action : StartState.LED.actions(ModelSettings.of(3))) {
             cluster.apply(action);
         }
-        ModelNode leader = cluster.actingLeader().orElseThrow();
+        ModelNode leader = cluster.activeLeader().orElseThrow();
         runUntilSent(body -> body instanceof AppendEntriesRequest request
                 && request.entries().isEmpty());
         String successor = leader.replica().successor().orElseThrow();
@@ -32,33 +35,33 @@
         deliver(successor, body -> body instanceof AppendEntriesRequest);
         assertEquals(Role.CANDIDATE, cluster.node(successor).replica().role());
         int ticks = 0;
-        for (int step = 0; step < CALM_STEPS && !acts(successor); step++) {
-            Action next = ActionMenu.of(cluster).get(0);
+        for (int step = 0; step < MAX_STEPS && !isActiveLeader(successor); step++) {
+            Action next = EnabledActions.of(cluster).get(0);
             ticks += next.kind() == ActionKind.TICK ? 1 : 0;
             cluster.apply(next);
         }
-        assertTrue(acts(successor), "the successor does not lead");
-        assertEquals(0, ticks, "ticks of the clock until the successor leads");
+        assertTrue(isActiveLeader(successor), "the successor is not the active leader");
+        assertEquals(0, ticks, "clock ticks until the successor is the active leader");
     }
 
-    private boolean acts(String node) {
+    private boolean isActiveLeader(String node) {
         return cluster.node(node).replica().isActiveLeader();
     }
 
-    /** The calm course until such a message is under way to the successor. */
-    private void runUntilSent(Predicate<Object> wanted) throws BrokenInvariant {
-        for (int tick = 0; tick < MOST_TICKS; tick++) {
-            cluster.apply(Action.tick(ModelCluster.UNIT.toMillis()));
-            if (cluster.network().messages().stream().anyMatch(message -> wanted.test(message.body()))) {
+    /** Advances the clock until a message that matches has been sent. */
+    private void runUntilSent(Predicate<Object> matches) throws InvariantViolationException {
+        for (int tick = 0; tick < MAX_TICKS; tick++) {
+            cluster.apply(Action.tick(ModelCluster.TICK.toMillis()));
+            if (cluster.network().messages().stream().anyMatch(message -> matches.test(message.body()))) {
                 return;
             }
         }
-        throw new IllegalStateException("nothing of that kind was sent");
+        throw new IllegalStateException("no matching message was sent");
     }
 
-    private void deliver(String to, Predicate<Object> wanted) throws BrokenInvariant {
+    private void deliver(String to, Predicate<Object> matches) throws InvariantViolationException {
         ModelNetwork.Message first = cluster.network().messages().stream()
-                .filter(message -> message.to().equals(to) && wanted.test(message.body()))
+                .filter(message -> message.to().equals(to) && matches.test(message.body()))
                 .findFirst()
                 .orElseThrow();
         cluster.apply(Action.message(ActionKind.DELIVER, first.id()));
--- a/testkit/src/test/java/org/woadvale/testkit/explore/MutantsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/MutantsTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Each invariant breaks once the rule that it depends on is left out. (docs/design.md, section 12.4) */
-@ExtendWith(QuietEngine.class)
+/** Checks that random walks detect each mutant by the invariant that it violates. (docs/design.md, section 12.4) */
+@ExtendWith(EngineLoggingDisabled.class)
 class MutantsTest {
     private static final int STEPS = 600;
-    private static final int MOST_WALKS = 600;
+    private static final int MAX_WALKS = 600;
 
     @ParameterizedTest
     @CsvSource({
@@ -32,18 +32,19 @@
         "lost-commands, NO_STALE_READ",
         "wrong-answers, LINEARIZABLE"
     })
-    void walksFindTheMissingRule(String mutant, Invariant invariant) {
-        ModelSettings shipped = ModelSettings.of(3);
+    void randomWalksDetectTheMutant(String mutant, Invariant invariant) {
+        ModelSettings unmodified = ModelSettings.of(3);
         Set<Invariant> found = EnumSet.noneOf(Invariant.class);
         long seed = 0;
-        while (seed < MOST_WALKS && !found.contains(invariant)) {
+        while (seed < MAX_WALKS && !found.contains(invariant)) {
             seed++;
-            // some mutants remember what they have done, so each walk has its own
-            ModelSettings mutated = shipped.withMutant(Mutants.named(mutant));
+            // some mutants keep state, so each walk needs a new instance
+            ModelSettings mutated = unmodified.withMutant(Mutants.named(mutant));
             Optional<Violation> violation = new RandomWalk(mutated, seed).run(STEPS);
             violation.ifPresent(broken -> found.add(broken.invariant()));
         }
-        assertTrue(found.contains(invariant), mutant + " broke " + found);
-        assertEquals(Optional.empty(), new RandomWalk(shipped, seed).run(STEPS), "the shipped engine, seed " + seed);
+        assertTrue(found.contains(invariant), mutant + " violated " + found);
+        assertEquals(
+                Optional.empty(), new RandomWalk(unmodified, seed).run(STEPS), "the unmodified engine, seed " + seed);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/explore/RandomWalkTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/RandomWalkTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fixed seeds of the random walks; more of them by the command {@code explore}. (docs/design.md, section 12.4) */
-@ExtendWith(QuietEngine.class)
+/** Random walks with fixed seeds; the command {@code explore} runs more of them. (docs/design.md, section 12.4) */
+@ExtendWith(EngineLoggingDisabled.class)
 class RandomWalkTest {
     private static final int STEPS = 600;
 
     @ParameterizedTest
     @CsvSource({"3, 1, 60", "4, 101, 20", "5, 201, 20"})
-    void everyInvariantHolds(int members, long firstSeed, int walks) {
+    void invariantsHoldForFixedSeeds(int members, long firstSeed, int walks) {
         for (long seed = firstSeed; seed < firstSeed + walks; seed++) {
             Optional<Violation> violation = new RandomWalk(ModelSettings.of(members), seed).run(STEPS);
             assertEquals(Optional.empty(), violation, "seed " + seed);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void equalSeedsWalkAlike() {
+    void equalSeedsGiveEqualDigests() {
         assertEquals(digestAfter(7), digestAfter(7));
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/explore/history/ConfigurationHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/history/ConfigurationHistoryTest.java
@@ -10,46 +10,46 @@
     private final ConfigurationHistory history = new ConfigurationHistory("v1");
 
     @Test
-    void oneOfTwoOperatorsWins() {
-        long first = history.order("v1", "left");
-        long second = history.order("v1", "right");
-        history.confirmed(second);
-        history.refused(first);
-        history.returned(history.read(), "right");
+    void oneOfTwoConcurrentPutsIsAccepted() {
+        long first = history.putSent("v1", "left");
+        long second = history.putSent("v1", "right");
+        history.putAccepted(second);
+        history.putRefused(first);
+        history.readReturned(history.readSent(), "right");
         assertTrue(history.linearizable());
     }
 
     @Test
-    void bothOperatorsConfirmed() {
-        long first = history.order("v1", "left");
-        long second = history.order("v1", "right");
-        history.confirmed(first);
-        history.confirmed(second);
+    void twoPutsOnTheSameBaseAreNotBothAccepted() {
+        long first = history.putSent("v1", "left");
+        long second = history.putSent("v1", "right");
+        history.putAccepted(first);
+        history.putAccepted(second);
         assertFalse(history.linearizable());
     }
 
     @Test
-    void loserInForce() {
-        long first = history.order("v1", "left");
-        long second = history.order("v1", "right");
-        history.confirmed(first);
-        history.refused(second);
-        history.returned(history.read(), "right");
+    void refusedPutIsNeverRead() {
+        long first = history.putSent("v1", "left");
+        long second = history.putSent("v1", "right");
+        history.putAccepted(first);
+        history.putRefused(second);
+        history.readReturned(history.readSent(), "right");
         assertFalse(history.linearizable());
     }
 
     @Test
-    void lostAnswerMayHaveTakenEffect() {
-        history.order("v1", "lost");
-        history.returned(history.read(), "v1");
-        history.returned(history.read(), "lost");
+    void putWithoutResponseMayTakeEffect() {
+        history.putSent("v1", "lost");
+        history.readReturned(history.readSent(), "v1");
+        history.readReturned(history.readSent(), "lost");
         assertTrue(history.linearizable());
     }
 
     @Test
-    void orderThatWasNotTakenHasNoEffect() {
-        history.notTaken(history.order("v1", "later"));
-        history.returned(history.read(), "later");
+    void putThatWasNotExecutedHasNoEffect() {
+        history.notExecuted(history.putSent("v1", "later"));
+        history.readReturned(history.readSent(), "later");
         assertFalse(history.linearizable());
         assertEquals(1, history.operations().size());
     }
--- a/testkit/src/test/java/org/woadvale/testkit/explore/history/LinearizabilityCheckerTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/history/LinearizabilityCheckerTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void callsOneAfterTheOther() {
+    void sequentialCalls() {
         accepted(1, 2, "0", "a");
         read(3, 4, "a");
         refused(5, 6, "0", "b");
@@ -47,14 +47,14 @@
     }
 
     @Test
-    void readOlderThanAnAcknowledgedPut() {
+    void readMustNotMissAnAcknowledgedPut() {
         accepted(1, 2, "0", "a");
         read(3, 4, "0");
         assertFalse(linearizable());
     }
 
     @Test
-    void readMayOverlapThePut() {
+    void readsMayOverlapThePut() {
         accepted(1, 6, "0", "a");
         read(2, 3, "0");
         read(4, 5, "a");
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void readsMustNotGoBack() {
+    void readsMustNotReturnOlderValues() {
         accepted(1, 6, "0", "a");
         read(2, 3, "a");
         read(4, 5, "0");
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void refusalNeedsAnotherValue() {
+    void putOnTheCurrentValueIsNotRefused() {
         refused(1, 2, "0", "a");
         assertFalse(linearizable());
     }
@@ -116,15 +116,15 @@
     }
 
     @Test
-    void valueThatNobodyPut() {
+    void readMustNotReturnAValueThatWasNeverPut() {
         unknown(1, "0", "a");
         read(2, 3, "b");
         assertFalse(linearizable());
     }
 
-    /** Without the memory of visited states this would take 2 to the 40th steps. */
+    /** Without memoization of the visited states this would take 2^40 steps. */
     @Test
-    void manyUnknownOutcomesAreDecidedSoon() {
+    void manyUnknownOutcomesAreDecidedQuickly() {
         for (int i = 1; i <= 40; i++) {
             unknown(i, "0", "x" + i);
         }
