--- a/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Clients.java
@@ -79,7 +79,7 @@
         return cluster.now().minus(lastProposal);
     }
 
-    /** The number of accepted puts that the latest acknowledged put reported. */
+    /** The highest number of accepted puts that an acknowledged put has reported. */
     long acknowledged() {
         return acknowledged;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
@@ -17,7 +17,7 @@
         this.disk = disk;
     }
 
-    /** Requests a snapshot from the replica, as a log does that is running out of space. */
+    /** Requests a snapshot from the replica, as a log that runs out of space does. */
     void requestSnapshot() {
         snapshotRequest.ifPresent(Runnable::run);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/Mutant.java
@@ -6,7 +6,7 @@
 import org.woadvale.common.rpc.RpcClient;
 import org.woadvale.common.wal.WriteAheadLog;
 
-/** Hooks around the engine with which a test disables one of its rules. The default methods change nothing. */
+/** Hooks around the engine that disable one of its rules. The default methods change nothing. */
 interface Mutant {
     /** The unmodified engine. */
     Mutant NONE = new Mutant() {};
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/ConfigurationHistory.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/ConfigurationHistory.java
@@ -29,7 +29,7 @@
         recorder.complete(call, new RegisterOutcome.Accepted());
     }
 
-    /** The put was finally refused because its base was not the current version. */
+    /** The put was definitively refused because its base was not the current version. */
     public synchronized void putRefused(long call) {
         recorder.complete(call, new RegisterOutcome.Refused());
     }
--- a/testkit/src/main/java/org/woadvale/testkit/explore/history/LinearizabilityChecker.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/history/LinearizabilityChecker.java
@@ -61,7 +61,7 @@
         return found;
     }
 
-    /** A call without a response is linearized only where it has an effect; without one it need not happen at all. */
+    /** A call without a response is linearized only where it changes the state; elsewhere it need not take effect. */
     private Optional<S> nextState(S state, Operation<I, O> operation) {
         if (operation.outcome().isPresent()) {
             return model.step(state, operation.input(), operation.outcome().get());
