--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -20,35 +20,38 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Callers of a simulated fleet: they processor in, ask again while they do not know, and ask what became of it. */
+/**
+ * Callers of a simulated fleet: they submit messages, repeat a submission while its outcome is unknown, and query the
+ * status of accepted messages.
+ */
 public class Callers {
-    private static final Duration REMEMBERED = Duration.ofSeconds(90);
+    private static final Duration FOLLOW_WINDOW = Duration.ofSeconds(90);
     public final SimulatedFleet w;
-    private final Map<String, Integer> owners = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private final Map<String, Long> kinds = new TreeMap<>();
-    private long ids;
+    private final Map<String, Integer> tenantByHandle = new HashMap<>();
+    private final Set<String> openHandles = new HashSet<>();
+    private final Map<String, Long> answerCounts = new TreeMap<>();
+    private long nextId;
     private boolean trafficOn;
 
     Callers(SimulatedFleet fleet) {
         this.w = fleet;
     }
 
-    /** Traffic of a rate in messages a second, until told to stop. */
+    /** Submits messages as a Poisson process of the given rate until stopped. */
     public void traffic(double perSecond) {
         trafficOn = true;
-        next(perSecond);
+        scheduleNext(perSecond);
     }
 
     public void calm() {
         trafficOn = false;
     }
 
-    private void next(double perSecond) {
+    private void scheduleNext(double perSecond) {
         w.sim.after(Duration.ofNanos((long) (-Math.log(1 - w.sim.random().nextDouble()) / perSecond * 1e9)), () -> {
             if (trafficOn) {
                 one(w.sim.random().nextInt(w.testConfiguration.tenants()));
-                next(perSecond);
+                scheduleNext(perSecond);
             }
         });
     }
@@ -56,25 +59,25 @@
     public void one(int tenant) {
         List<String> lanes = w.testConfiguration.lanes();
         String lane = w.sim.chance(0.4) ? "accept" : lanes.get(w.sim.random().nextInt(lanes.size()));
-        String order = lane.equals("accept") ? "applicant" + w.sim.random().nextInt(6) : "";
+        String orderKey = lane.equals("accept") ? "applicant" + w.sim.random().nextInt(6) : "";
         Map<String, Object> body = new LinkedHashMap<>();
-        String id = "c" + ids++;
+        String id = "c" + nextId++;
         body.put("id", id);
-        if (!order.isEmpty()) {
-            body.put("orderingKey", order);
+        if (!orderKey.isEmpty()) {
+            body.put("orderingKey", orderKey);
         }
         body.put("delayMs", w.sim.chance(0.1) ? 1000 : 0);
         body.put("body", Map.of("text", "x".repeat(300)));
-        submit(tenant, id, lane, order, Configurations.write(body), w.intakes, 5);
+        submit(tenant, id, lane, orderKey, Configurations.write(body), w.intakes, 5);
     }
 
-    /** A message of the lane without ordering. */
+    /** Submits a message to the lane without ordering. */
     public void plain(int tenant) {
         plainAt(tenant, w.intakes);
     }
 
     public void plainAt(int tenant, List<String> intakes) {
-        String id = "c" + ids++;
+        String id = "c" + nextId++;
         submit(
                 tenant,
                 id,
@@ -85,11 +88,11 @@
                 5);
     }
 
-    /** A message for an outside endpoint. */
+    /** Submits a message for an external endpoint. */
     public void check(int endpoint) {
-        String id = "c" + ids++;
+        String id = "c" + nextId++;
         submit(
-                (int) (ids % w.testConfiguration.tenants()),
+                (int) (nextId % w.testConfiguration.tenants()),
                 id,
                 "check" + endpoint,
                 "",
@@ -98,36 +101,40 @@
                 5);
     }
 
-    /** Messages whose submission was never answered, but whose run was seen; older ones may be forgotten by now. */
+    /**
+     * Follows messages that were executed although their submission was never answered; older ones are left out, since
+     * the fleet may have discarded them.
+     */
     public void followWhatRan() {
-        Duration from = w.sim.now().minus(REMEMBERED);
+        Duration from = w.sim.now().minus(FOLLOW_WINDOW);
         w.seen.copy(w.seen.ran).stream()
                 .filter(ran -> ran.begun().compareTo(from) > 0)
                 .forEach(ran ->
                         follow(ran.handle(), Integer.parseInt(ran.tenant().substring("tenant".length()))));
     }
 
-    /** A caller asks again with the same id while the outcome is unknown. */
-    public void submit(int tenant, String id, String lane, String order, byte[] body, List<String> at, int tries) {
+    /** Submits a message, and repeats it under the same id while the outcome is unknown. */
+    public void submit(
+            int tenant, String id, String lane, String orderKey, byte[] body, List<String> intakes, int retries) {
         Duration sent = w.sim.now();
         Request request = new Request(
                 "POST",
                 "/v1/lanes/" + lane + "/messages",
                 Map.of("authorization", "Bearer " + TestConfiguration.callerKey(tenant)),
                 body);
-        w.request(at.get(w.sim.random().nextInt(at.size())), request, Duration.ofSeconds(6), optional -> {
-            Observations.Said said = optional.isEmpty() || unknown(optional.get())
+        w.request(intakes.get(w.sim.random().nextInt(intakes.size())), request, Duration.ofSeconds(6), optional -> {
+            Observations.Said result = optional.isEmpty() || outcomeUnknown(optional.get())
                     ? Observations.Said.UNKNOWN
                     : optional.get().status() == 202 ? Observations.Said.ACCEPTED : Observations.Said.REFUSED;
-            String kind = optional.map(response -> response.status() == 202
+            String answer = optional.map(response -> response.status() == 202
                             ? "accepted"
                             : json(response).path("kind").asText())
                     .orElse("no answer");
-            kinds.merge(kind, 1L, Long::sum);
-            String handle = said == Observations.Said.ACCEPTED
+            answerCounts.merge(answer, 1L, Long::sum);
+            String handle = result == Observations.Said.ACCEPTED
                     ? json(optional.get()).path("handle").asText()
                     : "";
-            boolean repeated = said == Observations.Said.ACCEPTED
+            boolean repeated = result == Observations.Said.ACCEPTED
                     && json(optional.get()).path("repeated").asBoolean();
             w.seen.saw(
                     w.seen.submitted,
@@ -135,23 +142,23 @@
                             TestConfiguration.tenant(tenant),
                             id,
                             lane,
-                            order,
+                            orderKey,
                             TestConfiguration.callerKey(tenant),
                             sent,
                             w.sim.now(),
-                            said,
-                            kind,
+                            result,
+                            answer,
                             handle,
                             repeated));
-            if (said == Observations.Said.ACCEPTED) {
+            if (result == Observations.Said.ACCEPTED) {
                 follow(handle, tenant);
-            } else if (said == Observations.Said.UNKNOWN && tries > 0) {
-                submit(tenant, id, lane, order, body, at, tries - 1);
+            } else if (result == Observations.Said.UNKNOWN && retries > 0) {
+                submit(tenant, id, lane, orderKey, body, intakes, retries - 1);
             }
         });
     }
 
-    private static boolean unknown(Response response) {
+    private static boolean outcomeUnknown(Response response) {
         String kind = json(response).path("kind").asText();
         return response.status() != 202
                 && (kind.isEmpty()
@@ -166,31 +173,31 @@
         }
     }
 
-    /** ControlMessages for messages while the run goes on: ended ones are forgotten after a while. */
+    /** Queries open messages regularly during the run, since ended ones are discarded after a while. */
     public void watch() {
         w.sim.after(Duration.ofSeconds(20), () -> {
-            List.copyOf(open).forEach(this::ask);
+            List.copyOf(openHandles).forEach(this::queryStatus);
             watch();
         });
     }
 
-    /** An accepted message whose end is to be seen. */
+    /** Queries an accepted message until it has ended. */
     void follow(String handle, int tenant) {
-        if (!owners.containsKey(handle)) {
-            owners.put(handle, tenant);
-            open.add(handle);
+        if (!tenantByHandle.containsKey(handle)) {
+            tenantByHandle.put(handle, tenant);
+            openHandles.add(handle);
         }
     }
 
-    private void ask(String handle) {
-        String at = w.intakes.get(w.sim.random().nextInt(w.intakes.size()));
+    private void queryStatus(String handle) {
+        String intake = w.intakes.get(w.sim.random().nextInt(w.intakes.size()));
         Duration asked = w.sim.now();
         w.request(
-                at,
+                intake,
                 new Request(
                         "GET",
                         "/v1/messages/" + handle,
-                        Map.of("authorization", "Bearer " + TestConfiguration.callerKey(owners.get(handle))),
+                        Map.of("authorization", "Bearer " + TestConfiguration.callerKey(tenantByHandle.get(handle))),
                         new byte[0]),
                 Duration.ofSeconds(5),
                 optional -> optional.filter(response -> response.status() == 200)
@@ -199,28 +206,28 @@
                                     Observations.Shown.read(handle, json(response), asked, w.sim.now(), w::trueTime);
                             w.seen.saw(w.seen.shown, shown);
                             if (shown.over()) {
-                                open.remove(handle);
+                                openHandles.remove(handle);
                             }
                         }));
     }
 
-    /** ControlMessages for all accepted messages until each has ended. */
+    /** Queries all accepted messages until each has ended; false if that takes longer than the limit. */
     public boolean settle(Duration limit) {
         calm();
         Duration end = w.sim.now().plus(limit);
         w.sim.run(Duration.ofSeconds(7));
-        while (!open.isEmpty() && w.sim.now().compareTo(end) < 0) {
-            List.copyOf(open).forEach(this::ask);
+        while (!openHandles.isEmpty() && w.sim.now().compareTo(end) < 0) {
+            List.copyOf(openHandles).forEach(this::queryStatus);
             w.sim.run(Duration.ofSeconds(2));
         }
-        return open.isEmpty();
+        return openHandles.isEmpty();
     }
 
     public Map<String, Long> kinds() {
-        return kinds;
+        return answerCounts;
     }
 
     public Optional<String> firstOpen() {
-        return open.stream().findFirst();
+        return openHandles.stream().findFirst();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -13,18 +13,18 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** An operator who changes the configuration, races himself, sends bad ones, withdraws keys, and checks the effect. */
+/** An operator that changes configuration and keys, races itself, sends invalid changes, and checks their effect. */
 final class ConfigurationOperator {
-    private static final Duration PROBE_FOR = Duration.ofSeconds(7);
+    private static final Duration PROBE_DURATION = Duration.ofSeconds(7);
     private final FleetSimulation simulation;
     private final SimulatedFleet fleet;
     private final KeyChanges keyChanges;
-    private int n;
+    private int nextNumber;
 
     ConfigurationOperator(FleetSimulation simulation) {
         this.simulation = simulation;
         this.fleet = simulation.w;
-        this.keyChanges = new KeyChanges(simulation, () -> n++);
+        this.keyChanges = new KeyChanges(simulation, () -> nextNumber++);
     }
 
     private Configuration withLane(Configuration configuration, String lane) {
@@ -47,24 +47,29 @@
         return new Configuration(configuration.tenants(), configuration.services(), lanes, configuration.keys());
     }
 
-    /** Adds a lane, or takes the last added one away; then every intake must follow within 3 s. */
+    /** Adds a lane, or removes one that was added; then every intake must follow within 3 s. */
     void change() {
         changeAt(fleet.controlNodes);
     }
 
     void changeAt(List<String> controlNodes) {
         Optional<String> extra = simulation.configuration.lanes().keySet().stream()
-                .filter(x -> x.startsWith("extra"))
+                .filter(lane -> lane.startsWith("extra"))
                 .findFirst();
-        boolean remove = extra.isPresent() && n % 2 == 1;
-        String lane = remove ? extra.get() : "extra" + n;
+        boolean remove = extra.isPresent() && nextNumber % 2 == 1;
+        String lane = remove ? extra.get() : "extra" + nextNumber;
         Configuration next =
                 remove ? withoutLane(simulation.configuration, lane) : withLane(simulation.configuration, lane);
-        simulation.put(next, simulation.version, "change" + n++, controlNodes, response -> {
+        simulation.put(next, simulation.version, "change" + nextNumber++, controlNodes, response -> {
             if (response.status() == 200) {
-                long puts = simulation.puts;
-                fleet.intakes.forEach(i -> probe(
-                        i, lane, !remove, puts, fleet.sim.now(), fleet.sim.now().plus(PROBE_FOR)));
+                long putsAtChange = simulation.puts;
+                fleet.intakes.forEach(intake -> probe(
+                        intake,
+                        lane,
+                        !remove,
+                        putsAtChange,
+                        fleet.sim.now(),
+                        fleet.sim.now().plus(PROBE_DURATION)));
             }
         });
     }
@@ -73,13 +78,14 @@
      * Submits on the lane for a while; the next configuration sent ends the probe, since it may apply before its answer
      * is seen.
      */
-    private void probe(String intake, String lane, boolean wanted, long puts, Duration acknowledged, Duration until) {
-        if (fleet.sim.now().compareTo(until) > 0 || simulation.puts != puts) {
+    private void probe(
+            String intake, String lane, boolean added, long putsAtChange, Duration acknowledged, Duration until) {
+        if (fleet.sim.now().compareTo(until) > 0 || simulation.puts != putsAtChange) {
             return;
         }
         Duration sent = fleet.sim.now();
-        byte[] body =
-                Configurations.write(Map.of("id", "probe" + n + "-" + sent.toNanos(), "delayMs", 0, "body", Map.of()));
+        byte[] body = Configurations.write(
+                Map.of("id", "probe" + nextNumber + "-" + sent.toNanos(), "delayMs", 0, "body", Map.of()));
         Request request = new Request(
                 "POST",
                 "/v1/lanes/" + lane + "/messages",
@@ -89,33 +95,35 @@
             String kind = optional.map(response ->
                             FleetSimulation.json(response).path("kind").asText(""))
                     .orElse("");
-            boolean ignored = wanted
+            boolean ignored = added
                     ? kind.equals("unknown_lane")
                     : optional.isPresent() && optional.get().status() == 202;
-            if (ignored && simulation.puts == puts) {
+            if (ignored && simulation.puts == putsAtChange) {
                 fleet.seen.saw(
                         fleet.seen.ignored,
                         new Observations.ConfigurationNeeded(lane + " at " + intake, acknowledged, sent));
             }
         });
-        fleet.sim.after(Duration.ofMillis(400), () -> probe(intake, lane, wanted, puts, acknowledged, until));
+        fleet.sim.after(Duration.ofMillis(400), () -> probe(intake, lane, added, putsAtChange, acknowledged, until));
     }
 
-    /** Two operators, one base: at most one is taken. */
+    /** Sends two changes of the same base version, of which at most one may be accepted. */
     void race() {
         long base = simulation.version;
-        simulation.put(withLane(simulation.configuration, "race" + n), base, "race-a" + n, response -> {});
-        simulation.put(withLane(simulation.configuration, "other" + n), base, "race-b" + n, response -> {});
-        n++;
+        simulation.put(
+                withLane(simulation.configuration, "race" + nextNumber), base, "race-a" + nextNumber, response -> {});
+        simulation.put(
+                withLane(simulation.configuration, "other" + nextNumber), base, "race-b" + nextNumber, response -> {});
+        nextNumber++;
     }
 
-    /** A tenant is allowed more or less; back to the usual at the next. */
+    /** Changes the allowance of a random tenant, or restores the usual one if it was changed before. */
     void allowance() {
-        int t = fleet.sim.random().nextInt(fleet.testConfiguration.tenants());
+        int tenant = fleet.sim.random().nextInt(fleet.testConfiguration.tenants());
         boolean usual = simulation
                         .configuration
                         .tenants()
-                        .get(TestConfiguration.tenant(t))
+                        .get(TestConfiguration.tenant(tenant))
                         .ratePerS()
                 != fleet.testConfiguration.ratePerS();
         double rate = usual
@@ -126,31 +134,33 @@
                 : (int) Math.max(1, fleet.testConfiguration.burst() * rate / fleet.testConfiguration.ratePerS());
         Duration sent = fleet.sim.now();
         simulation.put(
-                Edit.tenant(simulation.configuration, TestConfiguration.tenant(t), rate, burst),
+                Edit.tenant(simulation.configuration, TestConfiguration.tenant(tenant), rate, burst),
                 simulation.version,
-                "allow" + n++,
+                "allow" + nextNumber++,
                 response -> {
                     if (response.status() == 200) {
                         fleet.seen.allowed(
-                                TestConfiguration.tenant(t),
+                                TestConfiguration.tenant(tenant),
                                 new Observations.Limit(rate, burst, sent, fleet.sim.now()));
                     }
                 });
     }
 
     void rate() {
-        String e = TestConfiguration.endpoint(fleet.sim.random().nextInt(fleet.testConfiguration.endpoints()));
+        String endpoint = TestConfiguration.endpoint(fleet.sim.random().nextInt(fleet.testConfiguration.endpoints()));
         double rate = fleet.sim.chance(0.5)
                 ? fleet.testConfiguration.endpointRate()
                 : 10 + fleet.sim.random().nextInt(20);
         Duration sent = fleet.sim.now();
         simulation.put(
-                Edit.services(simulation.configuration, m -> m.put(e, Edit.rate(m.get(e), rate))),
+                Edit.services(
+                        simulation.configuration,
+                        services -> services.put(endpoint, Edit.rate(services.get(endpoint), rate))),
                 simulation.version,
-                "rate" + n++,
+                "rate" + nextNumber++,
                 response -> {
                     if (response.status() == 200) {
-                        fleet.seen.paced(e, new Observations.Limit(rate, 0, sent, fleet.sim.now()));
+                        fleet.seen.paced(endpoint, new Observations.Limit(rate, 0, sent, fleet.sim.now()));
                     }
                 });
     }
@@ -162,9 +172,9 @@
         simulation.put(
                 Edit.lanes(
                         simulation.configuration,
-                        m -> m.put(lane, Edit.limits(m.get(lane), limit, TestConfiguration.ATTEMPTS))),
+                        lanes -> lanes.put(lane, Edit.limits(lanes.get(lane), limit, TestConfiguration.ATTEMPTS))),
                 simulation.version,
-                "limit" + n++,
+                "limit" + nextNumber++,
                 response -> {});
     }
 
@@ -186,16 +196,16 @@
                         lanes,
                         simulation.configuration.keys()),
                 simulation.version,
-                "bad" + n++,
+                "bad" + nextNumber++,
                 response -> {});
     }
 
-    /** A caller's key is added, withdrawn, and used on every intake long after. */
+    /** Adds a caller's key and withdraws it; the key stays in use on every intake for long after. */
     void withdraw() {
         keyChanges.withdraw();
     }
 
-    /** A group's processor key is exchanged; its processors go on with the old one for a while. */
+    /** Replaces a group's processor key; its processors use the old one for a while longer. */
     void rotate() {
         keyChanges.rotate();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
@@ -13,18 +13,18 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Stand-in for a processor that fetches: asks again under the same fetch id, repeats each outcome until confirmed. */
+/** Stand-in for a processor that fetches: repeats a fetch under its id, and each outcome until it is confirmed. */
 public final class Fetcher {
-    private static final Duration AGAIN = Duration.ofMillis(200);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
     private final SimulatedFleet fleet;
     private final String id;
     private final String service;
-    private final Set<String> mine = new HashSet<>();
+    private final Set<String> runningHandles = new HashSet<>();
     private String secret;
     private Duration work = Duration.ofMillis(20);
-    private double loseAnswer;
-    private int life;
-    private int fetches;
+    private double answerLoss;
+    private int incarnation;
+    private int fetchCount;
 
     Fetcher(SimulatedFleet fleet, String id, String service) {
         this.fleet = fleet;
@@ -33,34 +33,35 @@
         this.secret = TestConfiguration.fetchKey(service);
     }
 
-    void use(String group, String newSecret) {
+    void useSecret(String group, String newSecret) {
         secret = group.equals(service) ? newSecret : secret;
     }
 
-    public void behave(Duration newWork, double newLoseAnswer) {
+    public void behave(Duration newWork, double newAnswerLoss) {
         work = newWork;
-        loseAnswer = newLoseAnswer;
+        answerLoss = newAnswerLoss;
     }
 
-    /** The process dies; what it was doing is not done. */
+    /** The process crashes, and its running executions do not complete. */
     public void crash() {
-        life++;
-        mine.forEach(h -> fleet.seen.saw(fleet.seen.died, new Observations.Died(h, fleet.sim.now())));
-        mine.clear();
+        incarnation++;
+        runningHandles.forEach(
+                handle -> fleet.seen.saw(fleet.seen.died, new Observations.Died(handle, fleet.sim.now())));
+        runningHandles.clear();
     }
 
     void crashAndReturn() {
         crash();
-        fleet.sim.after(AGAIN, this::start);
+        fleet.sim.after(RETRY_DELAY, this::start);
     }
 
     public Fetcher start() {
-        fetches++;
-        ask(id + "-" + life + "-" + fetches, false, life);
+        fetchCount++;
+        fetch(id + "-" + incarnation + "-" + fetchCount, false, incarnation);
         return this;
     }
 
-    private String any() {
+    private String anyIntake() {
         return fleet.intakes.get(fleet.sim.random().nextInt(fleet.intakes.size()));
     }
 
@@ -68,81 +69,81 @@
         return new Request("POST", path, Map.of("authorization", "Bearer " + secret), Configurations.write(body));
     }
 
-    private void ask(String fetch, boolean again, int bornIn) {
-        if (life != bornIn) {
+    private void fetch(String fetchId, boolean repeated, int startedIn) {
+        if (incarnation != startedIn) {
             return;
         }
         Request request = post(
                 "/v1/services/" + service + "/fetch",
-                Map.of("processor", id, "waitMs", 500, "most", 2, "fetch", fetch, "again", again));
-        String used = secret;
-        fleet.request(any(), request, Duration.ofSeconds(3), response -> {
-            served(response, used, "fetch");
-            if (life != bornIn) {
+                Map.of("processor", id, "waitMs", 500, "most", 2, "fetch", fetchId, "again", repeated));
+        String usedSecret = secret;
+        fleet.request(anyIntake(), request, Duration.ofSeconds(3), response -> {
+            recordServed(response, usedSecret, "fetch");
+            if (incarnation != startedIn) {
                 return;
             }
-            if (response.isEmpty() || response.get().status() >= 500 || fleet.sim.chance(loseAnswer)) {
-                fleet.sim.after(AGAIN, () -> ask(fetch, true, bornIn));
+            if (response.isEmpty() || response.get().status() >= 500 || fleet.sim.chance(answerLoss)) {
+                fleet.sim.after(RETRY_DELAY, () -> fetch(fetchId, true, startedIn));
                 return;
             }
-            JsonNode got = Callers.json(response.get()).path("messages");
-            got.forEach(node -> run(node, bornIn));
-            fleet.sim.after(got.size() == 0 ? AGAIN : work, () -> {
-                if (life == bornIn) {
+            JsonNode messages = Callers.json(response.get()).path("messages");
+            messages.forEach(message -> run(message, startedIn));
+            fleet.sim.after(messages.size() == 0 ? RETRY_DELAY : work, () -> {
+                if (incarnation == startedIn) {
                     start();
                 }
             });
         });
     }
 
-    private void served(Optional<Response> response, String used, String what) {
+    private void recordServed(Optional<Response> response, String usedSecret, String request) {
         if (response.isPresent() && response.get().status() == 200) {
-            fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(used, what, fleet.sim.now()));
+            fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(usedSecret, request, fleet.sim.now()));
         }
     }
 
-    private void run(JsonNode node, int bornIn) {
-        String handle = node.path("messageId").asText();
-        int attempt = node.path("attempt").asInt();
+    private void run(JsonNode message, int startedIn) {
+        String handle = message.path("messageId").asText();
+        int attempt = message.path("attempt").asInt();
         fleet.seen.saw(
                 fleet.seen.ran,
                 new Observations.Ran(
                         handle,
-                        node.path("callerId").asText(),
-                        node.path("tenant").asText(),
-                        node.path("lane").asText(),
-                        node.path("orderingKey").asText(),
+                        message.path("callerId").asText(),
+                        message.path("tenant").asText(),
+                        message.path("lane").asText(),
+                        message.path("orderingKey").asText(),
                         attempt,
                         id,
                         service,
                         fleet.sim.now()));
-        mine.add(handle);
+        runningHandles.add(handle);
         fleet.sim.after(work, () -> {
-            if (life == bornIn) {
+            if (incarnation == startedIn) {
                 String receipt = id + ":" + handle + ":" + attempt;
-                mine.remove(handle);
+                runningHandles.remove(handle);
                 fleet.seen.saw(
                         fleet.seen.answered,
                         new Observations.Answered(handle, attempt, id, fleet.sim.now(), true, receipt));
-                report(handle, attempt, receipt, bornIn);
+                report(handle, attempt, receipt, startedIn);
             }
         });
     }
 
-    private void report(String handle, int attempt, String receipt, int bornIn) {
-        if (life != bornIn) {
+    private void report(String handle, int attempt, String receipt, int startedIn) {
+        if (incarnation != startedIn) {
             return;
         }
         Request request = post(
                 "/v1/messages/" + handle + "/outcome",
                 Map.of("processor", id, "attempt", attempt, "outcome", "done", "receipt", receipt));
-        String used = secret;
-        fleet.request(any(), request, Duration.ofSeconds(4), response -> {
-            served(response, used, "outcome");
-            boolean clear = response.isPresent()
+        String usedSecret = secret;
+        fleet.request(anyIntake(), request, Duration.ofSeconds(4), response -> {
+            recordServed(response, usedSecret, "outcome");
+            boolean confirmed = response.isPresent()
                     && List.of(200, 404).contains(response.get().status());
-            if (!clear) {
-                fleet.sim.after(AGAIN, () -> report(handle, attempt, receipt, bornIn));
+            if (!confirmed) {
+                fleet.sim.after(RETRY_DELAY, () -> report(handle, attempt, receipt, startedIn));
             }
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetOverrides.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetOverrides.java
@@ -10,7 +10,8 @@
 import org.woadvale.dataplane.delivery.DeliveryClient;
 
 /**
- * Where a stand-in may take the place of what the shipped nodes are given; by address. (docs/design.md, section 12.3)
+ * Replaces, by node address, what the shipped nodes are given from outside, for tests with stand-ins. (docs/design.md,
+ * section 12.3)
  */
 public record FleetOverrides(
         BiFunction<String, RpcClient, RpcClient> rpc,
@@ -22,35 +23,35 @@
 
     public static FleetOverrides none() {
         return new FleetOverrides(
-                (a, rpc) -> rpc,
-                (a, disk) -> disk,
-                (a, clock) -> clock,
-                (a, client) -> client,
+                (address, rpc) -> rpc,
+                (address, disk) -> disk,
+                (address, clock) -> clock,
+                (address, client) -> client,
                 timing -> timing,
                 FaultTolerance.ONE_MACHINE);
     }
 
-    public FleetOverrides withRpc(BiFunction<String, RpcClient, RpcClient> other) {
-        return new FleetOverrides(other, disk, clock, deliveryClient, timing, faultTolerance);
+    public FleetOverrides withRpc(BiFunction<String, RpcClient, RpcClient> replacement) {
+        return new FleetOverrides(replacement, disk, clock, deliveryClient, timing, faultTolerance);
     }
 
-    public FleetOverrides withDisk(BiFunction<String, Disk, Disk> other) {
-        return new FleetOverrides(rpc, other, clock, deliveryClient, timing, faultTolerance);
+    public FleetOverrides withDisk(BiFunction<String, Disk, Disk> replacement) {
+        return new FleetOverrides(rpc, replacement, clock, deliveryClient, timing, faultTolerance);
     }
 
-    public FleetOverrides withClock(BiFunction<String, Clock, Clock> other) {
-        return new FleetOverrides(rpc, disk, other, deliveryClient, timing, faultTolerance);
+    public FleetOverrides withClock(BiFunction<String, Clock, Clock> replacement) {
+        return new FleetOverrides(rpc, disk, replacement, deliveryClient, timing, faultTolerance);
     }
 
-    public FleetOverrides withDeliveryClient(BiFunction<String, DeliveryClient, DeliveryClient> other) {
-        return new FleetOverrides(rpc, disk, clock, other, timing, faultTolerance);
+    public FleetOverrides withDeliveryClient(BiFunction<String, DeliveryClient, DeliveryClient> replacement) {
+        return new FleetOverrides(rpc, disk, clock, replacement, timing, faultTolerance);
     }
 
-    public FleetOverrides withTiming(UnaryOperator<ReplicationTiming> other) {
-        return new FleetOverrides(rpc, disk, clock, deliveryClient, other, faultTolerance);
+    public FleetOverrides withTiming(UnaryOperator<ReplicationTiming> replacement) {
+        return new FleetOverrides(rpc, disk, clock, deliveryClient, replacement, faultTolerance);
     }
 
-    public FleetOverrides withFaultTolerance(FaultTolerance other) {
-        return new FleetOverrides(rpc, disk, clock, deliveryClient, timing, other);
+    public FleetOverrides withFaultTolerance(FaultTolerance replacement) {
+        return new FleetOverrides(rpc, disk, clock, deliveryClient, timing, replacement);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -15,9 +15,9 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Platform and operator of a simulated fleet, and its callers. */
+/** A simulated fleet with its platform, operator and callers. */
 public final class FleetSimulation extends Callers {
-    private final Map<String, String> secrets = new TreeMap<>();
+    private final Map<String, String> fetchSecrets = new TreeMap<>();
     private final Map<String, Fetcher> fetchers = new TreeMap<>();
     public Configuration configuration;
     public long version;
@@ -40,9 +40,9 @@
             int processors,
             TestConfiguration testConfiguration,
             int ringBytes,
-            FleetOverrides seams)
+            FleetOverrides overrides)
             throws ServiceException {
-        this(seed, intakes, stores, processors, testConfiguration, ringBytes, 3, seams);
+        this(seed, intakes, stores, processors, testConfiguration, ringBytes, 3, overrides);
     }
 
     public FleetSimulation(
@@ -53,9 +53,9 @@
             TestConfiguration testConfiguration,
             int ringBytes,
             int zones,
-            FleetOverrides seams)
+            FleetOverrides overrides)
             throws ServiceException {
-        super(new SimulatedFleet(seed, intakes, stores, testConfiguration, ringBytes, zones, seams));
+        super(new SimulatedFleet(seed, intakes, stores, testConfiguration, ringBytes, zones, overrides));
         for (int i = 0; i < processors; i++) {
             w.addBackend("p" + i, service(i), false);
         }
@@ -73,26 +73,26 @@
     public FleetSimulation startAll() {
         put(configuration, 0, "first", response -> {});
         w.backends.keySet().stream().filter(b -> b.startsWith("p")).forEach(b -> list(b, false));
-        require(w.sim.runUntil(w::ready, Duration.ofSeconds(40)), "the fleet did not get ready");
+        require(w.sim.runUntil(w::ready, Duration.ofSeconds(40)), "the fleet did not become ready within 40 s");
         return this;
     }
 
-    /** The secret that the configuration had for a group until now; it has another from here on. */
-    String fetchSecret(String group, String next) {
-        String old = secrets.getOrDefault(group, TestConfiguration.fetchKey(group));
-        secrets.put(group, next);
+    /** Replaces the secret of a group's processor key, and returns the former one. */
+    String replaceFetchSecret(String group, String newSecret) {
+        String old = fetchSecrets.getOrDefault(group, TestConfiguration.fetchKey(group));
+        fetchSecrets.put(group, newSecret);
         return old;
     }
 
     void useFetchSecret(String group, String secret) {
-        fetchers.values().forEach(fetcher -> fetcher.use(group, secret));
+        fetchers.values().forEach(fetcher -> fetcher.useSecret(group, secret));
     }
 
     public Fetcher fetcher(String id) {
         return fetchers.get(id);
     }
 
-    /** The platform takes a processor off the list: it is gone. */
+    /** Removes a processor from the list, as the platform does when the processor no longer exists. */
     public void unlist(String processor) {
         String service = service(Integer.parseInt(processor.substring(1)));
         operate(
@@ -100,42 +100,42 @@
                 response -> {});
     }
 
-    public static void require(boolean ok, String why) {
-        if (!ok) {
-            throw new IllegalStateException(why);
+    public static void require(boolean condition, String message) {
+        if (!condition) {
+            throw new IllegalStateException(message);
         }
     }
 
-    private String anyLighthouse() {
-        List<String> all = w.presentControlNodes();
-        return all.get(w.sim.random().nextInt(all.size()));
+    private String anyControlNode() {
+        List<String> controlNodes = w.presentControlNodes();
+        return controlNodes.get(w.sim.random().nextInt(controlNodes.size()));
     }
 
-    /** Repeats with the same request id until the answer is definite. */
+    /** Sends a configuration, and repeats it under the same request id until the answer is definite. */
     public void put(Configuration configuration, long base, String id, Consumer<Response> then) {
         put(configuration, base, id, w.presentControlNodes(), then);
     }
 
-    void put(Configuration l, long base, String id, List<String> at, Consumer<Response> then) {
-        byte[] json = Configurations.write(l);
+    void put(Configuration newConfiguration, long base, String id, List<String> controlNodes, Consumer<Response> then) {
+        byte[] json = Configurations.write(newConfiguration);
         puts++;
         Request request =
                 new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
-        operate(request, at, response -> {
-            boolean taken = response.status() == 200;
-            long v = taken ? json(response).path("version").asLong() : -1;
+        operate(request, controlNodes, response -> {
+            boolean accepted = response.status() == 200;
+            long acceptedVersion = accepted ? json(response).path("version").asLong() : -1;
             w.seen.saw(
                     w.seen.configurations,
                     new Observations.ConfigurationSaid(
                             id,
-                            v,
-                            taken,
+                            acceptedVersion,
+                            accepted,
                             valid(json),
                             w.sim.now(),
                             Configurations.sha256(new String(json, StandardCharsets.UTF_8))));
-            if (taken && v > version) {
-                version = v;
-                configuration = l;
+            if (accepted && acceptedVersion > version) {
+                version = acceptedVersion;
+                configuration = newConfiguration;
             }
             then.accept(response);
         });
@@ -151,7 +151,7 @@
     }
 
     public void read() {
-        readAt(anyLighthouse());
+        readAt(anyControlNode());
     }
 
     void readAt(String controlNode) {
@@ -174,17 +174,21 @@
         operate(request, w.presentControlNodes(), then);
     }
 
-    private void operate(Request request, List<String> at, Consumer<Response> then) {
-        w.request(at.get(w.sim.random().nextInt(at.size())), request, Duration.ofSeconds(4), response -> {
-            if (response.isPresent() && response.get().status() < 500) {
-                then.accept(response.get());
-            } else {
-                w.sim.after(Duration.ofMillis(200), () -> operate(request, at, then));
-            }
-        });
+    private void operate(Request request, List<String> controlNodes, Consumer<Response> then) {
+        w.request(
+                controlNodes.get(w.sim.random().nextInt(controlNodes.size())),
+                request,
+                Duration.ofSeconds(4),
+                response -> {
+                    if (response.isPresent() && response.get().status() < 500) {
+                        then.accept(response.get());
+                    } else {
+                        w.sim.after(Duration.ofMillis(200), () -> operate(request, controlNodes, then));
+                    }
+                });
     }
 
-    /** Those whose name begins with f fetch; the others have an address. */
+    /** Lists a processor; one whose name begins with f fetches, the others have an address. */
     public void list(String processor, boolean leaving) {
         String service = service(Integer.parseInt(processor.substring(1)));
         if (processor.startsWith("f")) {
@@ -193,20 +197,20 @@
         if (!leaving) {
             w.seen.saw(w.seen.listed, new Observations.Listed(processor, w.sim.now()));
         }
-        operate(listing(processor, leaving), response -> marked(processor, leaving));
+        operate(listing(processor, leaving), response -> recordLeaving(processor, leaving));
     }
 
-    /** The same by a control node of one's choice, asked once. */
+    /** Lists a processor at the given control node, without repeating the request. */
     void listAt(String controlNode, String processor, boolean leaving) {
         w.request(
                 controlNode,
                 listing(processor, leaving),
                 Duration.ofSeconds(4),
                 optional -> optional.filter(response -> response.status() == 200)
-                        .ifPresent(response -> marked(processor, leaving)));
+                        .ifPresent(response -> recordLeaving(processor, leaving)));
     }
 
-    private void marked(String processor, boolean leaving) {
+    private void recordLeaving(String processor, boolean leaving) {
         if (leaving) {
             w.seen.saw(w.seen.leaving, new Observations.MarkedLeaving(processor, w.sim.now()));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Harness.java
@@ -44,11 +44,11 @@
         host.powerLoss();
     }
 
-    public void pause(Duration d) {
-        host.pause(d);
+    public void pause(Duration duration) {
+        host.pause(duration);
     }
 
-    /** Each call to the disk takes so many times as long from now on. */
+    /** From now on each disk operation takes {@code factor} times as long. */
     public void slowDisk(int factor) {
         host.slowDisk(factor);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -7,23 +7,23 @@
 import org.woadvale.common.runtime.TimerHandle;
 import org.woadvale.common.runtime.Timers;
 
-/** One machine: its clocks run a little off, it can be killed, paused, and lose its power. */
+/** One machine: its clock rate is slightly off, and it can be killed, be paused and lose power. */
 public final class Host implements Clock, Timers {
-    /** The smaller disks of the users' machines write 120 MB a second. */
+    /** The smaller disks of the users' machines write 120 MB/s, about 8 ns per byte. */
     private static final long DISK_NANOS_PER_BYTE = 8;
 
     static final Instant EPOCH = Instant.parse("2030-01-01T00:00:00Z");
     final String address;
     final Simulator sim;
     final SimDisk disk;
-    private final double timing;
+    private final double clockRate;
     private RpcRouter router = new RpcRouter();
     private boolean alive;
-    private long life;
+    private long incarnation;
     private Duration pausedUntil = Duration.ZERO;
-    private Duration started = Duration.ZERO;
-    private Duration calendarOff = Duration.ZERO;
-    private int diskFactor = 1;
+    private Duration bootedAt = Duration.ZERO;
+    private Duration wallClockOffset = Duration.ZERO;
+    private int diskSlowdown = 1;
     private boolean inDiskTask;
     private long writtenBefore;
 
@@ -31,20 +31,20 @@
         this.address = address;
         this.sim = sim;
         this.disk = new SimDisk(sim);
-        this.timing = 1 + (sim.random().nextDouble() - 0.5) * 0.01;
+        this.clockRate = 1 + (sim.random().nextDouble() - 0.5) * 0.01;
     }
 
-    void boot(RpcRouter rpcRouter) {
-        router = rpcRouter;
+    void boot(RpcRouter newRouter) {
+        router = newRouter;
         alive = true;
-        started = sim.now();
+        bootedAt = sim.now();
         pausedUntil = Duration.ZERO;
     }
 
-    /** The process is gone; what it had planned never happens. */
+    /** The process dies, and its pending tasks never run. */
     void kill() {
         alive = false;
-        life++;
+        incarnation++;
     }
 
     void powerLoss() {
@@ -52,29 +52,29 @@
         disk.powerLoss();
     }
 
-    void pause(Duration d) {
-        pausedUntil = sim.now().plus(d);
+    void pause(Duration duration) {
+        pausedUntil = sim.now().plus(duration);
     }
 
-    /** The calendar clock jumps; the monotonic one goes on. */
-    void jump(Duration d) {
-        calendarOff = calendarOff.plus(d);
+    /** Shifts the wall clock; the monotonic clock is not affected. */
+    void jump(Duration duration) {
+        wallClockOffset = wallClockOffset.plus(duration);
     }
 
-    /** What follows a write on a slow disk waits for its bytes too. */
+    /** On a slow disk, whatever a disk task schedules after a write also waits for the bytes written. */
     private Duration diskTime() {
-        boolean waits = inDiskTask && diskFactor > 1;
-        long nanos = waits ? (disk.written() - writtenBefore) * DISK_NANOS_PER_BYTE * diskFactor : 0;
+        boolean slow = inDiskTask && diskSlowdown > 1;
+        long nanos = slow ? (disk.written() - writtenBefore) * DISK_NANOS_PER_BYTE * diskSlowdown : 0;
         return Duration.ofNanos(nanos);
     }
 
-    /** Each call to the disk takes so many times as long from now on. */
+    /** From now on each disk operation takes {@code factor} times as long. */
     void slowDisk(int factor) {
-        diskFactor = factor;
+        diskSlowdown = factor;
     }
 
     boolean calendarOff() {
-        return !calendarOff.isZero();
+        return !wallClockOffset.isZero();
     }
 
     boolean paused() {
@@ -86,7 +86,7 @@
     }
 
     long life() {
-        return life;
+        return incarnation;
     }
 
     RpcRouter router() {
@@ -95,20 +95,20 @@
 
     @Override
     public Duration monotonicTime() {
-        return Duration.ofNanos((long) (sim.now().minus(started).toNanos() * timing));
+        return Duration.ofNanos((long) (sim.now().minus(bootedAt).toNanos() * clockRate));
     }
 
     @Override
     public Instant wallTime() {
-        return EPOCH.plus(sim.now()).plus(calendarOff);
+        return EPOCH.plus(sim.now()).plus(wallClockOffset);
     }
 
-    private void guarded(long bornIn, boolean[] cancelled, Runnable task) {
-        if (life != bornIn || cancelled[0]) {
+    private void runIfCurrent(long scheduledIn, boolean[] cancelled, Runnable task) {
+        if (incarnation != scheduledIn || cancelled[0]) {
             return;
         }
         if (sim.now().compareTo(pausedUntil) < 0) {
-            sim.at(pausedUntil, () -> guarded(bornIn, cancelled, task));
+            sim.at(pausedUntil, () -> runIfCurrent(scheduledIn, cancelled, task));
             return;
         }
         task.run();
@@ -117,9 +117,11 @@
     @Override
     public TimerHandle after(Duration delay, Runnable task) {
         boolean[] cancelled = {false};
-        long bornIn = life;
-        Duration whole = delay.plus(diskTime());
-        sim.after(Duration.ofNanos((long) (whole.toNanos() / timing)), () -> guarded(bornIn, cancelled, task));
+        long scheduledIn = incarnation;
+        Duration total = delay.plus(diskTime());
+        sim.after(
+                Duration.ofNanos((long) (total.toNanos() / clockRate)),
+                () -> runIfCurrent(scheduledIn, cancelled, task));
         return () -> cancelled[0] = true;
     }
 
@@ -130,7 +132,7 @@
 
     @Override
     public void executeDiskTask(Runnable task) {
-        after(sim.between(500, 4000).multipliedBy(diskFactor), () -> {
+        after(sim.between(500, 4000).multipliedBy(diskSlowdown), () -> {
             writtenBefore = disk.written();
             inDiskTask = true;
             try {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -13,93 +13,93 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Withdraws and exchanges keys of a simulated fleet, and goes on using the withdrawn ones to see what they still do.
+ * Withdraws and replaces keys of a simulated fleet, and keeps using the former ones to observe what they still permit.
  */
 final class KeyChanges {
     private static final String KEY_NAME = "short";
     private static final int TENANT = 2;
     private static final Duration WITHDRAWN_AFTER = Duration.ofSeconds(2);
-    private static final Duration USED_FOR = Duration.ofSeconds(14);
+    private static final Duration WITHDRAWN_KEY_USED_FOR = Duration.ofSeconds(14);
     private static final Duration USE_INTERVAL = Duration.ofMillis(500);
     private static final Duration OLD_PROCESSOR_KEY_USED_FOR = Duration.ofSeconds(8);
     private static final Duration CALLER_LIMIT = Duration.ofSeconds(5);
 
-    private final FleetSimulation fleet;
-    private final SimulatedFleet world;
+    private final FleetSimulation simulation;
+    private final SimulatedFleet fleet;
     private final IntSupplier nextNumber;
 
-    /** Takes a number of the supplier for each change, so that request ids and secrets differ. */
-    KeyChanges(FleetSimulation fleet, IntSupplier nextNumber) {
-        this.fleet = fleet;
-        this.world = fleet.w;
+    /** Each change takes a number from the supplier, so that request ids and secrets differ. */
+    KeyChanges(FleetSimulation simulation, IntSupplier nextNumber) {
+        this.simulation = simulation;
+        this.fleet = simulation.w;
         this.nextNumber = nextNumber;
     }
 
-    /** A caller's key is added, withdrawn, and used on every intake long after. */
+    /** Adds a caller's key and withdraws it; the key stays in use on every intake for long after. */
     void withdraw() {
         int number = nextNumber.getAsInt();
         String secret = "short-lived-" + number;
         String requestId = "key" + number;
         Configuration.Key key = new Configuration.Key(
                 Configuration.Role.CALLER, TestConfiguration.tenant(TENANT), "", Configurations.sha256(secret));
-        Configuration with = Edit.keys(fleet.configuration, keys -> keys.put(KEY_NAME, key));
-        fleet.put(with, fleet.version, requestId, answer -> {
+        Configuration with = Edit.keys(simulation.configuration, keys -> keys.put(KEY_NAME, key));
+        simulation.put(with, simulation.version, requestId, answer -> {
             if (answer.status() == 200) {
-                world.sim.after(WITHDRAWN_AFTER, () -> drop(secret, requestId));
-                world.intakes.forEach(
-                        intake -> use(intake, secret, world.sim.now().plus(USED_FOR)));
+                fleet.sim.after(WITHDRAWN_AFTER, () -> drop(secret, requestId));
+                fleet.intakes.forEach(
+                        intake -> use(intake, secret, fleet.sim.now().plus(WITHDRAWN_KEY_USED_FOR)));
             }
         });
     }
 
     private void drop(String secret, String requestId) {
-        Configuration without = Edit.keys(fleet.configuration, keys -> keys.remove(KEY_NAME));
-        fleet.put(without, fleet.version, requestId + "-drop", answer -> {
+        Configuration without = Edit.keys(simulation.configuration, keys -> keys.remove(KEY_NAME));
+        simulation.put(without, simulation.version, requestId + "-drop", answer -> {
             if (answer.status() == 200) {
-                world.seen.saw(world.seen.keys, new Observations.KeyWithdrawn(secret, world.sim.now()));
+                fleet.seen.saw(fleet.seen.keys, new Observations.KeyWithdrawn(secret, fleet.sim.now()));
             }
         });
     }
 
-    /** A group's processor key is exchanged; its processors go on with the old one for a while. */
+    /** Replaces a group's processor key; its processors use the old one for a while longer. */
     void rotate() {
-        String group = world.sim.chance(0.5) ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
+        String group = fleet.sim.chance(0.5) ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
         int number = nextNumber.getAsInt();
         String fresh = "fetch-secret-" + number;
         Configuration.Key key =
                 new Configuration.Key(Configuration.Role.PROCESSOR, "", group, Configurations.sha256(fresh));
-        Configuration rotated = Edit.keys(fleet.configuration, keys -> keys.put("fetch-" + group, key));
-        fleet.put(rotated, fleet.version, "rotate" + number, answer -> {
+        Configuration rotated = Edit.keys(simulation.configuration, keys -> keys.put("fetch-" + group, key));
+        simulation.put(rotated, simulation.version, "rotate" + number, answer -> {
             if (answer.status() == 200) {
-                String old = fleet.fetchSecret(group, fresh);
-                world.seen.saw(world.seen.keys, new Observations.KeyWithdrawn(old, world.sim.now()));
-                world.sim.after(OLD_PROCESSOR_KEY_USED_FOR, () -> fleet.useFetchSecret(group, fresh));
+                String old = simulation.replaceFetchSecret(group, fresh);
+                fleet.seen.saw(fleet.seen.keys, new Observations.KeyWithdrawn(old, fleet.sim.now()));
+                fleet.sim.after(OLD_PROCESSOR_KEY_USED_FOR, () -> simulation.useFetchSecret(group, fresh));
             }
         });
     }
 
     private void use(String intake, String secret, Duration until) {
-        if (world.sim.now().compareTo(until) > 0) {
+        if (fleet.sim.now().compareTo(until) > 0) {
             return;
         }
         submit(intake, secret);
         read(intake, secret);
-        world.sim.after(USE_INTERVAL, () -> use(intake, secret, until));
+        fleet.sim.after(USE_INTERVAL, () -> use(intake, secret, until));
     }
 
     private void submit(String intake, String secret) {
-        Duration sent = world.sim.now();
+        Duration sent = fleet.sim.now();
         String id = "k" + secret + sent.toNanos();
         byte[] body = Configurations.write(Map.of("id", id, "delayMs", 0, "body", Map.of()));
         Request request = new Request("POST", "/v1/lanes/hold/messages", authorization(secret), body);
-        world.request(intake, request, CALLER_LIMIT, answer -> submitted(answer, secret, id, sent));
+        fleet.request(intake, request, CALLER_LIMIT, answer -> recordSubmission(answer, secret, id, sent));
     }
 
     private void read(String intake, String secret) {
         Request request = new Request("GET", "/v1/messages?state=failed", authorization(secret), new byte[0]);
-        world.request(intake, request, CALLER_LIMIT, answer -> {
+        fleet.request(intake, request, CALLER_LIMIT, answer -> {
             if (answer.filter(response -> response.status() == 200).isPresent()) {
-                world.seen.saw(world.seen.served, new Observations.KeyServed(secret, "read", world.sim.now()));
+                fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(secret, "read", fleet.sim.now()));
             }
         });
     }
@@ -108,14 +108,14 @@
         return Map.of("authorization", "Bearer " + secret);
     }
 
-    private void submitted(Optional<Response> answer, String secret, String id, Duration sent) {
-        Observations.Said said = said(answer);
-        boolean accepted = said == Observations.Said.ACCEPTED;
+    private void recordSubmission(Optional<Response> answer, String secret, String id, Duration sent) {
+        Observations.Said result = submissionResult(answer);
+        boolean accepted = result == Observations.Said.ACCEPTED;
         String handle = accepted
                 ? FleetSimulation.json(answer.orElseThrow()).path("handle").asText()
                 : "";
-        world.seen.saw(
-                world.seen.submitted,
+        fleet.seen.saw(
+                fleet.seen.submitted,
                 new Observations.Submitted(
                         TestConfiguration.tenant(TENANT),
                         id,
@@ -123,17 +123,17 @@
                         "",
                         secret,
                         sent,
-                        world.sim.now(),
-                        said,
+                        fleet.sim.now(),
+                        result,
                         "",
                         handle,
                         false));
         if (accepted) {
-            fleet.follow(handle, TENANT);
+            simulation.follow(handle, TENANT);
         }
     }
 
-    private static Observations.Said said(Optional<Response> answer) {
+    private static Observations.Said submissionResult(Optional<Response> answer) {
         int status = answer.map(Response::status).orElse(0);
         if (status == 202) {
             return Observations.Said.ACCEPTED;
