--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
@@ -16,77 +16,80 @@
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
-/** Stand-ins behind the platform's doors that leave out one mechanism each. (docs/design.md, section 12.3) */
+/**
+ * Overrides of a simulated platform that each disable one mechanism, so that the rule that it serves is violated.
+ * (docs/design.md, section 12.3)
+ */
 final class BareReplicas {
-    private static final String ID = "X-Attempt-Id";
-    private static final String SEAL = "x-server-seal";
+    private static final String ATTEMPT_ID = "X-Attempt-Id";
+    private static final String SEAL_HEADER = "x-server-seal";
 
     private BareReplicas() {}
 
-    private static FleetOverrides replies(
-            Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> f) {
+    private static FleetOverrides mappedResponses(
+            Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> mapping) {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) ->
-                        deliveryRequest -> client.send(deliveryRequest).map(f));
+                .withDeliveryClient((address, client) ->
+                        deliveryRequest -> client.send(deliveryRequest).map(mapping));
     }
 
-    private static DeliveryClient.DeliveryResponse other(
+    private static DeliveryClient.DeliveryResponse withStatusAndSeal(
             DeliveryClient.DeliveryResponse deliveryResponse, int status, String seal) {
-        Map<String, String> h = new HashMap<>(deliveryResponse.headers());
-        h.remove(SEAL);
+        Map<String, String> headers = new HashMap<>(deliveryResponse.headers());
+        headers.remove(SEAL_HEADER);
         if (!seal.isEmpty()) {
-            h.put(SEAL, seal);
+            headers.put(SEAL_HEADER, seal);
         }
-        return new DeliveryClient.DeliveryResponse(status, h, deliveryResponse.body());
+        return new DeliveryClient.DeliveryResponse(status, headers, deliveryResponse.body());
     }
 
-    /** LOST: the stores' disks say "synced" and have not. */
+    /** LOST: the stores' disks report a sync that they have not performed. */
     static FleetOverrides lyingStores() {
         return FleetOverrides.none()
-                .withDisk((a, disk) -> a.startsWith("10.0.1.")
-                        ? NaiveVariants.lyingDisk().disk().apply(a, disk)
+                .withDisk((address, disk) -> address.startsWith("10.0.1.")
+                        ? NaiveVariants.lyingDisk().disk().apply(address, disk)
                         : disk);
     }
 
-    /** TWICE: a success is no proof, every fourth time. */
+    /** TWICE: every fourth success arrives as a 502 without a seal. */
     static FleetOverrides successIsNoProof() {
-        int[] n = {0};
-        return replies(deliveryResponse -> deliveryResponse.status() == 200 && n[0]++ % 4 == 0
-                ? other(deliveryResponse, 502, "")
+        int[] successes = {0};
+        return mappedResponses(deliveryResponse -> deliveryResponse.status() == 200 && successes[0]++ % 4 == 0
+                ? withStatusAndSeal(deliveryResponse, 502, "")
                 : deliveryResponse);
     }
 
-    /** MIXED: an error is taken for done. */
+    /** MIXED: a 5xx that does not state that nothing was executed counts as a sealed success. */
     static FleetOverrides errorIsSuccess() {
-        return replies(deliveryResponse ->
+        return mappedResponses(deliveryResponse ->
                 deliveryResponse.status() >= 500 && !deliveryResponse.headers().containsKey("x-not-executed")
-                        ? other(deliveryResponse, 200, "surely")
+                        ? withStatusAndSeal(deliveryResponse, 200, "surely")
                         : deliveryResponse);
     }
 
-    /** ORDER: silence is taken for a refusal for good. */
+    /** ORDER: a missing response counts as a permanent refusal. */
     static FleetOverrides silenceIsRefusal() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                .withDeliveryClient((address, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(
                                         422,
                                         Map.of(
                                                 "x-attempt-id",
-                                                deliveryRequest.headers().getOrDefault(ID, "")),
+                                                deliveryRequest.headers().getOrDefault(ATTEMPT_ID, "")),
                                         new byte[0]))
                                 : Mono.error(e)));
     }
 
-    /** ROUTE: nobody is told who is expected. */
+    /** ROUTE: requests lack the header that names the expected instance. */
     static FleetOverrides nobodyIsExpected() {
-        return FleetOverrides.none().withDeliveryClient((a, client) -> deliveryRequest -> {
-            Map<String, String> h = new LinkedHashMap<>(deliveryRequest.headers());
-            h.remove("X-Expect-Instance");
+        return FleetOverrides.none().withDeliveryClient((address, client) -> deliveryRequest -> {
+            Map<String, String> headers = new LinkedHashMap<>(deliveryRequest.headers());
+            headers.remove("X-Expect-Instance");
             return client.send(new DeliveryClient.DeliveryRequest(
                     deliveryRequest.method(),
                     deliveryRequest.url(),
-                    h,
+                    headers,
                     deliveryRequest.body(),
                     deliveryRequest.timeout(),
                     deliveryRequest.stillPermitted(),
@@ -94,44 +97,44 @@
         });
     }
 
-    /** UNASKED: bytes are sent in the wrong order, as a careless client might. */
+    /** UNASKED: the first and the last byte of the body are swapped, as by a faulty client. */
     static FleetOverrides bytesChange() {
-        return FleetOverrides.none().withDeliveryClient((a, client) -> deliveryRequest -> {
-            byte[] b = deliveryRequest.body().clone();
-            byte first = b[0];
-            b[0] = b[b.length - 1];
-            b[b.length - 1] = first;
+        return FleetOverrides.none().withDeliveryClient((address, client) -> deliveryRequest -> {
+            byte[] body = deliveryRequest.body().clone();
+            byte first = body[0];
+            body[0] = body[body.length - 1];
+            body[body.length - 1] = first;
             return client.send(new DeliveryClient.DeliveryRequest(
                     deliveryRequest.method(),
                     deliveryRequest.url(),
                     deliveryRequest.headers(),
-                    b,
+                    body,
                     deliveryRequest.timeout(),
                     deliveryRequest.stillPermitted(),
                     deliveryRequest.expectedEcho()));
         });
     }
 
-    /** CEILING: looked at once, sent whenever the stream is open. */
+    /** CEILING: whether the request may still be sent is checked once, before its stream is open. */
     static FleetOverrides lookFirstSendLater() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> Mono.defer(() -> {
-                    boolean go = deliveryRequest.stillPermitted().getAsBoolean();
+                .withDeliveryClient((address, client) -> deliveryRequest -> Mono.defer(() -> {
+                    boolean permitted = deliveryRequest.stillPermitted().getAsBoolean();
                     return client.send(new DeliveryClient.DeliveryRequest(
                             deliveryRequest.method(),
                             deliveryRequest.url(),
                             deliveryRequest.headers(),
                             deliveryRequest.body(),
                             deliveryRequest.timeout(),
-                            () -> go,
+                            () -> permitted,
                             deliveryRequest.expectedEcho()));
                 }));
     }
 
-    /** CONFIG, DRAIN: from a moment on the views that are known are taken for confirmed. */
+    /** CONFIG, DRAIN: once frozen, the views received last count as confirmed by the core. */
     static FleetOverrides newsStands(BooleanSupplier frozen) {
-        return FleetOverrides.none().withRpc((a, rpc) -> {
-            Map<String, ServiceView> last = new HashMap<>();
+        return FleetOverrides.none().withRpc((address, rpc) -> {
+            Map<String, ServiceView> lastViews = new HashMap<>();
             return new RpcClient() {
                 @Override
                 public String self() {
@@ -142,29 +145,30 @@
                 public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                     if (!(body instanceof ControlMessages.ServiceViewRequest request)
                             || frozen.getAsBoolean()
-                                    && !last.keySet()
+                                    && !lastViews
+                                            .keySet()
                                             .containsAll(request.knownVersions().keySet())) {
                         return rpc.call(to, body, answer, limit);
                     }
                     return frozen.getAsBoolean()
-                            ? Mono.just(answer.cast(NaiveVariants.anew(request, last)))
+                            ? Mono.just(answer.cast(NaiveVariants.anew(request, lastViews)))
                             : rpc.call(
                                             to,
                                             new ControlMessages.ServiceViewRequest(request.knownVersions(), false),
                                             answer,
                                             limit)
-                                    .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
+                                    .doOnNext(response -> ((ControlMessages.ServiceViewResponse) response)
                                             .views()
-                                            .forEach(view -> last.put(view.service(), view)));
+                                            .forEach(view -> lastViews.put(view.service(), view)));
                 }
             };
         });
     }
 
-    /** TWICE: whoever has a lease of a message, has its present one. */
+    /** TWICE: any lease of a message, also an earlier one, counts as its present lease. */
     static FleetOverrides anyLeaseWillDo() {
-        Map<String, Integer> present = new ConcurrentHashMap<>();
-        return FleetOverrides.none().withRpc((a, rpc) -> new RpcClient() {
+        Map<String, Integer> presentAttempts = new ConcurrentHashMap<>();
+        return FleetOverrides.none().withRpc((address, rpc) -> new RpcClient() {
             @Override
             public String self() {
                 return rpc.self();
@@ -174,18 +178,23 @@
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 if (body instanceof MessageCommands.EndLeaseRequest request) {
                     MessageCommands.End end = request.end();
-                    MessageCommands.End now = new MessageCommands.End(
+                    MessageCommands.End underPresentLease = new MessageCommands.End(
                             end.handle(),
-                            present.getOrDefault(end.handle(), end.attempt()),
+                            presentAttempts.getOrDefault(end.handle(), end.attempt()),
                             end.outcome(),
                             end.proof(),
                             end.due(),
                             end.at());
-                    return rpc.call(to, new MessageCommands.EndLeaseRequest(request.partition(), now), answer, limit);
+                    return rpc.call(
+                            to,
+                            new MessageCommands.EndLeaseRequest(request.partition(), underPresentLease),
+                            answer,
+                            limit);
                 }
-                return rpc.call(to, body, answer, limit).doOnNext(t -> {
-                    if (t instanceof MessageCommands.LongPullResponse response) {
-                        response.messages().forEach(message -> present.put(message.handle(), message.attempt()));
+                return rpc.call(to, body, answer, limit).doOnNext(received -> {
+                    if (received instanceof MessageCommands.LongPullResponse response) {
+                        response.messages()
+                                .forEach(message -> presentAttempts.put(message.handle(), message.attempt()));
                     }
                 });
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -14,14 +14,14 @@
 import org.woadvale.dataplane.queue.RouteTerms;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** How much a part holds, and how long making a view of a full one takes against a lease. */
+/** Measures how much a partition holds, and how long the snapshot of a full one takes compared with a lease. */
 public final class Capacity {
-    private static final int BODY = 1250;
+    private static final int BODY_BYTES = 1250;
 
     private Capacity() {}
 
-    /** All processors are down: how long submissions of 1.25 KB at 270 a second are taken, parts of 2 MB. */
-    private static void down() throws ServiceException {
+    /** With all processors down, measures how long 270 submissions/s of 1.25 KB fit into partitions of 2 MB. */
+    private static void measureTimeUntilFull() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(
                         1, 8, 3, 4, new TestConfiguration(8, 2, 45, 60, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
@@ -36,7 +36,7 @@
                         id,
                         "hold",
                         "",
-                        Configurations.write(Map.of("id", id, "delayMs", 0, "body", "x".repeat(BODY))),
+                        Configurations.write(Map.of("id", id, "delayMs", 0, "body", "x".repeat(BODY_BYTES))),
                         simulation.w.intakes,
                         0);
             });
@@ -45,17 +45,17 @@
                 () -> simulation.w.seen.submitted.stream()
                         .anyMatch(submitted -> submitted.kind().equals("queue_full")),
                 Duration.ofSeconds(90));
-        System.out.println("All processors down, 270 x 1.25 KB a second, parts of 2 MB: "
-                + (full ? "first queue_full after " : "none full within ")
+        System.out.println("All processors down, 270 x 1.25 KB a second, partitions of 2 MB: "
+                + (full ? "first queue_full after " : "no queue_full within ")
                 + simulation.w.sim.now().minus(from).toSeconds() + " s; "
                 + simulation.kinds());
     }
 
-    /** On this machine; nobody gets at the part meanwhile. */
-    private static void view(int mb) throws ServiceException {
+    /** Measured on this machine, in real time; nothing else accesses the partition meanwhile. */
+    private static void measureSnapshot(int mb) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
         MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
-        Instant t = Instant.EPOCH;
+        Instant time = Instant.EPOCH;
         for (long i = 1; stateMachine.storedBytes() < (long) mb << 20; i++) {
             stateMachine.apply(
                     i,
@@ -64,30 +64,30 @@
                             "l",
                             "id" + i,
                             "",
-                            new byte[BODY],
+                            new byte[BODY_BYTES],
                             "h".repeat(64),
                             new RouteTerms("s", 60000, 8, 3000, false),
-                            t,
-                            t));
+                            time,
+                            time));
         }
-        List<Long> ms = new ArrayList<>();
+        List<Long> durationsMs = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             long from = System.nanoTime();
-            byte[] view = stateMachine.snapshot();
-            MessageStateMachine other = new MessageStateMachine("m0", codec);
+            byte[] snapshot = stateMachine.snapshot();
+            MessageStateMachine restored = new MessageStateMachine("m0", codec);
             long made = System.nanoTime();
-            other.restore(view);
-            ms.add((made - from) / 1_000_000);
+            restored.restore(snapshot);
+            durationsMs.add((made - from) / 1_000_000);
         }
-        List<Long> sorted = ms.stream().sorted().toList();
-        System.out.println("View of " + mb + " MB, " + stateMachine.count() + " messages: median " + sorted.get(15)
-                + " ms, longest " + sorted.get(29) + " ms of a claim of 2000 ms; thirty times.");
+        List<Long> sorted = durationsMs.stream().sorted().toList();
+        System.out.println("Snapshot of " + mb + " MB, " + stateMachine.count() + " messages: median " + sorted.get(15)
+                + " ms, longest " + sorted.get(29) + " ms, for a lease of 2000 ms; 30 runs.");
     }
 
     public static void main(String[] args) throws ServiceException {
         for (int mb : new int[] {2, 8, 16}) {
-            view(mb);
+            measureSnapshot(mb);
         }
-        down();
+        measureTimeUntilFull();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
@@ -8,75 +8,76 @@
 import org.woadvale.common.replication.Role;
 
 /**
- * Measures how long the core takes to make a new machine a voter everywhere after a member is gone. (docs/design.md,
- * section 6.10)
+ * Measures how long the core takes to make a new machine a voter in every control partition after a member has left.
+ * (docs/design.md, section 6.10)
  */
 public final class CoreExchange {
-    /** How the member that is to be replaced goes. */
+    /** How the member to be replaced leaves. */
     public enum Departure {
-        /** Without a word, and before its successor starts. */
+        /** It fails without notice, before its successor starts. */
         LOST,
-        /** It stops in order once its successor runs. */
+        /** It drains and stops once its successor runs. */
         PLANNED,
-        /** It comes back at its own address with an empty disk. */
+        /** It restarts at its own address with an empty disk. */
         WIPED
     }
 
     private static final Duration STEP = Duration.ofMillis(10);
     private static final Duration LIMIT = Duration.ofSeconds(30);
-    private static final Duration REST = Duration.ofSeconds(3);
+    private static final Duration WARM_UP = Duration.ofSeconds(3);
 
     private CoreExchange() {}
 
-    /** From the loss to the start of the successor: the platform's own pause and the start of a process. */
+    /** From the loss to the start of the successor: the platform's own pause plus the start of a process. */
     private static final Duration SUCCESSOR_AFTER = Duration.ofMillis(1900);
 
-    /** The time from the successor's first step until it votes in every control partition. */
+    /** The time from the successor's start until it votes in every control partition. */
     public static Duration measure(long seed, Departure departure) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 2, 3, 2).startAll();
-        SimulatedFleet world = simulation.w;
-        world.sim.run(REST.plus(world.sim.between(0, 1_000_000)));
-        String leaver = world.controlNodes.get((int) Math.floorMod(seed, 3L));
-        String successor = replace(world, leaver, departure);
-        Duration started = world.sim.now();
+        SimulatedFleet fleet = simulation.w;
+        fleet.sim.run(WARM_UP.plus(fleet.sim.between(0, 1_000_000)));
+        String leaver = fleet.controlNodes.get((int) Math.floorMod(seed, 3L));
+        String successor = replace(fleet, leaver, departure);
+        Duration started = fleet.sim.now();
         boolean planned = departure == Departure.PLANNED;
-        while (!votesEverywhere(world, successor)) {
+        while (!votesEverywhere(fleet, successor)) {
             FleetSimulation.require(
-                    world.sim.now().minus(started).compareTo(LIMIT) < 0, "no voter after " + LIMIT + ", seed " + seed);
+                    fleet.sim.now().minus(started).compareTo(LIMIT) < 0,
+                    "the successor does not vote in every control partition after " + LIMIT + ", seed " + seed);
             if (planned
-                    && world.host(leaver).alive()
-                    && world.controlNode(leaver).drain()) {
-                world.lose(leaver);
+                    && fleet.host(leaver).alive()
+                    && fleet.controlNode(leaver).drain()) {
+                fleet.lose(leaver);
             }
-            world.sim.run(STEP);
+            fleet.sim.run(STEP);
         }
-        return world.sim.now().minus(started);
+        return fleet.sim.now().minus(started);
     }
 
-    private static String replace(SimulatedFleet world, String leaver, Departure departure) throws ServiceException {
+    private static String replace(SimulatedFleet fleet, String leaver, Departure departure) throws ServiceException {
         if (departure == Departure.PLANNED) {
-            return world.newControlNode();
+            return fleet.newControlNode();
         }
-        world.kill(leaver);
-        world.sim.run(SUCCESSOR_AFTER);
+        fleet.kill(leaver);
+        fleet.sim.run(SUCCESSOR_AFTER);
         if (departure == Departure.WIPED) {
-            world.host(leaver).disk.wipe();
-            world.restart(leaver);
+            fleet.host(leaver).disk.wipe();
+            fleet.restart(leaver);
             return leaver;
         }
-        world.lose(leaver);
-        return world.newControlNode();
+        fleet.lose(leaver);
+        return fleet.newControlNode();
     }
 
-    /** Whether a control node is a voting member of all control partitions, by its own knowledge. */
-    public static boolean votesEverywhere(SimulatedFleet world, String node) {
+    /** Whether a control node is a voting member of all control partitions, according to its own state. */
+    public static boolean votesEverywhere(SimulatedFleet fleet, String node) {
         return ServiceNames.controlPartitions().stream()
-                .map(p -> world.controlNode(node).replica(p))
+                .map(partition -> fleet.controlNode(node).replica(partition))
                 .allMatch(replica -> replica.role() != Role.UNINITIALIZED
                         && replica.members().containsKey(node));
     }
 
-    /** The sorted times of so many seeds. */
+    /** The sorted times of {@code count} consecutive seeds. */
     public static List<Duration> measure(long firstSeed, int count, Departure departure) throws ServiceException {
         List<Duration> times = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -17,22 +17,22 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Two operators put configurations all day, racing, while control nodes die and come back; how long each yes or no
- * takes.
+ * Two operators change the configuration all day and race each other while control nodes lose power and restart.
+ * Measures how long it takes until a change is accepted or rejected.
  */
 public final class Day {
-    private record Said(String id, byte[] configuration, long base, long version) {}
+    private record AcceptedChange(String id, byte[] configuration, long base, long version) {}
 
-    private static final Duration DOWN = Duration.ofSeconds(5);
+    private static final Duration DOWNTIME = Duration.ofSeconds(5);
     private final FleetSimulation simulation;
     private final SimulatedFleet fleet;
-    private final List<Long> millis = new ArrayList<>();
-    private final List<Said> taken = new ArrayList<>();
-    private final List<String> wrong = new ArrayList<>();
-    private long lost;
+    private final List<Long> answerTimesMs = new ArrayList<>();
+    private final List<AcceptedChange> acceptedChanges = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
+    private long lostRaces;
     private long repeats;
-    private long killed;
-    private int n;
+    private long powerLosses;
+    private int nextNumber;
 
     public Day(long seed) throws ServiceException {
         simulation = new FleetSimulation(
@@ -41,7 +41,10 @@
         fleet = simulation.w;
     }
 
-    /** Each operator changes something every so often; a control node goes down every so often. */
+    /**
+     * Runs for the given length: each operator pauses {@code between} or up to half longer before a change, and every
+     * {@code kills} one control node loses power.
+     */
     public Day run(Duration length, Duration between, Duration kills) throws ServiceException {
         Duration end = fleet.sim.now().plus(length);
         operator("a", simulation.configuration, 1, between, end);
@@ -53,38 +56,38 @@
             fleet.seenVersions();
             if (fleet.sim.now().compareTo(nextKill) >= 0) {
                 nextKill = fleet.sim.now().plus(kills);
-                String l = fleet.controlNodes.get(fleet.sim.random().nextInt(3));
-                fleet.host(l).powerLoss();
-                killed++;
-                fleet.sim.after(DOWN, () -> fleet.begin(l));
+                String node = fleet.controlNodes.get(fleet.sim.random().nextInt(3));
+                fleet.host(node).powerLoss();
+                powerLosses++;
+                fleet.sim.after(DOWNTIME, () -> fleet.begin(node));
             }
         }
         fleet.sim.run(Duration.ofSeconds(30));
         return this;
     }
 
-    private void operator(String who, Configuration known, long base, Duration between, Duration end) {
+    private void operator(String name, Configuration current, long base, Duration between, Duration end) {
         Duration pause = between.plus(fleet.sim.between(0, between.toNanos() / 2000));
         fleet.sim.after(pause, () -> {
             if (fleet.sim.now().compareTo(end) >= 0) {
                 return;
             }
-            Configuration next = Edit.tenant(known, "spare" + who, 1 + n % 50, 5);
-            String id = who + n++;
+            Configuration next = Edit.tenant(current, "spare" + name, 1 + nextNumber % 50, 5);
+            String id = name + nextNumber++;
             put(id, Configurations.write(next), base, fleet.sim.now(), response -> {
                 long version = response.status() == 200
                         ? Callers.json(response).path("version").asLong()
-                        : present(response);
-                // the one that lost goes on from what it reads
-                reread(version, configuration -> operator(who, configuration, version, between, end));
-                if (!taken.isEmpty() && fleet.sim.chance(0.2)) {
-                    repeat(taken.get(fleet.sim.random().nextInt(taken.size())));
+                        : currentVersion(response);
+                // an operator that lost the race continues from the version that it reads
+                reread(version, configuration -> operator(name, configuration, version, between, end));
+                if (!acceptedChanges.isEmpty() && fleet.sim.chance(0.2)) {
+                    repeat(acceptedChanges.get(fleet.sim.random().nextInt(acceptedChanges.size())));
                 }
             });
         });
     }
 
-    private static long present(Response response) {
+    private static long currentVersion(Response response) {
         return Callers.json(response).path("details").path(0).asLong();
     }
 
@@ -92,29 +95,29 @@
         return new Request("PUT", "/v1/layout", Map.of("if-match", Long.toString(base), "x-request-id", id), json);
     }
 
-    private void put(String id, byte[] json, long base, Duration begun, Consumer<Response> then) {
+    private void put(String id, byte[] json, long base, Duration sent, Consumer<Response> then) {
         fleet.request(
                 fleet.controlNodes.get(fleet.sim.random().nextInt(3)),
                 request(id, json, base),
                 Duration.ofSeconds(4),
                 response -> {
                     if (response.isEmpty() || response.get().status() >= 500) {
-                        fleet.sim.after(Duration.ofMillis(200), () -> put(id, json, base, begun, then));
+                        fleet.sim.after(Duration.ofMillis(200), () -> put(id, json, base, sent, then));
                         return;
                     }
-                    millis.add(fleet.sim.now().minus(begun).toMillis());
-                    boolean yes = response.get().status() == 200;
-                    lost += yes ? 0 : 1;
-                    if (yes) {
+                    answerTimesMs.add(fleet.sim.now().minus(sent).toMillis());
+                    boolean accepted = response.get().status() == 200;
+                    lostRaces += accepted ? 0 : 1;
+                    if (accepted) {
                         long version =
                                 Callers.json(response.get()).path("version").asLong();
-                        taken.add(new Said(id, json, base, version));
+                        acceptedChanges.add(new AcceptedChange(id, json, base, version));
                         fleet.seen.saw(
                                 fleet.seen.configurations,
                                 new Observations.ConfigurationSaid(
                                         id, version, true, true, fleet.sim.now(), digest(json)));
                     } else if (response.get().status() != 412) {
-                        wrong.add(id + " was answered " + response.get().status());
+                        errors.add(id + " was answered " + response.get().status());
                     }
                     then.accept(response.get());
                 });
@@ -124,17 +127,18 @@
         return Configurations.sha256(new String(json, StandardCharsets.UTF_8));
     }
 
-    /** However long ago: the first answer. */
-    private void repeat(Said said) {
+    /** Repeats an accepted change, which must get its first answer again however old it is. */
+    private void repeat(AcceptedChange accepted) {
         fleet.request(
                 fleet.controlNodes.get(fleet.sim.random().nextInt(3)),
-                request(said.id(), said.configuration(), said.base()),
+                request(accepted.id(), accepted.configuration(), accepted.base()),
                 Duration.ofSeconds(4),
                 optional -> optional.filter(response -> response.status() < 500).ifPresent(response -> {
                     repeats++;
                     if (response.status() != 200
-                            || Callers.json(response).path("version").asLong() != said.version()) {
-                        wrong.add(said.id() + " was first " + said.version() + " and then " + response.status());
+                            || Callers.json(response).path("version").asLong() != accepted.version()) {
+                        errors.add(
+                                accepted.id() + " was first " + accepted.version() + " and then " + response.status());
                     }
                 }));
     }
@@ -159,35 +163,35 @@
     }
 
     public List<String> wrong() {
-        List<String> out = new ArrayList<>(wrong);
-        out.addAll(simulation.violations());
-        return out;
+        List<String> all = new ArrayList<>(errors);
+        all.addAll(simulation.violations());
+        return all;
     }
 
     public long repeats() {
         return repeats;
     }
 
-    /** How long a share of the changes took at the most. */
+    /** The time in ms within which the given share of the changes was answered. */
     public long within(double share) {
-        List<Long> sorted = millis.stream().sorted().toList();
+        List<Long> sorted = answerTimesMs.stream().sorted().toList();
         return sorted.get((int) Math.ceil(share * sorted.size()) - 1);
     }
 
     public int changes() {
-        return millis.size();
+        return answerTimesMs.size();
     }
 
     @Override
     public String toString() {
-        return changes() + " changes (" + lost + " lost a race), " + repeats + " repeats, " + killed
-                + " power losses; ms to"
-                + " a yes or no: half " + within(0.5) + ", 95 % " + within(0.95) + ", 99 % " + within(0.99) + ", all "
+        return changes() + " changes (" + lostRaces + " lost a race), " + repeats + " repeats, " + powerLosses
+                + " power losses; ms until"
+                + " answered: median " + within(0.5) + ", 95 % " + within(0.95) + ", 99 % " + within(0.99) + ", max "
                 + within(1)
-                + "; wrong " + wrong().size();
+                + "; errors " + wrong().size();
     }
 
-    /** day HOURS [SEED] */
+    /** Arguments: HOURS [SEED]. */
     public static void main(String[] args) throws ServiceException {
         Day day = new Day(args.length > 1 ? Long.parseLong(args[1]) : 1)
                 .run(
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
@@ -6,50 +6,56 @@
 import java.util.Map;
 import org.woadvale.common.http.Request;
 
-/** The platform's entry: a hash of the client picks a node of its zone, by what each says of its readiness. */
+/** The platform's load balancer: a hash of the client picks among the ready nodes of its zone. */
 final class Entry {
-    private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final Duration LOOK = Duration.ofMillis(800);
-    private static final int MISSES = 2;
+    private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration PROBE_TIMEOUT = Duration.ofMillis(800);
+    private static final int FAILED_PROBES_UNTIL_UNHEALTHY = 2;
     private final SimulatedPlatformFleet network;
-    private final Map<String, Integer> missed = new HashMap<>();
+    private final Map<String, Integer> failedProbes = new HashMap<>();
 
     Entry(SimulatedPlatformFleet network) {
         this.network = network;
-        look();
+        probe();
     }
 
-    private void look() {
-        network.intakes.forEach(n -> network.request(
-                n,
+    private void probe() {
+        network.intakes.forEach(node -> network.request(
+                node,
                 new Request("GET", "/-/readiness", Map.of(), new byte[0]),
-                LOOK,
-                response -> missed.merge(
-                        n, 1, (x, y) -> response.isPresent() && response.get().status() == 200 ? 0 : x + 1)));
-        network.sim.after(PERIOD, this::look);
+                PROBE_TIMEOUT,
+                response -> failedProbes.merge(
+                        node,
+                        1,
+                        (count, one) -> response.isPresent() && response.get().status() == 200 ? 0 : count + 1)));
+        network.sim.after(PROBE_INTERVAL, this::probe);
     }
 
-    private boolean in(String node) {
-        return missed.getOrDefault(node, 0) < MISSES;
+    private boolean healthy(String node) {
+        return failedProbes.getOrDefault(node, 0) < FAILED_PROBES_UNTIL_UNHEALTHY;
     }
 
-    /** Fewer than half of a zone's nodes in: all of them; none in: those of other zones. */
+    /**
+     * Picks among the healthy nodes of the zone; among all its nodes if fewer than half are healthy, and among those of
+     * other zones if none is.
+     */
     String forClient(int client, String zone) {
         List<String> nodesOfZone = network.intakes.stream()
-                .filter(n -> network.zone(n).equals(zone))
+                .filter(node -> network.zone(node).equals(zone))
                 .toList();
-        List<String> in = nodesOfZone.stream().filter(this::in).toList();
-        List<String> from = in.isEmpty() ? elsewhere() : in.size() * 2 < nodesOfZone.size() ? nodesOfZone : in;
-        return from.get(Math.floorMod(Integer.toString(client).hashCode() * 0x9E3779B9 >>> 7, from.size()));
+        List<String> healthy = nodesOfZone.stream().filter(this::healthy).toList();
+        List<String> candidates =
+                healthy.isEmpty() ? inAnyZone() : healthy.size() * 2 < nodesOfZone.size() ? nodesOfZone : healthy;
+        return candidates.get(Math.floorMod(Integer.toString(client).hashCode() * 0x9E3779B9 >>> 7, candidates.size()));
     }
 
     String any() {
-        List<String> from = elsewhere();
-        return from.get(network.sim.random().nextInt(from.size()));
+        List<String> candidates = inAnyZone();
+        return candidates.get(network.sim.random().nextInt(candidates.size()));
     }
 
-    private List<String> elsewhere() {
-        List<String> in = network.intakes.stream().filter(this::in).toList();
-        return in.isEmpty() ? network.intakes : in;
+    private List<String> inAnyZone() {
+        List<String> healthy = network.intakes.stream().filter(this::healthy).toList();
+        return healthy.isEmpty() ? network.intakes : healthy;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -10,46 +10,46 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * One scenario for each never-line: it brings about the failure that the line is meant for. (docs/design.md, section
- * 12.3)
+ * One scenario for each rule of {@code NeverList}, which brings about the failure that the rule guards against.
+ * (docs/design.md, section 12.3)
  */
 final class FailureScenarios {
-    private static final TestConfiguration SMALL = new TestConfiguration(3, 2, 20, 30, 26);
+    private static final TestConfiguration SMALL_CONFIGURATION = new TestConfiguration(3, 2, 20, 30, 26);
 
     private FailureScenarios() {}
 
-    private static FleetSimulation begun(long seed, TestConfiguration testConfiguration, FleetOverrides seams)
+    private static FleetSimulation startFleet(long seed, TestConfiguration testConfiguration, FleetOverrides overrides)
             throws ServiceException {
         FleetSimulation simulation =
-                new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING, seams).startAll();
+                new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING, overrides).startAll();
         simulation.w.sim.run(Duration.ofSeconds(2));
         return simulation;
     }
 
-    private static FleetSimulation over(FleetSimulation simulation) {
+    private static FleetSimulation finish(FleetSimulation simulation) {
         simulation.followWhatRan();
         simulation.settle(Duration.ofSeconds(120));
         return simulation;
     }
 
-    /** 01: all machines lose their power under traffic. */
-    static FleetSimulation powerLossEverywhere(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 01: all machines lose power under traffic. */
+    static FleetSimulation powerLossEverywhere(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(30);
         simulation.w.sim.run(Duration.ofSeconds(4));
         simulation.calm();
-        simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+        simulation.w.all().forEach(host -> simulation.w.host(host).powerLoss());
         simulation.w.sim.run(Duration.ofSeconds(1));
-        for (String h : simulation.w.all()) {
-            simulation.w.restart(h);
+        for (String host : simulation.w.all()) {
+            simulation.w.restart(host);
         }
         simulation.w.sim.run(Duration.ofSeconds(8));
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 02: processors do the work, and then something breaks. */
-    static FleetSimulation errorsAfterTheWork(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 02: processors execute the messages, and then answer half of them with an error. */
+    static FleetSimulation errorsAfterTheWork(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation
                 .w
                 .backends
@@ -57,25 +57,25 @@
                 .forEach(backend -> backend.behave(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
         simulation.traffic(15);
         simulation.w.sim.run(Duration.ofSeconds(6));
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 03: the stores hear an intake, but it does not hear them. */
-    static FleetSimulation answersDoNotComeBack(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 03: the stores receive an intake's requests, but their responses do not reach it. */
+    static FleetSimulation answersDoNotComeBack(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(30);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.stores.forEach(s -> simulation.w.net.cutOneWay(s, simulation.w.intakes.get(0)));
+        simulation.w.stores.forEach(store -> simulation.w.net.cutOneWay(store, simulation.w.intakes.get(0)));
         simulation.w.sim.run(Duration.ofSeconds(5));
         simulation.calm();
         simulation.w.sim.run(Duration.ofSeconds(7));
         simulation.w.net.heal();
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 04: work that takes longer than an attempt may. */
-    static FleetSimulation workLongerThanAnAttempt(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 04: executions take longer than the time limit of an attempt. */
+    static FleetSimulation workLongerThanAnAttempt(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation
                 .w
                 .backends
@@ -86,25 +86,25 @@
         simulation.calm();
         simulation.w.sim.run(Duration.ofSeconds(20));
         simulation.w.backends.values().forEach(backend -> backend.behave(Backend.Manner.good()));
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 05: the streams between an intake and the stores stall for a minute under a tenant's flood. */
-    static FleetSimulation stalledStreams(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
-        String i = simulation.w.intakes.get(0);
-        reachEveryStore(simulation, i);
-        simulation.w.stores.forEach(s -> simulation.w.net.stall(i, s));
+    /** 05: the streams between an intake and the stores stall for a minute while a tenant floods it. */
+    static FleetSimulation stalledStreams(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
+        String intake = simulation.w.intakes.get(0);
+        reachEveryStore(simulation, intake);
+        simulation.w.stores.forEach(store -> simulation.w.net.stall(intake, store));
         for (int ms = 0; ms < 60000; ms += 50) {
-            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, List.of(i)));
+            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, List.of(intake)));
         }
         simulation.w.sim.run(Duration.ofSeconds(60));
         simulation.w.net.heal();
         simulation.w.sim.run(Duration.ofSeconds(2));
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** An intake has streams to all stores, and knows their clocks, once so many of its messages were accepted. */
+    /** Submits messages until so many are accepted that the intake has streams to all stores and knows their clocks. */
     private static void reachEveryStore(FleetSimulation simulation, String intake) {
         int messages = 20;
         for (int n = 0; n < messages; n++) {
@@ -116,37 +116,39 @@
             simulation.w.sim.run(Duration.ofMillis(100));
         }
         FleetSimulation.require(
-                simulation.kinds().getOrDefault("accepted", 0L) >= messages, "the intake has not reached the stores");
+                simulation.kinds().getOrDefault("accepted", 0L) >= messages,
+                "too few submissions were accepted for the intake to have reached every store");
     }
 
-    /** 06: streams to an endpoint open after anything up to 3 s, all at once in the end. */
-    static FleetSimulation streamsThatOpenSlowly(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, new TestConfiguration(3, 1, 60, 60, 26), seams);
+    /** 06: streams to an endpoint take up to 3 s to open, and then all open at the same moment. */
+    static FleetSimulation streamsThatOpenSlowly(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, new TestConfiguration(3, 1, 60, 60, 26), overrides);
         for (int ms = 0; ms < 14000; ms += 20) {
             simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
         }
-        String e = TestConfiguration.endpoint(0);
+        String endpoint = TestConfiguration.endpoint(0);
         for (int ms = 0; ms < 3000; ms += 50) {
-            Duration left = Duration.ofMillis(3000 - ms);
-            simulation.w.sim.after(Duration.ofMillis(7000 + ms), () -> simulation.w.post.slowStreams(e, left));
+            Duration remaining = Duration.ofMillis(3000 - ms);
+            simulation.w.sim.after(
+                    Duration.ofMillis(7000 + ms), () -> simulation.w.post.slowStreams(endpoint, remaining));
         }
-        simulation.w.sim.after(Duration.ofMillis(10000), () -> simulation.w.post.slowStreams(e, Duration.ZERO));
+        simulation.w.sim.after(Duration.ofMillis(10000), () -> simulation.w.post.slowStreams(endpoint, Duration.ZERO));
         simulation.w.sim.run(Duration.ofSeconds(14));
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** The nodes of a zone hear nothing from the core any more; among themselves they do. */
-    private static void outOfTouch(FleetSimulation simulation, int zone) {
-        for (String n : List.of(simulation.w.intakes.get(zone), simulation.w.stores.get(zone))) {
-            simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, n));
+    /** Cuts a zone's nodes off from the core; all other links stay up. */
+    private static void cutOffFromCore(FleetSimulation simulation, int zone) {
+        for (String node : List.of(simulation.w.intakes.get(zone), simulation.w.stores.get(zone))) {
+            simulation.w.controlNodes.forEach(controlNode -> simulation.w.net.cut(controlNode, node));
         }
     }
 
     /**
-     * Its intake goes on getting passes for the tenant that is used here, so that nothing but old subscriptions can
-     * stop it.
+     * A zone whose intake does not own the token bucket of the tenant used here. After the cut it still gets tokens for
+     * that tenant, so only the age of its views can make it refuse messages.
      */
-    private static int hallOfAnotherThanTheHolder(FleetSimulation simulation) {
+    private static int zoneWithoutTenantBucket(FleetSimulation simulation) {
         return simulation
                         .w
                         .dataPlaneNode(simulation.w.intakes.get(0))
@@ -156,123 +158,126 @@
                 : 0;
     }
 
-    /** 07: a key is withdrawn while a zone is out of touch; it goes on being used, also for reads. */
-    static FleetSimulation keyWithdrawnOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 07: a key is withdrawn while a zone is cut off from the core; it stays in use, also for reads. */
+    static FleetSimulation keyWithdrawnOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         new ConfigurationOperator(simulation).withdraw();
         simulation.w.sim.run(Duration.ofMillis(1800));
-        outOfTouch(simulation, hallOfAnotherThanTheHolder(simulation));
+        cutOffFromCore(simulation, zoneWithoutTenantBucket(simulation));
         simulation.w.sim.run(Duration.ofSeconds(16));
         simulation.w.net.heal();
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 08: a lane is added and taken away again while a zone is out of touch. */
-    static FleetSimulation lanesChangedOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 08: a lane is added, and removed again while a zone is cut off from the core. */
+    static FleetSimulation lanesChangedOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         ConfigurationOperator operator = new ConfigurationOperator(simulation);
         operator.change();
         simulation.w.sim.run(Duration.ofSeconds(4));
-        outOfTouch(simulation, hallOfAnotherThanTheHolder(simulation));
+        cutOffFromCore(simulation, zoneWithoutTenantBucket(simulation));
         operator.change();
         simulation.w.sim.run(Duration.ofSeconds(9));
         simulation.w.net.heal();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        return over(simulation);
+        return finish(simulation);
     }
 
     /**
-     * 09: the owner of the configuration is cut off from the other control nodes; another configuration is taken; then
-     * it is read there.
+     * 09: the leader of the configuration partition is cut off; the other control nodes accept a new configuration; then
+     * the configuration is read from the former leader and from another node.
      */
-    static FleetSimulation ownerOfTheLayoutCutOff(long seed, FleetOverrides seams, AtomicReference<String> cut)
+    static FleetSimulation ownerOfTheLayoutCutOff(long seed, FleetOverrides overrides, AtomicReference<String> cut)
             throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
-        String owner = simulation.w.controlNodes.stream()
-                .filter(l -> simulation.w.controlNode(l).replica("c0").isActiveLeader())
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
+        String leader = simulation.w.controlNodes.stream()
+                .filter(controlNode ->
+                        simulation.w.controlNode(controlNode).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        simulation.w.net.cutOff(owner);
-        cut.set(owner);
+        simulation.w.net.cutOff(leader);
+        cut.set(leader);
         simulation.w.sim.run(Duration.ofSeconds(4));
-        List<String> others =
-                simulation.w.controlNodes.stream().filter(l -> !l.equals(owner)).toList();
+        List<String> others = simulation.w.controlNodes.stream()
+                .filter(controlNode -> !controlNode.equals(leader))
+                .toList();
         new ConfigurationOperator(simulation).changeAt(others);
         simulation.w.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
-            simulation.readAt(owner);
+            simulation.readAt(leader);
             simulation.readAt(others.get(0));
             simulation.w.sim.run(Duration.ofSeconds(1));
         }
         cut.set("");
         simulation.w.net.heal();
-        return over(simulation);
+        return finish(simulation);
     }
 
     /**
-     * 10: processors are marked as leaving while no store hears the core; some have their subscriptions from themselves
-     * only.
+     * 10: processors are marked as leaving while no store is connected to the core. A store that is its own home node for
+     * a view has no other node to get it from.
      */
-    static FleetSimulation markedOutOfTouch(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    static FleetSimulation markedOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(40);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.stores.forEach(s -> simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, s)));
+        simulation.w.stores.forEach(
+                store -> simulation.w.controlNodes.forEach(controlNode -> simulation.w.net.cut(controlNode, store)));
         simulation.list("p0", true);
         simulation.list("p1", true);
         simulation.w.sim.run(Duration.ofSeconds(10));
         simulation.w.net.heal();
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** 11: something in between answers "200" in the name of the endpoints, and does nothing. */
-    static FleetSimulation somethingInBetween(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    /** 11: a middlebox answers "200" in place of the endpoints, and forwards nothing. */
+    static FleetSimulation somethingInBetween(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.w.post.middlebox(true);
         simulation.traffic(15);
         simulation.w.sim.run(Duration.ofSeconds(5));
         simulation.w.post.middlebox(false);
-        return over(simulation);
+        return finish(simulation);
     }
 
     /**
-     * 12: two full outages in a row; back means every tenant and every part. From the second a control node and a store
-     * come back late, so their parts have to wait out their leases.
+     * 12: two full outages in a row, each over once every tenant is served in every partition. After the second one a
+     * control node and a store restart late, so that their partitions must wait until their leases have expired.
      */
-    static FleetSimulation twoOutages(long seed, FleetOverrides seams) throws ServiceException {
-        FleetSimulation simulation = begun(seed, SMALL, seams);
+    static FleetSimulation twoOutages(long seed, FleetOverrides overrides) throws ServiceException {
+        FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         for (int i = 0; i < 2; i++) {
             simulation.traffic(20);
             simulation.w.sim.run(Duration.ofSeconds(3));
             simulation.calm();
-            simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+            simulation.w.all().forEach(host -> simulation.w.host(host).powerLoss());
             simulation.w.sim.run(Duration.ofSeconds(1));
             List<String> late =
                     i == 0 ? List.of() : List.of(simulation.w.controlNodes.get(0), simulation.w.stores.get(0));
-            for (String h : simulation.w.all()) {
-                if (!late.contains(h)) {
-                    simulation.w.restart(h);
+            for (String host : simulation.w.all()) {
+                if (!late.contains(host)) {
+                    simulation.w.restart(host);
                 }
             }
             awaitReturn(simulation);
-            for (String h : late) {
-                simulation.w.restart(h);
+            for (String host : late) {
+                simulation.w.restart(host);
             }
         }
-        return over(simulation);
+        return finish(simulation);
     }
 
-    /** Until a submission of every tenant in every part, sent since, was accepted. */
+    /** Waits until every tenant has had a submission accepted in every partition, sent after the restart. */
     static Duration awaitReturn(FleetSimulation simulation) {
         Duration restarted = simulation.w.sim.now();
         simulation.w.sim.runUntil(
                 () -> {
-                    for (int t = 0; t < simulation.w.testConfiguration.tenants(); t++) {
+                    for (int tenant = 0; tenant < simulation.w.testConfiguration.tenants(); tenant++) {
                         for (int n = 0; n < 2; n++) {
-                            simulation.plain(t);
+                            simulation.plain(tenant);
                         }
                     }
-                    long seen = simulation.w.seen.submitted.stream()
+                    long served = simulation.w.seen.submitted.stream()
                             .filter(submitted -> submitted.said() == Observations.Said.ACCEPTED
                                     && submitted.sent().compareTo(restarted) > 0)
                             .map(submitted -> submitted.tenant()
@@ -281,7 +286,7 @@
                                             .substring(0, submitted.handle().indexOf('-')))
                             .distinct()
                             .count();
-                    return seen >= (long) ServiceNames.MESSAGE_PARTITIONS * simulation.w.testConfiguration.tenants();
+                    return served >= (long) ServiceNames.MESSAGE_PARTITIONS * simulation.w.testConfiguration.tenants();
                 },
                 Duration.ofSeconds(40));
         simulation.w.seen.saw(simulation.w.seen.outages, new Observations.Outage(restarted, simulation.w.sim.now()));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
@@ -12,11 +12,11 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** What one tenant's excess does to the others: their accepted share and their delay, on the fake clock. */
+/** Measures, in simulated time, how one tenant's excess load affects the others' accepted share and delay. */
 public final class Fairness {
     private Fairness() {}
 
-    /** Seen by the tenants other than the first. */
+    /** Results of the tenants other than tenant 0; {@code failed} and {@code queueFull} count all tenants. */
     public record Others(
             double acceptedShare,
             Duration median,
@@ -25,7 +25,10 @@
             long queueFull,
             List<String> violations) {}
 
-    /** Tenant 0 sends many times the others' load; trouble makes the back ends slow or useless for it. */
+    /**
+     * Tenant 0 submits {@code flood} messages/s, the others 12 together. The processors behave as {@code manner} says, and
+     * all back ends are down for {@code allDown}.
+     */
     public static Others run(long seed, double flood, Backend.Manner manner, Duration allDown) throws ServiceException {
         TestConfiguration testConfiguration = new TestConfiguration(4, 2, 40, 60, 26);
         FleetSimulation simulation =
@@ -35,8 +38,8 @@
                 .filter(entry -> entry.getKey().startsWith("p"))
                 .forEach(entry -> entry.getValue().behave(manner));
         Duration begun = simulation.w.sim.now();
-        every(simulation, 1, 3, 12, begun.plus(Duration.ofSeconds(20)));
-        every(simulation, 0, 0, flood, begun.plus(Duration.ofSeconds(20)));
+        submitRegularly(simulation, 1, 3, 12, begun.plus(Duration.ofSeconds(20)));
+        submitRegularly(simulation, 0, 0, flood, begun.plus(Duration.ofSeconds(20)));
         if (!allDown.isZero()) {
             simulation.w.sim.after(
                     Duration.ofSeconds(4),
@@ -47,11 +50,11 @@
         }
         simulation.w.sim.run(Duration.ofSeconds(20));
         boolean settled = simulation.settle(Duration.ofSeconds(200));
-        return figures(simulation, settled);
+        return results(simulation, settled);
     }
 
-    /** Messages of the lane without ordering, of tenants in turn. */
-    private static void every(
+    /** Submits to the lane without ordering at a fixed rate, each time for a random tenant of the range. */
+    private static void submitRegularly(
             FleetSimulation simulation, int fromTenant, int toTenant, double perSecond, Duration until) {
         if (simulation.w.sim.now().compareTo(until) >= 0) {
             return;
@@ -60,21 +63,21 @@
         simulation.plain(tenant);
         simulation.w.sim.after(
                 Duration.ofNanos((long) (1e9 / perSecond)),
-                () -> every(simulation, fromTenant, toTenant, perSecond, until));
+                () -> submitRegularly(simulation, fromTenant, toTenant, perSecond, until));
     }
 
-    private static Others figures(FleetSimulation simulation, boolean settled) {
+    private static Others results(FleetSimulation simulation, boolean settled) {
         Map<String, Duration> begun = new HashMap<>();
         simulation.w.seen.ran.forEach(
                 ran -> begun.merge(ran.handle(), ran.begun(), (a, b) -> a.compareTo(b) < 0 ? a : b));
         List<Duration> delays = new ArrayList<>();
         long accepted = 0;
-        long all = 0;
-        long full = 0;
+        long submissions = 0;
+        long queueFull = 0;
         for (Observations.Submitted submitted : simulation.w.seen.submitted) {
-            full += submitted.kind().equals("queue_full") ? 1 : 0;
+            queueFull += submitted.kind().equals("queue_full") ? 1 : 0;
             if (!submitted.tenant().equals(TestConfiguration.tenant(0))) {
-                all++;
+                submissions++;
                 if (submitted.said() == Observations.Said.ACCEPTED) {
                     accepted++;
                     delays.add(begun.getOrDefault(submitted.handle(), simulation.w.sim.now())
@@ -88,17 +91,17 @@
                 .map(Observations.Shown::handle)
                 .distinct()
                 .count();
-        List<String> bad = new ArrayList<>(simulation.violations());
+        List<String> violations = new ArrayList<>(simulation.violations());
         if (!settled) {
-            bad.add("not all ended");
+            violations.add("not all messages ended");
         }
         return new Others(
-                accepted / (double) Math.max(1, all),
+                accepted / (double) Math.max(1, submissions),
                 delays.get(delays.size() / 2),
                 delays.get(delays.size() * 95 / 100),
                 failed,
-                full,
-                bad);
+                queueFull,
+                violations);
     }
 
     public static void main(String[] args) throws ServiceException {
@@ -127,6 +130,6 @@
                 others.failed(),
                 others.queueFull(),
                 others.violations().size());
-        others.violations().stream().limit(3).forEach(x -> System.out.println("    " + x));
+        others.violations().stream().limit(3).forEach(violation -> System.out.println("    " + violation));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
@@ -2,7 +2,7 @@
 
 import org.woadvale.common.error.ServiceException;
 
-/** One failure of a faultStorm. */
+/** One fault of a {@link FaultStorm}. */
 interface FaultInjection {
     void strike() throws ServiceException;
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -17,10 +17,11 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * One seeded run with random failures, alone and together; a last one right at the end; then every message asked for.
+ * A seeded run with random faults, single and overlapping, the last one right before the end. Then every message is
+ * queried until it has ended.
  */
 public final class FaultStorm {
-    /** A fleet and its load. */
+    /** The size of a fleet and its load. */
     public enum Size {
         SMALL(3, 0, 3, 4, 25, new TestConfiguration(3, 2, 20, 30, 26)),
         LANKAVIDYA(8, 3, 3, 8, 150, new TestConfiguration(8, 12, 45, 60, 26)),
@@ -48,7 +49,7 @@
             this.testConfiguration = testConfiguration;
         }
 
-        /** The small fleet has three or four stores, by seed. */
+        /** The number of stores; the small fleet has three or four, depending on the seed. */
         int stores(long seed) {
             return stores == 0 ? 3 + (int) (seed % 2) : stores;
         }
@@ -83,13 +84,13 @@
         new ProcessorFaults(simulation, random, seed % 4 == 3).into(faults);
     }
 
-    private void strike(List<String> names) throws ServiceException {
+    private void injectRandom(List<String> names) throws ServiceException {
         String name = names.get(random.nextInt(names.size()));
         log.add(fleet.sim.now().toMillis() + " " + name);
         faults.get(name).strike();
     }
 
-    /** The violations seen; empty when all went well. */
+    /** Runs the storm and returns the violations found; empty if there are none. */
     public List<String> run() throws ServiceException {
         return run(Duration.ofSeconds(25));
     }
@@ -103,28 +104,28 @@
         Duration end = fleet.sim.now().plus(length);
         while (fleet.sim.now().compareTo(end) < 0) {
             fleet.sim.run(Duration.ofMillis(300 + random.nextInt(2500)));
-            strike(names);
+            injectRandom(names);
             simulation.read();
             fleet.seenVersions();
         }
         simulation.calm();
-        strike(names);
+        injectRandom(names);
         fleet.sim.run(Duration.ofSeconds(8));
         fleet.net.heal();
         fleet.net.setLossAndDuplication(0, 0);
         fleet.post.answerLoss(0);
-        for (String h : fleet.all()) {
-            fleet.restart(h);
+        for (String host : fleet.all()) {
+            fleet.restart(host);
         }
         fleet.sim.run(Duration.ofSeconds(3));
         simulation.read();
-        List<String> out = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         simulation.followWhatRan();
         if (!simulation.settle(Duration.ofSeconds(200))) {
-            out.add("not ended: " + simulation.firstOpen());
+            violations.add("not ended: " + simulation.firstOpen());
         }
-        out.addAll(simulation.violations());
-        return out;
+        violations.addAll(simulation.violations());
+        return violations;
     }
 
     void watchAnswers(BiConsumer<Request, Response> watcher) {
@@ -143,37 +144,38 @@
         return simulation.kinds();
     }
 
-    /** fault storm FROM TO [SIZE [SECONDS]]: a sweep over seeds; exits non-zero if any failed. */
+    /** Arguments: FROM TO [SIZE [SECONDS]]. Runs a range of seeds; exits non-zero if any failed. */
     public static void main(String[] args) {
         long from = args.length > 0 ? Long.parseLong(args[0]) : 1;
         long to = args.length > 1 ? Long.parseLong(args[1]) : 20;
         Size size = args.length > 2 ? Size.valueOf(args[2].toUpperCase(Locale.ROOT)) : Size.SMALL;
         Duration length = Duration.ofSeconds(args.length > 3 ? Long.parseLong(args[3]) : 25);
         Map<Long, List<String>> failed = new ConcurrentSkipListMap<>();
-        Map<String, Long> kinds = new TreeMap<>();
-        Map<String, Long> struck = new TreeMap<>();
+        Map<String, Long> answerCounts = new TreeMap<>();
+        Map<String, Long> faultCounts = new TreeMap<>();
         LongStream.rangeClosed(from, to).parallel().forEach(seed -> {
-            List<String> bad;
+            List<String> violations;
             try {
                 FaultStorm storm = new FaultStorm(seed, size);
-                bad = storm.run(length);
-                synchronized (kinds) {
-                    storm.kinds().forEach((k, n) -> kinds.merge(k, n, Long::sum));
+                violations = storm.run(length);
+                synchronized (answerCounts) {
+                    storm.kinds().forEach((answer, count) -> answerCounts.merge(answer, count, Long::sum));
                     storm.log().stream()
-                            .filter(l -> Character.isDigit(l.charAt(0)))
-                            .forEach(l -> struck.merge(l.substring(l.indexOf(' ') + 1), 1L, Long::sum));
+                            .filter(line -> Character.isDigit(line.charAt(0)))
+                            .forEach(line -> faultCounts.merge(line.substring(line.indexOf(' ') + 1), 1L, Long::sum));
                 }
             } catch (ServiceException | RuntimeException e) {
-                bad = List.of("threw " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
+                violations =
+                        List.of("threw " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : ""));
             }
-            if (!bad.isEmpty()) {
-                failed.put(seed, bad);
+            if (!violations.isEmpty()) {
+                failed.put(seed, violations);
             }
         });
-        failed.forEach((seed, bad) -> System.out.println(
-                "seed " + seed + ": " + bad.size() + " " + bad.stream().limit(3).toList()));
-        System.out.println("Hand-ins by answer: " + kinds);
-        System.out.println("Blows: " + struck);
+        failed.forEach((seed, violations) -> System.out.println("seed " + seed + ": " + violations.size() + " "
+                + violations.stream().limit(3).toList()));
+        System.out.println("Submissions by answer: " + answerCounts);
+        System.out.println("Faults injected: " + faultCounts);
         System.out.println(size + " seeds " + from + ".." + to + ": " + failed.size() + " failed.");
         System.exit(failed.isEmpty() ? 0 : 1);
     }
