--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -8,22 +8,22 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Request;
 
-/** What fails of the system itself: machines, disks, links. */
+/** Faults of the system itself: machines, disks and links. */
 final class MachineFaults {
-    private static final Duration CALM_AFTER_LOSS = Duration.ofSeconds(15);
-    private static final Duration CALM_AFTER_REPLACEMENT = Duration.ofSeconds(40);
+    private static final Duration REPAIR_TIME_AFTER_DISK_LOSS = Duration.ofSeconds(15);
+    private static final Duration REPAIR_TIME_AFTER_REPLACEMENT = Duration.ofSeconds(40);
     private final FleetSimulation simulation;
     private final SimulatedFleet fleet;
     private final Random random;
     private final List<String> log;
-    private Duration noLossBefore;
+    private Duration nextLossPermitted;
 
     MachineFaults(FleetSimulation simulation, Random random, List<String> log) {
         this.simulation = simulation;
         this.fleet = simulation.w;
         this.random = random;
         this.log = log;
-        this.noLossBefore = fleet.sim.now();
+        this.nextLossPermitted = fleet.sim.now();
     }
 
     void into(Map<String, FaultInjection> faults) {
@@ -31,29 +31,33 @@
         faults.put("power loss", this::powerLoss);
         faults.put("pause", this::pause);
         faults.put("cut off", this::cutOff);
-        faults.put("one-way cut", () -> healing(() -> fleet.net.cutOneWay(any(fleet.all()), any(fleet.all()))));
-        faults.put("stalled streams", () -> healing(() -> fleet.net.stall(any(fleet.intakes), any(fleet.stores))));
-        faults.put("bad weather", () -> fleet.net.setLossAndDuplication(0.05, 0.02));
+        faults.put(
+                "one-way cut",
+                () -> injectAndHeal(() -> fleet.net.cutOneWay(pickOne(fleet.all()), pickOne(fleet.all()))));
+        faults.put(
+                "stalled streams",
+                () -> injectAndHeal(() -> fleet.net.stall(pickOne(fleet.intakes), pickOne(fleet.stores))));
+        faults.put("frame loss and duplication", () -> fleet.net.setLossAndDuplication(0.05, 0.02));
         faults.put("lost disk", this::wipe);
         faults.put("store lost for good", this::loseStore);
         faults.put("control node lost for good", this::loseControlNode);
-        faults.put("drain", () -> drain(any(fleet.stores)));
-        faults.put("holder drained", () -> drain(any(fleet.intakes)));
-        faults.put("stores in turn", this::inTurn);
-        faults.put("hall off", this::zoneOff);
+        faults.put("drain", () -> drain(pickOne(fleet.stores)));
+        faults.put("intake drained", () -> drain(pickOne(fleet.intakes)));
+        faults.put("rolling drain of stores", this::rollingDrain);
+        faults.put("zone power loss", this::zonePowerLoss);
         faults.put("outage", this::outage);
     }
 
-    private String any(List<String> from) {
+    private String pickOne(List<String> from) {
         return from.get(random.nextInt(from.size()));
     }
 
-    private Duration some() {
+    private Duration randomDuration() {
         return Duration.ofMillis(500 + random.nextInt(7000));
     }
 
-    private void later(Duration d, FaultInjection faultInjection) {
-        fleet.sim.after(d, () -> {
+    private void schedule(Duration delay, FaultInjection faultInjection) {
+        fleet.sim.after(delay, () -> {
             try {
                 faultInjection.strike();
             } catch (ServiceException failure) {
@@ -62,104 +66,104 @@
         });
     }
 
-    private void healing(FaultInjection faultInjection) throws ServiceException {
+    private void injectAndHeal(FaultInjection faultInjection) throws ServiceException {
         faultInjection.strike();
-        later(some(), fleet.net::heal);
+        schedule(randomDuration(), fleet.net::heal);
     }
 
     private void kill() {
-        String h = any(fleet.all());
-        log.add("kill " + h);
-        fleet.kill(h);
-        later(some(), () -> fleet.restart(h));
+        String node = pickOne(fleet.all());
+        log.add("kill " + node);
+        fleet.kill(node);
+        schedule(randomDuration(), () -> fleet.restart(node));
     }
 
     private void powerLoss() {
-        String h = any(fleet.all());
-        log.add("power " + h);
-        fleet.host(h).powerLoss();
-        later(some(), () -> fleet.restart(h));
+        String node = pickOne(fleet.all());
+        log.add("power " + node);
+        fleet.host(node).powerLoss();
+        schedule(randomDuration(), () -> fleet.restart(node));
     }
 
     private void pause() {
-        fleet.host(any(fleet.all())).pause(some());
+        fleet.host(pickOne(fleet.all())).pause(randomDuration());
     }
 
     private void cutOff() throws ServiceException {
-        healing(() -> fleet.net.cutOff(any(fleet.all())));
+        injectAndHeal(() -> fleet.net.cutOff(pickOne(fleet.all())));
     }
 
-    /** One disk at a time, as the brief asks; the next only once repair had time. */
-    private boolean mayLose(Duration calm) {
-        boolean may = fleet.sim.now().compareTo(noLossBefore) >= 0 && fleet.repaired();
-        if (may) {
-            noLossBefore = fleet.sim.now().plus(calm);
+    /** Permits one disk loss at a time, as the brief requires; the next only after time for the repair has passed. */
+    private boolean lossPermitted(Duration repairTime) {
+        boolean permitted = fleet.sim.now().compareTo(nextLossPermitted) >= 0 && fleet.repaired();
+        if (permitted) {
+            nextLossPermitted = fleet.sim.now().plus(repairTime);
         }
-        return may;
+        return permitted;
     }
 
     private void wipe() {
-        if (mayLose(CALM_AFTER_LOSS)) {
-            String h = any(random.nextBoolean() ? fleet.presentStores() : fleet.presentControlNodes());
-            log.add("wipe " + h);
-            fleet.kill(h);
-            fleet.host(h).disk.wipe();
-            later(some(), () -> fleet.restart(h));
+        if (lossPermitted(REPAIR_TIME_AFTER_DISK_LOSS)) {
+            String node = pickOne(random.nextBoolean() ? fleet.presentStores() : fleet.presentControlNodes());
+            log.add("wipe " + node);
+            fleet.kill(node);
+            fleet.host(node).disk.wipe();
+            schedule(randomDuration(), () -> fleet.restart(node));
         }
     }
 
     private void loseStore() {
-        if (mayLose(CALM_AFTER_REPLACEMENT)) {
-            String h = any(fleet.presentStores());
-            log.add("lost " + h);
-            fleet.lose(h);
-            later(some(), fleet::newStore);
+        if (lossPermitted(REPAIR_TIME_AFTER_REPLACEMENT)) {
+            String node = pickOne(fleet.presentStores());
+            log.add("lost " + node);
+            fleet.lose(node);
+            schedule(randomDuration(), fleet::newStore);
         }
     }
 
     private void loseControlNode() {
-        if (mayLose(CALM_AFTER_REPLACEMENT)) {
-            String h = any(fleet.presentControlNodes());
-            log.add("lost " + h);
-            fleet.lose(h);
-            later(some(), () -> {
-                String fresh = fleet.newControlNodeFirstSettings();
+        if (lossPermitted(REPAIR_TIME_AFTER_REPLACEMENT)) {
+            String node = pickOne(fleet.presentControlNodes());
+            log.add("lost " + node);
+            fleet.lose(node);
+            schedule(randomDuration(), () -> {
+                String replacement = fleet.newControlNodeFirstSettings();
                 simulation.operate(
                         new Request(
                                 "PUT",
                                 "/v1/core",
                                 Map.of(),
                                 Configurations.write(Map.of("lighthouses", fleet.presentControlNodes()))),
-                        response -> log.add("core " + response.status() + " with " + fresh));
+                        response -> log.add("core " + response.status() + " with " + replacement));
             });
         }
     }
 
-    private void drain(String h) {
-        if (fleet.host(h).alive()) {
-            fleet.dataPlaneNode(h).drain();
-            later(Duration.ofSeconds(2), () -> fleet.kill(h));
-            later(Duration.ofSeconds(4), () -> fleet.restart(h));
+    private void drain(String node) {
+        if (fleet.host(node).alive()) {
+            fleet.dataPlaneNode(node).drain();
+            schedule(Duration.ofSeconds(2), () -> fleet.kill(node));
+            schedule(Duration.ofSeconds(4), () -> fleet.restart(node));
         }
     }
 
-    private void inTurn() {
+    private void rollingDrain() {
         List<String> stores = fleet.presentStores();
         for (int i = 0; i < stores.size(); i++) {
-            String s = stores.get(i);
-            later(Duration.ofSeconds(6L * i), () -> drain(s));
+            String store = stores.get(i);
+            schedule(Duration.ofSeconds(6L * i), () -> drain(store));
         }
     }
 
-    /** All machines of a zone lose power together and come back together. */
-    private void zoneOff() {
-        String zone = fleet.zone(any(fleet.all()));
-        List<String> there =
+    /** All machines of a zone lose power and restart at the same time. */
+    private void zonePowerLoss() {
+        String zone = fleet.zone(pickOne(fleet.all()));
+        List<String> nodes =
                 fleet.all().stream().filter(h -> fleet.zone(h).equals(zone)).toList();
         log.add("off " + zone);
-        there.forEach(h -> fleet.host(h).powerLoss());
-        later(some(), () -> {
-            for (String h : there) {
+        nodes.forEach(h -> fleet.host(h).powerLoss());
+        schedule(randomDuration(), () -> {
+            for (String h : nodes) {
                 fleet.restart(h);
             }
         });
@@ -171,7 +175,7 @@
         }
         log.add("outage");
         fleet.all().forEach(h -> fleet.host(h).powerLoss());
-        later(Duration.ofMillis(500), () -> {
+        schedule(Duration.ofMillis(500), () -> {
             for (String h : fleet.all()) {
                 fleet.restart(h);
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -33,10 +33,10 @@
 import org.woadvale.testkit.stub.Observations;
 import reactor.core.publisher.Mono;
 
-/** The machines of a simulated fleet, whatever runs on them. */
+/** The machines of a simulated fleet, independent of the nodes that run on them. */
 public abstract class Machines {
     static final int RING_FILES = 8;
-    private static final Duration CONNECT = Duration.ofSeconds(1);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     public final Simulator sim;
     public final SimNet net;
     public final List<String> controlNodes = new ArrayList<>();
@@ -44,10 +44,10 @@
     public final List<String> intakes = new ArrayList<>();
     final Map<String, Host> hosts = new LinkedHashMap<>();
     final Set<String> lost = new HashSet<>();
-    private final Set<String> startedBefore = new HashSet<>();
+    private final Set<String> startedSeeds = new HashSet<>();
     private final Map<String, String> zones = new HashMap<>();
     private final int zoneCount;
-    private BiConsumer<Request, Response> answers = (request, answer) -> {};
+    private BiConsumer<Request, Response> responseWatcher = (request, response) -> {};
 
     Machines(Simulator sim, int zoneCount) {
         this.sim = sim;
@@ -55,12 +55,12 @@
         this.zoneCount = zoneCount;
     }
 
-    /** What a node is started with on its machine. */
+    /** The dependencies with which a node is started on its machine. */
     record NodeStart(RpcRouter router, NodeEnvironment environment, CoreClient core) {}
 
-    /** Starts the process of a machine on what its disk holds; machines without a role that stores have no log. */
+    /** Starts the process of a machine from the content of its disk; machines whose role stores nothing have no log. */
     NodeStart boot(
-            String address, FleetOverrides overrides, int ringBytes, ReplicationTiming timing, List<String> knownSeeds)
+            String address, FleetOverrides overrides, int ringBytes, ReplicationTiming timing, List<String> seeds)
             throws ServiceException {
         Host host = hosts.get(address);
         boolean controlNode = controlNodes.contains(address);
@@ -73,7 +73,7 @@
         WriteAheadLog wal = controlNode || stores.contains(address)
                 ? RingWriteAheadLog.open(overrides.disk().apply(address, host.disk), host, RING_FILES, ringBytes)
                 : new DisabledWriteAheadLog();
-        wal.onFailure(why -> host.kill());
+        wal.onFailure(cause -> host.kill());
         NodeEnvironment environment = new NodeEnvironment(
                 overrides.clock().apply(address, host),
                 host,
@@ -82,22 +82,22 @@
                 wal,
                 sim.random()::nextLong,
                 overrides.timing().apply(timing));
-        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, knownSeeds, CoreMembers.unknown(), members -> {});
+        CoreClient core = new CoreClient(rpc, sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
         return new NodeStart(router, environment, core);
     }
 
     /**
-     * The members that the settings of a control node name for the founding of the core: the seeds, on the seeds' own
-     * first start. Later settings say that the node joins a running core, whatever has become of its disk.
+     * The initial core members in the settings of a control node: the seeds, on the first start of a seed. On later
+     * starts the settings make the node join the running core, even if its disk was lost.
      */
     List<String> foundingMembers(String address, List<String> seeds) {
-        return seeds.contains(address) && startedBefore.add(address) ? seeds : List.of();
+        return seeds.contains(address) && startedSeeds.add(address) ? seeds : List.of();
     }
 
     /** Starts the node of a machine. */
     public abstract void start(String address) throws ServiceException;
 
-    /** Starts it again, unless it runs or is gone for good. */
+    /** Restarts the node of a machine, unless it runs or the machine is permanently lost. */
     public void restart(String address) throws ServiceException {
         if (!lost.contains(address) && !hosts.get(address).alive()) {
             start(address);
@@ -116,7 +116,7 @@
         return hosts.get(address);
     }
 
-    /** Gone for good. */
+    /** Kills a machine permanently: it is never restarted. */
     public void lose(String address) {
         kill(address);
         lost.add(address);
@@ -146,41 +146,41 @@
         return List.copyOf(hosts.keySet());
     }
 
-    /** Sees each answer that a machine makes to a request from outside. */
+    /** Calls the watcher for each response of a machine to a request from outside the fleet. */
     public void watchAnswers(BiConsumer<Request, Response> watcher) {
-        answers = watcher;
+        responseWatcher = watcher;
     }
 
-    /** A request from outside to one machine; no answer at all if it dies or stays away. */
-    void reach(
+    /** Sends a request from outside the fleet to one machine; empty if no response arrives within the limit. */
+    void requestFromOutside(
             String to,
             Request request,
-            Supplier<Mono<Response>> door,
-            Duration limit,
+            Supplier<Mono<Response>> handler,
+            Duration timeout,
             Consumer<Optional<Response>> then) {
         Host host = hosts.get(to);
-        AtomicBoolean over = new AtomicBoolean();
-        Consumer<Optional<Response>> once = response -> {
-            if (over.compareAndSet(false, true)) {
+        AtomicBoolean completed = new AtomicBoolean();
+        Consumer<Optional<Response>> completeOnce = response -> {
+            if (completed.compareAndSet(false, true)) {
                 then.accept(response);
             }
         };
-        sim.after(limit, () -> once.accept(Optional.empty()));
+        sim.after(timeout, () -> completeOnce.accept(Optional.empty()));
         sim.after(net.delay(), () -> {
             if (!host.alive()) {
-                // nobody takes the stream: the client's connect times out
-                sim.after(CONNECT, () -> once.accept(Optional.empty()));
+                // the connection is not accepted: the client's connect times out
+                sim.after(CONNECT_TIMEOUT, () -> completeOnce.accept(Optional.empty()));
                 return;
             }
-            host.execute(() -> door.get().subscribe(response -> {
+            host.execute(() -> handler.get().subscribe(response -> {
                 sim.trace().add(sim.now(), to + " " + response.status());
-                answers.accept(request, response);
-                sim.after(net.delay(), () -> once.accept(Optional.of(response)));
+                responseWatcher.accept(request, response);
+                sim.after(net.delay(), () -> completeOnce.accept(Optional.of(response)));
             }));
         });
     }
 
-    /** What a host's calendar showed, in the simulator's time; nothing can be told once calendars differ. */
+    /** Converts a wall-clock time of a host to simulated time; unknown once the calendar of any host was shifted. */
     Duration trueTime(Instant stamp) {
         return hosts.values().stream().anyMatch(Host::calendarOff)
                 ? Observations.UNSEEN
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -12,18 +12,18 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Counts on the fake clock, the same for everyone who runs it: see docs/measurements.md. */
+/** Measurements in simulated time, which are the same on every machine: see docs/measurements.md. */
 public final class Measure {
     private Measure() {}
 
-    /** What one run showed. */
+    /** The results of one run. */
     public record Figures(
             long accepted,
             long failed,
             long throttled,
             long otherRefusals,
-            long atOnce,
-            long waited,
+            long admittedAtOnce,
+            long waitedForTokens,
             long asks,
             long frames,
             long syncs,
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Steady traffic in a fleet of a deployment's size; the fault, if any, strikes a third into the run. */
+    /** Runs steady traffic in a fleet of the given size; the fault, if any, is injected after a third of the run. */
     public static Figures steady(
             long seed,
             int intakes,
@@ -56,23 +56,23 @@
         long framesUsed = simulation.w.net.frames() - frames;
         long syncsUsed = syncs(simulation) - syncs;
         boolean settled = simulation.settle(Duration.ofSeconds(120));
-        List<String> bad = new ArrayList<>(simulation.violations());
+        List<String> violations = new ArrayList<>(simulation.violations());
         if (!settled) {
-            bad.add("not all ended");
+            violations.add("some accepted messages did not end");
         }
-        long[] passes = new long[3];
+        long[] tokenCounts = new long[3];
         for (String i : simulation.w.intakes) {
             if (simulation.w.host(i).alive()) {
                 var counts = simulation.w.dataPlaneNode(i).tokenCounts();
-                passes[0] += counts.atOnce();
-                passes[1] += counts.waited();
-                passes[2] += counts.asks();
+                tokenCounts[0] += counts.atOnce();
+                tokenCounts[1] += counts.waited();
+                tokenCounts[2] += counts.asks();
             }
         }
-        Map<String, Long> k = new TreeMap<>(simulation.kinds());
-        long accepted = k.getOrDefault("accepted", 0L);
-        long throttled = k.getOrDefault("throttled", 0L);
-        long other = k.values().stream().mapToLong(Long::longValue).sum() - accepted - throttled;
+        Map<String, Long> kinds = new TreeMap<>(simulation.kinds());
+        long accepted = kinds.getOrDefault("accepted", 0L);
+        long throttled = kinds.getOrDefault("throttled", 0L);
+        long other = kinds.values().stream().mapToLong(Long::longValue).sum() - accepted - throttled;
         long failed = simulation.w.seen.shown.stream()
                 .filter(shown -> shown.state().equals("failed"))
                 .map(Observations.Shown::handle)
@@ -83,16 +83,18 @@
                 failed,
                 throttled,
                 other,
-                passes[0],
-                passes[1],
-                passes[2],
+                tokenCounts[0],
+                tokenCounts[1],
+                tokenCounts[2],
                 framesUsed,
                 syncsUsed,
                 worstShare(simulation.w.seen),
-                bad);
+                violations);
     }
 
-    /** Power lost everywhere, all started again at once: time until a submission of the given tenant is accepted. */
+    /**
+     * Restarts all machines at once after a power loss; returns the time until a submission of tenant 0 is accepted.
+     */
     public static Duration outage(long seed, int intakes, int stores, TestConfiguration testConfiguration)
             throws ServiceException {
         FleetSimulation simulation =
@@ -105,91 +107,93 @@
         for (String h : simulation.w.all()) {
             simulation.w.restart(h);
         }
-        Duration begun = simulation.w.sim.now();
+        Duration restarted = simulation.w.sim.now();
         FleetSimulation.require(
                 simulation.w.sim.runUntil(
                         () -> {
                             simulation.plain(0);
                             return simulation.w.seen.submitted.stream()
                                     .anyMatch(submitted -> submitted.said() == Observations.Said.ACCEPTED
-                                            && submitted.sent().compareTo(begun) > 0);
+                                            && submitted.sent().compareTo(restarted) > 0);
                         },
                         Duration.ofSeconds(30)),
-                "no service after the outage");
-        Duration took = simulation.w.sim.now().minus(begun);
+                "no submission was accepted within 30 s after the outage");
+        Duration took = simulation.w.sim.now().minus(restarted);
         FleetSimulation.require(
                 simulation.settle(Duration.ofSeconds(120))
                         && simulation.violations().isEmpty(),
-                "lost after the outage");
+                "messages did not end or rules were broken after the outage");
         return took;
     }
 
     private static long syncs(FleetSimulation simulation) {
         return simulation.w.stores.stream()
-                .mapToLong(s -> simulation.w.host(s).disk.syncs())
+                .mapToLong(s -> simulation.w.host(s).disk.syncCount())
                 .sum();
     }
 
-    /** The worst 5 s window of any tenant against its burst and rate. */
+    /** The largest share of its burst and rate that a tenant used in any window of 5 s. */
     private static double worstShare(Observations observations) {
         double worst = 0;
         for (Map.Entry<String, List<Observations.Limit>> entry :
                 observations.allowances().entrySet()) {
-            List<Duration> at = observations.copy(observations.submitted).stream()
+            List<Duration> accepted = observations.copy(observations.submitted).stream()
                     .filter(submitted -> submitted.tenant().equals(entry.getKey())
                             && submitted.said() == Observations.Said.ACCEPTED
                             && !submitted.repeated())
                     .map(Observations.Submitted::answered)
                     .sorted()
                     .toList();
-            double n = NeverList.worst(at);
+            double largest = NeverList.worst(accepted);
             worst = Math.max(
                     worst,
-                    n
+                    largest
                             / (entry.getValue().get(0).rate() * 5
                                     + entry.getValue().get(0).burst()));
         }
         return worst;
     }
 
-    /** The holder of a tenant's bucket dies, the tenant asks for nearly all of its allowance: what is refused then. */
-    private static void holders(TestConfiguration eight) throws ServiceException {
-        List<Long> refused = new ArrayList<>();
-        List<Long> sent = new ArrayList<>();
+    /**
+     * Kills the owner of a tenant's bucket while the tenant uses nearly all of its rate; prints the rejected requests.
+     */
+    private static void bucketOwnerFailure(TestConfiguration eight) throws ServiceException {
+        List<Long> rejected = new ArrayList<>();
+        List<Long> lastRejection = new ArrayList<>();
         for (long seed = 1; seed <= 10; seed++) {
             FleetSimulation simulation =
                     new FleetSimulation(seed, 8, 3, 4, eight, SimulatedFleet.LARGE_RING).startAll();
-            String holder = simulation.w.intakes.stream()
+            String owner = simulation.w.intakes.stream()
                     .filter(i -> simulation.w.dataPlaneNode(i).ownedBuckets().contains("tenant/tenant0"))
                     .findFirst()
                     .orElseThrow();
             List<String> others =
-                    simulation.w.intakes.stream().filter(i -> !i.equals(holder)).toList();
+                    simulation.w.intakes.stream().filter(i -> !i.equals(owner)).toList();
             for (int ms = 0; ms < 12000; ms += 25) {
                 simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, others));
             }
             simulation.w.sim.run(Duration.ofSeconds(4));
             Duration from = simulation.w.sim.now();
-            simulation.w.kill(holder);
+            simulation.w.kill(owner);
             simulation.w.sim.run(Duration.ofSeconds(8));
             FleetSimulation.require(
                     simulation.settle(Duration.ofSeconds(60))
                             && simulation.violations().isEmpty(),
-                    "not sound");
+                    "messages did not end or rules were broken");
             List<Observations.Submitted> after = simulation.w.seen.submitted.stream()
                     .filter(submitted -> submitted.sent().compareTo(from) >= 0)
                     .toList();
-            refused.add(after.stream()
+            rejected.add(after.stream()
                     .filter(submitted -> submitted.kind().equals("throttled"))
                     .count());
-            sent.add(after.stream()
+            lastRejection.add(after.stream()
                     .filter(submitted -> submitted.kind().equals("throttled"))
                     .map(submitted -> submitted.sent().minus(from).toMillis())
                     .max(Long::compare)
                     .orElse(0L));
         }
-        System.out.println("Refused of 320 in the 8 s after the holder died, ten seeds: " + refused);
-        System.out.println("Last refusal, ms after: " + sent);
+        System.out.println("Rejected of 320 in the 8 s after the bucket owner was killed, ten seeds: " + rejected);
+        System.out.println("Last rejection, ms after the kill: " + lastRejection);
     }
 
     private static void row(String name, Figures figures) {
@@ -203,7 +207,7 @@
                 figures.throttled(),
                 100 * figures.throttledShare(),
                 figures.otherRefusals(),
-                figures.waited() / n,
+                figures.waitedForTokens() / n,
                 figures.asks() / n,
                 figures.frames() / n,
                 figures.syncs() / n,
@@ -215,11 +219,12 @@
     public static void main(String[] args) throws ServiceException {
         TestConfiguration eight = new TestConfiguration(8, 12, 45, 60, 26);
         if (args.length > 0 && args[0].equals("holder")) {
-            holders(eight);
+            bucketOwnerFailure(eight);
             return;
         }
-        System.out.println("| run | accepted | failed later | throttled | other refusals | waited/msg | batch asks/msg "
-                + "| frames/msg | syncs/msg | worst 5 s of burst and rate | violations |");
+        System.out.println(
+                "| run | accepted | failed later | throttled | other rejections | waited/msg | token requests/msg "
+                        + "| frames/msg | syncs/msg | worst 5 s of burst and rate | violations |");
         System.out.println("|---|---|---|---|---|---|---|---|---|---|---|");
         Duration length = Duration.ofSeconds(30);
         if (args.length > 0 && args[0].equals("outage")) {
@@ -227,7 +232,7 @@
             for (long seed = 1; seed <= 10; seed++) {
                 ms.add(outage(seed, 8, 3, eight).toMillis());
             }
-            System.out.println("First acceptance after the restart, ms on the fake clock, ten seeds: " + ms);
+            System.out.println("First acceptance after the restart, ms of simulated time, ten seeds: " + ms);
             return;
         }
         for (long seed = 1; seed <= 3; seed++) {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
@@ -9,7 +9,10 @@
 import org.woadvale.controlplane.api.ControlApiMessages;
 import reactor.core.publisher.Mono;
 
-/** Control nodes with one rule of 6.11 left out, to show that the checks of the operators' history find its absence. */
+/**
+ * Control nodes without one mechanism of docs/design.md, section 6.11: the checks of the operators' history must detect
+ * its absence.
+ */
 public final class NaiveOrders {
     private NaiveOrders() {}
 
@@ -30,24 +33,26 @@
         }
     }
 
-    /** Each sending of an order has a name of its own, so that a repeat is judged anew. */
+    /** Every attempt at a configuration update has its own request id, so that a repeated update is evaluated again. */
     public static FleetOverrides withoutIdentity() {
-        AtomicLong names = new AtomicLong();
+        AtomicLong requestIds = new AtomicLong();
         return FleetOverrides.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 return forward(
                         to,
-                        body instanceof ControlApiMessages.PutConfigurationRequest request ? renamed(request) : body,
+                        body instanceof ControlApiMessages.PutConfigurationRequest request
+                                ? withNewRequestId(request)
+                                : body,
                         answer,
                         limit);
             }
 
-            private ControlApiMessages.PutConfigurationRequest renamed(
-                    ControlApiMessages.PutConfigurationRequest carried) {
-                ControlMessages.PutConfiguration put = carried.put();
+            private ControlApiMessages.PutConfigurationRequest withNewRequestId(
+                    ControlApiMessages.PutConfigurationRequest request) {
+                ControlMessages.PutConfiguration put = request.put();
                 return new ControlApiMessages.PutConfigurationRequest(new ControlMessages.PutConfiguration(
-                        "sending-" + names.incrementAndGet(),
+                        "sending-" + requestIds.incrementAndGet(),
                         put.base(),
                         put.configuration(),
                         put.author(),
@@ -57,18 +62,18 @@
         });
     }
 
-    /** A node answers readings with the first configuration that it saw, asking nobody. */
+    /** A node answers reads with the first configuration that it read, without asking the leader. */
     public static FleetOverrides readsWithoutLeader() {
-        Map<String, Object> seen = new ConcurrentHashMap<>();
+        Map<String, Object> firstResponses = new ConcurrentHashMap<>();
         return FleetOverrides.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
                 if (!(body instanceof ControlApiMessages.GetConfigurationRequest)) {
                     return forward(to, body, answer, limit);
                 }
-                return seen.containsKey(address)
-                        ? Mono.just(answer.cast(seen.get(address)))
-                        : forward(to, body, answer, limit).doOnNext(a -> seen.put(address, a));
+                return firstResponses.containsKey(address)
+                        ? Mono.just(answer.cast(firstResponses.get(address)))
+                        : forward(to, body, answer, limit).doOnNext(response -> firstResponses.put(address, response));
             }
         });
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
@@ -27,17 +27,17 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Stand-ins that leave out one mechanism each; every never-line has a scenario that breaks with one. (docs/design.md,
- * section 12.3)
+ * Fleet overrides that disable one mechanism each. Each numbered rule of the never list has a scenario that violates it
+ * with one of them (docs/design.md, section 12.3); the numbers below are those of the rules.
  */
 final class NaiveVariants {
-    private interface Asking {
-        <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit);
+    private interface CallInterceptor {
+        <T> Mono<T> call(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit);
     }
 
     private NaiveVariants() {}
 
-    private static RpcClient rpc(RpcClient rpc, Asking how) {
+    private static RpcClient intercept(RpcClient rpc, CallInterceptor interceptor) {
         return new RpcClient() {
             @Override
             public String self() {
@@ -46,14 +46,14 @@
 
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-                return how.ask(rpc, to, body, answer, limit);
+                return interceptor.call(rpc, to, body, answer, limit);
             }
         };
     }
 
-    /** 01: a disk that says "synced" and has not. */
+    /** 01: a disk that reports a sync as complete without performing it. */
     static FleetOverrides lyingDisk() {
-        return FleetOverrides.none().withDisk((a, disk) -> new Disk() {
+        return FleetOverrides.none().withDisk((address, disk) -> new Disk() {
             @Override
             public List<String> list() throws IOException {
                 return disk.list();
@@ -90,21 +90,21 @@
         });
     }
 
-    /** 02: any 5xx is taken for "later". */
-    static FleetOverrides anyErrorIsLater() {
+    /** 02: any 5xx is treated as a 503, which asks for a retry. */
+    static FleetOverrides serverErrorsAreRetried() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                .withDeliveryClient((address, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .map(deliveryResponse -> deliveryResponse.status() >= 500
                                 ? new DeliveryClient.DeliveryResponse(503, deliveryResponse.body())
                                 : deliveryResponse));
     }
 
-    /** 03: an answer that did not come in time is taken for "nothing was sent". */
-    static FleetOverrides silenceIsNo() {
+    /** 03: a submission whose answer did not arrive in time is treated as not sent. */
+    static FleetOverrides submissionTimeoutIsNotSent() {
         return FleetOverrides.none()
-                .withRpc((a, rpcClient) -> rpc(rpcClient, new Asking() {
+                .withRpc((address, rpcClient) -> intercept(rpcClient, new CallInterceptor() {
                     @Override
-                    public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
+                    public <T> Mono<T> call(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
                         return rpc.call(to, body, answer, limit)
                                 .onErrorMap(e -> body instanceof MessageCommands.AcceptRequest
                                                 && ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
@@ -114,22 +114,22 @@
                 }));
     }
 
-    /** 04: a processor that does not answer in time is taken to have refused. */
-    static FleetOverrides silenceIsRefusal() {
+    /** 04: a processor that does not answer in time is treated as if it had rejected the message. */
+    static FleetOverrides deliveryTimeoutIsRejection() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                .withDeliveryClient((address, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .onErrorResume(e -> ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                                 ? Mono.just(new DeliveryClient.DeliveryResponse(422, new byte[0]))
                                 : Mono.error(e)));
     }
 
-    /** 05: submissions without a time by which they must have come; a store's life is learned once and for all. */
-    static FleetOverrides timelessHandIns() {
-        return FleetOverrides.none().withRpc((a, rpcClient) -> {
+    /** 05: submissions have no effective deadline, and the clock and incarnation of a store are read only once. */
+    static FleetOverrides submissionsWithoutDeadline() {
+        return FleetOverrides.none().withRpc((address, rpcClient) -> {
             Map<String, Object> clocks = new HashMap<>();
-            return rpc(rpcClient, new Asking() {
+            return intercept(rpcClient, new CallInterceptor() {
                 @Override
-                public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
+                public <T> Mono<T> call(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
                     if (body instanceof MessageCommands.ClockRequest) {
                         return clocks.containsKey(to)
                                 ? Mono.just(answer.cast(clocks.get(to)))
@@ -151,27 +151,27 @@
         });
     }
 
-    /** 06: everything is looked at once; what then waits for its stream is sent whatever has become of it. */
-    static FleetOverrides lookFirstSendLater() {
+    /** 06: the permission to send is checked before the connection opens, and not again when it is open. */
+    static FleetOverrides permissionCheckedBeforeConnecting() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> Mono.defer(() -> {
-                    boolean go = deliveryRequest.stillPermitted().getAsBoolean();
+                .withDeliveryClient((address, client) -> deliveryRequest -> Mono.defer(() -> {
+                    boolean permitted = deliveryRequest.stillPermitted().getAsBoolean();
                     return client.send(new DeliveryClient.DeliveryRequest(
                             deliveryRequest.method(),
                             deliveryRequest.url(),
                             deliveryRequest.body(),
                             deliveryRequest.timeout(),
-                            () -> go));
+                            () -> permitted));
                 }));
     }
 
-    /** 07, 08, 10: who cannot be reached for subscriptions is taken to have none: the last answer is still good. */
-    static FleetOverrides noNewsIsGoodNews() {
-        return FleetOverrides.none().withRpc((a, rpcClient) -> {
-            Map<String, ServiceView> last = new HashMap<>();
-            return rpc(rpcClient, new Asking() {
+    /** 07, 08, 10: if a control node cannot be reached, its last service views are treated as current. */
+    static FleetOverrides cachedViewsNeverExpire() {
+        return FleetOverrides.none().withRpc((address, rpcClient) -> {
+            Map<String, ServiceView> lastViews = new HashMap<>();
+            return intercept(rpcClient, new CallInterceptor() {
                 @Override
-                public <T> Mono<T> ask(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
+                public <T> Mono<T> call(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit) {
                     if (!(body instanceof ControlMessages.ServiceViewRequest request)) {
                         return rpc.call(to, body, answer, limit);
                     }
@@ -182,45 +182,47 @@
                                     limit)
                             .doOnNext(t -> ((ControlMessages.ServiceViewResponse) t)
                                     .views()
-                                    .forEach(view -> last.put(view.service(), view)))
-                            .onErrorResume(e -> silent(e)
-                                            && last.keySet()
+                                    .forEach(view -> lastViews.put(view.service(), view)))
+                            .onErrorResume(e -> noResponse(e)
+                                            && lastViews
+                                                    .keySet()
                                                     .containsAll(request.knownVersions()
                                                             .keySet())
-                                    ? Mono.just(answer.cast(anew(request, last)))
+                                    ? Mono.just(answer.cast(anew(request, lastViews)))
                                     : Mono.error(e));
                 }
             });
         });
     }
 
-    private static boolean silent(Throwable e) {
+    private static boolean noResponse(Throwable e) {
         return ServiceException.of(e).kind() == ErrorKind.UNKNOWN_OUTCOME
                 || ServiceException.of(e).kind() == ErrorKind.UNREACHABLE;
     }
 
     static ControlMessages.ServiceViewResponse anew(
-            ControlMessages.ServiceViewRequest request, Map<String, ServiceView> last) {
+            ControlMessages.ServiceViewRequest request, Map<String, ServiceView> lastViews) {
         Map<String, Duration> ages = new HashMap<>();
         List<ServiceView> views = new ArrayList<>();
         request.knownVersions()
-                .forEach((s, version) -> Optional.ofNullable(last.get(s)).ifPresent(view -> {
-                    ages.put(s, Duration.ZERO);
-                    if (view.version() != version) {
-                        views.add(view);
-                    }
-                }));
+                .forEach((service, version) -> Optional.ofNullable(lastViews.get(service))
+                        .ifPresent(view -> {
+                            ages.put(service, Duration.ZERO);
+                            if (view.version() != version) {
+                                views.add(view);
+                            }
+                        }));
         return new ControlMessages.ServiceViewResponse(views, ages, 0);
     }
 
-    /** 09: a machine whose clock stands still for as long as told, as if it had been suspended. */
+    /** 09: the monotonic clock of a machine stops while the predicate holds, as if the machine were suspended. */
     static FleetOverrides stoppedClock(Predicate<String> stopped) {
-        return FleetOverrides.none().withClock((a, clock) -> new Clock() {
+        return FleetOverrides.none().withClock((address, clock) -> new Clock() {
             private Duration last = Duration.ZERO;
 
             @Override
             public Duration monotonicTime() {
-                last = stopped.test(a) && !last.isZero() ? last : clock.monotonicTime();
+                last = stopped.test(address) && !last.isZero() ? last : clock.monotonicTime();
                 return last;
             }
 
@@ -231,32 +233,32 @@
         });
     }
 
-    /** 11: a 200 is enough; the proof is made up. */
-    static FleetOverrides everySuccessIsProof() {
+    /** 11: a 200 without a receipt counts as success: the echo and the receipt are forged. */
+    static FleetOverrides successNeedsNoReceipt() {
         return FleetOverrides.none()
-                .withDeliveryClient((a, client) -> deliveryRequest -> client.send(deliveryRequest)
+                .withDeliveryClient((address, client) -> deliveryRequest -> client.send(deliveryRequest)
                         .map(deliveryResponse -> deliveryResponse.status() == 200
-                                ? proven(deliveryRequest, deliveryResponse)
+                                ? withForgedReceipt(deliveryRequest, deliveryResponse)
                                 : deliveryResponse));
     }
 
-    private static DeliveryClient.DeliveryResponse proven(
+    private static DeliveryClient.DeliveryResponse withForgedReceipt(
             DeliveryClient.DeliveryRequest deliveryRequest, DeliveryClient.DeliveryResponse deliveryResponse) {
         try {
             JsonNode node = Configurations.read(deliveryRequest.body(), JsonNode.class, ErrorKind.BAD_REQUEST);
-            Map<String, Object> b = new LinkedHashMap<>();
-            b.put("messageId", node.path("messageId").asText());
-            b.put("attempt", node.path("attempt").asInt());
-            b.put("receipt", "surely");
+            Map<String, Object> body = new LinkedHashMap<>();
+            body.put("messageId", node.path("messageId").asText());
+            body.put("attempt", node.path("attempt").asInt());
+            body.put("receipt", "surely");
             return deliveryResponse.body().length > 2
                     ? deliveryResponse
-                    : new DeliveryClient.DeliveryResponse(200, Configurations.write(b));
+                    : new DeliveryClient.DeliveryResponse(200, Configurations.write(body));
         } catch (ServiceException failure) {
             return deliveryResponse;
         }
     }
 
-    /** 12: leases so long that nobody ever loses one by mistake. */
+    /** 12: leases are ten times as long, so that none expires by mistake. */
     static FleetOverrides longLeases() {
         Function<Duration, Duration> longer = d -> d.multipliedBy(10);
         return FleetOverrides.none()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
@@ -11,34 +11,37 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 
-/** The platform's operator: versions, races, bad ones, keys that come and go. docs/platform.md 3 */
+/**
+ * The platform's operator: valid, concurrent and invalid configuration updates, and changes of access keys
+ * (docs/platform.md, section 3).
+ */
 final class OperatorSimulation {
-    private static final Duration CALL = Duration.ofSeconds(2);
-    private static final Duration LONGEST = Duration.ofMillis(1600);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(1600);
     private final SimulatedPlatformFleet network;
-    private final ObservationLog seen;
-    private ConfigurationStub now;
-    private int n;
-    private int open;
+    private final ObservationLog observations;
+    private ConfigurationStub current;
+    private int nextNumber;
+    private int pendingUpdates;
 
-    OperatorSimulation(SimulatedPlatformFleet network, ObservationLog seen, ConfigurationStub first) {
+    OperatorSimulation(SimulatedPlatformFleet network, ObservationLog observations, ConfigurationStub initial) {
         this.network = network;
-        this.seen = seen;
-        this.now = first;
+        this.observations = observations;
+        this.current = initial;
     }
 
-    ConfigurationStub now() {
-        return now;
+    ConfigurationStub current() {
+        return current;
     }
 
-    /** Nothing of its is without a clear answer. */
+    /** Whether every update has received a conclusive response. */
     boolean idle() {
-        return open == 0;
+        return pendingUpdates == 0;
     }
 
-    /** Sent as it was, to any control node, until the answer is clear. */
+    /** Sends the same update to a random control node, and again until the response is conclusive. */
     void put(ConfigurationStub stub, String text, long base, boolean valid) {
-        open++;
+        pendingUpdates++;
         put(stub, text, base, valid, network.sim.now(), Duration.ofMillis(100));
     }
 
@@ -46,91 +49,92 @@
         put(stub, stub.text(), base, true);
     }
 
-    private void put(ConfigurationStub stub, String text, long base, boolean valid, Duration sent, Duration pause) {
+    private void put(ConfigurationStub stub, String text, long base, boolean valid, Duration sent, Duration delay) {
         String to = anyControlNode();
         Request request = new Request(
                 "PUT",
                 "/-/configuration",
                 Map.of("if-match", Long.toString(base)),
                 text.getBytes(StandardCharsets.UTF_8));
-        Duration tried = network.sim.now();
-        network.request(to, request, CALL, response -> {
+        Duration attempted = network.sim.now();
+        network.request(to, request, REQUEST_TIMEOUT, response -> {
             int status = response.map(Response::status).orElse(0);
-            seen.orderCalls.add(
-                    new ObservationLog.OrderCall(text, base, stub.configRevision(), tried, network.sim.now(), status));
+            observations.orderCalls.add(new ObservationLog.OrderCall(
+                    text, base, stub.configRevision(), attempted, network.sim.now(), status));
             if (status == 0 || status >= 500 || status == 429 || status == 408) {
-                Duration next = pause.multipliedBy(2).compareTo(LONGEST) > 0 ? LONGEST : pause.multipliedBy(2);
-                network.sim.after(pause, () -> put(stub, text, base, valid, sent, next));
+                Duration nextDelay =
+                        delay.multipliedBy(2).compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : delay.multipliedBy(2);
+                network.sim.after(delay, () -> put(stub, text, base, valid, sent, nextDelay));
                 return;
             }
-            open--;
-            seen.configurationStub.add(
+            pendingUpdates--;
+            observations.configurationStub.add(
                     new ObservationLog.Paper(stub, text, base, valid, sent, status, network.sim.now()));
-            if (status == 200 && valid && stub.configRevision() > now.configRevision()) {
-                now = stub;
+            if (status == 200 && valid && stub.configRevision() > current.configRevision()) {
+                current = stub;
             }
         });
     }
 
-    void begin() {
-        put(now, 0);
+    void putInitial() {
+        put(current, 0);
     }
 
-    private long next() {
-        return now.configRevision() + 1 + network.sim.random().nextInt(4);
+    private long nextRevision() {
+        return current.configRevision() + 1 + network.sim.random().nextInt(4);
     }
 
-    private ConfigurationStub more(String name) {
-        List<ConfigurationStub.Route> all = new ArrayList<>(now.routes());
-        ConfigurationStub.Route like = all.get(network.sim.random().nextInt(3));
+    private ConfigurationStub withAddedRoute(String name) {
+        List<ConfigurationStub.Route> all = new ArrayList<>(current.routes());
+        ConfigurationStub.Route template = all.get(network.sim.random().nextInt(3));
         all.add(new ConfigurationStub.Route(
                 name,
-                like.host(),
+                template.host(),
                 "/" + name + "/",
-                like.service(),
-                like.timeoutMs(),
-                like.maxAttempts(),
-                like.inOrder(),
-                like.retentionS(),
+                template.service(),
+                template.timeoutMs(),
+                template.maxAttempts(),
+                template.inOrder(),
+                template.retentionS(),
                 false));
-        return now.routes(all).with(next());
+        return current.routes(all).with(nextRevision());
     }
 
-    private Optional<ConfigurationStub.Route> added() {
-        return now.routes().stream()
+    private Optional<ConfigurationStub.Route> addedRoute() {
+        return current.routes().stream()
                 .filter(route -> route.name().startsWith("new"))
                 .findFirst();
     }
 
-    /** A route comes, or one that came goes; now and then a time-out changes. */
+    /** Adds a route, or removes one that was added before. */
     void change() {
-        Optional<ConfigurationStub.Route> old = added();
+        Optional<ConfigurationStub.Route> old = addedRoute();
         if (old.isPresent() && network.sim.chance(0.5)) {
             put(
-                    now.routes(now.routes().stream()
+                    current.routes(current.routes().stream()
                                     .filter(route -> !route.equals(old.get()))
                                     .toList())
-                            .with(next()),
-                    now.configRevision());
+                            .with(nextRevision()),
+                    current.configRevision());
         } else {
-            put(more("new" + n++), now.configRevision());
+            put(withAddedRoute("new" + nextNumber++), current.configRevision());
         }
     }
 
     void race() {
-        ConfigurationStub configurationStub = more("new" + n++);
-        ConfigurationStub stub = more("new" + n++);
-        put(configurationStub, now.configRevision());
-        put(stub, now.configRevision());
+        ConfigurationStub first = withAddedRoute("new" + nextNumber++);
+        ConfigurationStub second = withAddedRoute("new" + nextNumber++);
+        put(first, current.configRevision());
+        put(second, current.configRevision());
     }
 
-    /** One of each kind in turn; none may ever be in force. */
+    /** Sends the next of six kinds of invalid configuration; none may ever take effect. */
     void bad() {
-        ConfigurationStub stub = more("bad" + n);
+        ConfigurationStub stub = withAddedRoute("bad" + nextNumber);
         ConfigurationStub.Route route = stub.routes().get(stub.routes().size() - 1);
-        List<ConfigurationStub.Route> others = new ArrayList<>(now.routes());
-        switch (n++ % 6) {
-            case 0 -> put(stub, stub.text().substring(0, stub.text().length() / 2), now.configRevision(), false);
+        List<ConfigurationStub.Route> others = new ArrayList<>(current.routes());
+        switch (nextNumber++ % 6) {
+            case 0 -> put(stub, stub.text().substring(0, stub.text().length() / 2), current.configRevision(), false);
             case 1 ->
                 bad(
                         stub,
@@ -167,60 +171,60 @@
                                 false));
             case 4 ->
                 put(
-                        stub.with(now.configRevision()),
-                        stub.with(now.configRevision()).text(),
-                        now.configRevision(),
+                        stub.with(current.configRevision()),
+                        stub.with(current.configRevision()).text(),
+                        current.configRevision(),
                         false);
             default -> {
-                List<ConfigurationStub.Tenant> t = new ArrayList<>(now.tenants());
-                t.add(new ConfigurationStub.Tenant(
-                        "thief", List.of(t.get(0).accessKeys().get(0)), 1, 1));
-                put(stub.tenants(t), stub.tenants(t).text(), now.configRevision(), false);
+                List<ConfigurationStub.Tenant> tenants = new ArrayList<>(current.tenants());
+                tenants.add(new ConfigurationStub.Tenant(
+                        "thief", List.of(tenants.get(0).accessKeys().get(0)), 1, 1));
+                put(stub.tenants(tenants), stub.tenants(tenants).text(), current.configRevision(), false);
             }
         }
     }
 
-    private void bad(ConfigurationStub stub, List<ConfigurationStub.Route> others, ConfigurationStub.Route worst) {
-        others.add(worst);
-        put(stub.routes(others), stub.routes(others).text(), now.configRevision(), false);
+    private void bad(ConfigurationStub stub, List<ConfigurationStub.Route> others, ConfigurationStub.Route invalid) {
+        others.add(invalid);
+        put(stub.routes(others), stub.routes(others).text(), current.configRevision(), false);
     }
 
-    /** A tenant's second key goes, or a new one comes. */
+    /** Removes the last additional key of a tenant, or adds one if it has only one. */
     void keys() {
-        List<ConfigurationStub.Tenant> all = new ArrayList<>(now.tenants());
+        List<ConfigurationStub.Tenant> all = new ArrayList<>(current.tenants());
         int i = network.sim.random().nextInt(all.size());
         ConfigurationStub.Tenant tenant = all.get(i);
         List<String> keys = new ArrayList<>(tenant.accessKeys());
         if (keys.size() > 1) {
             keys.remove(keys.size() - 1);
         } else {
-            keys.add("key-" + i + "-" + n++);
+            keys.add("key-" + i + "-" + nextNumber++);
         }
         all.set(i, new ConfigurationStub.Tenant(tenant.name(), keys, tenant.ratePerS(), tenant.burstSize()));
-        put(now.tenants(all).with(next()), now.configRevision());
+        put(current.tenants(all).with(nextRevision()), current.configRevision());
     }
 
-    /** An order of before, acknowledged or refused, is sent once more as it was; the answer is for the history only. */
-    void repeat() {
-        if (seen.orderCalls.isEmpty()) {
+    /** Repeats an earlier update, accepted or rejected, unchanged; the response only goes to the history. */
+    void repeatUpdate() {
+        if (observations.orderCalls.isEmpty()) {
             return;
         }
-        ObservationLog.OrderCall before =
-                seen.orderCalls.get(network.sim.random().nextInt(seen.orderCalls.size()));
+        ObservationLog.OrderCall earlier =
+                observations.orderCalls.get(network.sim.random().nextInt(observations.orderCalls.size()));
         Request request = new Request(
                 "PUT",
                 "/-/configuration",
-                Map.of("if-match", Long.toString(before.base())),
-                before.text().getBytes(StandardCharsets.UTF_8));
+                Map.of("if-match", Long.toString(earlier.base())),
+                earlier.text().getBytes(StandardCharsets.UTF_8));
         Duration sent = network.sim.now();
         network.request(
                 anyControlNode(),
                 request,
-                CALL,
-                response -> seen.orderCalls.add(new ObservationLog.OrderCall(
-                        before.text(),
-                        before.base(),
-                        before.revision(),
+                REQUEST_TIMEOUT,
+                response -> observations.orderCalls.add(new ObservationLog.OrderCall(
+                        earlier.text(),
+                        earlier.base(),
+                        earlier.revision(),
                         sent,
                         network.sim.now(),
                         response.map(Response::status).orElse(0))));
@@ -230,16 +234,18 @@
         return network.controlNodes.get(network.sim.random().nextInt(network.controlNodes.size()));
     }
 
-    /** Asks for the configuration as it stands; the last reading of a day counts. */
+    /** Reads the current configuration; the last read of a run is the one that is checked. */
     void read() {
         String to = anyControlNode();
-        Duration asked = network.sim.now();
-        network.request(to, new Request("GET", "/-/configuration", Map.of(), new byte[0]), CALL, response -> {
-            if (response.isPresent() && response.get().status() == 200) {
-                String text = new String(response.get().body(), StandardCharsets.UTF_8);
-                seen.readBack.add(new ObservationLog.ReadBack(200, text, network.sim.now()));
-                seen.configurationReads.add(new ObservationLog.ConfigurationRead(text, asked, network.sim.now()));
-            }
-        });
+        Duration sent = network.sim.now();
+        network.request(
+                to, new Request("GET", "/-/configuration", Map.of(), new byte[0]), REQUEST_TIMEOUT, response -> {
+                    if (response.isPresent() && response.get().status() == 200) {
+                        String text = new String(response.get().body(), StandardCharsets.UTF_8);
+                        observations.readBack.add(new ObservationLog.ReadBack(200, text, network.sim.now()));
+                        observations.configurationReads.add(
+                                new ObservationLog.ConfigurationRead(text, sent, network.sim.now()));
+                    }
+                });
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -7,34 +7,37 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.NeverList;
 
-/** Each never-line's scenario twice: as shipped, and with one mechanism left out. (docs/design.md, section 12.3) */
+/**
+ * Runs the scenario of each rule of the never list as shipped and with one mechanism disabled
+ * (docs/design.md, section 12.3).
+ */
 public final class Pairs {
-    private interface Scene {
-        FleetSimulation play(long seed, FleetOverrides seams) throws ServiceException;
+    private interface Scenario {
+        FleetSimulation play(long seed, FleetOverrides overrides) throws ServiceException;
     }
 
-    /** The line, what is brought about, and what the stand-in leaves out. */
+    /** The rule, the failure that the scenario produces, and the mechanism that the overrides disable. */
     public static final class Pair {
         public final String line;
         public final String failure;
         public final String leftOut;
-        private final Scene scene;
-        private final FleetOverrides naive;
+        private final Scenario scenario;
+        private final FleetOverrides overrides;
 
-        private Pair(String line, String failure, String leftOut, Scene scene, FleetOverrides naive) {
+        private Pair(String line, String failure, String leftOut, Scenario scenario, FleetOverrides overrides) {
             this.line = line;
             this.failure = failure;
             this.leftOut = leftOut;
-            this.scene = scene;
-            this.naive = naive;
+            this.scenario = scenario;
+            this.overrides = overrides;
         }
 
         public List<String> shipped(long seed) throws ServiceException {
-            return scene.play(seed, FleetOverrides.none()).violations();
+            return scenario.play(seed, FleetOverrides.none()).violations();
         }
 
         public List<String> brokenWithout(long seed) throws ServiceException {
-            return new NeverList(scene.play(seed, naive).w.seen).broken();
+            return new NeverList(scenario.play(seed, overrides).w.seen).broken();
         }
 
         @Override
@@ -45,123 +48,127 @@
 
     private Pairs() {}
 
-    private static Pair configuration() {
-        AtomicReference<String> cut = new AtomicReference<>("");
+    private static Pair isolatedConfigurationLeader() {
+        AtomicReference<String> isolated = new AtomicReference<>("");
         return new Pair(
                 "09",
-                "owner of the layout cut off, read there",
-                "clock that counts while the claim runs out",
-                (s, seams) -> FailureScenarios.ownerOfTheLayoutCutOff(s, seams, cut),
-                NaiveVariants.stoppedClock(a -> a.equals(cut.get())));
+                "read from the configuration leader while it is partitioned",
+                "clock that advances while the lease expires",
+                (seed, overrides) -> FailureScenarios.ownerOfTheLayoutCutOff(seed, overrides, isolated),
+                NaiveVariants.stoppedClock(address -> address.equals(isolated.get())));
     }
 
     public static List<Pair> all() {
         return List.of(
                 new Pair(
                         "01",
-                        "power lost everywhere",
-                        "sync before the answer",
+                        "power loss of all machines",
+                        "sync before acknowledgement",
                         FailureScenarios::powerLossEverywhere,
                         NaiveVariants.lyingDisk()),
                 new Pair(
                         "02",
-                        "errors after the work",
-                        "only 429 and 503 mean not done",
+                        "processors answer with errors after the work is done",
+                        "only 429 and 503 count as not executed",
                         FailureScenarios::errorsAfterTheWork,
-                        NaiveVariants.anyErrorIsLater()),
+                        NaiveVariants.serverErrorsAreRetried()),
                 new Pair(
                         "03",
-                        "stores' answers do not come back",
-                        "no answer is not a no",
+                        "responses of the stores are lost",
+                        "a missing response is not a rejection",
                         FailureScenarios::answersDoNotComeBack,
-                        NaiveVariants.silenceIsNo()),
+                        NaiveVariants.submissionTimeoutIsNotSent()),
                 new Pair(
                         "04",
-                        "work longer than an attempt",
-                        "no answer is not an end",
+                        "work takes longer than the attempt timeout",
+                        "a missing response does not end a message",
                         FailureScenarios::workLongerThanAnAttempt,
-                        NaiveVariants.silenceIsRefusal()),
+                        NaiveVariants.deliveryTimeoutIsRejection()),
                 new Pair(
                         "05",
-                        "streams stall under a flood",
-                        "a time by which a hand-in must have come",
+                        "connections stall under high load",
+                        "deadline for submissions",
                         FailureScenarios::stalledStreams,
-                        NaiveVariants.timelessHandIns()),
+                        NaiveVariants.submissionsWithoutDeadline()),
                 new Pair(
                         "06",
-                        "streams to an endpoint open slowly",
-                        "the last look when the stream is open",
+                        "connections to an endpoint open slowly",
+                        "permission check once the connection is open",
                         FailureScenarios::streamsThatOpenSlowly,
-                        NaiveVariants.lookFirstSendLater()),
+                        NaiveVariants.permissionCheckedBeforeConnecting()),
                 new Pair(
                         "07",
-                        "key withdrawn, a hall out of touch",
-                        "age of news",
+                        "key withdrawn while a zone is partitioned",
+                        "age limit of service views",
                         FailureScenarios::keyWithdrawnOutOfTouch,
-                        NaiveVariants.noNewsIsGoodNews()),
+                        NaiveVariants.cachedViewsNeverExpire()),
                 new Pair(
                         "08",
-                        "lane removed, a hall out of touch",
-                        "age of news",
+                        "lane removed while a zone is partitioned",
+                        "age limit of service views",
                         FailureScenarios::lanesChangedOutOfTouch,
-                        NaiveVariants.noNewsIsGoodNews()),
-                configuration(),
+                        NaiveVariants.cachedViewsNeverExpire()),
+                isolatedConfigurationLeader(),
                 new Pair(
                         "10",
-                        "processors marked, stores out of touch",
-                        "age of news",
+                        "processors marked as leaving while stores are partitioned",
+                        "age limit of service views",
                         FailureScenarios::markedOutOfTouch,
-                        NaiveVariants.noNewsIsGoodNews()),
+                        NaiveVariants.cachedViewsNeverExpire()),
                 new Pair(
                         "11",
-                        "something answers 200 for the endpoints",
-                        "echo and receipt",
+                        "an intermediary answers 200 for the endpoints",
+                        "echo and receipt in the response",
                         FailureScenarios::somethingInBetween,
-                        NaiveVariants.everySuccessIsProof()),
+                        NaiveVariants.successNeedsNoReceipt()),
                 new Pair(
                         "12",
                         "two full outages",
-                        "short claims",
+                        "short leases",
                         FailureScenarios::twoOutages,
                         NaiveVariants.longLeases()));
     }
 
-    /** pairs FROM TO: the table; exits non-zero if a shipped run broke anything or a pair did not break its line. */
+    /**
+     * {@code pairs FROM TO}: prints the table for a range of seeds. Exits non-zero if a run as shipped broke any rule,
+     * or a rule stayed unbroken without its mechanism.
+     */
     public static void main(String[] args) {
         long from = Long.parseLong(args[0]);
         long to = Long.parseLong(args[1]);
-        System.out.println(
-                "| line | brought about | left out | seeds | shipped broke | without it broke the line | and others |");
+        System.out.println("| rule | failure | disabled mechanism | seeds | broken as shipped | broken without it "
+                + "| other rules broken |");
         System.out.println("|---|---|---|---|---|---|---|");
-        List<Boolean> good = new ArrayList<>();
-        all().parallelStream().map(pair -> row(pair, from, to, good)).toList().forEach(System.out::println);
-        System.exit(good.contains(false) ? 1 : 0);
+        List<Boolean> passed = new ArrayList<>();
+        all().parallelStream().map(pair -> row(pair, from, to, passed)).toList().forEach(System.out::println);
+        System.exit(passed.contains(false) ? 1 : 0);
     }
 
-    private static String row(Pair pair, long from, long to, List<Boolean> good) {
-        int shipped = 0;
-        int broke = 0;
+    private static String row(Pair pair, long from, long to, List<Boolean> passed) {
+        int shippedBroken = 0;
+        int brokenWithout = 0;
         TreeSet<String> others = new TreeSet<>();
         List<String> first = new ArrayList<>();
         for (long seed = from; seed <= to; seed++) {
             try {
-                List<String> bad = pair.shipped(seed);
-                shipped += bad.isEmpty() ? 0 : 1;
-                if (!bad.isEmpty() && first.isEmpty()) {
-                    first.add(" (seed " + seed + ": " + bad.get(0) + ")");
+                List<String> violations = pair.shipped(seed);
+                shippedBroken += violations.isEmpty() ? 0 : 1;
+                if (!violations.isEmpty() && first.isEmpty()) {
+                    first.add(" (seed " + seed + ": " + violations.get(0) + ")");
                 }
-                List<String> lines = pair.brokenWithout(seed);
-                broke += lines.contains(pair.line) ? 1 : 0;
-                others.addAll(lines);
+                List<String> brokenRules = pair.brokenWithout(seed);
+                brokenWithout += brokenRules.contains(pair.line) ? 1 : 0;
+                others.addAll(brokenRules);
             } catch (ServiceException failure) {
                 throw new IllegalStateException(pair.line + " seed " + seed, failure);
             }
         }
         others.remove(pair.line);
-        synchronized (good) {
-            good.add(shipped == 0 && broke > 0);
+        synchronized (passed) {
+            passed.add(shippedBroken == 0 && brokenWithout > 0);
         }
         return "| " + pair.line + " | " + pair.failure + " | " + pair.leftOut + " | " + (to - from + 1) + " | "
-                + shipped + String.join("", first) + " | " + broke + " | " + String.join(" ", others) + " |";
+                + shippedBroken + String.join("", first) + " | " + brokenWithout + " | " + String.join(" ", others)
+                + " |";
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -13,41 +13,39 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 import org.woadvale.testkit.stub.ObservationLog;
 
-/**
- * Clients on the simulated platform: they send messages at random times, and later ask what became of the accepted
- * ones.
- */
+/** Clients on the simulated platform: they send messages at random times and later read the accepted ones. */
 final class PlatformClients {
     private static final int CLIENTS = 40;
     private static final int TENANTS = 4;
     private static final int ORDER_KEYS = 5;
     private static final int ZONES = 3;
-    private static final Duration PATIENCE = Duration.ofSeconds(6);
+    private static final Duration SEND_TIMEOUT = Duration.ofSeconds(6);
     private static final String DEADLINE_MS = "1200";
-    private static final double USUAL_SHARE = 0.9;
+    private static final double CURRENT_CONFIGURATION_SHARE = 0.9;
     private static final double DELAYED_SHARE = 0.1;
     private static final long DELAY_MS = 1000;
-    private static final Duration READ_LIMIT = Duration.ofSeconds(2);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
     private static final int READ_RETRIES = 5;
 
     private final SimulatedPlatformFleet network;
     private final Entry entry;
     private final OperatorSimulation operator;
-    private final ObservationLog seen;
-    private final Map<Integer, Integer> answers = new TreeMap<>();
-    private int ids;
+    private final ObservationLog observations;
+    private final Map<Integer, Integer> responses = new TreeMap<>();
+    private int nextId;
     private boolean running;
 
-    PlatformClients(SimulatedPlatformFleet network, Entry entry, OperatorSimulation operator, ObservationLog seen) {
+    PlatformClients(
+            SimulatedPlatformFleet network, Entry entry, OperatorSimulation operator, ObservationLog observations) {
         this.network = network;
         this.entry = entry;
         this.operator = operator;
-        this.seen = seen;
+        this.observations = observations;
     }
 
-    /** How many answers of each HTTP status there were; zero stands for none in time. */
+    /** The number of responses of each HTTP status; zero stands for no response in time. */
     Map<Integer, Integer> answers() {
-        return answers;
+        return responses;
     }
 
     /** Sends messages as a Poisson process until stopped. */
@@ -64,30 +62,30 @@
         double seconds = -Math.log(1 - network.sim.random().nextDouble()) / perSecond;
         network.sim.after(Duration.ofNanos((long) (seconds * 1e9)), () -> {
             if (running) {
-                sendAny();
+                sendRandom();
                 scheduleNext(perSecond);
             }
         });
     }
 
-    /** On any route that there is, or was just added or removed, with any key that there is or was. */
-    private void sendAny() {
-        List<ConfigurationStub.Route> routes = operator.now().routes();
-        boolean usual = network.sim.chance(USUAL_SHARE);
-        ConfigurationStub.Route route = usual || seen.configurationStub.isEmpty()
+    /** Usually uses a current route and key; otherwise those of any configuration that was sent so far. */
+    private void sendRandom() {
+        List<ConfigurationStub.Route> routes = operator.current().routes();
+        boolean current = network.sim.chance(CURRENT_CONFIGURATION_SHARE);
+        ConfigurationStub.Route route = current || observations.configurationStub.isEmpty()
                 ? any(routes)
-                : any(any(seen.configurationStub).configurationStub().routes());
+                : any(any(observations.configurationStub).configurationStub().routes());
         int tenant = network.sim.random().nextInt(TENANTS);
-        String key = usual ? "key" + tenant : anyKeyEver(tenant);
-        String order = route.inOrder() ? "k" + network.sim.random().nextInt(ORDER_KEYS) : "";
+        String key = current ? "key" + tenant : anyKeySoFar(tenant);
+        String orderKey = route.inOrder() ? "k" + network.sim.random().nextInt(ORDER_KEYS) : "";
         long delayMs = network.sim.chance(DELAYED_SHARE) ? DELAY_MS : 0;
         int client = network.sim.random().nextInt(CLIENTS);
         String zone = "hall" + network.sim.random().nextInt(ZONES);
-        send(route.pathPrefix() + ids, key, order, delayMs, entry.forClient(client, zone));
+        send(route.pathPrefix() + nextId, key, orderKey, delayMs, entry.forClient(client, zone));
     }
 
-    private String anyKeyEver(int tenant) {
-        ConfigurationStub configuration = any(seen.configurationStub).configurationStub();
+    private String anyKeySoFar(int tenant) {
+        ConfigurationStub configuration = any(observations.configurationStub).configurationStub();
         return any(configuration.tenants().get(tenant).accessKeys());
     }
 
@@ -95,37 +93,38 @@
         return list.get(network.sim.random().nextInt(list.size()));
     }
 
-    /** One try; each is a message of its own. */
-    void send(String path, String key, String order, long delayMs, String node) {
-        String id = "a" + ids++;
+    /** Sends one request; each call is a new message. */
+    void send(String path, String key, String orderKey, long delayMs, String node) {
+        String id = "a" + nextId++;
         String body = "body of " + id;
         String host = PlatformSimulation.HOST;
         Map<String, String> headers = new LinkedHashMap<>(Map.of(
                 "host", host, "x-attempt-id", id, "authorization", "Token " + key, "x-deadline-ms", DEADLINE_MS));
-        if (!order.isEmpty()) {
-            headers.put("x-order-key", order);
+        if (!orderKey.isEmpty()) {
+            headers.put("x-order-key", orderKey);
         }
         if (delayMs > 0) {
             headers.put("x-delay-ms", Long.toString(delayMs));
         }
-        seen.sent.add(new ObservationLog.Sent(id, host, path, key, order, body, delayMs, node, network.sim.now()));
+        observations.sent.add(
+                new ObservationLog.Sent(id, host, path, key, orderKey, body, delayMs, node, network.sim.now()));
         Request request = new Request("POST", path, headers, body.getBytes(StandardCharsets.UTF_8));
-        network.request(node, request, PATIENCE, answer -> answered(id, answer));
+        network.request(node, request, SEND_TIMEOUT, response -> recordResponse(id, response));
     }
 
-    private void answered(String id, Optional<Response> answer) {
-        int status = answer.map(Response::status).orElse(0);
-        answers.merge(status, 1, Integer::sum);
-        String ref = answer.map(response -> response.headers().getOrDefault("X-Message-Ref", id))
+    private void recordResponse(String id, Optional<Response> response) {
+        int status = response.map(Response::status).orElse(0);
+        responses.merge(status, 1, Integer::sum);
+        String ref = response.map(accepted -> accepted.headers().getOrDefault("X-Message-Ref", id))
                 .orElse("");
-        seen.said.add(new ObservationLog.Said(id, status, ref, network.sim.now()));
+        observations.said.add(new ObservationLog.Said(id, status, ref, network.sim.now()));
     }
 
-    /** Reads state and body of each message that was accepted, again after each failure. */
-    void askForAccepted() {
+    /** Reads state and body of each accepted message; retries after a failure. */
+    void readAccepted() {
         Map<String, ObservationLog.Sent> sent = new LinkedHashMap<>();
-        seen.sent.forEach(s -> sent.put(s.id(), s));
-        seen.said.stream()
+        observations.sent.forEach(s -> sent.put(s.id(), s));
+        observations.said.stream()
                 .filter(said -> said.status() == 202)
                 .forEach(said -> read(sent.get(said.id()), said.ref(), READ_RETRIES));
     }
@@ -141,17 +140,17 @@
                             return;
                         }
                     }
-                    seen.shown.add(shown(sent, state, body));
+                    observations.shown.add(shown(sent, state, body));
                 }));
     }
 
-    private void get(String path, ObservationLog.Sent sent, Consumer<Optional<Response>> then) {
+    private void get(String path, ObservationLog.Sent sent, Consumer<Optional<Response>> receiver) {
         Map<String, String> headers = Map.of("host", PlatformSimulation.HOST, "authorization", "Token " + keyOf(sent));
-        network.request(entry.any(), new Request("GET", path, headers, new byte[0]), READ_LIMIT, then);
+        network.request(entry.any(), new Request("GET", path, headers, new byte[0]), READ_TIMEOUT, receiver);
     }
 
-    private static boolean served(Optional<Response> answer) {
-        return answer.filter(response -> response.status() < 500).isPresent();
+    private static boolean served(Optional<Response> result) {
+        return result.filter(response -> response.status() < 500).isPresent();
     }
 
     private static ObservationLog.Shown shown(
@@ -169,10 +168,10 @@
                         .orElse(""));
     }
 
-    /** The present key of the tenant whose key it was sent with. */
+    /** The current key of the tenant that sent the message. */
     private String keyOf(ObservationLog.Sent sent) {
-        return seen.configurationStub.stream()
-                .flatMap(known -> known.configurationStub().tenant(sent.key()).stream())
+        return observations.configurationStub.stream()
+                .flatMap(paper -> paper.configurationStub().tenant(sent.key()).stream())
                 .findFirst()
                 .map(tenant -> tenant.accessKeys().get(0))
                 .orElse(sent.key());
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
@@ -6,24 +6,24 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.ObservationLog;
 
-/** The failures that {@link PlatformScenarios} brings about, each played on a simulated platform that is under way. */
+/** The failures of the {@link PlatformScenarios}, each injected into a running simulated platform. */
 final class PlatformFailures {
     private PlatformFailures() {}
 
-    static void served(PlatformSimulation simulation, double perSecond, int seconds) {
+    static void runTraffic(PlatformSimulation simulation, double perSecond, int seconds) {
         simulation.clients.start(perSecond);
         simulation.network.sim.run(Duration.ofSeconds(seconds));
         simulation.clients.stop();
     }
 
-    private static void trouble(PlatformSimulation simulation, int seconds) {
+    private static void recordTrouble(PlatformSimulation simulation, int seconds) {
         simulation.seen.troubles.add(new ObservationLog.Trouble(
-                "scene",
+                "scenario",
                 simulation.network.sim.now(),
                 simulation.network.sim.now().plusSeconds(seconds)));
     }
 
-    static void powerLost(PlatformSimulation simulation) throws ServiceException {
+    static void powerLossEverywhere(PlatformSimulation simulation) throws ServiceException {
         simulation.clients.start(20);
         for (int ms = 0; ms < 3000; ms += 50) {
             int n = ms;
@@ -34,7 +34,7 @@
         }
         simulation.network.sim.run(Duration.ofSeconds(4));
         simulation.clients.stop();
-        trouble(simulation, 12);
+        recordTrouble(simulation, 12);
         simulation.network.all().forEach(h -> simulation.network.host(h).powerLoss());
         simulation.network.sim.run(Duration.ofSeconds(1));
         for (String h : simulation.network.all()) {
@@ -44,44 +44,47 @@
     }
 
     static void answersDoNotComeBack(PlatformSimulation simulation) {
-        trouble(simulation, 12);
+        recordTrouble(simulation, 12);
         simulation.clients.start(40);
-        simulation.network.stores.forEach(s -> simulation.network.net.cutOneWay(s, simulation.network.intakes.get(0)));
+        simulation.network.stores.forEach(
+                store -> simulation.network.net.cutOneWay(store, simulation.network.intakes.get(0)));
         simulation.network.sim.run(Duration.ofSeconds(3));
         simulation.clients.stop();
         simulation.network.sim.run(Duration.ofSeconds(7));
         simulation.network.net.heal();
     }
 
-    static void breakingOff(PlatformSimulation simulation) {
+    static void processorsBreakOff(PlatformSimulation simulation) {
         simulation
                 .processors
                 .values()
                 .forEach(processor -> processor.behave(
-                        new ProcessorHabits(Duration.ofMillis(50), Duration.ofMillis(400), 0.2, 0.4, 0.1)));
-        served(simulation, 25, 6);
+                        new ProcessorBehavior(Duration.ofMillis(50), Duration.ofMillis(400), 0.2, 0.4, 0.1)));
+        runTraffic(simulation, 25, 6);
         simulation.network.sim.run(Duration.ofSeconds(2));
-        simulation.processors.values().forEach(processor -> processor.behave(ProcessorHabits.good()));
+        simulation.processors.values().forEach(processor -> processor.behave(ProcessorBehavior.reliable()));
     }
 
-    static void muteProcessors(PlatformSimulation simulation) {
+    static void processorsStopExtendingLeases(PlatformSimulation simulation) {
         simulation.pullers.values().forEach(puller -> {
-            puller.mute();
-            puller.behave(new ProcessorHabits(Duration.ofMillis(2500), Duration.ofMillis(6000), 0, 0, 0));
+            puller.stopExtendingLeases();
+            puller.behave(new ProcessorBehavior(Duration.ofMillis(2500), Duration.ofMillis(6000), 0, 0, 0));
         });
-        served(simulation, 10, 4);
+        runTraffic(simulation, 10, 4);
         simulation.network.sim.run(Duration.ofSeconds(12));
-        simulation.pullers.values().forEach(puller -> puller.behave(ProcessorHabits.good()));
+        simulation.pullers.values().forEach(puller -> puller.behave(ProcessorBehavior.reliable()));
     }
 
-    /** Gone without a word, still on the list, and somebody else is there. */
+    /**
+     * Processors stop without notice and stay on the list, while processors of another service take their addresses.
+     */
     static void reusedAddress(PlatformSimulation simulation) {
         simulation.clients.start(40);
         simulation.network.sim.run(Duration.ofSeconds(1));
-        List<ScriptedProcessor> plain = simulation.processors.values().stream()
+        List<ScriptedProcessor> replaced = simulation.processors.values().stream()
                 .filter(processor -> processor.service().equals("plain"))
                 .toList();
-        plain.forEach(processor -> simulation.moveIn(processor, "book"));
+        replaced.forEach(processor -> simulation.replaceAtSameAddress(processor, "book"));
         simulation.network.sim.run(Duration.ofSeconds(3));
         simulation.processor("plain", "10.9.5.1:8080");
         simulation.network.sim.run(Duration.ofSeconds(3));
@@ -89,7 +92,7 @@
     }
 
     static void slowStreams(PlatformSimulation simulation) {
-        String far = "172.20.0.3:8748";
+        String endpoint = "172.20.0.3:8748";
         for (int ms = 0; ms < 9000; ms += 25) {
             int n = ms;
             simulation.network.sim.after(
@@ -97,35 +100,37 @@
                     () -> simulation.clients.send("/check/" + n, "key" + n / 25 % 4, "", 0, simulation.entry.any()));
         }
         for (int ms = 0; ms < 1200; ms += 50) {
-            Duration left = Duration.ofMillis(1200 - ms);
+            Duration delay = Duration.ofMillis(1200 - ms);
             simulation.network.sim.after(
-                    Duration.ofMillis(5000 + ms), () -> simulation.network.processorSimulation.slowStreams(far, left));
+                    Duration.ofMillis(5000 + ms),
+                    () -> simulation.network.processorSimulation.delayConnections(endpoint, delay));
         }
         simulation.network.sim.after(
-                Duration.ofMillis(6200), () -> simulation.network.processorSimulation.slowStreams(far, Duration.ZERO));
+                Duration.ofMillis(6200),
+                () -> simulation.network.processorSimulation.delayConnections(endpoint, Duration.ZERO));
         simulation.network.sim.run(Duration.ofSeconds(40));
     }
 
-    static void stalled(PlatformSimulation simulation) {
-        String i = simulation.network.intakes.get(0);
+    static void stalledStreams(PlatformSimulation simulation) {
+        String intake = simulation.network.intakes.get(0);
         for (int n = 0; n < 20; n++) {
-            simulation.clients.send("/open/w" + n, "key1", "", 0, i);
+            simulation.clients.send("/open/w" + n, "key1", "", 0, intake);
         }
         simulation.network.sim.run(Duration.ofSeconds(1));
-        trouble(simulation, 60);
-        simulation.network.stores.forEach(s -> simulation.network.net.stall(i, s));
+        recordTrouble(simulation, 60);
+        simulation.network.stores.forEach(store -> simulation.network.net.stall(intake, store));
         for (int ms = 0; ms < 50000; ms += 50) {
             int n = ms;
             simulation.network.sim.after(
-                    Duration.ofMillis(ms), () -> simulation.clients.send("/open/" + n, "key0", "", 0, i));
+                    Duration.ofMillis(ms), () -> simulation.clients.send("/open/" + n, "key0", "", 0, intake));
         }
         simulation.network.sim.run(Duration.ofSeconds(50));
         simulation.network.net.heal();
         simulation.network.sim.run(Duration.ofSeconds(2));
     }
 
-    static void keyWithdrawn(PlatformSimulation simulation, AtomicBoolean frozen) {
-        frozen.set(true);
+    static void keyWithdrawn(PlatformSimulation simulation, AtomicBoolean viewsFrozen) {
+        viewsFrozen.set(true);
         for (int i = 0; i < 4; i++) {
             simulation.operator.keys();
             simulation.network.sim.run(Duration.ofSeconds(1));
@@ -135,28 +140,28 @@
             simulation.clients.send("/open/" + i, "spare" + i % 4, "", 0, simulation.entry.any());
         }
         simulation.network.sim.run(Duration.ofSeconds(3));
-        frozen.set(false);
+        viewsFrozen.set(false);
     }
 
-    static void routeAdded(PlatformSimulation simulation, AtomicBoolean frozen) {
-        frozen.set(true);
+    static void routeAdded(PlatformSimulation simulation, AtomicBoolean viewsFrozen) {
+        viewsFrozen.set(true);
         simulation.operator.change();
         simulation.network.sim.run(Duration.ofSeconds(5));
         simulation.network.intakes.forEach(i -> simulation.clients.send("/new0/1", "key0", "", 0, i));
         simulation.network.sim.run(Duration.ofSeconds(2));
-        frozen.set(false);
+        viewsFrozen.set(false);
     }
 
-    static void processorLeaves(PlatformSimulation simulation, AtomicBoolean frozen) {
+    static void processorLeaves(PlatformSimulation simulation, AtomicBoolean viewsFrozen) {
         simulation.clients.start(40);
         simulation.network.sim.run(Duration.ofSeconds(1));
-        frozen.set(true);
+        viewsFrozen.set(true);
         simulation.leave(simulation.processors.values().stream()
                 .filter(processor -> processor.service().equals("plain"))
                 .findFirst()
                 .orElseThrow());
         simulation.network.sim.run(Duration.ofSeconds(6));
         simulation.clients.stop();
-        frozen.set(false);
+        viewsFrozen.set(false);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformScenarios.java
@@ -4,92 +4,92 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Scenarios that bring about the failure each rule is meant for, as shipped and with one mechanism left out.
- * (docs/design.md, section 12.3)
+ * Scenarios that inject the failure against which each rule protects, as shipped and with one mechanism disabled
+ * (docs/design.md, section 12.3).
  */
 public final class PlatformScenarios {
     private PlatformScenarios() {}
 
     public static List<RuleScenario> all() {
-        AtomicBoolean frozen = new AtomicBoolean();
+        AtomicBoolean viewsFrozen = new AtomicBoolean();
         return List.of(
                 new RuleScenario(
                         "LOST",
-                        "power lost everywhere",
-                        "sync before the answer",
-                        PlatformFailures::powerLost,
+                        "power loss of all machines",
+                        "sync before acknowledgement",
+                        PlatformFailures::powerLossEverywhere,
                         BareReplicas.lyingStores()),
                 new RuleScenario(
                         "REFUSED",
-                        "stores' answers do not come back",
-                        "no answer is not a no",
+                        "responses of the stores are lost",
+                        "a missing response is not a rejection",
                         PlatformFailures::answersDoNotComeBack,
-                        NaiveVariants.silenceIsNo()),
+                        NaiveVariants.submissionTimeoutIsNotSent()),
                 new RuleScenario(
                         "ORDER",
-                        "processors break off",
-                        "silence is not an end",
-                        PlatformFailures::breakingOff,
+                        "processors break off without a response",
+                        "a missing response does not end a message",
+                        PlatformFailures::processorsBreakOff,
                         BareReplicas.silenceIsRefusal()),
                 new RuleScenario(
                         "TWICE read",
-                        "a good day",
-                        "a sealed answer is proof",
-                        simulation -> PlatformFailures.served(simulation, 30, 5),
+                        "traffic without faults",
+                        "a sealed response proves execution",
+                        simulation -> PlatformFailures.runTraffic(simulation, 30, 5),
                         BareReplicas.successIsNoProof()),
                 new RuleScenario(
                         "TWICE leases",
-                        "processors say nothing for longer than a lease",
-                        "only the present lease ends it",
-                        PlatformFailures::muteProcessors,
+                        "processors do not extend their leases",
+                        "only the current lease ends a message",
+                        PlatformFailures::processorsStopExtendingLeases,
                         BareReplicas.anyLeaseWillDo()),
                 new RuleScenario(
                         "MIXED",
                         "processors fail",
-                        "only a seal is proof",
-                        PlatformFailures::breakingOff,
+                        "only a seal proves execution",
+                        PlatformFailures::processorsBreakOff,
                         BareReplicas.errorIsSuccess()),
                 new RuleScenario(
                         "ROUTE",
-                        "another service takes an address",
-                        "the expected instance",
+                        "another service reuses an address",
+                        "the expected instance in the request",
                         PlatformFailures::reusedAddress,
                         BareReplicas.nobodyIsExpected()),
                 new RuleScenario(
                         "UNASKED",
-                        "a good day",
-                        "bytes go as they came",
-                        simulation -> PlatformFailures.served(simulation, 30, 3),
+                        "traffic without faults",
+                        "bodies are delivered unchanged",
+                        simulation -> PlatformFailures.runTraffic(simulation, 30, 3),
                         BareReplicas.bytesChange()),
                 new RuleScenario(
                         "CEILING",
-                        "streams to the endpoint open slowly",
-                        "the last look when the stream is open",
+                        "connections to the endpoint open slowly",
+                        "permission check once the connection is open",
                         PlatformFailures::slowStreams,
                         BareReplicas.lookFirstSendLater()),
                 new RuleScenario(
                         "QUOTA",
-                        "streams stall under a flood",
-                        "a time by which a hand-in must have come",
-                        PlatformFailures::stalled,
-                        NaiveVariants.timelessHandIns()),
+                        "connections stall under high load",
+                        "deadline for submissions",
+                        PlatformFailures::stalledStreams,
+                        NaiveVariants.submissionsWithoutDeadline()),
                 new RuleScenario(
                         "CONFIG revoked",
                         "a key is withdrawn",
-                        "news of proven age",
-                        simulation -> PlatformFailures.keyWithdrawn(simulation, frozen),
-                        BareReplicas.newsStands(frozen::get)),
+                        "service views of known age",
+                        simulation -> PlatformFailures.keyWithdrawn(simulation, viewsFrozen),
+                        BareReplicas.newsStands(viewsFrozen::get)),
                 new RuleScenario(
                         "CONFIG ignored",
-                        "a route comes",
-                        "news of proven age",
-                        simulation -> PlatformFailures.routeAdded(simulation, frozen),
-                        BareReplicas.newsStands(frozen::get)),
+                        "a route is added",
+                        "service views of known age",
+                        simulation -> PlatformFailures.routeAdded(simulation, viewsFrozen),
+                        BareReplicas.newsStands(viewsFrozen::get)),
                 new RuleScenario(
                         "DRAIN",
                         "a processor leaves",
-                        "news of proven age",
-                        simulation -> PlatformFailures.processorLeaves(simulation, frozen),
-                        BareReplicas.newsStands(frozen::get)));
+                        "service views of known age",
+                        simulation -> PlatformFailures.processorLeaves(simulation, viewsFrozen),
+                        BareReplicas.newsStands(viewsFrozen::get)));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
@@ -12,12 +12,12 @@
 import org.woadvale.testkit.stub.ObservationLog;
 import org.woadvale.testkit.stub.Rules;
 
-/** A fleet behind the platform's doors with everything that is around it there: clients, processors, operator. */
+/** A simulated fleet behind the platform's interfaces with its clients, processors and operator. */
 public final class PlatformSimulation {
     static final String HOST = "lode.example";
-    private static final Duration LAG = Duration.ofMillis(800);
-    private static final double LIST_RATE = 44;
-    private static final double RATE = 25;
+    private static final Duration PROCESSOR_LIST_LAG = Duration.ofMillis(800);
+    private static final double PROCESSOR_LIST_RATE_PER_S = 44;
+    private static final double TENANT_RATE_PER_S = 25;
 
     public final SimulatedPlatformFleet network;
     public final ObservationLog seen = new ObservationLog();
@@ -26,19 +26,19 @@
     final OperatorSimulation operator;
     final PlatformClients clients;
     final Map<String, ScriptedProcessor> processors = new LinkedHashMap<>();
-    final Map<String, Puller> pullers = new LinkedHashMap<>();
-    private final Map<String, ScriptedProcessor.Table> tables = new TreeMap<>();
+    final Map<String, PullingProcessor> pullers = new LinkedHashMap<>();
+    private final Map<String, ScriptedProcessor.DeduplicationTable> deduplicationTables = new TreeMap<>();
     private final Map<String, String> addresses = new TreeMap<>();
-    private int lives;
+    private int nextInstance;
 
-    public PlatformSimulation(long seed, int fronts, int stores, FleetOverrides seams) throws ServiceException {
-        network = new SimulatedPlatformFleet(seed, fronts, stores, seams);
-        processorList = new ProcessorList(network.sim, LAG, LIST_RATE);
+    public PlatformSimulation(long seed, int intakes, int stores, FleetOverrides overrides) throws ServiceException {
+        network = new SimulatedPlatformFleet(seed, intakes, stores, overrides);
+        processorList = new ProcessorList(network.sim, PROCESSOR_LIST_LAG, PROCESSOR_LIST_RATE_PER_S);
         network.list(processorList::page);
         entry = new Entry(network);
         operator = new OperatorSimulation(network, seen, configurationStub());
         clients = new PlatformClients(network, entry, operator, seen);
-        network.processorSimulation.onRead((request, response) -> {
+        network.processorSimulation.onResponseRead((request, response) -> {
             if (response.status() / 100 == 2 && response.headers().containsKey("X-Server-Seal")) {
                 seen.read.add(
                         new ObservationLog.Read(request.headers().getOrDefault("x-attempt-id", ""), network.sim.now()));
@@ -60,7 +60,8 @@
                 new ConfigurationStub.Service("far", 12, 24, true, false, Optional.of("172.20.0.3:8748")));
         List<ConfigurationStub.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            tenants.add(new ConfigurationStub.Tenant("tenant" + i, List.of("key" + i, "spare" + i), RATE, RATE));
+            tenants.add(new ConfigurationStub.Tenant(
+                    "tenant" + i, List.of("key" + i, "spare" + i), TENANT_RATE_PER_S, TENANT_RATE_PER_S));
         }
         return new ConfigurationStub(2, routes, services, tenants);
     }
@@ -69,9 +70,9 @@
         return new ConfigurationStub.Route(name, HOST, "/" + name + "/", service, 1500, attempts, inOrder, 90, false);
     }
 
-    /** The first configuration, the processors, and readiness. */
+    /** Sends the initial configuration, starts the processors and waits until the fleet is ready. */
     public PlatformSimulation startAll() {
-        operator.begin();
+        operator.putInitial();
         for (int i = 0; i < 3; i++) {
             processor("book", "10.9.0." + i + ":8080");
             processor("plain", "10.9.1." + i + ":8080");
@@ -79,78 +80,84 @@
         }
         processors.put(
                 "far",
-                place(new ScriptedProcessor(network, seen, "far", "far", 6, table("far"), true), "172.20.0.3:8748"));
+                place(
+                        new ScriptedProcessor(network, seen, "far", "far", 6, deduplicationTable("far"), true),
+                        "172.20.0.3:8748"));
         FleetSimulation.require(
-                network.sim.runUntil(network::ready, Duration.ofSeconds(40)), "the fleet did not get ready");
+                network.sim.runUntil(network::ready, Duration.ofSeconds(40)),
+                "the fleet did not become ready within 40 s");
         network.sim.run(Duration.ofSeconds(2));
         return this;
     }
 
-    private ScriptedProcessor.Table table(String service) {
-        return tables.computeIfAbsent(service, s -> new ScriptedProcessor.Table());
+    private ScriptedProcessor.DeduplicationTable deduplicationTable(String service) {
+        return deduplicationTables.computeIfAbsent(service, s -> new ScriptedProcessor.DeduplicationTable());
     }
 
     private ScriptedProcessor place(ScriptedProcessor processor, String address) {
-        network.processorSimulation.place(address, processor::take);
+        network.processorSimulation.place(address, processor::handle);
         addresses.put(processor.id(), address);
         return processor;
     }
 
     ScriptedProcessor processor(String service, String address) {
-        String id = "i-" + lives++;
+        String id = "i-" + nextInstance++;
         ScriptedProcessor processor = place(
-                new ScriptedProcessor(network, seen, id, service, 6, table(service), service.equals("book")), address);
+                new ScriptedProcessor(
+                        network, seen, id, service, 6, deduplicationTable(service), service.equals("book")),
+                address);
         processors.put(id, processor);
         processorList.put(id, service, address, 6, "ready");
         return processor;
     }
 
-    Puller puller() {
-        String id = "p-" + lives++;
-        Puller puller = new Puller(network, entry, seen, id, "desk").start(4);
+    PullingProcessor puller() {
+        String id = "p-" + nextInstance++;
+        PullingProcessor puller = new PullingProcessor(network, entry, seen, id, "desk").start(4);
         pullers.put(id, puller);
         return puller;
     }
 
-    /** It is gone at once; the list shows it for some seconds more, and its address is another's soon. */
+    /** Stops a processor at once: it stays on the list for 3 s, and a successor takes its address after 5 s. */
     void crash(ScriptedProcessor processor) {
-        processor.die();
+        processor.crash();
         processors.remove(processor.id());
         String address = addresses.get(processor.id());
-        network.processorSimulation.leave(address);
+        network.processorSimulation.remove(address);
         network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(processor.id()));
         network.sim.after(Duration.ofSeconds(5), () -> processor(processor.service(), address));
     }
 
-    /** It is gone without a word, and a processor of another service is at its address. */
-    void moveIn(ScriptedProcessor gone, String service) {
-        gone.die();
-        processors.remove(gone.id());
-        processor(service, addresses.get(gone.id()));
-        network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(gone.id()));
+    /** Stops a processor without notice; a processor of another service takes its address at once. */
+    void replaceAtSameAddress(ScriptedProcessor processor, String service) {
+        processor.crash();
+        processors.remove(processor.id());
+        processor(service, addresses.get(processor.id()));
+        network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(processor.id()));
     }
 
-    /** In order: shown as draining, served for a while, and gone. */
+    /** Shuts a processor down as planned: it is listed as draining, still serves for 4.5 s, and is then removed. */
     void leave(ScriptedProcessor processor) {
         processors.remove(processor.id());
         String address = addresses.get(processor.id());
         seen.draining.add(new ObservationLog.Draining(
                 processor.id(), processorList.put(processor.id(), processor.service(), address, 6, "draining")));
         network.sim.after(Duration.ofMillis(4500), () -> {
-            processor.die();
-            network.processorSimulation.leave(address);
+            processor.crash();
+            network.processorSimulation.remove(address);
             processorList.drop(processor.id());
         });
         processor(processor.service(), address + "1");
     }
 
-    /** All accepted messages are asked for, again after each failure; then the operator reads. */
+    /** Ends the run: reads all accepted messages, then the configuration, and returns the rules that were broken. */
     public List<String> end(Duration completion) {
         clients.stop();
         network.sim.run(completion);
         FleetSimulation.require(
-                network.sim.runUntil(operator::idle, Duration.ofSeconds(30)), "the operator got no clear answer");
-        clients.askForAccepted();
+                network.sim.runUntil(operator::idle, Duration.ofSeconds(30)),
+                "the operator received no conclusive response within 30 s");
+        clients.readAccepted();
         network.sim.run(Duration.ofSeconds(12));
         operator.read();
         network.sim.run(Duration.ofSeconds(3));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.woadvale.testkit.stub.Backend;
 
-/** What comes from outside: callers, processors, endpoints, operator, and the calendar. */
+/** Faults from outside the system: callers, processors, endpoints, the operator and the calendars of the machines. */
 final class ProcessorFaults {
     private final FleetSimulation simulation;
     private final SimulatedFleet fleet;
@@ -24,14 +24,15 @@
 
     void into(Map<String, FaultInjection> faults) {
         faults.put("answers lost", () -> fleet.post.answerLoss(0.2));
-        faults.put("back end down", () -> down(anyBackend()));
+        faults.put("backend down", () -> down(anyBackend()));
         faults.put(
-                "all back ends down", () -> List.copyOf(fleet.backends.keySet()).forEach(this::down));
-        faults.put("back end slow", () -> manner(new Backend.Manner(Duration.ofMillis(1500), 0, 0.2, 0.1)));
-        faults.put("errors after the work", () -> manner(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
-        faults.put("hopeless jobs", () -> manner(new Backend.Manner(Duration.ofMillis(5), 0.5, 0.5, 0)));
-        faults.put("streams open slowly", this::slowStreams);
-        faults.put("something in between", this::middlebox);
+                "all backends down", () -> List.copyOf(fleet.backends.keySet()).forEach(this::down));
+        faults.put("backend slow", () -> setBehavior(new Backend.Manner(Duration.ofMillis(1500), 0, 0.2, 0.1)));
+        faults.put(
+                "errors after the work", () -> setBehavior(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
+        faults.put("failing jobs", () -> setBehavior(new Backend.Manner(Duration.ofMillis(5), 0.5, 0.5, 0)));
+        faults.put("connections open slowly", this::slowStreams);
+        faults.put("intercepting intermediary", this::middlebox);
         faults.put("processor replaced", () -> replace("p" + random.nextInt(4)));
         faults.put("processors replaced one by one", this::replaceAll);
         faults.put("processor vanishes", this::vanish);
@@ -49,10 +50,10 @@
         faults.put("allowance changed", operator::allowance);
         faults.put("rate changed", operator::rate);
         faults.put("time limit changed", operator::timeLimit);
-        faults.put("calendar jumps", this::jump);
+        faults.put("calendar jumps", this::jumpCalendar);
     }
 
-    private Duration some() {
+    private Duration randomDuration() {
         return Duration.ofMillis(500 + random.nextInt(7000));
     }
 
@@ -65,49 +66,49 @@
         return simulation.fetcher("f" + (2 + random.nextInt(2)));
     }
 
-    private void down(String b) {
-        fleet.post.down(b, true);
-        fleet.sim.after(some(), () -> fleet.post.down(b, false));
+    private void down(String backend) {
+        fleet.post.down(backend, true);
+        fleet.sim.after(randomDuration(), () -> fleet.post.down(backend, false));
     }
 
-    private void manner(Backend.Manner manner) {
+    private void setBehavior(Backend.Manner manner) {
         Backend backend = fleet.backends.get(anyBackend());
         backend.behave(manner);
-        fleet.sim.after(some(), () -> backend.behave(Backend.Manner.good()));
+        fleet.sim.after(randomDuration(), () -> backend.behave(Backend.Manner.good()));
     }
 
     private void slowStreams() {
-        String b = anyBackend();
-        fleet.post.slowStreams(b, Duration.ofMillis(random.nextInt(3000)));
-        fleet.sim.after(some(), () -> fleet.post.slowStreams(b, Duration.ZERO));
+        String backend = anyBackend();
+        fleet.post.slowStreams(backend, Duration.ofMillis(random.nextInt(3000)));
+        fleet.sim.after(randomDuration(), () -> fleet.post.slowStreams(backend, Duration.ZERO));
     }
 
     private void middlebox() {
         fleet.post.middlebox(true);
-        fleet.sim.after(some(), () -> fleet.post.middlebox(false));
+        fleet.sim.after(randomDuration(), () -> fleet.post.middlebox(false));
     }
 
-    /** Its process is gone, another has its id at another address. */
-    private void replace(String p) {
-        fleet.replaceBackend(p);
-        simulation.list(p, false);
+    /** Replaces the process of a processor by one with the same id at another address. */
+    private void replace(String processor) {
+        fleet.replaceBackend(processor);
+        simulation.list(processor, false);
     }
 
     private void replaceAll() {
         for (int i = 0; i < 4; i++) {
-            String p = "p" + i;
-            fleet.sim.after(Duration.ofMillis(1500L * i), () -> replace(p));
+            String processor = "p" + i;
+            fleet.sim.after(Duration.ofMillis(1500L * i), () -> replace(processor));
         }
     }
 
     private void vanish() {
-        String p = "p" + random.nextInt(4);
-        fleet.backends.get(p).crash();
-        fleet.post.down(p, true);
-        fleet.sim.after(some(), () -> simulation.unlist(p));
+        String processor = "p" + random.nextInt(4);
+        fleet.backends.get(processor).crash();
+        fleet.post.down(processor, true);
+        fleet.sim.after(randomDuration(), () -> simulation.unlist(processor));
         fleet.sim.after(Duration.ofSeconds(9), () -> {
-            fleet.post.down(p, false);
-            replace(p);
+            fleet.post.down(processor, false);
+            replace(processor);
         });
     }
 
@@ -118,9 +119,10 @@
     }
 
     /**
-     * The brief's machines have calendars that differ; only every fourth fault storm, since stamps tell nothing then.
+     * Shifts the calendar of a machine, since the brief's machines have calendars that differ. Only every fourth fault
+     * storm does so, because timestamps cannot be checked afterwards.
      */
-    private void jump() {
+    private void jumpCalendar() {
         if (calendarsJump) {
             List<String> all = fleet.all();
             fleet.host(all.get(random.nextInt(all.size()))).jump(Duration.ofMillis(random.nextInt(20000) - 10000));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -12,12 +12,12 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The platform's list of processors: it lags, comes in pages, and takes only so many calls a second. docs/platform.md 6
+ * The platform's list of processors: it lags, is paged, and limits the calls per second (docs/platform.md, section 6).
  */
 public final class ProcessorList {
-    private static final int PAGE = 3;
+    private static final int PAGE_SIZE = 3;
 
-    /** One entry, as it stands since a time. */
+    /** One state of an entry and the time from which it holds. */
     private record Row(String service, String address, int slots, String state, Duration since) {}
 
     private final Simulator sim;
@@ -34,11 +34,11 @@
         this.ratePerS = ratePerS;
     }
 
-    public void down(boolean is) {
-        down = is;
+    public void down(boolean unavailable) {
+        down = unavailable;
     }
 
-    /** When the entry is shown at the latest. */
+    /** Sets the state of an entry; returns the time at which the list shows it at the latest. */
     public Duration put(String id, String service, String address, int slots, String state) {
         rows.computeIfAbsent(id, k -> new ArrayList<>()).add(new Row(service, address, slots, state, sim.now()));
         return sim.now().plus(lag);
@@ -56,42 +56,44 @@
         return refused;
     }
 
-    private Optional<Row> shown(List<Row> all) {
-        Duration by = sim.now().minus(lag);
-        return all.stream()
-                .filter(row -> row.since().compareTo(by) <= 0)
-                .reduce((a, row) -> row)
+    private Optional<Row> visibleRow(List<Row> states) {
+        Duration visibleUntil = sim.now().minus(lag);
+        return states.stream()
+                .filter(row -> row.since().compareTo(visibleUntil) <= 0)
+                .reduce((earlier, row) -> row)
                 .filter(row -> !row.state().equals("gone"));
     }
 
     Mono<byte[]> page(String path) {
         calls.add(sim.now());
-        long lately = calls.stream()
-                .filter(c -> c.plusSeconds(1).compareTo(sim.now()) > 0)
+        long recentCalls = calls.stream()
+                .filter(call -> call.plusSeconds(1).compareTo(sim.now()) > 0)
                 .count();
-        if (down || lately > ratePerS) {
+        if (down || recentCalls > ratePerS) {
             refused++;
             return Mono.error(new UnavailableException(down ? "no answer" : "the list answered 429"));
         }
         int from = path.contains("pageToken=p-") ? Integer.parseInt(path.replaceAll(".*pageToken=p-", "")) : 0;
-        List<Map<String, Object>> all = new ArrayList<>();
-        rows.forEach((id, r) -> shown(r).ifPresent(row -> all.add(entry(id, row))));
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("instances", all.subList(Math.min(from, all.size()), Math.min(all.size(), from + PAGE)));
-        out.put("nextToken", from + PAGE < all.size() ? "p-" + (from + PAGE) : null);
-        return Mono.just(Configurations.write(out));
+        List<Map<String, Object>> entries = new ArrayList<>();
+        rows.forEach((id, states) -> visibleRow(states).ifPresent(row -> entries.add(entry(id, row))));
+        Map<String, Object> page = new LinkedHashMap<>();
+        page.put(
+                "instances",
+                entries.subList(Math.min(from, entries.size()), Math.min(entries.size(), from + PAGE_SIZE)));
+        page.put("nextToken", from + PAGE_SIZE < entries.size() ? "p-" + (from + PAGE_SIZE) : null);
+        return Mono.just(Configurations.write(page));
     }
 
     private static Map<String, Object> entry(String id, Row row) {
-        Map<String, Object> e = new LinkedHashMap<>();
-        e.put("service", row.service());
-        e.put("address", row.address());
-        e.put("zone", "hall0");
-        e.put("configRevision", "v1");
-        e.put("callSlots", row.slots());
-        e.put("state", row.state());
-        e.put("coldLeftMs", 0);
-        e.put("instanceId", id);
-        return e;
+        Map<String, Object> entry = new LinkedHashMap<>();
+        entry.put("service", row.service());
+        entry.put("address", row.address());
+        entry.put("zone", "hall0");
+        entry.put("configRevision", "v1");
+        entry.put("callSlots", row.slots());
+        entry.put("state", row.state());
+        entry.put("coldLeftMs", 0);
+        entry.put("instanceId", id);
+        return entry;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
@@ -5,47 +5,45 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.Rules;
 
-/**
- * A rule, the failure that may break it, and the mechanism that keeps it: played as shipped and without the mechanism.
- */
+/** A rule, a failure that can break it and the mechanism that upholds it; runs as shipped and without the mechanism. */
 public final class RuleScenario {
     private static final int NODES = 3;
     private static final Duration COMPLETION = Duration.ofSeconds(10);
 
-    /** Brings the failure about on a simulated platform that is under way. */
-    interface Failure {
+    /** Injects the failure into a running simulated platform. */
+    interface FailureScript {
         void play(PlatformSimulation platform) throws ServiceException;
     }
 
     public final String rule;
     public final String failure;
     public final String leftOut;
-    private final Failure played;
-    private final FleetOverrides without;
+    private final FailureScript script;
+    private final FleetOverrides overrides;
 
-    RuleScenario(String rule, String failure, String leftOut, Failure played, FleetOverrides without) {
+    RuleScenario(String rule, String failure, String leftOut, FailureScript script, FleetOverrides overrides) {
         this.rule = rule;
         this.failure = failure;
         this.leftOut = leftOut;
-        this.played = played;
-        this.without = without;
+        this.script = script;
+        this.overrides = overrides;
     }
 
-    private Rules play(long seed, FleetOverrides seams) throws ServiceException {
-        PlatformSimulation platform = new PlatformSimulation(seed, NODES, NODES, seams).startAll();
-        played.play(platform);
+    private Rules play(long seed, FleetOverrides overrides) throws ServiceException {
+        PlatformSimulation platform = new PlatformSimulation(seed, NODES, NODES, overrides).startAll();
+        script.play(platform);
         platform.end(COMPLETION);
         return new Rules(platform.seen);
     }
 
-    /** What is broken as shipped: nothing, if all is well. */
+    /** The violations as shipped; empty if all rules hold. */
     public List<String> shipped(long seed) throws ServiceException {
         return play(seed, FleetOverrides.none()).violations();
     }
 
-    /** The rules that are broken without the mechanism: this one among them, if it is what keeps the rule. */
+    /** The rules that are broken without the mechanism; this rule is among them if the mechanism upholds it. */
     public List<String> brokenWithout(long seed) throws ServiceException {
-        return play(seed, without).broken();
+        return play(seed, overrides).broken();
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ScriptedProcessor.java
@@ -10,41 +10,46 @@
 import org.woadvale.testkit.stub.ObservationLog;
 import reactor.core.publisher.Mono;
 
-/** One life of a processor that is pushed to: slots, a short queue, seals. docs/platform.md 5 */
+/**
+ * One instance of a processor to which jobs are pushed, with slots, a short queue and seals (docs/platform.md, section
+ * 5).
+ */
 final class ScriptedProcessor {
-    /** What the processors of a service that dedupes share: successes by id, and who is at work. */
-    static final class Table {
+    /**
+     * State shared by the processors of a service that deduplicates: the seals of successful runs and the running ids.
+     */
+    static final class DeduplicationTable {
         private final Map<String, String> seals = new HashMap<>();
         private final Set<String> running = new HashSet<>();
     }
 
-    private static final int QUEUE = 8;
+    private static final int QUEUE_CAPACITY = 8;
     private final SimulatedPlatformFleet network;
-    private final ObservationLog seen;
+    private final ObservationLog observations;
     private final String id;
     private final String service;
     private final int slots;
-    private final Table table;
+    private final DeduplicationTable deduplication;
     private final boolean dedupes;
-    private ProcessorHabits habits = ProcessorHabits.good();
-    private int busy;
+    private ProcessorBehavior behavior = ProcessorBehavior.reliable();
+    private int activeRuns;
     private int runs;
     private boolean alive = true;
 
     ScriptedProcessor(
             SimulatedPlatformFleet network,
-            ObservationLog seen,
+            ObservationLog observations,
             String id,
             String service,
             int slots,
-            Table table,
+            DeduplicationTable deduplication,
             boolean dedupes) {
         this.network = network;
-        this.seen = seen;
+        this.observations = observations;
         this.id = id;
         this.service = service;
         this.slots = slots;
-        this.table = table;
+        this.deduplication = deduplication;
         this.dedupes = dedupes;
     }
 
@@ -56,12 +61,12 @@
         return service;
     }
 
-    void behave(ProcessorHabits processorHabits) {
-        habits = processorHabits;
+    void behave(ProcessorBehavior newBehavior) {
+        behavior = newBehavior;
     }
 
-    /** Everything under way is gone without an answer. */
-    void die() {
+    /** Stops the instance; running jobs are lost without an answer. */
+    void crash() {
         alive = false;
     }
 
@@ -69,47 +74,47 @@
         return request.headers().getOrDefault(name, "");
     }
 
-    private Response answer(Request request, int status, boolean notRun) {
+    private Response answer(Request request, int status, boolean notExecuted) {
         Response response = new Response(status, Map.of("X-Attempt-Id", header(request, "x-attempt-id")), new byte[0]);
-        return notRun ? response.withHeader("X-Not-Executed", "1") : response;
+        return notExecuted ? response.withHeader("X-Not-Executed", "1") : response;
     }
 
-    Mono<Response> take(Request request) {
+    Mono<Response> handle(Request request) {
         String message = header(request, "x-attempt-id");
         String expected = header(request, "x-expect-instance");
-        boolean other = !expected.isEmpty() && !expected.equals(id);
-        seen.arrived.add(new ObservationLog.Arrived(message, service, id, other, network.sim.now()));
+        boolean otherInstance = !expected.isEmpty() && !expected.equals(id);
+        observations.arrived.add(new ObservationLog.Arrived(message, service, id, otherInstance, network.sim.now()));
         if (!alive) {
             return Mono.never();
         }
-        if (other) {
+        if (otherInstance) {
             return Mono.just(answer(request, 421, false));
         }
         if (message.isEmpty()) {
             return Mono.just(answer(request, 400, true));
         }
-        if (dedupes && table.seals.containsKey(message)) {
-            return Mono.just(answer(request, 200, false).withHeader("X-Server-Seal", table.seals.get(message)));
+        if (dedupes && deduplication.seals.containsKey(message)) {
+            return Mono.just(answer(request, 200, false).withHeader("X-Server-Seal", deduplication.seals.get(message)));
         }
-        if (dedupes && table.running.contains(message)) {
+        if (dedupes && deduplication.running.contains(message)) {
             return Mono.just(answer(request, 409, true));
         }
-        if (busy >= slots + QUEUE || network.sim.chance(habits.turnsAway())) {
+        if (activeRuns >= slots + QUEUE_CAPACITY || network.sim.chance(behavior.rejectionProbability())) {
             return Mono.just(answer(request, 503, true));
         }
         return run(request, message);
     }
 
     private Mono<Response> run(Request request, String message) {
-        Duration began = network.sim.now();
+        Duration started = network.sim.now();
         Duration limit = Duration.ofMillis(Long.parseLong(header(request, "x-deadline-ms")));
-        Duration work = habits.work(network.sim).plusMillis(busy >= slots ? 50 : 0);
+        Duration work = behavior.workDuration(network.sim).plusMillis(activeRuns >= slots ? 50 : 0);
         boolean tooLong = work.compareTo(limit) > 0;
-        int outcome = tooLong ? 504 : habits.outcome(message, network.sim);
+        int outcome = tooLong ? 504 : behavior.outcome(message, network.sim);
         String seal = outcome == 200 ? id + "." + runs++ : "";
-        busy++;
-        table.running.add(message);
-        seen.began.add(new ObservationLog.Began(
+        activeRuns++;
+        deduplication.running.add(message);
+        observations.began.add(new ObservationLog.Began(
                 message,
                 service,
                 header(request, "x-tenant"),
@@ -117,17 +122,17 @@
                 request.method(),
                 request.path(),
                 new String(request.body()),
-                began));
+                started));
         return Mono.create(sink -> network.sim.after(tooLong ? limit : work, () -> {
-            busy--;
-            table.running.remove(message);
+            activeRuns--;
+            deduplication.running.remove(message);
             if (!alive) {
                 return;
             }
             if (!seal.isEmpty()) {
-                table.seals.put(message, seal);
+                deduplication.seals.put(message, seal);
             }
-            seen.ended.add(new ObservationLog.Ended(message, outcome, seal, began, network.sim.now()));
+            observations.ended.add(new ObservationLog.Ended(message, outcome, seal, started, network.sim.now()));
             if (outcome > 0) {
                 Response response = answer(request, outcome, false);
                 sink.success(seal.isEmpty() ? response : response.withHeader("X-Server-Seal", seal));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -16,13 +16,13 @@
 import org.woadvale.testkit.stub.ObservationLog;
 
 /**
- * A seeded day on the platform's stand-in: planned work and unplanned trouble under traffic, then every message asked
- * for.
+ * A seeded run on the simulated platform: planned changes and unplanned faults under traffic, after which every
+ * accepted message is read.
  */
 public final class SeededPlatformDays {
-    private static final Duration RECOVERY = Duration.ofMillis(4200);
-    /** A planned stop, the start, and as long as the entry takes to see it. */
-    private static final Duration ROLL = Duration.ofMillis(10_500);
+    private static final Duration RECOVERY_TIME = Duration.ofMillis(4200);
+    /** Time for a planned stop, the restart, and the entry to notice that the node is ready. */
+    private static final Duration STOP_INTERVAL = Duration.ofMillis(10_500);
 
     private final PlatformSimulation simulation;
     private final SimulatedPlatformFleet network;
@@ -30,8 +30,8 @@
     private final Map<String, Runnable> planned = new LinkedHashMap<>();
     private final Map<String, Runnable> unplanned = new LinkedHashMap<>();
     private final List<String> log = new ArrayList<>();
-    /** Every third day has planned work only: what binds in calm times binds all day. */
-    private final boolean calm;
+    /** Every third run has planned changes only, so that the rules for times without faults apply throughout. */
+    private final boolean plannedOnly;
 
     private Duration nextStop = Duration.ZERO;
 
@@ -39,34 +39,34 @@
         this(seed, FleetOverrides.none());
     }
 
-    public SeededPlatformDays(long seed, FleetOverrides seams) throws ServiceException {
+    public SeededPlatformDays(long seed, FleetOverrides overrides) throws ServiceException {
         random = new Random(seed * 17 + 3);
-        calm = seed % 3 == 0;
-        simulation = new PlatformSimulation(seed, 3 + (int) (seed % 3), 3, seams);
+        plannedOnly = seed % 3 == 0;
+        simulation = new PlatformSimulation(seed, 3 + (int) (seed % 3), 3, overrides);
         network = simulation.network;
         planned.put("change", simulation.operator::change);
         planned.put("race", simulation.operator::race);
         planned.put("bad", simulation.operator::bad);
         planned.put("keys", simulation.operator::keys);
-        planned.put("leave", () -> simulation.leave(any(listed())));
-        planned.put("stop", () -> stop(any(network.intakes)));
-        planned.put("stop store", () -> stop(any(network.stores)));
+        planned.put("leave", () -> simulation.leave(pickOne(listed())));
+        planned.put("stop", () -> plannedStop(pickOne(network.intakes)));
+        planned.put("stop store", () -> plannedStop(pickOne(network.stores)));
         planned.put("read", simulation.operator::read);
-        planned.put("repeat", simulation.operator::repeat);
-        unplanned.put("kill", () -> kill(any(network.all())));
-        unplanned.put("power", () -> power(any(network.all())));
-        unplanned.put("freeze", () -> freeze(any(network.all())));
-        unplanned.put("cut", () -> cut(any(network.all())));
-        unplanned.put("crash", () -> simulation.crash(any(listed())));
+        planned.put("repeat", simulation.operator::repeatUpdate);
+        unplanned.put("kill", () -> kill(pickOne(network.all())));
+        unplanned.put("power", () -> power(pickOne(network.all())));
+        unplanned.put("freeze", () -> freeze(pickOne(network.all())));
+        unplanned.put("cut", () -> cut(pickOne(network.all())));
+        unplanned.put("crash", () -> simulation.crash(pickOne(listed())));
         unplanned.put("crash puller", this::crashPuller);
-        unplanned.put("rough", this::rough);
+        unplanned.put("unreliable processors", this::unreliableProcessors);
         unplanned.put("lost answers", () -> lostAnswers(0.3));
-        unplanned.put("list down", this::listDown);
-        unplanned.put("weather", this::weather);
-        unplanned.put("all processors away", this::allAway);
+        unplanned.put("list down", this::processorListDown);
+        unplanned.put("loss and duplication", this::lossAndDuplication);
+        unplanned.put("all processors crash", this::crashAllProcessors);
     }
 
-    private <T> T any(List<T> list) {
+    private <T> T pickOne(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
@@ -76,17 +76,17 @@
                 .toList();
     }
 
-    private void trouble(String what, Duration length) {
+    private void recordTrouble(String fault, Duration length) {
         simulation.seen.troubles.add(new ObservationLog.Trouble(
-                what, network.sim.now(), network.sim.now().plus(length)));
+                fault, network.sim.now(), network.sim.now().plus(length)));
     }
 
-    private void killed(String node) {
+    private void recordKill(String node) {
         simulation.seen.killed.add(new ObservationLog.Killed(node, network.sim.now()));
     }
 
-    private void back(String node, Duration after) {
-        network.sim.after(after, () -> {
+    private void restartAfter(String node, Duration delay) {
+        network.sim.after(delay, () -> {
             try {
                 network.restart(node);
             } catch (ServiceException failure) {
@@ -95,108 +95,108 @@
         });
     }
 
-    private Duration away() {
+    private Duration randomOutage() {
         return Duration.ofMillis(300 + random.nextInt(3000));
     }
 
     private void kill(String node) {
-        Duration away = away();
-        trouble("kill " + node, away.plus(RECOVERY));
-        killed(node);
+        Duration outage = randomOutage();
+        recordTrouble("kill " + node, outage.plus(RECOVERY_TIME));
+        recordKill(node);
         network.kill(node);
-        back(node, away);
+        restartAfter(node, outage);
     }
 
     private void power(String node) {
-        Duration away = away();
-        trouble("power " + node, away.plus(RECOVERY));
-        killed(node);
+        Duration outage = randomOutage();
+        recordTrouble("power " + node, outage.plus(RECOVERY_TIME));
+        recordKill(node);
         network.host(node).powerLoss();
-        back(node, away);
+        restartAfter(node, outage);
     }
 
     private void freeze(String node) {
-        Duration d = away();
-        trouble("freeze " + node, d.plus(RECOVERY));
-        network.host(node).pause(d);
+        Duration outage = randomOutage();
+        recordTrouble("freeze " + node, outage.plus(RECOVERY_TIME));
+        network.host(node).pause(outage);
     }
 
     private void cut(String node) {
-        Duration d = away();
-        trouble("cut " + node, d.plus(RECOVERY));
+        Duration outage = randomOutage();
+        recordTrouble("cut " + node, outage.plus(RECOVERY_TIME));
         network.net.cutOff(node);
-        network.sim.after(d, network.net::heal);
+        network.sim.after(outage, network.net::heal);
     }
 
-    /** In order, one at a time: told to drain, no more offered, and ended once its time is over. */
-    private void stop(String node) {
+    /** Stops one node at a time as planned: the node drains, gets no new requests, and is killed after 5.5 s. */
+    private void plannedStop(String node) {
         if (network.sim.now().compareTo(nextStop) < 0
                 || network.all().stream()
-                        .anyMatch(
-                                x -> !network.host(x).alive() || network.host(x).paused())) {
+                        .anyMatch(other -> !network.host(other).alive()
+                                || network.host(other).paused())) {
             return;
         }
-        nextStop = network.sim.now().plus(ROLL);
+        nextStop = network.sim.now().plus(STOP_INTERVAL);
         network.dataPlaneNode(node).drain();
         for (int ms = 200; ms < 2000; ms += 200) {
             network.sim.after(
                     Duration.ofMillis(ms), () -> network.dataPlaneNode(node).drain());
         }
         network.sim.after(Duration.ofMillis(5500), () -> {
-            killed(node);
+            recordKill(node);
             network.kill(node);
         });
-        back(node, Duration.ofMillis(6500));
+        restartAfter(node, Duration.ofMillis(6500));
     }
 
     private void crashPuller() {
-        Puller old = any(List.copyOf(simulation.pullers.values()));
-        simulation.pullers.values().remove(old);
-        old.die();
+        PullingProcessor crashed = pickOne(List.copyOf(simulation.pullers.values()));
+        simulation.pullers.values().remove(crashed);
+        crashed.crash();
         network.sim.after(Duration.ofMillis(500), simulation::puller);
     }
 
-    private void rough() {
-        simulation.processors.values().forEach(processor -> processor.behave(ProcessorHabits.rough()));
-        simulation.pullers.values().forEach(puller -> puller.behave(ProcessorHabits.rough()));
+    private void unreliableProcessors() {
+        simulation.processors.values().forEach(processor -> processor.behave(ProcessorBehavior.unreliable()));
+        simulation.pullers.values().forEach(puller -> puller.behave(ProcessorBehavior.unreliable()));
         network.sim.after(Duration.ofSeconds(4), () -> {
-            simulation.processors.values().forEach(processor -> processor.behave(ProcessorHabits.good()));
-            simulation.pullers.values().forEach(puller -> puller.behave(ProcessorHabits.good()));
+            simulation.processors.values().forEach(processor -> processor.behave(ProcessorBehavior.reliable()));
+            simulation.pullers.values().forEach(puller -> puller.behave(ProcessorBehavior.reliable()));
         });
     }
 
-    private void lostAnswers(double share) {
-        trouble("lost answers", Duration.ofSeconds(3));
-        network.processorSimulation.answerLoss(share);
+    private void lostAnswers(double probability) {
+        recordTrouble("lost answers", Duration.ofSeconds(3));
+        network.processorSimulation.answerLoss(probability);
         network.sim.after(Duration.ofSeconds(3), () -> network.processorSimulation.answerLoss(0));
     }
 
-    private void listDown() {
-        trouble("list down", Duration.ofSeconds(4));
+    private void processorListDown() {
+        recordTrouble("list down", Duration.ofSeconds(4));
         simulation.processorList.down(true);
         network.sim.after(Duration.ofSeconds(4), () -> simulation.processorList.down(false));
     }
 
-    private void weather() {
-        trouble("weather", Duration.ofSeconds(3).plus(RECOVERY));
+    private void lossAndDuplication() {
+        recordTrouble("loss and duplication", Duration.ofSeconds(3).plus(RECOVERY_TIME));
         network.net.setLossAndDuplication(0.05, 0.1);
         network.sim.after(Duration.ofSeconds(3), () -> network.net.setLossAndDuplication(0, 0));
     }
 
-    private void allAway() {
+    private void crashAllProcessors() {
         listed().stream()
                 .filter(processor -> processor.service().equals("book"))
                 .toList()
                 .forEach(simulation::crash);
     }
 
-    private void strike(Map<String, Runnable> from) {
-        String name = any(List.copyOf(from.keySet()));
+    private void runRandom(Map<String, Runnable> actions) {
+        String name = pickOne(List.copyOf(actions.keySet()));
         log.add(network.sim.now().toMillis() + " " + name);
-        from.get(name).run();
+        actions.get(name).run();
     }
 
-    /** The broken rules; empty when all went well. */
+    /** Runs for the given time; returns the violations, none if every rule held. */
     public List<String> run(Duration length) {
         simulation.startAll();
         simulation.clients.start(30);
@@ -204,13 +204,13 @@
         while (network.sim.now().compareTo(end) < 0) {
             for (int i = random.nextInt(4); i >= 0; i--) {
                 network.sim.run(Duration.ofMillis(200 + random.nextInt(1500)));
-                strike(planned);
+                runRandom(planned);
             }
-            strike(calm ? planned : unplanned);
+            runRandom(plannedOnly ? planned : unplanned);
             network.sim.run(Duration.ofMillis(3000 + random.nextInt(7000)));
         }
         simulation.operator.read();
-        strike(calm ? planned : unplanned);
+        runRandom(plannedOnly ? planned : unplanned);
         network.sim.run(Duration.ofSeconds(9));
         return simulation.end(Duration.ofSeconds(10));
     }
@@ -231,7 +231,7 @@
         return simulation.answers();
     }
 
-    /** platform --seeds A..B [SECONDS]: a sweep over seeds; false if any rule was broken. */
+    /** {@code platform --seeds A..B [SECONDS]}: runs a range of seeds; false if any rule was broken. */
     public static boolean sweep(String seeds, Duration length) {
         long from = Long.parseLong(seeds.substring(0, seeds.indexOf('.')));
         long to = Long.parseLong(seeds.substring(seeds.lastIndexOf('.') + 1));
@@ -240,12 +240,12 @@
         LongStream.rangeClosed(from, to).parallel().forEach(seed -> {
             try {
                 SeededPlatformDays day = new SeededPlatformDays(seed);
-                List<String> bad = day.run(length);
+                List<String> violations = day.run(length);
                 synchronized (answers) {
-                    day.answers().forEach((k, n) -> answers.merge(k, n, Integer::sum));
+                    day.answers().forEach((status, count) -> answers.merge(status, count, Integer::sum));
                 }
-                if (!bad.isEmpty()) {
-                    failed.put(seed, bad);
+                if (!violations.isEmpty()) {
+                    failed.put(seed, violations);
                 }
             } catch (ServiceException | RuntimeException e) {
                 failed.put(
@@ -253,8 +253,8 @@
                         List.of("threw " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "")));
             }
         });
-        failed.forEach((seed, bad) -> System.out.println(
-                "seed " + seed + ": " + bad.size() + " " + bad.stream().limit(3).toList()));
+        failed.forEach((seed, violations) -> System.out.println("seed " + seed + ": " + violations.size() + " "
+                + violations.stream().limit(3).toList()));
         System.out.println("Answers: " + answers);
         System.out.println("Seeds " + from + ".." + to + ": " + failed.size() + " with broken rules.");
         return failed.isEmpty();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryClient.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryNetwork.java
@@ -18,21 +18,21 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** The way from stores to back ends; back ends live outside of every host. */
-public final class SimDeliveryClient {
-    /** The outside's clock: true time. */
-    public interface Outside extends Clock, Timers {}
+/** The simulated network from the stores to the backends, which run outside of all hosts. */
+public final class SimDeliveryNetwork {
+    /** Clock and timers of the backends, in simulated time without clock faults. */
+    public interface ExternalEnvironment extends Clock, Timers {}
 
     private final SimulatedFleet fleet;
     private final Set<String> down = new HashSet<>();
-    private final Map<String, Duration> slowStreams = new HashMap<>();
-    private final Map<String, String> names = new HashMap<>();
-    private final Map<String, String> addresses = new HashMap<>();
-    private final Map<String, Backend> at = new HashMap<>();
+    private final Map<String, Duration> connectionDelays = new HashMap<>();
+    private final Map<String, String> idsByAddress = new HashMap<>();
+    private final Map<String, String> addressesById = new HashMap<>();
+    private final Map<String, Backend> backendsByAddress = new HashMap<>();
     private double answerLoss;
     private boolean middlebox;
 
-    SimDeliveryClient(SimulatedFleet fleet) {
+    SimDeliveryNetwork(SimulatedFleet fleet) {
         this.fleet = fleet;
     }
 
@@ -44,12 +44,12 @@
         }
     }
 
-    public void answerLoss(double p) {
-        answerLoss = p;
+    public void answerLoss(double probability) {
+        answerLoss = probability;
     }
 
-    Outside clock() {
-        return new Outside() {
+    ExternalEnvironment clock() {
+        return new ExternalEnvironment() {
             @Override
             public Duration monotonicTime() {
                 return fleet.sim.now();
@@ -83,15 +83,15 @@
         };
     }
 
-    DeliveryClient from(Host host) {
+    DeliveryClient clientFor(Host host) {
         return call -> Mono.defer(() -> {
             Sinks.One<DeliveryClient.DeliveryResponse> sink = Sinks.one();
             host.after(call.timeout(), () -> sink.tryEmitError(new OutcomeUnknownException("no answer in time")));
-            String rest = call.url().substring("http://".length());
-            String address = rest.substring(0, rest.indexOf('/'));
-            String id = names.getOrDefault(address, "");
-            Optional<Backend> b = Optional.ofNullable(at.get(address));
-            if (middlebox && names.getOrDefault(address, "").startsWith("registry")) {
+            String addressAndPath = call.url().substring("http://".length());
+            String address = addressAndPath.substring(0, addressAndPath.indexOf('/'));
+            String id = idsByAddress.getOrDefault(address, "");
+            Optional<Backend> backend = Optional.ofNullable(backendsByAddress.get(address));
+            if (middlebox && idsByAddress.getOrDefault(address, "").startsWith("registry")) {
                 fleet.sim.after(
                         fleet.net.delay(),
                         () -> host.execute(() -> {
@@ -102,9 +102,9 @@
                 return sink.asMono();
             }
             fleet.sim.after(
-                    fleet.net.delay().plus(slowStreams.getOrDefault(id, Duration.ZERO)),
+                    fleet.net.delay().plus(connectionDelays.getOrDefault(id, Duration.ZERO)),
                     () -> host.execute(() -> {
-                        if (b.isEmpty()
+                        if (backend.isEmpty()
                                 || down.contains(id)
                                 || !call.stillPermitted().getAsBoolean()) {
                             sink.tryEmitError(new UnreachableException("refused"));
@@ -115,10 +115,10 @@
                                 () -> arrive(
                                         host,
                                         id,
-                                        b.get(),
+                                        backend.get(),
                                         new Request(
                                                 call.method(),
-                                                rest.substring(rest.indexOf('/')),
+                                                addressAndPath.substring(addressAndPath.indexOf('/')),
                                                 Map.of(),
                                                 call.body()),
                                         sink));
@@ -142,31 +142,31 @@
                                                 response.status(), response.body()))));
                             }
                         },
-                        e -> {});
+                        error -> {});
     }
 
-    /** A back end at an address of its own; a successor under the same id has another one. */
-    void place(String id, Backend backend) {
-        String old = addresses.getOrDefault(id, "");
-        at.remove(old);
-        String address = "127.0.0.1:" + (10000 + names.size());
-        names.put(address, id);
-        addresses.put(id, address);
-        at.put(address, backend);
+    /** Places a backend at an address of its own; a successor with the same id gets another address. */
+    void assignAddress(String id, Backend backend) {
+        String previous = addressesById.getOrDefault(id, "");
+        backendsByAddress.remove(previous);
+        String address = "127.0.0.1:" + (10000 + idsByAddress.size());
+        idsByAddress.put(address, id);
+        addressesById.put(id, address);
+        backendsByAddress.put(address, backend);
     }
 
-    /** Something in between answers for the outside endpoints. */
-    public void middlebox(boolean on) {
-        middlebox = on;
+    /** Makes an intermediary answer 200 in place of the external endpoints. */
+    public void middlebox(boolean enabled) {
+        middlebox = enabled;
     }
 
-    /** How long it takes until a stream to a back end is open. */
-    public void slowStreams(String backend, Duration d) {
-        slowStreams.put(backend, d);
+    /** Sets the time that a connection to a backend takes to open. */
+    public void slowStreams(String backend, Duration delay) {
+        connectionDelays.put(backend, delay);
     }
 
-    /** Back ends are addressed by number, as the configuration's rules want. */
+    /** The address of a backend: an IP address, as the configuration's rules require. */
     public String address(String backend) {
-        return addresses.get(backend);
+        return addressesById.get(backend);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -11,40 +11,40 @@
 import org.woadvale.common.wal.Disk;
 import org.woadvale.common.wal.DiskFullException;
 
-/** A disk that forgets unsynced writes when the power goes: each sector may be kept, torn or lost. */
+/** A disk on which a power loss affects unsynced writes: each sector of them is kept, torn or lost. */
 public final class SimDisk implements Disk {
     private static final int SECTOR = 512;
 
-    private record Write(int pos, byte[] bytes) {
-        /** The sectors reach the platter each by itself. */
+    private record Write(int position, byte[] bytes) {
+        /** Splits the write into sectors, each of which becomes durable independently. */
         List<Write> sectors() {
-            List<Write> out = new ArrayList<>();
+            List<Write> sectors = new ArrayList<>();
             for (int at = 0; at < bytes.length; ) {
-                int end = Math.min(bytes.length, ((pos + at) / SECTOR + 1) * SECTOR - pos);
-                out.add(new Write(pos + at, Arrays.copyOfRange(bytes, at, end)));
+                int end = Math.min(bytes.length, ((position + at) / SECTOR + 1) * SECTOR - position);
+                sectors.add(new Write(position + at, Arrays.copyOfRange(bytes, at, end)));
                 at = end;
             }
-            return out;
+            return sectors;
         }
     }
 
-    private static final class Platter {
+    private static final class FileContent {
         byte[] synced;
-        final List<Write> loose = new ArrayList<>();
+        final List<Write> unsynced = new ArrayList<>();
         boolean allocated;
 
-        Platter(int size) {
+        FileContent(int size) {
             synced = new byte[size];
         }
 
-        void keep(Write write, int length) {
-            System.arraycopy(write.bytes(), 0, synced, write.pos(), length);
+        void apply(Write write, int length) {
+            System.arraycopy(write.bytes(), 0, synced, write.position(), length);
         }
     }
 
     private final Simulator sim;
-    private final Map<String, Platter> files = new HashMap<>();
-    private long syncs;
+    private final Map<String, FileContent> files = new HashMap<>();
+    private long syncCount;
     private boolean full;
     private long written;
 
@@ -52,8 +52,8 @@
         this.sim = sim;
     }
 
-    public long syncs() {
-        return syncs;
+    public long syncCount() {
+        return syncCount;
     }
 
     long written() {
@@ -67,16 +67,16 @@
 
     @Override
     public DiskFile open(String name, int size) {
-        Platter platter = files.computeIfAbsent(name, n -> new Platter(size));
+        FileContent file = files.computeIfAbsent(name, n -> new FileContent(size));
         return new DiskFile() {
             @Override
             public int size() {
-                return platter.synced.length;
+                return file.synced.length;
             }
 
             @Override
             public void allocate() throws IOException {
-                takeSpace(platter);
+                reserveSpace(file);
             }
 
             @Override
@@ -84,33 +84,33 @@
                 failIfFull();
                 written += length;
                 sim.trace().add(sim.now(), name);
-                platter.loose.add(new Write((int) pos, Arrays.copyOf(bytes, length)));
+                file.unsynced.add(new Write((int) pos, Arrays.copyOf(bytes, length)));
             }
 
             @Override
             public void read(long pos, byte[] into, int length) {
-                System.arraycopy(platter.synced, (int) pos, into, 0, length);
-                platter.loose.forEach(write -> {
-                    int start = Math.max((int) pos, write.pos());
-                    int end = Math.min((int) pos + length, write.pos() + write.bytes().length);
+                System.arraycopy(file.synced, (int) pos, into, 0, length);
+                file.unsynced.forEach(write -> {
+                    int start = Math.max((int) pos, write.position());
+                    int end = Math.min((int) pos + length, write.position() + write.bytes().length);
                     if (start < end) {
-                        System.arraycopy(write.bytes(), start - write.pos(), into, start - (int) pos, end - start);
+                        System.arraycopy(write.bytes(), start - write.position(), into, start - (int) pos, end - start);
                     }
                 });
             }
 
             @Override
             public void sync() {
-                syncs++;
-                platter.loose.forEach(write -> platter.keep(write, write.bytes().length));
-                platter.loose.clear();
+                syncCount++;
+                file.unsynced.forEach(write -> file.apply(write, write.bytes().length));
+                file.unsynced.clear();
             }
         };
     }
 
-    /** Takes no more bytes, as long as that lasts: neither new files nor new bytes in old ones. */
-    public void setFull(boolean now) {
-        full = now;
+    /** While full, the disk accepts neither new files nor writes to existing ones. */
+    public void setFull(boolean isFull) {
+        full = isFull;
     }
 
     private void failIfFull() throws DiskFullException {
@@ -119,7 +119,7 @@
         }
     }
 
-    private void takeSpace(Platter file) throws DiskFullException {
+    private void reserveSpace(FileContent file) throws DiskFullException {
         if (!file.allocated) {
             failIfFull();
         }
@@ -131,26 +131,26 @@
         files.clear();
     }
 
-    /** The disk is lost or replaced. */
+    /** Deletes all files, as on the loss or replacement of the disk. */
     public void wipe() {
         files.clear();
     }
 
-    /** The synced bytes as they are now. */
+    /** A copy of the current synced bytes. */
     public SimDisk copy() {
         SimDisk copied = new SimDisk(sim);
         copied.become(this);
         return copied;
     }
 
-    /** Another disk, or an earlier state of this one, in its place; both keep their bytes to themselves. */
+    /** Replaces all files by copies of the synced bytes of another disk or of an earlier state of this one. */
     public void become(SimDisk other) {
         files.clear();
-        other.files.forEach((name, platter) -> {
-            Platter same = new Platter(platter.synced.length);
-            System.arraycopy(platter.synced, 0, same.synced, 0, same.synced.length);
-            same.allocated = platter.allocated;
-            files.put(name, same);
+        other.files.forEach((name, file) -> {
+            FileContent copied = new FileContent(file.synced.length);
+            System.arraycopy(file.synced, 0, copied.synced, 0, copied.synced.length);
+            copied.allocated = file.allocated;
+            files.put(name, copied);
         });
     }
 
@@ -158,7 +158,7 @@
     public void save(DataOutputStream out) throws IOException {
         out.writeInt(files.size());
         for (String name : list()) {
-            Platter file = files.get(name);
+            FileContent file = files.get(name);
             out.writeUTF(name);
             out.writeBoolean(file.allocated);
             out.writeInt(file.synced.length);
@@ -173,28 +173,28 @@
         for (int i = 0; i < count; i++) {
             String name = in.readUTF();
             boolean allocated = in.readBoolean();
-            Platter file = new Platter(in.readInt());
+            FileContent file = new FileContent(in.readInt());
             file.allocated = allocated;
             in.readFully(file.synced);
             files.put(name, file);
         }
     }
 
-    /** Bytes go bad in the middle of what was synced. */
+    /** Corrupts one byte of the synced content of a file. */
     public void damage(String name, int at) {
         files.get(name).synced[at] ^= 0x55;
     }
 
     public void powerLoss() {
-        files.values().forEach(platter -> {
-            platter.loose.stream().flatMap(write -> write.sectors().stream()).forEach(write -> {
-                int fate = sim.random().nextInt(3);
-                int keep = fate == 0
+        files.values().forEach(file -> {
+            file.unsynced.stream().flatMap(write -> write.sectors().stream()).forEach(write -> {
+                int outcome = sim.random().nextInt(3);
+                int kept = outcome == 0
                         ? 0
-                        : fate == 1 ? write.bytes().length : sim.random().nextInt(write.bytes().length + 1);
-                platter.keep(write, keep);
+                        : outcome == 1 ? write.bytes().length : sim.random().nextInt(write.bytes().length + 1);
+                file.apply(write, kept);
             });
-            platter.loose.clear();
+            file.unsynced.clear();
         });
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -20,23 +20,23 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** A network that delays, loses, doubles, and can be cut in one direction. */
+/** A network that delays, loses and duplicates frames and whose links can be cut in each direction separately. */
 public final class SimNet {
-    /** Is told each frame that is sent, with the size of its bytes. */
+    /** Called for each frame that is sent, with its encoded size. */
     public interface FrameListener {
         void sent(String from, String to, Frame frame, int bytes);
     }
 
     private final Simulator sim;
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Set<String> cuts = new HashSet<>();
-    /** Frames that wait in a stream whose other end does not take them: they are late, not lost. */
-    private final Map<String, List<Runnable>> stalled = new HashMap<>();
+    private final Set<String> blockedLinks = new HashSet<>();
+    /** Frames of connections whose receiver does not read them: they are delivered late, not lost. */
+    private final Map<String, List<Runnable>> stalledFrames = new HashMap<>();
 
     private final SlowLinks slowLinks = new SlowLinks();
 
     private double loss;
-    private double twice;
+    private double duplication;
     private long frames;
     private FrameListener frameListener = (from, to, frame, bytes) -> {};
 
@@ -48,23 +48,23 @@
         hosts.put(host.address, host);
     }
 
-    public void setLossAndDuplication(double newLoss, double newTwice) {
+    public void setLossAndDuplication(double newLoss, double newDuplication) {
         loss = newLoss;
-        twice = newTwice;
+        duplication = newDuplication;
     }
 
     public void cutOneWay(String from, String to) {
-        cuts.add(from + ">" + to);
+        blockedLinks.add(from + ">" + to);
     }
 
-    public void cutOff(String who) {
-        hosts.keySet().stream().filter(h -> !h.equals(who)).forEach(h -> cut(who, h));
+    public void cutOff(String node) {
+        hosts.keySet().stream().filter(h -> !h.equals(node)).forEach(h -> cut(node, h));
     }
 
-    /** Frames between two peers wait until all is healed, as in a stream that TCP keeps alive. */
+    /** Holds back frames between two peers until {@link #heal}, as on a connection that TCP keeps open. */
     public void stall(String one, String other) {
-        stalled.putIfAbsent(one + ">" + other, new ArrayList<>());
-        stalled.putIfAbsent(other + ">" + one, new ArrayList<>());
+        stalledFrames.putIfAbsent(one + ">" + other, new ArrayList<>());
+        stalledFrames.putIfAbsent(other + ">" + one, new ArrayList<>());
     }
 
     public void cut(String one, String other) {
@@ -73,40 +73,41 @@
     }
 
     public void join(String one, String other) {
-        cuts.remove(one + ">" + other);
-        cuts.remove(other + ">" + one);
+        blockedLinks.remove(one + ">" + other);
+        blockedLinks.remove(other + ">" + one);
     }
 
     public void heal() {
-        cuts.clear();
-        List<Runnable> late = stalled.values().stream().flatMap(List::stream).toList();
-        stalled.clear();
-        late.forEach(task -> sim.after(delay(), task));
+        blockedLinks.clear();
+        List<Runnable> delayed =
+                stalledFrames.values().stream().flatMap(List::stream).toList();
+        stalledFrames.clear();
+        delayed.forEach(task -> sim.after(delay(), task));
     }
 
-    private void transmit(String from, String to, int bytes, Runnable arrive) {
-        List<Runnable> stalledFrames = stalled.get(from + ">" + to);
-        if (stalledFrames != null) {
-            stalledFrames.add(arrive);
+    private void transmit(String from, String to, int bytes, Runnable delivery) {
+        List<Runnable> waiting = stalledFrames.get(from + ">" + to);
+        if (waiting != null) {
+            waiting.add(delivery);
         } else {
-            sim.after(delay().plus(slowLinks.queue(from, to, bytes, sim.now())), arrive);
+            sim.after(delay().plus(slowLinks.enqueue(from, to, bytes, sim.now())), delivery);
         }
     }
 
     public boolean reaches(String from, String to) {
-        return !cuts.contains(from + ">" + to);
+        return !blockedLinks.contains(from + ">" + to);
     }
 
-    /** The link takes so many bytes a second from now on, in this direction. */
+    /** Limits the throughput of a link in this direction from now on. */
     public void slowLink(String from, String to, long bytesPerSecond) {
-        slowLinks.slow(from, to, bytesPerSecond);
+        slowLinks.limit(from, to, bytesPerSecond);
     }
 
     public void onFrame(FrameListener listener) {
         frameListener = listener;
     }
 
-    private void sent(String from, String to, Frame frame, byte[] bytes) {
+    private void recordSent(String from, String to, Frame frame, byte[] bytes) {
         sim.trace().add(sim.now(), from + ">" + to);
         frameListener.sent(from, to, frame, bytes.length);
     }
@@ -142,31 +143,31 @@
         }
 
         @Override
-        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
+        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration timeout) {
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
-                        TimerHandle timeout = self.after(
-                                limit, () -> sink.tryEmitError(new OutcomeUnknownException("No answer in time.")));
-                        Frame ask = new Frame(1, Frame.Kind.REQUEST, body);
-                        byte[] bytes = codec.write(ask);
-                        sent(self.address, to, ask, bytes);
-                        long life = self.life();
-                        deliver(to, bytes, sink, life);
-                        if (sim.chance(twice)) {
-                            deliver(to, bytes, sink, life);
+                        TimerHandle timer = self.after(
+                                timeout, () -> sink.tryEmitError(new OutcomeUnknownException("No answer in time.")));
+                        Frame request = new Frame(1, Frame.Kind.REQUEST, body);
+                        byte[] bytes = codec.write(request);
+                        recordSent(self.address, to, request, bytes);
+                        long incarnation = self.life();
+                        deliver(to, bytes, sink, incarnation);
+                        if (sim.chance(duplication)) {
+                            deliver(to, bytes, sink, incarnation);
                         }
-                        return sink.asMono().doFinally(signal -> timeout.cancel());
+                        return sink.asMono().doFinally(signal -> timer.cancel());
                     })
                     .flatMap(frame -> frame.kind() == Frame.Kind.ERROR
-                            ? Mono.<T>error(fault((Frame.ErrorResponse) frame.body()))
+                            ? Mono.<T>error(toException((Frame.ErrorResponse) frame.body()))
                             : Mono.just(answer.cast(frame.body())));
         }
 
-        private ServiceException fault(Frame.ErrorResponse error) {
+        private ServiceException toException(Frame.ErrorResponse error) {
             return ServiceException.of(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
-        private void deliver(String to, byte[] bytes, Sinks.One<Frame> sink, long life) {
+        private void deliver(String to, byte[] bytes, Sinks.One<Frame> sink, long incarnation) {
             frames++;
             Optional<Host> target = Optional.ofNullable(hosts.get(to));
             if (!to.equals(self.address) && lost(self.address, to)) {
@@ -174,12 +175,13 @@
             }
             transmit(self.address, to, bytes.length, () -> {
                 if (target.isEmpty() || !target.get().alive()) {
-                    onCaller(life, () -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
+                    runOnCaller(
+                            incarnation, () -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
                     return;
                 }
                 target.get()
                         .execute(() -> PendingCalls.serve(target.get().router(), self.address, read(bytes))
-                                .subscribe(frame -> reply(target.get(), frame, sink, life)));
+                                .subscribe(frame -> reply(target.get(), frame, sink, incarnation)));
             });
         }
 
@@ -191,20 +193,20 @@
             }
         }
 
-        private void reply(Host from, Frame frame, Sinks.One<Frame> sink, long life) {
+        private void reply(Host from, Frame frame, Sinks.One<Frame> sink, long incarnation) {
             byte[] bytes = codec.write(frame);
-            sent(from.address, self.address, frame, bytes);
+            recordSent(from.address, self.address, frame, bytes);
             if (from.alive() && (from == self || !lost(from.address, self.address))) {
                 transmit(
                         from.address,
                         self.address,
                         bytes.length,
-                        () -> onCaller(life, () -> sink.tryEmitValue(read(bytes))));
+                        () -> runOnCaller(incarnation, () -> sink.tryEmitValue(read(bytes))));
             }
         }
 
-        private void onCaller(long life, Runnable task) {
-            if (self.life() == life && self.alive()) {
+        private void runOnCaller(long incarnation, Runnable task) {
+            if (self.life() == incarnation && self.alive()) {
                 self.execute(task);
             }
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
@@ -22,9 +22,9 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** A whole fleet of the shipped nodes on fakes (docs/design.md, section 12.1). */
+/** A complete fleet of the shipped nodes on a simulated clock, network and disks (docs/design.md, section 12.1). */
 public final class SimulatedFleet extends Machines {
-    /** Small, so that faultStorms meet the ring's end too. */
+    /** Small, so that fault storms also reach the end of the ring. */
     static final int SMALL_RING = 512 << 10;
 
     static final int LARGE_RING = 4 << 20;
@@ -32,16 +32,16 @@
     public final Observations seen = new Observations();
     public final TestConfiguration testConfiguration;
     public final Map<String, Backend> backends = new LinkedHashMap<>();
-    public final SimDeliveryClient post;
+    public final SimDeliveryNetwork post;
     private final int ringBytes;
     private final List<String> seeds;
-    /** The seeds in the settings of machines that are started from now on. */
+    /** The seeds in the settings of the machines that are started next. */
     private List<String> joinSeeds;
 
     private final Map<String, ControlNode> controlNodesByAddress = new HashMap<>();
     private final Map<String, OperatorHttpHandler> operatorHandlers = new HashMap<>();
     private final Map<String, DataPlaneNode> dataPlaneNodes = new HashMap<>();
-    private final FleetOverrides seams;
+    private final FleetOverrides overrides;
 
     public SimulatedFleet(
             long seed,
@@ -50,12 +50,12 @@
             TestConfiguration testConfiguration,
             int ringBytes,
             int zoneCount,
-            FleetOverrides seams)
+            FleetOverrides overrides)
             throws ServiceException {
         super(new Simulator(seed), zoneCount);
-        this.seams = seams;
+        this.overrides = overrides;
         this.ringBytes = ringBytes;
-        this.post = new SimDeliveryClient(this);
+        this.post = new SimDeliveryNetwork(this);
         this.testConfiguration = testConfiguration;
         testConfiguration.allow(seen);
         for (int i = 0; i < 3; i++) {
@@ -74,47 +74,47 @@
         }
     }
 
-    /** A control node that joins a running core, with settings that name present members as seeds. */
+    /** Starts a control node that joins the running core, with current members as seeds in its settings. */
     public String newControlNode() throws ServiceException {
         joinSeeds = presentControlNodes().stream().limit(seeds.size()).toList();
         return newControlNodeFirstSettings();
     }
 
-    /** A control node that joins a running core, with the settings of the first start. */
+    /** Starts a control node that joins the running core, without updating the seeds in the settings. */
     public String newControlNodeFirstSettings() throws ServiceException {
-        String a = host("10.0.0." + (controlNodes.size() + 1) + ":1", controlNodes.size());
-        controlNodes.add(a);
-        start(a);
-        return a;
+        String address = host("10.0.0." + (controlNodes.size() + 1) + ":1", controlNodes.size());
+        controlNodes.add(address);
+        start(address);
+        return address;
     }
 
-    /** A machine that was not there before. */
+    /** Starts a store on a new machine. */
     public String newStore() throws ServiceException {
-        String a = host("10.0.1." + (stores.size() + 1) + ":1", stores.size());
-        stores.add(a);
-        start(a);
-        return a;
+        String address = host("10.0.1." + (stores.size() + 1) + ":1", stores.size());
+        stores.add(address);
+        start(address);
+        return address;
     }
 
     public Backend addBackend(String id, String service, boolean paced) {
         Backend backend = new Backend(id, service, paced, seen, post.clock(), post.clock(), sim.random()::nextLong);
         backends.put(id, backend);
-        post.place(id, backend);
+        post.assignAddress(id, backend);
         return backend;
     }
 
-    /** The process of a back end is gone; another takes its id, at another address and without its memory. */
+    /** Replaces the process of a backend by one with the same id, another address and no memory of earlier runs. */
     public Backend replaceBackend(String id) {
-        Backend old = backends.get(id);
-        old.crash();
-        return addBackend(id, old.service(), old.paced());
+        Backend replaced = backends.get(id);
+        replaced.crash();
+        return addBackend(id, replaced.service(), replaced.paced());
     }
 
     @Override
     public void start(String address) throws ServiceException {
         boolean replicates = controlNodes.contains(address) || stores.contains(address);
         ReplicationTiming timing = replicates ? ReplicationTiming.partitions() : ReplicationTiming.defaults();
-        NodeStart start = boot(address, seams, ringBytes, timing, joinSeeds);
+        NodeStart start = boot(address, overrides, ringBytes, timing, joinSeeds);
         if (controlNodes.contains(address)) {
             startControlNode(address, start);
         } else {
@@ -128,7 +128,7 @@
                 start.core(),
                 foundingMembers(address, seeds),
                 zone(address),
-                seams.faultTolerance());
+                overrides.faultTolerance());
         node.route(start.router());
         OperatorHttpHandler handler = new OperatorHttpHandler(node, "");
         handler.route(start.router());
@@ -156,13 +156,13 @@
                 start.environment(),
                 settings,
                 start.core(),
-                seams.deliveryClient().apply(address, post.from(hosts.get(address))));
+                overrides.deliveryClient().apply(address, post.clientFor(hosts.get(address))));
         node.route(start.router());
         dataPlaneNodes.put(address, node);
         node.start();
     }
 
-    /** A restart within an event of the simulator. */
+    /** Restarts a machine from an event of the simulator, where no checked exception is permitted. */
     void begin(String address) {
         try {
             restart(address);
@@ -179,30 +179,31 @@
         return controlNodesByAddress.get(address);
     }
 
-    /** A request from outside to one node; no answer at all if the node dies or stays away. */
-    public void request(String to, Request request, Duration limit, Consumer<Optional<Response>> then) {
-        reach(
+    /** Sends a request from outside the fleet to one node; empty if no response arrives within the limit. */
+    public void request(String to, Request request, Duration timeout, Consumer<Optional<Response>> receiver) {
+        requestFromOutside(
                 to,
                 request,
                 () -> controlNodes.contains(to)
                         ? operatorHandlers.get(to).handle(request)
                         : dataPlaneNodes.get(to).handle(request),
-                limit,
-                then);
+                timeout,
+                receiver);
     }
 
-    /** What each node that answers says of the configuration it uses. */
+    /** Records the configuration version that each responsive data plane node uses. */
     public void seenVersions() {
-        dataPlaneNodes.forEach((a, node) -> {
-            if (hosts.get(a).alive() && !hosts.get(a).paused()) {
+        dataPlaneNodes.forEach((address, node) -> {
+            if (hosts.get(address).alive() && !hosts.get(address).paused()) {
                 seen.saw(
                         seen.versions,
-                        new Observations.NodeVersion(a, (Long) node.status().get("layout"), sim.now()));
+                        new Observations.NodeVersion(
+                                address, (Long) node.status().get("layout"), sim.now()));
             }
         });
     }
 
-    /** Everything that was not lost is up, and every copy that was lost has been made anew elsewhere. */
+    /** Whether every machine that is not permanently lost runs and every lost replica has been replaced. */
     public boolean repaired() {
         return hosts.keySet().stream().allMatch(h -> lost(h) || hosts.get(h).alive())
                 && presentStores().stream()
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -8,7 +8,7 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 
-/** Simulated fleets that are played to see what they answer and store, in the ordinary course and under faults. */
+/** Runs simulated fleets, with and without faults, to observe what they answer and store. */
 public final class SimulatedFleets {
     /** The control node whose folder {@link #folders} returns. */
     public static final String CONTROL_ADDRESS = "10.0.0.1:1";
@@ -25,7 +25,7 @@
     /** Data folders of two machines of one fleet. */
     public record Folders(SimDisk control, SimDisk store) {}
 
-    /** Plays one day behind each of the two HTTP interfaces and asks each place that no client of them asks. */
+    /** Runs one fleet behind each of the two HTTP interfaces, then requests the paths that their clients do not use. */
     public static void play(BiConsumer<Request, Response> watcher) throws ServiceException {
         SeededPlatformDays day = new SeededPlatformDays(SEED);
         day.watchAnswers(watcher);
@@ -65,7 +65,7 @@
         submitWithoutStores(fleet);
     }
 
-    /** Messages that come while no store runs are refused: one for each tenant and lane by lot. */
+    /** Submits messages, round-robin over the tenants, while no store runs, so that they are rejected. */
     private static void submitWithoutStores(FleetSimulation fleet) {
         fleet.w.stores.forEach(fleet.w::kill);
         fleet.w.sim.run(Duration.ofMillis(300));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
@@ -28,35 +28,37 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * The shipped nodes behind the platform's doors, on fakes; what is outside of them is the test's. (docs/design.md,
- * section 12.1)
+ * The shipped nodes behind the platform's interfaces, on a simulated clock, network and disks; the test provides their
+ * clients, processors and operator (docs/design.md, section 12.1).
  */
 public final class SimulatedPlatformFleet extends Machines {
-    /** How long a leased message rests after its last word; told to the nodes as their boot value. */
+    /** How long a leased message is reserved after its last extension; the nodes get it in their boot settings. */
     public static final Duration LEASE = Duration.ofMillis(3000);
 
     private static final int KEEP_ENDED_S = 130;
     private static final int ZONES = 3;
-    private static final Duration ROLL = Duration.ofMillis(700);
+    private static final Duration PROCESSOR_LIST_READ_INTERVAL = Duration.ofMillis(700);
 
-    public final ProcessorSimulation processorSimulation = new ProcessorSimulation(this);
+    public final ProcessorNetwork processorSimulation = new ProcessorNetwork(this);
     private final List<String> seeds;
     private final Map<String, ControlNode> controlNodesByAddress = new HashMap<>();
     private final Map<String, DataPlaneNode> dataPlaneNodes = new HashMap<>();
     private final Map<String, Function<Request, Mono<Response>>> handlers = new HashMap<>();
-    private final FleetOverrides seams;
+    private final FleetOverrides overrides;
     private final int ringBytes;
-    private Function<String, Mono<byte[]>> pages = path -> Mono.error(new UnavailableException("no list yet"));
+    private Function<String, Mono<byte[]>> processorListPages =
+            path -> Mono.error(new UnavailableException("no list yet"));
 
-    public SimulatedPlatformFleet(long seed, int fronts, int storeCount, FleetOverrides seams) throws ServiceException {
-        this(seed, fronts, storeCount, SimulatedFleet.LARGE_RING, seams);
+    public SimulatedPlatformFleet(long seed, int intakeCount, int storeCount, FleetOverrides overrides)
+            throws ServiceException {
+        this(seed, intakeCount, storeCount, SimulatedFleet.LARGE_RING, overrides);
     }
 
-    /** With rings of another size: so many bytes a file. */
-    public SimulatedPlatformFleet(long seed, int fronts, int storeCount, int ringBytes, FleetOverrides seams)
+    /** Uses rings with the given size of a file. */
+    public SimulatedPlatformFleet(long seed, int intakeCount, int storeCount, int ringBytes, FleetOverrides overrides)
             throws ServiceException {
         super(new Simulator(seed), ZONES);
-        this.seams = seams;
+        this.overrides = overrides;
         this.ringBytes = ringBytes;
         for (int i = 0; i < 3; i++) {
             controlNodes.add(host("10.0.0." + (i + 1) + ":1", i));
@@ -65,7 +67,7 @@
         for (int i = 0; i < storeCount; i++) {
             stores.add(host("10.0.1." + (i + 1) + ":1", i));
         }
-        for (int i = 0; i < fronts; i++) {
+        for (int i = 0; i < intakeCount; i++) {
             intakes.add(host("10.0.2." + (i + 1) + ":1", i));
         }
         for (String h : List.copyOf(hosts.keySet())) {
@@ -73,20 +75,22 @@
         }
     }
 
-    /** The list of processors, page by page. */
-    public void list(Function<String, Mono<byte[]>> byPath) {
-        pages = byPath;
+    /** Sets the source of the list of processors, which returns one page for each path. */
+    public void list(Function<String, Mono<byte[]>> source) {
+        processorListPages = source;
     }
 
-    private Function<String, Mono<byte[]>> pagesFor(Host host) {
+    private Function<String, Mono<byte[]>> processorListPagesFor(Host host) {
         return path -> Mono.defer(() -> {
             Sinks.One<byte[]> sink = Sinks.one();
             sim.after(
                     net.delay(),
-                    () -> pages.apply(path)
+                    () -> processorListPages
+                            .apply(path)
                             .subscribe(
-                                    b -> sim.after(net.delay(), () -> host.execute(() -> sink.tryEmitValue(b))),
-                                    e -> sim.after(net.delay(), () -> host.execute(() -> sink.tryEmitError(e)))));
+                                    page -> sim.after(net.delay(), () -> host.execute(() -> sink.tryEmitValue(page))),
+                                    error -> sim.after(
+                                            net.delay(), () -> host.execute(() -> sink.tryEmitError(error)))));
             return sink.asMono();
         });
     }
@@ -97,20 +101,25 @@
         boolean controlNode = controlNodes.contains(address);
         boolean store = stores.contains(address);
         ReplicationTiming timing = controlNode ? ReplicationTiming.partitions() : ReplicationTiming.defaults();
-        NodeStart start = boot(address, seams, ringBytes, timing, seeds);
+        NodeStart start = boot(address, overrides, ringBytes, timing, seeds);
         RpcRouter router = start.router();
         NodeEnvironment environment = start.environment();
         CoreClient core = start.core();
         if (controlNode) {
             ControlNode node = new ControlNode(
-                    environment, core, foundingMembers(address, seeds), zone(address), seams.faultTolerance());
+                    environment, core, foundingMembers(address, seeds), zone(address), overrides.faultTolerance());
             node.route(router);
             OperatorHttpHandler handler = new OperatorHttpHandler(node, "");
             handler.route(router);
             controlNodesByAddress.put(address, node);
             handlers.put(address, PlatformApi.control(handler));
             node.start();
-            new ProcessorRegistry(environment, node, PlatformApi.registry(pagesFor(host)), ROLL).start();
+            new ProcessorRegistry(
+                            environment,
+                            node,
+                            PlatformApi.registry(processorListPagesFor(host)),
+                            PROCESSOR_LIST_READ_INTERVAL)
+                    .start();
         } else {
             Settings boot = new Settings(
                     address,
@@ -128,12 +137,12 @@
                     LEASE.toMillis(),
                     KEEP_ENDED_S,
                     0,
-                    seams.faultTolerance());
+                    overrides.faultTolerance());
             DataPlaneNode node = new DataPlaneNode(
                     environment,
                     boot,
                     core,
-                    seams.deliveryClient().apply(address, processorSimulation.from(host)),
+                    overrides.deliveryClient().apply(address, processorSimulation.clientFor(host)),
                     PlatformApi.protocol());
             node.route(router);
             dataPlaneNodes.put(address, node);
@@ -150,26 +159,26 @@
         return controlNodesByAddress.get(address);
     }
 
-    /** A request of a client, a fetching processor or the operator to one node. */
-    public void request(String to, Request request, Duration limit, Consumer<Optional<Response>> then) {
-        reach(to, request, () -> handlers.get(to).apply(request), limit, then);
+    /** Sends a request of a client, a pulling processor or the operator to one node. */
+    public void request(String to, Request request, Duration limit, Consumer<Optional<Response>> receiver) {
+        requestFromOutside(to, request, () -> handlers.get(to).apply(request), limit, receiver);
     }
 
-    /** The same, waited for: nobody else waits meanwhile. */
+    /** Sends a request and runs the simulator until the response arrives; must not be called from an event. */
     public Optional<Response> ask(String to, Request request, Duration limit) {
-        AtomicReference<Optional<Response>> out = new AtomicReference<>();
-        request(to, request, limit, out::set);
-        sim.runUntil(() -> out.get() != null, limit.plusSeconds(1));
-        return out.get();
+        AtomicReference<Optional<Response>> result = new AtomicReference<>();
+        request(to, request, limit, result::set);
+        sim.runUntil(() -> result.get() != null, limit.plusSeconds(1));
+        return result.get();
     }
 
-    /** The store that owns a message part now; empty where none does. */
-    public Optional<String> owner(String part) {
+    /** The store that leads a message partition; empty if none does. */
+    public Optional<String> owner(String partition) {
         return stores.stream()
                 .filter(s -> host(s).alive()
                         && dataPlaneNodes.get(s).status().get("parts") instanceof Map<?, ?> parts
-                        && parts.get(part) instanceof Map<?, ?> p
-                        && p.get("phase") == Role.LEADER)
+                        && parts.get(partition) instanceof Map<?, ?> status
+                        && status.get("phase") == Role.LEADER)
                 .findFirst();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Simulator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Simulator.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 
-/** The fake clock and everything that is to happen on it (docs/design.md, section 12.1). */
+/** A discrete-event simulator: the simulated clock and its pending events (docs/design.md, section 12.1). */
 public final class Simulator {
     private record Event(Duration at, long seq, Runnable task) {}
 
@@ -15,7 +15,7 @@
     private final Random random;
     private Duration now = Duration.ofSeconds(1000);
     private long seq;
-    private long ran;
+    private long executedEvents;
     private final TraceDigest trace = new TraceDigest();
 
     public Simulator(long seed) {
@@ -26,7 +26,7 @@
         return now;
     }
 
-    /** What the simulated machines have done so far. */
+    /** The digest of what the simulated machines have done so far. */
     public TraceDigest trace() {
         return trace;
     }
@@ -35,36 +35,36 @@
         return random;
     }
 
-    public boolean chance(double p) {
-        return random.nextDouble() < p;
+    public boolean chance(double probability) {
+        return random.nextDouble() < probability;
     }
 
-    /** A time between two bounds. */
+    /** A uniformly distributed random time between two bounds. */
     public Duration between(long fromMicros, long toMicros) {
         return Duration.ofNanos((fromMicros + (long) (random.nextDouble() * (toMicros - fromMicros))) * 1000);
     }
 
-    public void at(Duration when, Runnable task) {
-        events.add(new Event(when.compareTo(now) < 0 ? now : when, seq++, task));
+    public void at(Duration time, Runnable task) {
+        events.add(new Event(time.compareTo(now) < 0 ? now : time, seq++, task));
     }
 
     public void after(Duration delay, Runnable task) {
         at(now.plus(delay), task);
     }
 
-    /** Runs everything that happens within the given time. */
-    public void run(Duration howLong) {
-        Duration end = now.plus(howLong);
+    /** Runs all events that are due within the given time. */
+    public void run(Duration length) {
+        Duration end = now.plus(length);
         while (!events.isEmpty() && events.peek().at().compareTo(end) <= 0) {
             Event event = events.poll();
             now = event.at();
-            ran++;
+            executedEvents++;
             event.task().run();
         }
         now = end;
     }
 
-    /** Runs until the condition holds, looked at each 100 ms; false if it does not within the limit. */
+    /** Runs until the condition holds, which is checked every 100 ms; false if it does not within the limit. */
     public boolean runUntil(BooleanSupplier condition, Duration limit) {
         Duration end = now.plus(limit);
         while (!condition.getAsBoolean()) {
@@ -76,7 +76,7 @@
         return true;
     }
 
-    public long ran() {
-        return ran;
+    public long executedEvents() {
+        return executedEvents;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SlowLinks.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SlowLinks.java
@@ -4,26 +4,26 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Links of few bytes a second: what is sent queues up and arrives late, in its order. */
+/** Links with limited throughput: frames queue up and arrive late, in order. */
 final class SlowLinks {
-    private static final long NANOS = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private final Map<String, Long> bytesPerSecond = new HashMap<>();
     private final Map<String, Duration> busyUntil = new HashMap<>();
 
-    void slow(String from, String to, long rate) {
+    void limit(String from, String to, long rate) {
         bytesPerSecond.put(from + ">" + to, rate);
     }
 
-    /** How long the frame takes from now on, with what was sent before it. */
-    Duration queue(String from, String to, int bytes, Duration now) {
+    /** Queues a frame; returns the time until it is transmitted, including the frames before it. */
+    Duration enqueue(String from, String to, int bytes, Duration now) {
         String link = from + ">" + to;
         if (!bytesPerSecond.containsKey(link)) {
             return Duration.ZERO;
         }
-        Duration free = busyUntil.getOrDefault(link, now);
-        Duration begins = free.compareTo(now) > 0 ? free : now;
-        Duration ends = begins.plusNanos(bytes * NANOS / bytesPerSecond.get(link));
-        busyUntil.put(link, ends);
-        return ends.minus(now);
+        Duration idleFrom = busyUntil.getOrDefault(link, now);
+        Duration start = idleFrom.compareTo(now) > 0 ? idleFrom : now;
+        Duration end = start.plusNanos(bytes * NANOS_PER_SECOND / bytesPerSecond.get(link));
+        busyUntil.put(link, end);
+        return end.minus(now);
     }
 }
