--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -8,15 +8,18 @@
 import org.woadvale.common.replication.Role;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** How evenly owners and holders lie over the nodes, and how often parts change processors; on the fake clock. */
+/**
+ * Measures in simulated time how evenly partitions and buckets are owned by the nodes, and how often leaders change.
+ */
 public final class Spread {
     private Spread() {}
 
-    /** A store is lost for good, a spare is there: how many members are on their way at once, and until when. */
+    /**
+     * Replaces a permanently lost store by a spare; prints how many replicas do not vote at once, and the repair time.
+     */
     private static void repair() throws ServiceException {
-        System.out.println(
-                "| seed | seats on their way at once, at most | all seated after the loss | accepted meanwhile "
-                        + "| refused or unknown meanwhile |");
+        System.out.println("| seed | most replicas not voting at once | repaired after the loss | accepted meanwhile "
+                + "| rejected or unknown meanwhile |");
         System.out.println("|---|---|---|---|---|");
         for (long seed = 1; seed <= 5; seed++) {
             FleetSimulation simulation = new FleetSimulation(
@@ -24,7 +27,7 @@
                     .startAll();
             simulation.traffic(150);
             simulation.w.sim.run(Duration.ofSeconds(20));
-            int[] most = {0};
+            int[] maxNotVoting = {0};
             simulation.w.lose(simulation.w.stores.get(0));
             String spare = simulation.w.newStore();
             Duration from = simulation.w.sim.now();
@@ -35,15 +38,15 @@
             FleetSimulation.require(
                     simulation.w.sim.runUntil(
                             () -> {
-                                most[0] = Math.max(
-                                        most[0],
+                                maxNotVoting[0] = Math.max(
+                                        maxNotVoting[0],
                                         simulation.w.dataPlaneNode(spare).notVotingCount());
                                 return simulation.w.repaired();
                             },
                             Duration.ofSeconds(120)),
-                    "not repaired");
+                    "the lost store was not replaced within 120 s");
             long now = simulation.kinds().getOrDefault("accepted", 0L) - accepted;
-            System.out.println("| " + seed + " | " + most[0] + " | "
+            System.out.println("| " + seed + " | " + maxNotVoting[0] + " | "
                     + simulation.w.sim.now().minus(from).toMillis() + " ms | " + now + " | "
                     + (simulation.kinds().values().stream()
                                     .mapToLong(Long::longValue)
@@ -58,8 +61,8 @@
             repair();
             return;
         }
-        System.out.println("| fleet | when | message parts owned by each store | control partitions by each node "
-                + "| buckets by each intake | message part terms in all |");
+        System.out.println("| fleet | when | message partitions led by each store | control partitions by each node "
+                + "| buckets by each intake | sum of the message partition terms |");
         System.out.println("|---|---|---|---|---|---|");
         for (int[] shape : new int[][] {{8, 3}, {7, 4}}) {
             FleetSimulation simulation = new FleetSimulation(
@@ -82,7 +85,7 @@
                 simulation.w.restart(h);
             }
             simulation.w.sim.run(Duration.ofSeconds(15));
-            row(simulation, name, "back since 15 s");
+            row(simulation, name, "15 s after their restart");
             simulation.w.sim.run(Duration.ofSeconds(60));
             row(simulation, name, "a minute later");
         }
@@ -91,39 +94,41 @@
     private static void row(FleetSimulation simulation, String name, String when) {
         List<Long> stores = new ArrayList<>();
         List<Long> controlNodes = new ArrayList<>();
-        List<Integer> holders = new ArrayList<>();
+        List<Integer> buckets = new ArrayList<>();
         long terms = 0;
-        for (String s : simulation.w.stores) {
+        for (String store : simulation.w.stores) {
             stores.add(
-                    simulation.w.host(s).alive() ? simulation.w.dataPlaneNode(s).ledPartitionCount() : 0);
+                    simulation.w.host(store).alive()
+                            ? simulation.w.dataPlaneNode(store).ledPartitionCount()
+                            : 0);
         }
-        for (String l : simulation.w.controlNodes) {
+        for (String node : simulation.w.controlNodes) {
             controlNodes.add(
-                    simulation.w.host(l).alive()
+                    simulation.w.host(node).alive()
                             ? ServiceNames.controlPartitions().stream()
-                                    .filter(p -> simulation
+                                    .filter(partition -> simulation
                                                     .w
-                                                    .controlNode(l)
-                                                    .replica(p)
+                                                    .controlNode(node)
+                                                    .replica(partition)
                                                     .role()
                                             == Role.LEADER)
                                     .count()
                             : 0);
         }
-        for (String i : simulation.w.intakes) {
-            holders.add(
-                    simulation.w.host(i).alive()
-                            ? simulation.w.dataPlaneNode(i).ownedBuckets().size()
+        for (String intake : simulation.w.intakes) {
+            buckets.add(
+                    simulation.w.host(intake).alive()
+                            ? simulation.w.dataPlaneNode(intake).ownedBuckets().size()
                             : 0);
         }
-        for (String p : ServiceNames.messagePartitions()) {
+        for (String partition : ServiceNames.messagePartitions()) {
             terms += simulation.w.stores.stream()
                     .filter(s -> simulation.w.host(s).alive())
-                    .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
+                    .mapToLong(s -> simulation.w.dataPlaneNode(s).term(partition))
                     .max()
                     .orElse(0);
         }
-        System.out.println("| " + name + " | " + when + " | " + stores + " | " + controlNodes + " | " + holders + " | "
+        System.out.println("| " + name + " | " + when + " | " + stores + " | " + controlNodes + " | " + buckets + " | "
                 + terms + " |");
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -10,33 +10,33 @@
 import org.woadvale.common.membership.ServiceNames;
 
 /**
- * Simulated days on which one store is replaced, or loses its disk, and the next tolerated loss follows as soon as the
- * first no longer counts. (docs/design.md, section 6.9)
+ * Simulated runs in which one store is replaced, or loses its disk, and the next tolerated loss follows as soon as the
+ * first no longer counts (docs/design.md, section 6.9).
  */
 public final class StoreReplacement {
-    /** How the first store goes. */
+    /** How the first store leaves the fleet. */
     public enum Departure {
-        /** Its successor is there first, then it is told to stop. */
+        /** Its successor starts first; then the store drains and stops. */
         ANNOUNCED,
-        /** It is gone without a word, its successor starts later. */
+        /** It is lost without notice; its successor starts later. */
         UNANNOUNCED,
-        /** It comes back at its address, with an empty disk. */
+        /** It restarts at its address with an empty disk. */
         WIPED
     }
 
-    /** What a day showed: until when each replica of each group knew that the successor counts, and broken rules. */
+    /** The time until every replica of every group counted the successor as a voter, and the violations. */
     public record Outcome(Duration startToCountedEverywhere, List<String> violations) {}
 
-    /** From a machine's start to the first instruction of the program. */
+    /** The time from a machine's start to the first instruction of the program. */
     private static final Duration PROCESS_START = Duration.ofMillis(2000);
-    /** The users count a machine as back so long after its start. */
-    private static final Duration CATCH_UP = Duration.ofMillis(4100);
+    /** The time after its start at which the users count a machine as back. */
+    private static final Duration ASSUMED_CATCH_UP = Duration.ofMillis(4100);
 
-    private static final Duration NOT_IN_TIME = Duration.ofDays(1);
+    private static final Duration NOT_BEFORE_SECOND_LOSS = Duration.ofDays(1);
     private static final Duration DRAIN_LIMIT = Duration.ofMillis(3500);
     private static final Duration DRAIN_STEP = Duration.ofMillis(50);
-    /** A program that has drained waits so long before it ends. */
-    private static final Duration LAST_PAUSE = Duration.ofMillis(100);
+    /** The time that a drained program waits before it exits. */
+    private static final Duration DELAY_BEFORE_EXIT = Duration.ofMillis(100);
 
     private static final Duration RESOLUTION = Duration.ofMillis(10);
     private static final Duration SERVICE_LIMIT = Duration.ofSeconds(30);
@@ -44,9 +44,9 @@
 
     private final FleetSimulation fleet;
     private final Simulator sim;
-    /** The successor's start, or the moment at which the leaver was told to stop. */
+    /** The start of the successor's machine, or the start of the drain for an announced departure. */
     private Duration measuredFrom = Duration.ZERO;
-    /** From here on the first store no longer counts as lost. */
+    /** The time from which the first store no longer counts as lost. */
     private Duration secondLossFrom = Duration.ZERO;
 
     private StoreReplacement(long seed) throws ServiceException {
@@ -54,10 +54,10 @@
         sim = fleet.w.sim;
     }
 
-    /** Plays one day; fails if service does not come back after the second loss. */
+    /** Runs one seed; reports a violation if service does not recover after the second loss. */
     public static Outcome play(long seed, Departure departure) throws ServiceException {
-        StoreReplacement day = new StoreReplacement(seed);
-        return day.run(departure);
+        StoreReplacement run = new StoreReplacement(seed);
+        return run.run(departure);
     }
 
     private Outcome run(Departure departure) throws ServiceException {
@@ -65,54 +65,54 @@
         sim.run(Duration.ofSeconds(3).plus(sim.between(0, 2_000_000)));
         String first = fleet.w.stores.get(sim.random().nextInt(3));
         String successor = switch (departure) {
-            case ANNOUNCED -> announced(first);
-            case UNANNOUNCED -> unannounced(first);
-            case WIPED -> wiped(first);
+            case ANNOUNCED -> replaceAnnounced(first);
+            case UNANNOUNCED -> replaceUnannounced(first);
+            case WIPED -> restartWithEmptyDisk(first);
         };
-        Duration counted = untilCounted(successor);
+        Duration votingAfter = timeUntilVotingEverywhere(successor);
         waitUntil(secondLossFrom.plus(sim.between(0, 1_500_000)));
-        secondLoss();
-        return end(counted);
+        loseSecondStore();
+        return finish(votingAfter);
     }
 
-    private String announced(String leaver) throws ServiceException {
+    private String replaceAnnounced(String leaver) throws ServiceException {
         Duration successorStart = sim.now();
         sim.run(PROCESS_START);
         String successor = fleet.w.newStore();
-        waitUntil(successorStart.plus(CATCH_UP).plus(sim.between(0, 6_000_000)));
+        waitUntil(successorStart.plus(ASSUMED_CATCH_UP).plus(sim.between(0, 6_000_000)));
         measuredFrom = sim.now();
         boolean drained = fleet.w.dataPlaneNode(leaver).drain();
         while (!drained && sim.now().minus(measuredFrom).compareTo(DRAIN_LIMIT) < 0) {
             sim.run(DRAIN_STEP);
             drained = fleet.w.dataPlaneNode(leaver).drain();
         }
-        sim.run(LAST_PAUSE);
+        sim.run(DELAY_BEFORE_EXIT);
         fleet.w.lose(leaver);
         secondLossFrom = sim.now();
         return successor;
     }
 
-    private String unannounced(String gone) throws ServiceException {
-        fleet.w.lose(gone);
+    private String replaceUnannounced(String store) throws ServiceException {
+        fleet.w.lose(store);
         sim.run(sim.between(1_000_000, 2_000_000));
-        startsNow();
+        recordStart();
         sim.run(PROCESS_START);
         return fleet.w.newStore();
     }
 
-    private String wiped(String store) throws ServiceException {
+    private String restartWithEmptyDisk(String store) throws ServiceException {
         fleet.w.kill(store);
         fleet.w.host(store).disk.wipe();
         sim.run(sim.between(100_000, 2_000_000));
-        startsNow();
+        recordStart();
         sim.run(PROCESS_START);
         fleet.w.restart(store);
         return store;
     }
 
-    private void startsNow() {
+    private void recordStart() {
         measuredFrom = sim.now();
-        secondLossFrom = measuredFrom.plus(CATCH_UP);
+        secondLossFrom = measuredFrom.plus(ASSUMED_CATCH_UP);
     }
 
     private void waitUntil(Duration moment) {
@@ -121,18 +121,20 @@
         }
     }
 
-    /** The time it took, or {@link #NOT_IN_TIME} if it is not so when the second loss may come. */
-    private Duration untilCounted(String successor) {
-        while (!countedEverywhere(successor)) {
+    /**
+     * The time until the successor votes everywhere; {@link #NOT_BEFORE_SECOND_LOSS} if that is after the second loss.
+     */
+    private Duration timeUntilVotingEverywhere(String successor) {
+        while (!votingEverywhere(successor)) {
             if (sim.now().compareTo(secondLossFrom) >= 0) {
-                return NOT_IN_TIME;
+                return NOT_BEFORE_SECOND_LOSS;
             }
             sim.run(RESOLUTION);
         }
         return sim.now().minus(measuredFrom);
     }
 
-    private boolean countedEverywhere(String successor) {
+    private boolean votingEverywhere(String successor) {
         Set<String> expected = new TreeSet<>(fleet.w.presentStores());
         return fleet.w.dataPlaneNode(successor).notVotingCount() == 0
                 && fleet.w.presentStores().stream()
@@ -143,26 +145,26 @@
                 && fleet.w.dataPlaneNode(successor).votingEverywhere();
     }
 
-    /** Any of the stores that count, the successor too; its disk is lost with it. */
-    private void secondLoss() {
+    /** Loses one of the remaining stores, possibly the successor, together with its disk. */
+    private void loseSecondStore() {
         List<String> present = new ArrayList<>(fleet.w.presentStores());
         Collections.sort(present);
         fleet.w.lose(present.get(sim.random().nextInt(present.size())));
     }
 
-    private Outcome end(Duration counted) {
+    private Outcome finish(Duration votingAfter) {
         sim.run(Duration.ofSeconds(3));
         if (!sim.runUntil(this::everyPartitionIsLed, SERVICE_LIMIT)) {
-            return new Outcome(counted, List.of("partitions without a leader after the second loss"));
+            return new Outcome(votingAfter, List.of("partitions without a leader after the second loss"));
         }
         List<String> violations = new ArrayList<>();
         fleet.followWhatRan();
         if (!fleet.settle(SERVICE_LIMIT)) {
             violations.add(
-                    "an accepted message has no end: " + fleet.firstOpen().orElse(""));
+                    "an accepted message did not end: " + fleet.firstOpen().orElse(""));
         }
         violations.addAll(fleet.violations());
-        return new Outcome(counted, violations);
+        return new Outcome(votingAfter, violations);
     }
 
     private boolean everyPartitionIsLed() {
@@ -172,7 +174,7 @@
                 == ServiceNames.MESSAGE_PARTITIONS;
     }
 
-    /** Arguments: the first seed and how many; prints the distribution of each kind of departure. */
+    /** Arguments: the first seed and the number of seeds; prints the distribution for each kind of departure. */
     public static void main(String[] arguments) throws ServiceException {
         long first = Long.parseLong(arguments[0]);
         int count = Integer.parseInt(arguments[1]);
@@ -185,13 +187,13 @@
                 if (!outcome.violations().isEmpty()) {
                     broken++;
                     System.out.println(departure + " seed " + seed + ": "
-                            + outcome.violations().stream().limit(2).toList() + " counted after "
+                            + outcome.violations().stream().limit(2).toList() + " votes everywhere after "
                             + outcome.startToCountedEverywhere().toMillis());
                 }
             }
             Collections.sort(millis);
             System.out.println(
-                    departure + ": " + count + " days, " + broken + " broken; start to counted everywhere: p50 "
+                    departure + ": " + count + " runs, " + broken + " broken; start to voting everywhere: p50 "
                             + millis.get(count / 2) + " ms, p99 " + millis.get(Math.max(0, count * 99 / 100 - 1))
                             + " ms, worst "
                             + millis.get(count - 1) + " ms");
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TraceCommand.java
@@ -4,9 +4,7 @@
 import java.time.Duration;
 import org.woadvale.common.error.ServiceException;
 
-/**
- * {@code trace [SEEDS]}: digests of seeded simulations, to hold a build without change of behaviour against another.
- */
+/** {@code trace [SEEDS]}: prints digests of seeded simulations, to verify that two builds behave the same. */
 public final class TraceCommand {
     private static final Duration DAY = Duration.ofSeconds(25);
 
@@ -16,7 +14,7 @@
         this.out = out;
     }
 
-    /** Plays the seeds from 1 to the given one, of both kinds of fleet. */
+    /** Runs the seeds from 1 to the given one on both kinds of fleet. */
     public int run(long seeds) throws ServiceException {
         for (long seed = 1; seed <= seeds; seed++) {
             SeededPlatformDays day = new SeededPlatformDays(seed);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TraceDigest.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TraceDigest.java
@@ -7,8 +7,8 @@
 
 /**
  * A running checksum of what a simulated fleet does: each frame, disk write and HTTP answer with its time and place.
- * Two builds with equal digests for equal seeds behaved alike. Contents and sizes are left out: the order of immutable
- * maps and request ids differ from one Java process to the next.
+ * Two builds with equal digests for equal seeds behaved the same. Contents and sizes are not included, because the
+ * order of immutable maps and request ids differ between Java processes.
  */
 public final class TraceDigest {
     private final CRC32C checksum = new CRC32C();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
@@ -8,82 +8,83 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** What the frames between zones weigh, by what they say: see docs/measurements.md. */
+/** Measures the traffic between zones by type of frame: see docs/measurements.md. */
 public final class TrafficMeter {
-    /** About what TCP, IP and the acknowledgement of every other segment add to a frame that travels by itself. */
+    /** The approximate overhead of TCP, IP and the ACK of every other segment for a frame sent on its own. */
     private static final int OVERHEAD_BYTES = 4 + 52 + 26;
 
-    private static final class Load {
+    private static final class FrameTotals {
         private long frames;
         private long bytes;
     }
 
-    private final Map<String, Load> loads = new TreeMap<>();
+    private final Map<String, FrameTotals> loads = new TreeMap<>();
 
     private TrafficMeter() {}
 
     private void watch(FleetSimulation simulation) {
         simulation.w.net.onFrame((from, to, frame, bytes) -> {
             if (!simulation.w.zone(from).equals(simulation.w.zone(to))) {
-                Load load = loads.computeIfAbsent(frame.body().getClass().getSimpleName(), k -> new Load());
-                load.frames++;
-                load.bytes += bytes;
+                FrameTotals totals =
+                        loads.computeIfAbsent(frame.body().getClass().getSimpleName(), k -> new FrameTotals());
+                totals.frames++;
+                totals.bytes += bytes;
             }
         });
     }
 
-    private void print(String title, double per) {
+    private void print(String title, double divisor) {
         System.out.println(title);
-        System.out.println("| frame | frames | bytes | bytes each | with what is around |");
+        System.out.println("| frame | frames | bytes | bytes each | bytes with TCP/IP overhead |");
         System.out.println("|---|---|---|---|---|");
         loads.entrySet().stream()
                 .sorted(Comparator.comparing(
                         entry -> -(entry.getValue().bytes + OVERHEAD_BYTES * entry.getValue().frames)))
                 .limit(14)
-                .forEach(entry -> row(entry.getKey(), entry.getValue(), per));
-        Load all = new Load();
-        loads.values().forEach(load -> {
-            all.frames += load.frames;
-            all.bytes += load.bytes;
+                .forEach(entry -> row(entry.getKey(), entry.getValue(), divisor));
+        FrameTotals all = new FrameTotals();
+        loads.values().forEach(totals -> {
+            all.frames += totals.frames;
+            all.bytes += totals.bytes;
         });
-        row("all", all, per);
+        row("all", all, divisor);
     }
 
-    private static void row(String name, Load load, double per) {
+    private static void row(String name, FrameTotals totals, double divisor) {
         System.out.printf(
                 Locale.ROOT,
                 "| %s | %.1f | %.0f | %.0f | %.0f |%n",
                 name,
-                load.frames / per,
-                load.bytes / per,
-                load.bytes / (double) Math.max(1, load.frames),
-                (load.bytes + OVERHEAD_BYTES * load.frames) / per);
+                totals.frames / divisor,
+                totals.bytes / divisor,
+                totals.bytes / (double) Math.max(1, totals.frames),
+                (totals.bytes + OVERHEAD_BYTES * totals.frames) / divisor);
     }
 
     public static void main(String[] args) throws ServiceException {
         TestConfiguration eight = new TestConfiguration(8, 12, 45, 60, 26);
         FleetSimulation idle = new FleetSimulation(1, 8, 3, 12, eight, SimulatedFleet.LARGE_RING).startAll();
         idle.w.sim.run(Duration.ofSeconds(30));
-        TrafficMeter quiet = new TrafficMeter();
-        quiet.watch(idle);
+        TrafficMeter idleTraffic = new TrafficMeter();
+        idleTraffic.watch(idle);
         idle.w.sim.run(Duration.ofSeconds(20));
-        quiet.print("An idle fleet of 8 + 3 + 3 in three halls, a second:", 20);
+        idleTraffic.print("An idle fleet of 8 + 3 + 3 in three zones, per second:", 20);
         for (int rate : new int[] {8, 60, 270}) {
-            busy(rate, eight);
+            measureTraffic(rate, eight);
         }
     }
 
-    private static void busy(int rate, TestConfiguration testConfiguration) throws ServiceException {
-        FleetSimulation busy =
+    private static void measureTraffic(int rate, TestConfiguration testConfiguration) throws ServiceException {
+        FleetSimulation simulation =
                 new FleetSimulation(1, 8, 3, 12, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
-        busy.traffic(rate);
-        busy.w.sim.run(Duration.ofSeconds(10));
-        long before = busy.kinds().getOrDefault("accepted", 0L);
-        TrafficMeter work = new TrafficMeter();
-        work.watch(busy);
-        busy.w.sim.run(Duration.ofSeconds(20));
-        work.print(
-                "At " + rate + " messages a second, each message, with its share of what an idle fleet says:",
-                busy.kinds().get("accepted") - before);
+        simulation.traffic(rate);
+        simulation.w.sim.run(Duration.ofSeconds(10));
+        long before = simulation.kinds().getOrDefault("accepted", 0L);
+        TrafficMeter meter = new TrafficMeter();
+        meter.watch(simulation);
+        simulation.w.sim.run(Duration.ofSeconds(20));
+        meter.print(
+                "At " + rate + " messages per second, per message, including its share of the idle traffic:",
+                simulation.kinds().get("accepted") - before);
     }
 }
