--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -19,16 +19,16 @@
 import org.woadvale.common.runtime.Timers;
 import reactor.core.publisher.Mono;
 
-/** Stand-in for a processor or an outside endpoint; remembers what it did, unless told to forget. */
+/** Stub of a processor or an external endpoint; it remembers completed runs until it crashes. */
 public final class Backend {
-    /** How it behaves from now on; a victim's name makes the failures that tenant's own. */
+    /** Processing time and failure probabilities; if {@code victim} names a tenant, only its requests fail. */
     public record Manner(
             Duration work, double refuse, double later, double loseAnswer, double breakAnswer, String victim) {
         public Manner(Duration work, double refuse, double later, double loseAnswer) {
             this(work, refuse, later, loseAnswer, 0, "");
         }
 
-        Manner towards(String tenant) {
+        Manner forTenant(String tenant) {
             return victim.isEmpty() || victim.equals(tenant) ? this : new Manner(work, 0, 0, 0);
         }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    private record Done(int attempt, String receipt) {}
+    private record Completion(int attempt, String receipt) {}
 
     private final String id;
     private final String service;
@@ -46,14 +46,14 @@
     private final Clock clock;
     private final Timers timers;
     private final LongSupplier random;
-    private final Map<String, Done> done = new HashMap<>();
+    private final Map<String, Completion> completed = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
-    /** Attempts that it said it does not know: they must not begin later. */
+    /** Attempts reported as unknown; they must not start later. */
     private final Set<String> fenced = new HashSet<>();
 
-    private Manner manner = Manner.good();
-    private boolean forgetful;
-    private int life;
+    private Manner behavior = Manner.good();
+    private boolean memoryLost;
+    private int incarnation;
 
     public Backend(
             String id,
@@ -80,26 +80,26 @@
         return paced;
     }
 
-    public synchronized void behave(Manner m) {
-        manner = m;
+    public synchronized void behave(Manner newBehavior) {
+        behavior = newBehavior;
     }
 
-    /** The process dies with all it was doing, and comes back without memory of what it did before. */
+    /** The process crashes with its running work and restarts without memory of earlier runs. */
     public synchronized void crash() {
-        life++;
+        incarnation++;
         running.forEach((handle, n) -> {
             for (int i = 0; i < n; i++) {
                 observations.saw(observations.died, new Observations.Died(handle, clock.monotonicTime()));
             }
         });
         running.clear();
-        done.clear();
+        completed.clear();
         fenced.clear();
-        forgetful = true;
+        memoryLost = true;
     }
 
-    private boolean luck(double p) {
-        return Math.floorMod(random.getAsLong(), 10000L) < p * 10000;
+    private boolean chance(double probability) {
+        return Math.floorMod(random.getAsLong(), 10000L) < probability * 10000;
     }
 
     public Mono<Response> answer(Request request) {
@@ -110,8 +110,8 @@
             }
             try {
                 return request.method().equals("POST")
-                        ? work(Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST))
-                        : Mono.just(told(
+                        ? startRun(Configurations.read(request.body(), JsonNode.class, ErrorKind.BAD_REQUEST))
+                        : Mono.just(executionStatus(
                                 request.segments().get(request.segments().size() - 1),
                                 request.path().replaceAll(".*attempt=", "")));
             } catch (ServiceException failure) {
@@ -120,11 +120,11 @@
         });
     }
 
-    private synchronized Mono<Response> work(JsonNode node) {
+    private synchronized Mono<Response> startRun(JsonNode node) {
         String handle = node.path("messageId").asText();
         int attempt = node.path("attempt").asInt();
-        Manner now = manner.towards(node.path("tenant").asText());
-        if (luck(now.later()) || fenced.contains(handle + "/" + attempt)) {
+        Manner behaviorNow = behavior.forTenant(node.path("tenant").asText());
+        if (chance(behaviorNow.later()) || fenced.contains(handle + "/" + attempt)) {
             observations.saw(
                     observations.turnedAway, new Observations.TurnedAway(handle, attempt, clock.monotonicTime()));
             return Mono.just(Response.json(503, Map.of("error", "later")));
@@ -142,67 +142,70 @@
                         service,
                         clock.monotonicTime()));
         running.merge(handle, 1, Integer::sum);
-        int begunIn = life;
-        Mono<Response> answer = Delays.delay(timers, now.work())
-                .flatMap(x -> worked(handle, attempt, now, begunIn))
+        int startedIn = incarnation;
+        Mono<Response> answer = Delays.delay(timers, behaviorNow.work())
+                .flatMap(x -> finishRun(handle, attempt, behaviorNow, startedIn))
                 .cache();
-        // once begun, the work goes on though whoever asked for it has gone
+        // a started run continues after its caller has disconnected
         answer.subscribe(response -> {}, e -> {});
         return answer;
     }
 
-    private synchronized Mono<Response> worked(String handle, int attempt, Manner now, int begunIn) {
-        if (begunIn != life) {
+    private synchronized Mono<Response> finishRun(String handle, int attempt, Manner behaviorNow, int startedIn) {
+        if (startedIn != incarnation) {
             return Mono.error(new OutcomeUnknownException("the processor died"));
         }
         running.merge(handle, -1, (a, b) -> a + b == 0 ? null : a + b);
-        if (luck(now.refuse())) {
+        if (chance(behaviorNow.refuse())) {
             observations.saw(
                     observations.answered,
                     new Observations.Answered(handle, attempt, id, clock.monotonicTime(), false, ""));
             return Mono.just(Response.json(422, Map.of("error", "refused")));
         }
         String receipt = id + ":" + handle + ":" + attempt;
-        done.put(handle, new Done(attempt, receipt));
+        completed.put(handle, new Completion(attempt, receipt));
         observations.saw(
                 observations.answered,
                 new Observations.Answered(handle, attempt, id, clock.monotonicTime(), true, receipt));
-        if (luck(now.loseAnswer())) {
+        if (chance(behaviorNow.loseAnswer())) {
             return Mono.error(new OutcomeUnknownException("the answer is lost"));
         }
-        if (luck(now.breakAnswer())) {
-            return Mono.just(Response.json(luck(0.5) ? 500 : 502, Map.of("error", "something broke after the work")));
+        if (chance(behaviorNow.breakAnswer())) {
+            return Mono.just(Response.json(chance(0.5) ? 500 : 502, Map.of("error", "something broke after the work")));
         }
-        return Mono.just(Response.json(200, shown(handle, "done", attempt, receipt)));
+        return Mono.just(Response.json(200, statusBody(handle, "done", attempt, receipt)));
     }
 
-    private static Map<String, Object> shown(String handle, String state, int attempt, String receipt) {
-        Map<String, Object> b = new LinkedHashMap<>();
-        b.put("messageId", handle);
-        b.put("state", state);
-        b.put("attempt", attempt);
-        b.put("receipt", receipt);
-        return b;
+    private static Map<String, Object> statusBody(String handle, String state, int attempt, String receipt) {
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("messageId", handle);
+        body.put("state", state);
+        body.put("attempt", attempt);
+        body.put("receipt", receipt);
+        return body;
     }
 
-    /** "Not known" is a promise that this attempt does not begin later; one without memory cannot give it. */
-    private synchronized Response told(String handle, String attempt) {
-        if (done.containsKey(handle)) {
+    /**
+     * The answer "unknown" promises that this attempt does not start later. A processor that lost its memory cannot
+     * promise that.
+     */
+    private synchronized Response executionStatus(String handle, String attempt) {
+        if (completed.containsKey(handle)) {
             return Response.json(
                     200,
-                    shown(
+                    statusBody(
                             handle,
                             "done",
-                            done.get(handle).attempt(),
-                            done.get(handle).receipt()));
+                            completed.get(handle).attempt(),
+                            completed.get(handle).receipt()));
         }
         if (running.containsKey(handle)) {
-            return Response.json(200, shown(handle, "running", 0, ""));
+            return Response.json(200, statusBody(handle, "running", 0, ""));
         }
-        if (forgetful) {
-            return Response.json(410, shown(handle, "unsure", 0, ""));
+        if (memoryLost) {
+            return Response.json(410, statusBody(handle, "unsure", 0, ""));
         }
         fenced.add(handle + "/" + attempt);
-        return Response.json(404, shown(handle, "unknown", 0, ""));
+        return Response.json(404, statusBody(handle, "unknown", 0, ""));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What became of configurations. */
+/** Checks how submitted configurations take effect. */
 final class ConfigurationRules {
     private final ObservationLog log;
     private final Map<String, ObservationLog.Sent> sent = new HashMap<>();
@@ -25,32 +25,32 @@
 
     private List<ObservationLog.Paper> acknowledged() {
         return log.configurationStub.stream()
-                .filter(paper -> paper.status() == 200 && paper.valid())
+                .filter(submitted -> submitted.status() == 200 && submitted.valid())
                 .sorted(Comparator.comparingLong(
-                        paper -> paper.configurationStub().configRevision()))
+                        submitted -> submitted.configurationStub().configRevision()))
                 .toList();
     }
 
-    /** Keys that an acknowledged configuration took away, and that none has brought back since. */
-    List<String> revoked() {
+    /** Messages that ran under a key which an acknowledged configuration removed and no later one restored. */
+    List<String> revokedKeyUsed() {
         List<String> out = new ArrayList<>();
         List<ObservationLog.Paper> all = acknowledged();
         sent.values().stream()
                 .filter(sent -> began.contains(sent.id()) && !sent.key().isEmpty())
                 .forEach(sent -> {
-                    Duration by = sent.at().minus(ObservationLog.Bounds.REVOKE);
+                    Duration latest = sent.at().minus(ObservationLog.Bounds.REVOKE);
                     Optional<ObservationLog.Paper> last = all.stream()
-                            .filter(paper -> paper.answered().compareTo(by) < 0)
-                            .reduce((a, paper) -> paper);
-                    boolean held = last.isEmpty()
+                            .filter(submitted -> submitted.answered().compareTo(latest) < 0)
+                            .reduce((a, submitted) -> submitted);
+                    boolean stillValid = last.isEmpty()
                             || log.configurationStub.stream()
-                                    .anyMatch(paper -> paper.valid()
-                                            && paper.configurationStub().configRevision()
+                                    .anyMatch(submitted -> submitted.valid()
+                                            && submitted.configurationStub().configRevision()
                                                     >= last.get()
                                                             .configurationStub()
                                                             .configRevision()
-                                            && holds(paper.configurationStub(), sent));
-                    if (!held) {
+                                            && admits(submitted.configurationStub(), sent));
+                    if (!stillValid) {
                         out.add(sent.id() + " ran, sent at " + sent.at() + " under " + sent.key() + ", withdrawn at "
                                 + last.get().answered());
                     }
@@ -58,87 +58,98 @@
         return out;
     }
 
-    private static boolean holds(ConfigurationStub stub, ObservationLog.Sent sent) {
-        return stub.tenant(sent.key()).isPresent()
-                || stub.route(sent.host(), sent.path())
+    private static boolean admits(ConfigurationStub configuration, ObservationLog.Sent sent) {
+        return configuration.tenant(sent.key()).isPresent()
+                || configuration
+                        .route(sent.host(), sent.path())
                         .filter(ConfigurationStub.Route::keyless)
                         .isPresent();
     }
 
-    /** In touch, and yet answered as only an older one allows. */
+    /** Requests answered according to an outdated configuration although the node was not cut off. */
     List<String> ignored() {
         List<String> out = new ArrayList<>();
-        log.said.stream().filter(said -> sent.containsKey(said.id())).forEach(said -> {
-            ObservationLog.Sent s = sent.get(said.id());
-            List<ConfigurationStub> ruling = log.ruling(s.at(), said.at());
-            Predicate<ConfigurationStub> open =
-                    stub -> stub.route(s.host(), s.path()).isPresent() && holds(stub, s);
-            boolean wrong = said.status() == 202
-                    ? ruling.stream().noneMatch(open)
-                    : Set.of(401, 403, 404).contains(said.status())
-                            && ruling.stream().allMatch(open);
-            if (wrong && !ruling.isEmpty() && log.calm(s.at(), said.at())) {
+        log.said.stream().filter(answer -> sent.containsKey(answer.id())).forEach(answer -> {
+            ObservationLog.Sent s = sent.get(answer.id());
+            List<ConfigurationStub> possible = log.ruling(s.at(), answer.at());
+            Predicate<ConfigurationStub> allows =
+                    configuration -> configuration.route(s.host(), s.path()).isPresent() && admits(configuration, s);
+            boolean wrong = answer.status() == 202
+                    ? possible.stream().noneMatch(allows)
+                    : Set.of(401, 403, 404).contains(answer.status())
+                            && possible.stream().allMatch(allows);
+            if (wrong && !possible.isEmpty() && log.calm(s.at(), answer.at())) {
                 out.add(s.id() + " " + s.path() + " sent at " + s.at() + " to " + s.node() + " was answered "
-                        + said.status() + "; ruling "
-                        + ruling.stream().map(ConfigurationStub::configRevision).toList());
+                        + answer.status() + "; revisions that may be in force: "
+                        + possible.stream()
+                                .map(ConfigurationStub::configRevision)
+                                .toList());
             }
         });
         return out;
     }
 
     /**
-     * Within one life of a node: a route that was served there is unknown there later, though it is in every paper
-     * since.
+     * Routes that a node served and later, without a restart, did not know although every configuration since has
+     * them.
      */
-    List<String> back() {
+    List<String> revertedToOlder() {
         List<String> out = new ArrayList<>();
         Map<String, Duration> served = new HashMap<>();
-        log.said.stream().filter(said -> sent.containsKey(said.id())).forEach(said -> {
-            ObservationLog.Sent s = sent.get(said.id());
-            String place = s.node() + " " + s.host() + s.path();
-            if (said.status() == 202) {
-                served.merge(place, said.at(), (x, y) -> x.compareTo(y) < 0 ? x : y);
-            } else if (said.status() == 404
-                    && served.containsKey(place)
-                    && s.at().compareTo(served.get(place).plus(ObservationLog.Bounds.BACK)) > 0
+        log.said.stream().filter(answer -> sent.containsKey(answer.id())).forEach(answer -> {
+            ObservationLog.Sent s = sent.get(answer.id());
+            String nodeRoute = s.node() + " " + s.host() + s.path();
+            if (answer.status() == 202) {
+                served.merge(nodeRoute, answer.at(), (x, y) -> x.compareTo(y) < 0 ? x : y);
+            } else if (answer.status() == 404
+                    && served.containsKey(nodeRoute)
+                    && s.at().compareTo(served.get(nodeRoute).plus(ObservationLog.Bounds.BACK)) > 0
                     && log.killed.stream()
                             .noneMatch(killed -> killed.node().equals(s.node())
-                                    && killed.at().compareTo(served.get(place)) > 0)
+                                    && killed.at().compareTo(served.get(nodeRoute)) > 0)
                     && log.configurationStub.stream()
-                            .noneMatch(paper -> paper.valid()
-                                    && paper.status() != 412
-                                    && paper.configurationStub()
+                            .noneMatch(submitted -> submitted.valid()
+                                    && submitted.status() != 412
+                                    && submitted
+                                            .configurationStub()
                                             .route(s.host(), s.path())
                                             .isEmpty()
-                                    && paper.sent().compareTo(said.at()) < 0
-                                    && paper.answered()
+                                    && submitted.sent().compareTo(answer.at()) < 0
+                                    && submitted
+                                                    .answered()
                                                     .plus(ObservationLog.Bounds.APPLY)
-                                                    .compareTo(served.get(place))
+                                                    .compareTo(served.get(nodeRoute))
                                             > 0)) {
-                out.add(place + " was served at " + served.get(place) + " and unknown at " + said.at());
+                out.add(nodeRoute + " was served at " + served.get(nodeRoute) + " and unknown at " + answer.at());
             }
         });
         return out;
     }
 
-    /** An invalid one was acknowledged, or two on top of the same. */
-    List<String> taken() {
+    /** Invalid configurations that were acknowledged, and bases on which two were acknowledged. */
+    List<String> wronglyAcknowledged() {
         List<String> out = new ArrayList<>();
         Map<Long, String> byBase = new HashMap<>();
-        log.configurationStub.stream().filter(paper -> paper.status() == 200).forEach(paper -> {
-            if (!paper.valid()) {
-                out.add("an invalid one was acknowledged: "
-                        + paper.configurationStub().configRevision());
-            }
-            Optional.ofNullable(byBase.putIfAbsent(paper.base(), paper.text()))
-                    .filter(t -> !t.equals(paper.text()))
-                    .ifPresent(t -> out.add("two were acknowledged on top of " + paper.base()));
-        });
+        log.configurationStub.stream()
+                .filter(submitted -> submitted.status() == 200)
+                .forEach(submitted -> {
+                    if (!submitted.valid()) {
+                        out.add("an invalid configuration was acknowledged: "
+                                + submitted.configurationStub().configRevision());
+                    }
+                    Optional.ofNullable(byBase.putIfAbsent(submitted.base(), submitted.text()))
+                            .filter(t -> !t.equals(submitted.text()))
+                            .ifPresent(
+                                    t -> out.add("two configurations were acknowledged on base " + submitted.base()));
+                });
         return out;
     }
 
-    /** The last reading: the newest acknowledged one as it was sent, or a later one that got no clear answer. */
-    List<String> readBack() {
+    /**
+     * The final read must return the newest acknowledged configuration as it was sent, or a later one whose submission
+     * got no clear answer.
+     */
+    List<String> wrongFinalRead() {
         List<ObservationLog.Paper> all = acknowledged();
         if (all.isEmpty() || log.readBack.isEmpty()) {
             return List.of();
@@ -147,11 +158,11 @@
         ObservationLog.ReadBack last = log.readBack.get(log.readBack.size() - 1);
         boolean good = last.status() == 200
                 && log.configurationStub.stream()
-                        .anyMatch(paper -> paper.valid()
-                                && paper.text().equals(last.text())
-                                && (paper.text().equals(newest.text())
-                                        || paper.status() == 0
-                                                && paper.configurationStub().configRevision()
+                        .anyMatch(submitted -> submitted.valid()
+                                && submitted.text().equals(last.text())
+                                && (submitted.text().equals(newest.text())
+                                        || submitted.status() == 0
+                                                && submitted.configurationStub().configRevision()
                                                         > newest.configurationStub()
                                                                 .configRevision()));
         return good
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationStub.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationStub.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.woadvale.common.config.Configurations;
 
-/** A configuration as the platform's operator writes it. docs/platform.md 3 */
+/** A configuration in the format that the platform's operator submits (docs/platform.md, section 3). */
 public record ConfigurationStub(long configRevision, List<Route> routes, List<Service> services, List<Tenant> tenants) {
     public record Route(
             String name,
@@ -36,15 +36,15 @@
         return new ConfigurationStub(revision, routes, services, tenants);
     }
 
-    public ConfigurationStub routes(List<Route> other) {
-        return new ConfigurationStub(configRevision, List.copyOf(other), services, tenants);
+    public ConfigurationStub routes(List<Route> newRoutes) {
+        return new ConfigurationStub(configRevision, List.copyOf(newRoutes), services, tenants);
     }
 
-    public ConfigurationStub tenants(List<Tenant> other) {
-        return new ConfigurationStub(configRevision, routes, services, List.copyOf(other));
+    public ConfigurationStub tenants(List<Tenant> newTenants) {
+        return new ConfigurationStub(configRevision, routes, services, List.copyOf(newTenants));
     }
 
-    /** The route whose host is the one and whose prefix is the longest that begins the path. */
+    /** The route of the host with the longest path prefix that matches the path. */
     public Optional<Route> route(String host, String path) {
         return routes.stream()
                 .filter(route -> route.host().equals(host) && path.startsWith(route.pathPrefix()))
@@ -60,12 +60,12 @@
     public String text() {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("configRevision", configRevision);
-        List<Object> r = new ArrayList<>();
-        routes.forEach(route -> r.add(fields(route)));
-        List<Object> s = new ArrayList<>();
-        services.forEach(service -> s.add(fields(service)));
-        out.put("routes", r);
-        out.put("services", s);
+        List<Object> routeFields = new ArrayList<>();
+        routes.forEach(route -> routeFields.add(fields(route)));
+        List<Object> serviceFields = new ArrayList<>();
+        services.forEach(service -> serviceFields.add(fields(service)));
+        out.put("routes", routeFields);
+        out.put("services", serviceFields);
         out.put("limits", Map.of("maxBodyBytes", 262144));
         out.put(
                 "tenants",
@@ -86,35 +86,35 @@
     }
 
     private static Map<String, Object> fields(Route route) {
-        Map<String, Object> f = new LinkedHashMap<>();
-        f.put("name", route.name());
-        f.put("host", route.host());
-        f.put("pathPrefix", route.pathPrefix());
-        f.put("routeClass", "deferred");
-        f.put("timeoutMs", route.timeoutMs());
-        f.put("targetLatencyMs", 100);
-        f.put("priority", 1);
-        f.put("service", route.service());
-        f.put("maxAttempts", route.maxAttempts());
-        f.put("inOrder", route.inOrder());
-        f.put("retentionS", route.retentionS());
-        f.put("callbackUri", false);
-        f.put("startTargetMs", 800);
-        f.put("keyless", route.keyless());
-        return f;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", route.name());
+        fields.put("host", route.host());
+        fields.put("pathPrefix", route.pathPrefix());
+        fields.put("routeClass", "deferred");
+        fields.put("timeoutMs", route.timeoutMs());
+        fields.put("targetLatencyMs", 100);
+        fields.put("priority", 1);
+        fields.put("service", route.service());
+        fields.put("maxAttempts", route.maxAttempts());
+        fields.put("inOrder", route.inOrder());
+        fields.put("retentionS", route.retentionS());
+        fields.put("callbackUri", false);
+        fields.put("startTargetMs", 800);
+        fields.put("keyless", route.keyless());
+        return fields;
     }
 
     private static Map<String, Object> fields(Service service) {
-        Map<String, Object> f = new LinkedHashMap<>();
-        f.put("name", service.name());
-        f.put("healthPath", "/health");
-        f.put("maxConnections", service.maxConnections());
-        f.put("protocol", "h1");
-        f.put("tlsMode", false);
-        f.put("ratePerS", service.ratePerS());
-        f.put("selfDedup", service.selfDedup());
-        f.put("pullMode", service.pullMode());
-        f.put("fixedEndpoint", service.fixedEndpoint().orElse(null));
-        return f;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", service.name());
+        fields.put("healthPath", "/health");
+        fields.put("maxConnections", service.maxConnections());
+        fields.put("protocol", "h1");
+        fields.put("tlsMode", false);
+        fields.put("ratePerS", service.ratePerS());
+        fields.put("selfDedup", service.selfDedup());
+        fields.put("pullMode", service.pullMode());
+        fields.put("fixedEndpoint", service.fixedEndpoint().orElse(null));
+        return fields;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Edit.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Edit.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 import org.woadvale.common.config.Configuration;
 
-/** Changes of a configuration by the operator. */
+/** Copies of a configuration with one part changed, as an operator would change it. */
 public final class Edit {
     private Edit() {}
 
-    private static <V> Map<String, V> changed(Map<String, V> m, Consumer<Map<String, V>> consumer) {
-        Map<String, V> out = new TreeMap<>(m);
+    private static <V> Map<String, V> changed(Map<String, V> original, Consumer<Map<String, V>> consumer) {
+        Map<String, V> out = new TreeMap<>(original);
         consumer.accept(out);
         return out;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/LimitRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/LimitRules.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** What may not be exceeded in any window. */
+/** Checks the rate limits of tenants and services in every window. */
 final class LimitRules {
     private final ObservationLog log;
 
@@ -16,23 +16,26 @@
         this.log = log;
     }
 
-    /** Accepted messages of a tenant: by their 202, or by their first run where they got none. */
-    List<String> quota() {
+    /** Counts a tenant's accepted messages at the time of the 202 answer, or of the first run if there was no 202. */
+    List<String> tenantQuotaExceeded() {
         Map<String, Duration> accepted = new HashMap<>();
         log.began.forEach(began -> accepted.merge(began.id(), began.at(), (x, y) -> x.compareTo(y) < 0 ? x : y));
-        log.said.stream().filter(said -> said.status() == 202).forEach(said -> accepted.put(said.id(), said.at()));
-        Map<String, List<Duration>> at = new HashMap<>();
+        log.said.stream()
+                .filter(answer -> answer.status() == 202)
+                .forEach(answer -> accepted.put(answer.id(), answer.at()));
+        Map<String, List<Duration>> eventTimes = new HashMap<>();
         log.sent.stream()
                 .filter(sent -> accepted.containsKey(sent.id()))
                 .forEach(sent -> log.configurationStub.stream()
-                        .flatMap(paper -> paper.configurationStub().tenant(sent.key()).stream())
+                        .flatMap(submitted -> submitted.configurationStub().tenant(sent.key()).stream())
                         .map(ConfigurationStub.Tenant::name)
                         .findFirst()
-                        .ifPresent(t ->
-                                at.computeIfAbsent(t, k -> new ArrayList<>()).add(accepted.get(sent.id()))));
+                        .ifPresent(t -> eventTimes
+                                .computeIfAbsent(t, k -> new ArrayList<>())
+                                .add(accepted.get(sent.id()))));
         return excess(
-                at,
-                tenant -> stub -> stub.tenants().stream()
+                eventTimes,
+                tenant -> configuration -> configuration.tenants().stream()
                         .filter(t -> t.name().equals(tenant))
                         .findFirst()
                         .map(t -> (t.ratePerS() * ObservationLog.Bounds.WINDOW.toSeconds() + t.burstSize())
@@ -40,13 +43,14 @@
                                 + ObservationLog.Bounds.QUOTA_SLACK));
     }
 
-    List<String> ceiling() {
-        Map<String, List<Duration>> at = new HashMap<>();
-        log.arrived.forEach(arrived ->
-                at.computeIfAbsent(arrived.service(), k -> new ArrayList<>()).add(arrived.at()));
+    List<String> serviceRateExceeded() {
+        Map<String, List<Duration>> eventTimes = new HashMap<>();
+        log.arrived.forEach(arrived -> eventTimes
+                .computeIfAbsent(arrived.service(), k -> new ArrayList<>())
+                .add(arrived.at()));
         return excess(
-                at,
-                service -> stub -> stub.services().stream()
+                eventTimes,
+                service -> configuration -> configuration.services().stream()
                         .filter(s -> s.name().equals(service) && s.ratePerS() > 0)
                         .findFirst()
                         .map(s -> s.ratePerS()
@@ -56,9 +60,10 @@
     }
 
     private List<String> excess(
-            Map<String, List<Duration>> at, Function<String, Function<ConfigurationStub, Optional<Double>>> most) {
+            Map<String, List<Duration>> eventTimes,
+            Function<String, Function<ConfigurationStub, Optional<Double>>> limitOf) {
         List<String> out = new ArrayList<>();
-        at.forEach((who, times) -> {
+        eventTimes.forEach((name, times) -> {
             List<Duration> sorted = times.stream().sorted().toList();
             int from = 0;
             for (int i = 0; i < sorted.size(); i++) {
@@ -67,12 +72,12 @@
                 }
                 Duration begin = sorted.get(from);
                 Duration end = sorted.get(i);
-                // the highest of all that may have ruled: an older one for a window after it was replaced
+                // the highest limit that may have been in force; a replaced one counts for one more window
                 Optional<Double> limit = log.ruling(begin.minus(ObservationLog.Bounds.WINDOW), end).stream()
-                        .flatMap(stub -> most.apply(who).apply(stub).stream())
+                        .flatMap(configuration -> limitOf.apply(name).apply(configuration).stream())
                         .max(Double::compareTo);
                 if (limit.isPresent() && i - from + 1 > limit.get()) {
-                    out.add(who + ": " + (i - from + 1) + " in the window up to " + end + ", allowed " + limit.get());
+                    out.add(name + ": " + (i - from + 1) + " in the window up to " + end + ", allowed " + limit.get());
                     return;
                 }
             }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/AnswerFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/MessageChecks.java
@@ -11,15 +11,18 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** What became of messages: lost, run again, run though refused, out of order, done without proof. */
-final class AnswerFaults {
+/** Finds messages that were lost, run after success, run though refused, run out of order, or done without proof. */
+final class MessageChecks {
     private final Observations observations;
 
-    AnswerFaults(Observations observations) {
+    MessageChecks(Observations observations) {
         this.observations = observations;
     }
 
-    /** At the end of a run every accepted message must be shown as ended; as failed only for a reason seen outside. */
+    /**
+     * At the end of a test run every accepted message must be shown as ended, and as failed only for a reason that was
+     * observed from outside.
+     */
     List<String> lost() {
         Map<String, Duration> ended = new HashMap<>();
         observations.copy(observations.shown).stream()
@@ -36,11 +39,11 @@
                         && ended.containsKey(shown.handle())
                         && shown.asked().compareTo(ended.get(shown.handle())) > 0)
                 .forEach(shown -> out.add(shown.handle() + " was shown as " + shown.state() + " after its end"));
-        out.addAll(new Reasons(observations).unfounded());
+        out.addAll(new FailureReasons(observations).unsupportedFailures());
         return out;
     }
 
-    List<String> runAgain() {
+    List<String> ranAfterSuccess() {
         Map<String, Duration> success = new HashMap<>();
         observations.copy(observations.answered).stream()
                 .filter(Observations.Answered::success)
@@ -53,22 +56,22 @@
                 .toList();
     }
 
-    /** Definite refusals of an id that was never accepted nor left unknown. */
+    /** Runs of ids whose submissions were all definitely refused. */
     List<String> refusedRan() {
         Function<Observations.Submitted, String> id =
                 submitted -> submitted.tenant() + "/" + submitted.lane() + "/" + submitted.id();
-        Map<String, Set<Observations.Said>> said = observations.copy(observations.submitted).stream()
+        Map<String, Set<Observations.Said>> outcomes = observations.copy(observations.submitted).stream()
                 .collect(Collectors.groupingBy(
                         id, Collectors.mapping(Observations.Submitted::said, Collectors.toSet())));
         return observations.copy(observations.ran).stream()
                 .map(ran -> ran.tenant() + "/" + ran.lane() + "/" + ran.callerId())
                 .distinct()
-                .filter(k -> said.getOrDefault(k, Set.of()).equals(Set.of(Observations.Said.REFUSED)))
-                .map(k -> k + " ran though refused")
+                .filter(k -> outcomes.getOrDefault(k, Set.of()).equals(Set.of(Observations.Said.REFUSED)))
+                .map(k -> k + " ran although every submission was refused")
                 .toList();
     }
 
-    /** When each message ended, as its owner stamped it, or else as its processors saw it. */
+    /** When each message ended: the owner's timestamp if known, otherwise the last answer of a processor. */
     private Map<String, Duration> ends() {
         Map<String, Duration> out = new HashMap<>();
         observations
@@ -81,14 +84,15 @@
     }
 
     /**
-     * No run of a key may begin before every earlier accepted message of it has ended, whether that ever ran or not.
+     * No message of an ordering key may start before every earlier accepted message of the key has ended, even if that
+     * message never ran.
      */
-    List<String> order() {
+    List<String> outOfOrder() {
         Map<String, Duration> ended = ends();
-        Set<String> ran = observations.copy(observations.ran).stream()
+        Set<String> live = observations.copy(observations.ran).stream()
                 .map(Observations.Ran::handle)
                 .collect(Collectors.toSet());
-        observations.copy(observations.died).forEach(died -> ran.remove(died.handle()));
+        observations.copy(observations.died).forEach(died -> live.remove(died.handle()));
         Map<String, Set<String>> byKey = new HashMap<>();
         observations.copy(observations.submitted).stream()
                 .filter(submitted -> !submitted.orderKey().isEmpty() && submitted.said() == Observations.Said.ACCEPTED)
@@ -98,14 +102,14 @@
         Map<String, List<Observations.Ran>> runs = observations.copy(observations.ran).stream()
                 .filter(r -> !r.orderKey().isEmpty())
                 .collect(Collectors.groupingBy(r -> group(r.tenant(), r.lane(), r.orderKey())));
-        Map<String, List<Duration>> overs = new HashMap<>();
+        Map<String, List<Duration>> finished = new HashMap<>();
         observations
                 .copy(observations.answered)
-                .forEach(answered -> overs.computeIfAbsent(answered.handle(), h -> new ArrayList<>())
+                .forEach(answered -> finished.computeIfAbsent(answered.handle(), h -> new ArrayList<>())
                         .add(answered.at()));
         observations
                 .copy(observations.died)
-                .forEach(died -> overs.computeIfAbsent(died.handle(), h -> new ArrayList<>())
+                .forEach(died -> finished.computeIfAbsent(died.handle(), h -> new ArrayList<>())
                         .add(died.at()));
         List<String> out = new ArrayList<>();
         runs.forEach((k, list) -> {
@@ -113,31 +117,33 @@
             list.forEach(r -> all.add(r.handle()));
             for (Observations.Ran later : list) {
                 for (String earlier : all) {
-                    if (seq(earlier) < seq(later.handle()) && !before(ended, ran, earlier, later.begun())) {
+                    if (seq(earlier) < seq(later.handle()) && !endedBefore(ended, live, earlier, later.begun())) {
                         out.add(k + ": " + later.handle() + " began before " + earlier + " had ended");
                     }
                 }
-                stillRunning(list, overs, later)
+                stillRunning(list, finished, later)
                         .forEach(e -> out.add(k + ": " + later.handle() + " began while " + e + " was running"));
             }
         });
         return out.stream().distinct().toList();
     }
 
-    /** Of one that never ran, or whose runs died, nothing more is known here without a stamp; line 01 has it. */
-    private static boolean before(Map<String, Duration> ended, Set<String> ran, String handle, Duration begun) {
-        return ended.containsKey(handle) ? ended.get(handle).compareTo(begun) <= 0 : !ran.contains(handle);
+    /**
+     * Without a timestamp nothing is known about a message that never ran or whose processor died; check 01 covers it.
+     */
+    private static boolean endedBefore(Map<String, Duration> ended, Set<String> live, String handle, Duration begun) {
+        return ended.containsKey(handle) ? ended.get(handle).compareTo(begun) <= 0 : !live.contains(handle);
     }
 
     private static List<String> stillRunning(
-            List<Observations.Ran> runs, Map<String, List<Duration>> overs, Observations.Ran later) {
+            List<Observations.Ran> runs, Map<String, List<Duration>> finished, Observations.Ran later) {
         Map<String, Long> begun = new HashMap<>();
         runs.stream()
                 .filter(ran ->
                         seq(ran.handle()) < seq(later.handle()) && ran.begun().compareTo(later.begun()) < 0)
                 .forEach(ran -> begun.merge(ran.handle(), 1L, Long::sum));
         return begun.entrySet().stream()
-                .filter(entry -> overs.getOrDefault(entry.getKey(), List.of()).stream()
+                .filter(entry -> finished.getOrDefault(entry.getKey(), List.of()).stream()
                                 .filter(t -> t.compareTo(later.begun()) <= 0)
                                 .count()
                         < entry.getValue())
@@ -153,8 +159,8 @@
         return Long.parseLong(handle.substring(handle.indexOf('-') + 1));
     }
 
-    /** Shown as done: a processor must have answered that very message with that very receipt. */
-    List<String> proof() {
+    /** Messages shown as done without a processor's success answer for the same message and receipt. */
+    List<String> withoutProof() {
         Set<String> receipts = observations.copy(observations.answered).stream()
                 .filter(Observations.Answered::success)
                 .map(answered -> answered.handle() + "/" + answered.receipt())
@@ -162,7 +168,7 @@
         return observations.copy(observations.shown).stream()
                 .filter(shown -> shown.state().equals("done"))
                 .filter(shown -> !receipts.contains(shown.handle() + "/" + shown.proof()))
-                .map(shown -> shown.handle() + " with " + shown.proof())
+                .map(shown -> shown.handle() + " is shown as done with an unknown receipt: " + shown.proof())
                 .distinct()
                 .sorted(Comparator.naturalOrder())
                 .toList();
--- a/testkit/src/main/java/org/woadvale/testkit/stub/NeverList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/NeverList.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One check for each line of what must never happen. Empty answers: nothing wrong was seen. */
+/** One check for each kind of violation that must never happen; an empty list means that none was observed. */
 public final class NeverList {
-    private final AnswerFaults fates;
-    private final Windows windows;
-    private final Orders orders;
+    private final MessageChecks messages;
+    private final SlidingWindowLimits limits;
+    private final OperatorChecks operator;
 
     public NeverList(Observations observations) {
-        this.fates = new AnswerFaults(observations);
-        this.windows = new Windows(observations);
-        this.orders = new Orders(observations);
+        this.messages = new MessageChecks(observations);
+        this.limits = new SlidingWindowLimits(observations);
+        this.operator = new OperatorChecks(observations);
     }
 
     public Map<String, List<String>> all() {
         Map<String, List<String>> out = new TreeMap<>();
-        out.put("01 accepted message lost", fates.lost());
-        out.put("02 run again after success", fates.runAgain());
-        out.put("03 refused message ran", fates.refusedRan());
-        out.put("04 order of a key broken", fates.order());
-        out.put("05 allowance exceeded", windows.allowance());
-        out.put("06 endpoint over its rate", windows.rate());
-        out.put("07 withdrawn key used", orders.withdrawnKey());
-        out.put("08 layout ignored or gone back", orders.ignoredConfiguration());
-        out.put("09 bad layout taken or older read", orders.badConfiguration());
-        out.put("10 leaving processor got work", orders.leaving());
-        out.put("11 done without proof", fates.proof());
-        out.put("12 slow return after outage", orders.outage());
+        out.put("01 accepted message lost", messages.lost());
+        out.put("02 run again after success", messages.ranAfterSuccess());
+        out.put("03 refused message ran", messages.refusedRan());
+        out.put("04 order of a key broken", messages.outOfOrder());
+        out.put("05 allowance exceeded", limits.tenantLimitExceeded());
+        out.put("06 endpoint over its rate", limits.endpointRateExceeded());
+        out.put("07 withdrawn key used", operator.withdrawnKeyUsed());
+        out.put("08 layout ignored or gone back", operator.ignoredConfiguration());
+        out.put("09 bad layout taken or older read", operator.badConfiguration());
+        out.put("10 leaving processor got work", operator.leavingProcessorUsed());
+        out.put("11 done without proof", messages.withoutProof());
+        out.put("12 slow return after outage", operator.slowRecovery());
         return out;
     }
 
@@ -40,7 +40,7 @@
                 .toList();
     }
 
-    /** The numbers of the broken lines. */
+    /** The numbers of the violated checks. */
     public List<String> broken() {
         return all().entrySet().stream()
                 .filter(entry -> !entry.getValue().isEmpty())
@@ -48,8 +48,8 @@
                 .toList();
     }
 
-    /** The most in any window of 5 s. */
+    /** The highest number of events in any window of 5 s. */
     public static int worst(List<Duration> sorted) {
-        return Windows.worst(sorted);
+        return SlidingWindowLimits.maxInWindow(sorted);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the platform's clients, processors and operator saw, in true time; nothing of the system's inside. */
+/** What the platform's clients, processors and operator observed, in simulation time; no internal state. */
 public final class ObservationLog {
     public record Sent(
             String id,
@@ -17,10 +17,10 @@
             String node,
             Duration at) {}
 
-    /** Status 0: no answer. */
+    /** The answer to a submission; status 0 means no answer. */
     public record Said(String id, int status, String ref, Duration at) {}
 
-    /** Whatever reaches a pushed-to processor; turned away: it said 421. */
+    /** A request that reached a push processor; {@code turnedAway} means that it answered 421. */
     public record Arrived(String id, String service, String instance, boolean turnedAway, Duration at) {}
 
     public record Began(
@@ -33,19 +33,19 @@
             String body,
             Duration at) {}
 
-    /** The processor's answer to a run: status and seal; zero for one that it broke off. */
+    /** The processor's answer to a run; status 0 means that the run was aborted. */
     public record Ended(String id, int status, String seal, Duration began, Duration at) {}
 
-    /** A sender has read a success. */
+    /** A sender has read that the message succeeded. */
     public record Read(String id, Duration at) {}
 
-    /** The end of a lease was taken with 200. */
+    /** The end of a lease was accepted with 200. */
     public record EndTaken(String id, String lease, int outcome, Duration at) {}
 
-    /** The last word on a message at the day's end; status 0: no answer. */
+    /** The final status of a message; status 0 means no answer. */
     public record Shown(String id, int status, String state, String seal, int bodyStatus, String body) {}
 
-    /** A configuration that was sent; status 0: no clear answer. */
+    /** A submitted configuration; status 0 means no clear answer. */
     public record Paper(
             ConfigurationStub configurationStub,
             String text,
@@ -55,20 +55,21 @@
             int status,
             Duration answered) {}
 
-    /** One try of an order, known by its text and base; status 0: no answer. */
+    /** One attempt at a configuration update, identified by its text and base; status 0 means no answer. */
     public record OrderCall(String text, long base, long revision, Duration sent, Duration answered, int status) {}
 
-    /** A reading of the configuration that was answered with 200. */
+    /** A read of the configuration that was answered with 200. */
     public record ConfigurationRead(String text, Duration sent, Duration answered) {}
 
     public record ReadBack(int status, String text, Duration at) {}
 
-    /** From when on the list shows it as draining or no more. */
+    /** The time from which the processor list shows the instance as draining, or no longer shows it. */
     public record Draining(String instance, Duration shown) {}
 
-    /** Unplanned trouble; a life of a node ends with a kill. */
+    /** An unplanned disruption. */
     public record Trouble(String what, Duration from, Duration until) {}
 
+    /** The end of one incarnation of a node. */
     public record Killed(String node, Duration at) {}
 
     public final List<Sent> sent = new ArrayList<>();
@@ -87,35 +88,36 @@
     public final List<Trouble> troubles = new ArrayList<>();
     public final List<Killed> killed = new ArrayList<>();
 
-    /** No unplanned trouble anywhere from the contact time before the first moment until the second. */
+    /** Whether no disruption overlapped the period, which is extended by {@link Bounds#CONTACT} at its start. */
     public boolean calm(Duration from, Duration until) {
-        Duration since = from.minus(Bounds.CONTACT);
+        Duration extendedFrom = from.minus(Bounds.CONTACT);
         return troubles.stream()
-                .noneMatch(trouble ->
-                        trouble.until().compareTo(since) > 0 && trouble.from().compareTo(until) <= 0);
+                .noneMatch(trouble -> trouble.until().compareTo(extendedFrom) > 0
+                        && trouble.from().compareTo(until) <= 0);
     }
 
     /**
-     * ConfigurationStub that may rule a request between two moments: what was newest so long before, and all that came
-     * since.
+     * Configurations that may apply to a request in a period: the one that was newest {@link Bounds#APPLY} before its
+     * start, and all submitted later.
      */
     public List<ConfigurationStub> ruling(Duration from, Duration until) {
-        Duration old = from.minus(Bounds.APPLY);
+        Duration appliedBy = from.minus(Bounds.APPLY);
         long newest = configurationStub.stream()
-                .filter(paper -> paper.status() == 200 && paper.answered().compareTo(old) < 0)
-                .mapToLong(paper -> paper.configurationStub().configRevision())
+                .filter(submitted ->
+                        submitted.status() == 200 && submitted.answered().compareTo(appliedBy) < 0)
+                .mapToLong(submitted -> submitted.configurationStub().configRevision())
                 .max()
                 .orElse(0);
         return configurationStub.stream()
-                .filter(paper -> paper.valid()
-                        && (paper.status() == 200 || paper.status() == 0)
-                        && paper.configurationStub().configRevision() >= newest
-                        && paper.sent().compareTo(until) <= 0)
+                .filter(submitted -> submitted.valid()
+                        && (submitted.status() == 200 || submitted.status() == 0)
+                        && submitted.configurationStub().configRevision() >= newest
+                        && submitted.sent().compareTo(until) <= 0)
                 .map(Paper::configurationStub)
                 .toList();
     }
 
-    /** The bounds that the platform sets. */
+    /** The bounds that the platform's requirements set. */
     public static final class Bounds {
         public static final Duration CONTACT = Duration.ofMillis(4000);
         public static final Duration APPLY = Duration.ofMillis(3000);
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Observations.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Observations.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** What callers, back ends and operators saw, and nothing else; the checker reads only this. */
+/** What callers, backends and operators observed from outside; the checks read nothing else. */
 public final class Observations {
-    /** A time that nobody saw. */
+    /** A time that was not observed. */
     public static final Duration UNSEEN = Duration.ofSeconds(-1);
 
     public enum Said {
@@ -20,7 +20,7 @@
         UNKNOWN
     }
 
-    /** One submission by one caller; a repeat of an id is a submission of its own. */
+    /** One submission by one caller; a retry with the same id is a separate submission. */
     public record Submitted(
             String tenant,
             String id,
@@ -45,17 +45,17 @@
             String service,
             Duration begun) {}
 
-    /** A run is over: answered with success or refusal. */
+    /** A run ended with an answer: success or refusal. */
     public record Answered(
             String handle, int attempt, String processor, Duration at, boolean success, String receipt) {}
 
-    /** A run is over without an answer, since its processor died. */
+    /** A run ended without an answer because its processor crashed. */
     public record Died(String handle, Duration at) {}
 
-    /** A back end said "later", and did nothing. */
+    /** A backend answered "retry later" and did nothing. */
     public record TurnedAway(String handle, int attempt, Duration at) {}
 
-    /** What a caller was shown of a message; stamps are those of its owner, in the checker's time, where known. */
+    /** A message's status as shown to a caller; the owner's timestamps, where known, are converted to test time. */
     public record Shown(
             String handle,
             String state,
@@ -69,7 +69,7 @@
             return state.equals("done") || state.equals("failed");
         }
 
-        /** From the answer to a GET; a clock that cannot be trusted shows nothing. */
+        /** From the answer to a GET; {@code clock} converts the owner's timestamps, or returns {@link #UNSEEN}. */
         public static Shown read(
                 String handle, JsonNode node, Duration asked, Duration at, Function<Instant, Duration> clock) {
             return new Shown(
@@ -97,27 +97,27 @@
 
     public record KeyWithdrawn(String key, Duration acknowledged) {}
 
-    /** A request other than a submission that was served under a key. */
+    /** A request, other than a submission, that was served under a key. */
     public record KeyServed(String key, String what, Duration answered) {}
 
     public record MarkedLeaving(String processor, Duration acknowledged) {}
 
-    /** The platform sent a listing without the mark: from then on the mark may be gone. */
+    /** The platform sent a processor list without the leaving mark, which may be cleared from then on. */
     public record Listed(String processor, Duration sent) {}
 
     public record RequestAtEndpoint(String service, Duration at) {}
 
     public record ConfigurationNeeded(String what, Duration acknowledged, Duration seenIgnored) {}
 
-    /** The configuration version that a node says it uses; a restarted node is the same node. */
+    /** The configuration version that a node reports; a restarted node counts as the same node. */
     public record NodeVersion(String node, long version, Duration at) {}
 
     public record Outage(Duration restarted, Duration served) {}
 
-    /** A limit that the operator set: it may be in force from the sending of the change on. */
+    /** A limit set by the operator; it may be in force as soon as the change is sent. */
     public record Limit(double rate, double burst, Duration sent, Duration acknowledged) {}
 
-    /** What a lane's messages may meet at the least: the lowest of all settings of the run. */
+    /** The lowest time limit and number of attempts that a lane had during the test run. */
     public record LaneLimits(long timeLimitMs, int attempts) {
         LaneLimits lowest(LaneLimits limits) {
             return new LaneLimits(Math.min(timeLimitMs, limits.timeLimitMs), Math.min(attempts, limits.attempts));
@@ -140,14 +140,14 @@
     public final List<ConfigurationNeeded> ignored = new ArrayList<>();
     public final List<NodeVersion> versions = new ArrayList<>();
     public final List<Outage> outages = new ArrayList<>();
-    /** Allowances by tenant, rates by endpoint and limits by lane, as the operator set them. */
+    /** Limits by tenant, by endpoint and by lane, as the operator set them. */
     private final Map<String, List<Limit>> allowances = new HashMap<>();
 
     private final Map<String, List<Limit>> rates = new HashMap<>();
     private final Map<String, LaneLimits> lanes = new HashMap<>();
 
-    public synchronized <T> void saw(List<T> list, T what) {
-        list.add(what);
+    public synchronized <T> void saw(List<T> list, T observation) {
+        list.add(observation);
     }
 
     public synchronized <T> List<T> copy(List<T> list) {
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Ends.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ObservedEnds.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** When messages have ended, by what the processors answered, the time kept and the routes there are. */
-final class Ends {
+/** When messages have ended, according to processors' answers, retention times and the configured routes. */
+final class ObservedEnds {
     private final ObservationLog log;
     private final Map<String, ObservationLog.Sent> sent = new HashMap<>();
     private final Map<String, ObservationLog.Said> accepted = new HashMap<>();
     private final Map<String, List<ObservationLog.Ended>> ended = new HashMap<>();
 
-    Ends(ObservationLog log) {
+    ObservedEnds(ObservationLog log) {
         this.log = log;
         log.sent.forEach(s -> sent.put(s.id(), s));
-        log.said.stream().filter(said -> said.status() == 202).forEach(said -> accepted.put(said.id(), said));
+        log.said.stream().filter(answer -> answer.status() == 202).forEach(answer -> accepted.put(answer.id(), answer));
         log.ended.forEach(
                 e -> ended.computeIfAbsent(e.id(), k -> new ArrayList<>()).add(e));
     }
@@ -30,11 +30,11 @@
         return accepted;
     }
 
-    /** Any of the configurations ever sent that could rule this request: its route there. */
+    /** The request's route in the first valid configuration that has one. */
     Optional<ConfigurationStub.Route> route(ObservationLog.Sent sent) {
         return log.configurationStub.stream()
                 .filter(ObservationLog.Paper::valid)
-                .flatMap(paper -> paper.configurationStub().route(sent.host(), sent.path()).stream())
+                .flatMap(submitted -> submitted.configurationStub().route(sent.host(), sent.path()).stream())
                 .findFirst();
     }
 
@@ -43,12 +43,12 @@
     }
 
     boolean succeeded(String id) {
-        return ended.getOrDefault(id, List.of()).stream().anyMatch(Ends::success);
+        return ended.getOrDefault(id, List.of()).stream().anyMatch(ObservedEnds::success);
     }
 
     List<String> seals(String id) {
         return ended.getOrDefault(id, List.of()).stream()
-                .filter(Ends::success)
+                .filter(ObservedEnds::success)
                 .map(ObservationLog.Ended::seal)
                 .toList();
     }
@@ -57,7 +57,7 @@
         return ended.status() >= 200 && ended.status() < 300 && !ended.seal().isEmpty();
     }
 
-    /** The earliest time at which it may be called ended. */
+    /** The earliest time at which the message may count as ended. */
     Optional<Duration> end(String id) {
         ObservationLog.Sent s = sent.get(id);
         List<ObservationLog.Ended> runs = ended.getOrDefault(id, List.of());
@@ -76,10 +76,13 @@
         }
         route(s).ifPresent(route -> out.add(s.at().plusMillis((long) (route.retentionS() * 1000))));
         log.configurationStub.stream()
-                .filter(paper -> paper.valid()
-                        && paper.status() != 412
-                        && paper.sent().compareTo(s.at()) > 0
-                        && paper.configurationStub().route(s.host(), s.path()).isEmpty())
+                .filter(submitted -> submitted.valid()
+                        && submitted.status() != 412
+                        && submitted.sent().compareTo(s.at()) > 0
+                        && submitted
+                                .configurationStub()
+                                .route(s.host(), s.path())
+                                .isEmpty())
                 .map(ObservationLog.Paper::sent)
                 .forEach(out::add);
         return out.stream().min(Duration::compareTo);
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Orders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/OperatorChecks.java
@@ -8,52 +8,52 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What operators and the platform said, and whether it was heeded in time. */
-final class Orders {
-    private static final Duration KEY = Duration.ofSeconds(5);
-    private static final Duration HEEDED = Duration.ofSeconds(3);
-    /** For the way of an answer, which nobody can take back once it was sent. */
-    private static final Duration WAY = Duration.ofMillis(200);
+/** Checks that changes by operators and the platform take effect in time. */
+final class OperatorChecks {
+    private static final Duration KEY_REVOCATION_LIMIT = Duration.ofSeconds(5);
+    private static final Duration APPLY_LIMIT = Duration.ofSeconds(3);
+    /** Allowance for answers in transit, which cannot be recalled once they are sent. */
+    private static final Duration ANSWER_TRANSIT = Duration.ofMillis(200);
 
-    private static final Duration RETURN = Duration.ofSeconds(12);
+    private static final Duration RECOVERY_LIMIT = Duration.ofSeconds(12);
     private final Observations observations;
 
-    Orders(Observations observations) {
+    OperatorChecks(Observations observations) {
         this.observations = observations;
     }
 
-    /** By the time of acceptance where the owner's stamp was seen, else by the sending. */
-    List<String> withdrawnKey() {
+    /** Uses the owner's acceptance time where it was observed, otherwise the time of sending. */
+    List<String> withdrawnKeyUsed() {
         Map<String, Duration> accepted = new HashMap<>();
         observations.copy(observations.shown).stream()
                 .filter(shown -> !shown.accepted().isNegative())
                 .forEach(shown -> accepted.put(shown.handle(), shown.accepted()));
         List<String> out = new ArrayList<>();
         observations.copy(observations.keys).forEach(keyWithdrawn -> {
-            Duration end = keyWithdrawn.acknowledged().plus(KEY);
+            Duration end = keyWithdrawn.acknowledged().plus(KEY_REVOCATION_LIMIT);
             observations.copy(observations.submitted).stream()
                     .filter(submitted -> submitted.key().equals(keyWithdrawn.key())
                             && submitted.said() == Observations.Said.ACCEPTED
                             && accepted.getOrDefault(submitted.handle(), submitted.sent())
                                             .compareTo(end)
                                     > 0)
-                    .forEach(submitted -> out.add(submitted.handle() + " taken with " + keyWithdrawn.key()));
+                    .forEach(submitted ->
+                            out.add(submitted.handle() + " was accepted with the withdrawn key " + keyWithdrawn.key()));
             observations.copy(observations.served).stream()
                     .filter(keyServed -> keyServed.key().equals(keyWithdrawn.key())
-                            && keyServed.answered().minus(WAY).compareTo(end) > 0)
-                    .forEach(keyServed -> out.add(keyServed.what() + " served under " + keyWithdrawn.key()));
+                            && keyServed.answered().minus(ANSWER_TRANSIT).compareTo(end) > 0)
+                    .forEach(keyServed ->
+                            out.add(keyServed.what() + " was served under the withdrawn key " + keyWithdrawn.key()));
         });
         return out;
     }
 
     List<String> ignoredConfiguration() {
         List<String> out = new ArrayList<>(observations.copy(observations.ignored).stream()
-                .filter(configurationNeeded -> configurationNeeded
-                                .seenIgnored()
-                                .compareTo(configurationNeeded.acknowledged().plus(HEEDED))
-                        > 0)
-                .map(configurationNeeded -> configurationNeeded.what() + " still ignored "
-                        + configurationNeeded.seenIgnored().minus(configurationNeeded.acknowledged()))
+                .filter(change ->
+                        change.seenIgnored().compareTo(change.acknowledged().plus(APPLY_LIMIT)) > 0)
+                .map(change -> change.what() + " was still ignored after "
+                        + change.seenIgnored().minus(change.acknowledged()))
                 .toList());
         Map<String, Long> newest = new HashMap<>();
         observations.copy(observations.versions).stream()
@@ -70,37 +70,37 @@
 
     List<String> badConfiguration() {
         List<String> out = new ArrayList<>();
-        List<Observations.ConfigurationSaid> said = observations.copy(observations.configurations);
-        said.stream()
-                .filter(configurationSaid -> configurationSaid.taken() && !configurationSaid.valid())
-                .forEach(configurationSaid -> out.add(configurationSaid.requestId() + " is invalid but taken"));
-        Map<Long, Set<String>> byVersion = said.stream()
+        List<Observations.ConfigurationSaid> answers = observations.copy(observations.configurations);
+        answers.stream()
+                .filter(answer -> answer.taken() && !answer.valid())
+                .forEach(answer -> out.add(answer.requestId() + " is invalid but was accepted"));
+        Map<Long, Set<String>> byVersion = answers.stream()
                 .filter(Observations.ConfigurationSaid::taken)
                 .collect(Collectors.groupingBy(
                         Observations.ConfigurationSaid::version,
                         Collectors.mapping(Observations.ConfigurationSaid::digest, Collectors.toSet())));
-        byVersion.forEach((v, d) -> {
-            if (d.size() > 1) {
-                out.add("two layouts were taken as version " + v);
+        byVersion.forEach((version, digests) -> {
+            if (digests.size() > 1) {
+                out.add("two configurations were accepted as version " + version);
             }
         });
-        observations.copy(observations.reads).forEach(configurationRead -> {
-            said.stream()
-                    .filter(configurationSaid -> configurationSaid.taken()
-                            && configurationSaid.at().compareTo(configurationRead.asked()) < 0
-                            && configurationSaid.version() > configurationRead.version())
+        observations.copy(observations.reads).forEach(read -> {
+            answers.stream()
+                    .filter(answer -> answer.taken()
+                            && answer.at().compareTo(read.asked()) < 0
+                            && answer.version() > read.version())
                     .findFirst()
-                    .ifPresent(configurationSaid -> out.add("read " + configurationRead.version() + " after "
-                            + configurationSaid.version() + " was taken"));
-            if (byVersion.containsKey(configurationRead.version())
-                    && !byVersion.get(configurationRead.version()).contains(configurationRead.digest())) {
-                out.add("read other content as version " + configurationRead.version());
+                    .ifPresent(answer ->
+                            out.add("read " + read.version() + " after " + answer.version() + " was accepted"));
+            if (byVersion.containsKey(read.version())
+                    && !byVersion.get(read.version()).contains(read.digest())) {
+                out.add("read other content as version " + read.version());
             }
         });
         return out;
     }
 
-    List<String> leaving() {
+    List<String> leavingProcessorUsed() {
         List<String> out = new ArrayList<>();
         observations
                 .copy(observations.leaving)
@@ -109,19 +109,20 @@
                                 && ran.begun()
                                                 .compareTo(markedLeaving
                                                         .acknowledged()
-                                                        .plus(HEEDED))
+                                                        .plus(APPLY_LIMIT))
                                         > 0
                                 && observations.copy(observations.listed).stream()
                                         .noneMatch(listed -> listed.processor().equals(markedLeaving.processor())
                                                 && listed.sent().compareTo(markedLeaving.acknowledged()) >= 0
                                                 && listed.sent().compareTo(ran.begun()) <= 0))
-                        .forEach(ran -> out.add(ran.handle() + " given to " + markedLeaving.processor())));
+                        .forEach(ran -> out.add(
+                                ran.handle() + " was sent to the leaving processor " + markedLeaving.processor())));
         return out;
     }
 
-    List<String> outage() {
+    List<String> slowRecovery() {
         return observations.copy(observations.outages).stream()
-                .filter(outage -> outage.served().minus(outage.restarted()).compareTo(RETURN) > 0)
+                .filter(outage -> outage.served().minus(outage.restarted()).compareTo(RECOVERY_LIMIT) > 0)
                 .map(outage -> "served again after " + outage.served().minus(outage.restarted()))
                 .toList();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Rules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Rules.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One check for each rule of docs/rules.md, on what was seen from outside. Empty answers: nothing was broken. */
+/** Checks each rule of docs/rules.md against what was observed from outside; an empty list means no violation. */
 public final class Rules {
     private final ObservationLog log;
 
@@ -15,31 +15,31 @@
     public Map<String, List<String>> all() {
         Map<String, List<String>> out = new TreeMap<>();
         RunRules runs = new RunRules(log);
-        out.put("ORDER", runs.order());
-        out.put("TWICE read", runs.twiceRead());
-        out.put("TWICE leases", runs.twiceLeases());
-        out.put("REFUSED", runs.refused());
-        out.put("UNASKED", runs.unasked());
-        out.put("ROUTE", runs.route());
-        out.put("DRAIN", runs.drain());
-        ConfigurationRules configurationStub = new ConfigurationRules(log);
-        out.put("CONFIG revoked", configurationStub.revoked());
-        out.put("CONFIG ignored", configurationStub.ignored());
-        out.put("CONFIG back", configurationStub.back());
-        out.put("CONFIG taken", configurationStub.taken());
-        out.put("CONFIG read", configurationStub.readBack());
-        OrderRules orders = new OrderRules(log);
-        out.put("CONFIG orders decided twice", orders.decidedTwice());
-        out.put("CONFIG orders successions", orders.successions());
-        out.put("CONFIG orders refused in force", orders.refusedInForce());
-        out.put("CONFIG orders stale reads", orders.staleReads());
+        out.put("ORDER", runs.outOfOrder());
+        out.put("TWICE read", runs.repeatedAfterRead());
+        out.put("TWICE leases", runs.endedByTwoLeases());
+        out.put("REFUSED", runs.refusedButRan());
+        out.put("UNASKED", runs.alteredRequests());
+        out.put("ROUTE", runs.routeNotAllowed());
+        out.put("DRAIN", runs.drainingInstanceUsed());
+        ConfigurationRules configurations = new ConfigurationRules(log);
+        out.put("CONFIG revoked", configurations.revokedKeyUsed());
+        out.put("CONFIG ignored", configurations.ignored());
+        out.put("CONFIG back", configurations.revertedToOlder());
+        out.put("CONFIG taken", configurations.wronglyAcknowledged());
+        out.put("CONFIG read", configurations.wrongFinalRead());
+        ConfigurationUpdateRules updates = new ConfigurationUpdateRules(log);
+        out.put("CONFIG orders decided twice", updates.decidedTwice());
+        out.put("CONFIG orders successions", updates.lostUpdates());
+        out.put("CONFIG orders refused in force", updates.refusedInForce());
+        out.put("CONFIG orders stale reads", updates.staleReads());
         LimitRules limits = new LimitRules(log);
-        out.put("QUOTA", limits.quota());
-        out.put("CEILING", limits.ceiling());
+        out.put("QUOTA", limits.tenantQuotaExceeded());
+        out.put("CEILING", limits.serviceRateExceeded());
         EndRules ends = new EndRules(log);
         out.put("LOST", ends.lost());
         out.put("LOST answers", ends.unanswered());
-        out.put("MIXED", ends.mixed());
+        out.put("MIXED", ends.inconsistentAnswers());
         return out;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/stub/RunRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/RunRules.java
@@ -9,59 +9,60 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What processors were given to run. */
+/** Checks the requests that processors were given to run. */
 final class RunRules {
-    private static final Set<Integer> PROMISES = Set.of(429, 503, 408, 421);
+    private static final Set<Integer> NOT_EXECUTED_STATUSES = Set.of(429, 503, 408, 421);
     private final ObservationLog log;
-    private final Ends ends;
+    private final ObservedEnds ends;
 
     RunRules(ObservationLog log) {
         this.log = log;
-        this.ends = new Ends(log);
+        this.ends = new ObservedEnds(log);
     }
 
     private String tenant(String key) {
         return log.configurationStub.stream()
-                .flatMap(paper -> paper.configurationStub().tenant(key).stream())
+                .flatMap(submitted -> submitted.configurationStub().tenant(key).stream())
                 .map(ConfigurationStub.Tenant::name)
                 .findFirst()
                 .orElse("");
     }
 
-    private Optional<String> line(ObservationLog.Sent sent) {
+    private Optional<String> orderingGroup(ObservationLog.Sent sent) {
         return ends.route(sent)
                 .filter(route -> route.inOrder() && !sent.orderKey().isEmpty())
                 .map(route -> route.name() + "\n" + tenant(sent.key()) + "\n" + sent.orderKey());
     }
 
-    List<String> order() {
-        Map<String, List<ObservationLog.Sent>> lines = new HashMap<>();
+    List<String> outOfOrder() {
+        Map<String, List<ObservationLog.Sent>> groups = new HashMap<>();
         log.sent.stream()
                 .filter(sent -> ends.accepted().containsKey(sent.id()))
-                .forEach(sent -> line(sent)
-                        .ifPresent(l ->
-                                lines.computeIfAbsent(l, k -> new ArrayList<>()).add(sent)));
+                .forEach(sent -> orderingGroup(sent)
+                        .ifPresent(group -> groups.computeIfAbsent(group, k -> new ArrayList<>())
+                                .add(sent)));
         List<String> out = new ArrayList<>();
         log.began.forEach(began -> ends.sent(began.id())
-                .ifPresent(s -> line(s).ifPresent(l -> lines.getOrDefault(l, List.of()).stream()
-                        .filter(sent -> !sent.id().equals(began.id())
-                                && ends.accepted().get(sent.id()).at().compareTo(s.at()) < 0
-                                && !ends.endedBy(sent.id(), began.at()))
-                        .findFirst()
-                        .ifPresent(sent -> out.add(
-                                began.id() + " began at " + began.at() + " before " + sent.id() + " had ended")))));
+                .ifPresent(s -> orderingGroup(s)
+                        .ifPresent(group -> groups.getOrDefault(group, List.of()).stream()
+                                .filter(sent -> !sent.id().equals(began.id())
+                                        && ends.accepted().get(sent.id()).at().compareTo(s.at()) < 0
+                                        && !ends.endedBy(sent.id(), began.at()))
+                                .findFirst()
+                                .ifPresent(sent -> out.add(began.id() + " began at " + began.at() + " before "
+                                        + sent.id() + " had ended")))));
         return out;
     }
 
-    /** The success was complete in time and was read; since then all was calm, and it runs again. */
-    List<String> twiceRead() {
+    /** Messages that run again after an in-time success was read, without any disruption since. */
+    List<String> repeatedAfterRead() {
         List<String> out = new ArrayList<>();
         log.read.forEach(read -> {
             boolean inTime = ends.sent(read.id())
                     .flatMap(ends::route)
                     .map(route -> log.ended.stream()
                             .anyMatch(ended -> ended.id().equals(read.id())
-                                    && Ends.success(ended)
+                                    && ObservedEnds.success(ended)
                                     && ended.at()
                                                     .minus(ended.began())
                                                     .plus(ObservationLog.Bounds.BEFORE_TIMEOUT)
@@ -80,8 +81,8 @@
         return out;
     }
 
-    /** Ends that end the message, of two leases, both taken. */
-    List<String> twiceLeases() {
+    /** Messages for which final outcomes of two different leases were accepted. */
+    List<String> endedByTwoLeases() {
         Map<String, Set<String>> leases = new HashMap<>();
         log.endsTaken.stream()
                 .filter(endTaken -> endTaken.outcome() == 200 || endTaken.outcome() == 422)
@@ -93,21 +94,21 @@
                 .toList();
     }
 
-    List<String> refused() {
+    List<String> refusedButRan() {
         Set<String> ran = new HashSet<>();
         log.began.forEach(began -> ran.add(began.id()));
         return log.said.stream()
-                .filter(said -> PROMISES.contains(said.status()) && ran.contains(said.id()))
-                .map(said -> said.id() + " was answered " + said.status() + " and ran")
+                .filter(answer -> NOT_EXECUTED_STATUSES.contains(answer.status()) && ran.contains(answer.id()))
+                .map(answer -> answer.id() + " was answered " + answer.status() + " and ran")
                 .toList();
     }
 
-    List<String> unasked() {
+    List<String> alteredRequests() {
         List<String> out = new ArrayList<>();
         log.began.forEach(began -> {
             Optional<ObservationLog.Sent> sent = ends.sent(began.id());
             if (sent.isEmpty()) {
-                out.add(began.id() + " was sent by nobody");
+                out.add(began.id() + " was never sent");
             } else if (!began.method().equals("POST")
                     || !began.path().equals(sent.get().path())
                     || !began.body().equals(sent.get().body())
@@ -115,23 +116,25 @@
                 out.add(began.id() + " was changed: " + began + " of " + sent.get());
             } else if (!sent.get().key().isEmpty()
                     && !began.tenant().equals(tenant(sent.get().key()))) {
-                out.add(began.id() + " ran for " + began.tenant() + ", its key is of "
+                out.add(began.id() + " ran for " + began.tenant() + ", but its key belongs to "
                         + tenant(sent.get().key()));
             }
         });
         return out;
     }
 
-    List<String> route() {
+    List<String> routeNotAllowed() {
         List<String> out = new ArrayList<>();
         log.began.forEach(began -> ends.sent(began.id()).ifPresent(sent -> {
             boolean allowed = log.configurationStub.stream()
-                    .anyMatch(paper -> paper.valid()
-                            && paper.configurationStub()
+                    .anyMatch(submitted -> submitted.valid()
+                            && submitted
+                                    .configurationStub()
                                     .route(sent.host(), sent.path())
                                     .filter(route -> route.service().equals(began.service())
                                             && (route.keyless()
-                                                    || paper.configurationStub()
+                                                    || submitted
+                                                            .configurationStub()
                                                             .tenant(sent.key())
                                                             .isPresent()))
                                     .isPresent());
@@ -143,7 +146,7 @@
         return out;
     }
 
-    List<String> drain() {
+    List<String> drainingInstanceUsed() {
         Map<String, Duration> shown = new HashMap<>();
         log.draining.forEach(draining -> shown.putIfAbsent(draining.instance(), draining.shown()));
         return log.arrived.stream()
--- a/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
@@ -9,7 +9,7 @@
 import org.woadvale.common.config.Configuration;
 import org.woadvale.common.config.Configurations;
 
-/** The configuration that the stand-ins play with: two processor groups, paced endpoints, eight tenants. */
+/** The configuration of simulations and test fleets: tenants, two processor groups, and rate-limited endpoints. */
 public record TestConfiguration(int tenants, int endpoints, double ratePerS, int burst, double endpointRate) {
     public static final long TIME_LIMIT_MS = 60000;
     public static final int ATTEMPTS = 8;
@@ -32,7 +32,7 @@
         return "registry" + i;
     }
 
-    /** Plain, ordered, and one lane to each endpoint. */
+    /** One unordered lane, one ordered lane, and one lane for each endpoint. */
     public List<String> lanes() {
         List<String> out = new ArrayList<>(List.of("hold", "accept"));
         for (int i = 0; i < endpoints; i++) {
@@ -42,26 +42,26 @@
     }
 
     public Configuration configuration(IntFunction<String> endpointAddress) {
-        Map<String, Configuration.Tenant> t = new TreeMap<>();
-        Map<String, Configuration.Key> k = new TreeMap<>();
+        Map<String, Configuration.Tenant> tenantMap = new TreeMap<>();
+        Map<String, Configuration.Key> keyMap = new TreeMap<>();
         for (int i = 0; i < tenants; i++) {
-            t.put(tenant(i), new Configuration.Tenant(ratePerS, burst));
-            k.put(
+            tenantMap.put(tenant(i), new Configuration.Tenant(ratePerS, burst));
+            keyMap.put(
                     "key" + i,
                     new Configuration.Key(
                             Configuration.Role.CALLER, tenant(i), "", Configurations.sha256(callerKey(i))));
         }
-        Map<String, Configuration.Service> s = new TreeMap<>();
-        s.put(GROUP, new Configuration.Service(Configuration.Kind.PROCESSORS, "", 0));
-        s.put(ORDERED_GROUP, new Configuration.Service(Configuration.Kind.PROCESSORS, "", 0));
+        Map<String, Configuration.Service> serviceMap = new TreeMap<>();
+        serviceMap.put(GROUP, new Configuration.Service(Configuration.Kind.PROCESSORS, "", 0));
+        serviceMap.put(ORDERED_GROUP, new Configuration.Service(Configuration.Kind.PROCESSORS, "", 0));
         for (String group : List.of(GROUP, ORDERED_GROUP)) {
-            k.put(
+            keyMap.put(
                     "fetch-" + group,
                     new Configuration.Key(
                             Configuration.Role.PROCESSOR, "", group, Configurations.sha256(fetchKey(group))));
         }
-        Map<String, Configuration.Lane> l = new TreeMap<>();
-        l.put(
+        Map<String, Configuration.Lane> laneMap = new TreeMap<>();
+        laneMap.put(
                 "hold",
                 new Configuration.Lane(
                         GROUP,
@@ -70,7 +70,7 @@
                         ATTEMPTS,
                         3000,
                         Configuration.UnknownOutcomePolicy.FAIL));
-        l.put(
+        laneMap.put(
                 "accept",
                 new Configuration.Lane(
                         ORDERED_GROUP,
@@ -80,10 +80,10 @@
                         3000,
                         Configuration.UnknownOutcomePolicy.FAIL));
         for (int i = 0; i < endpoints; i++) {
-            s.put(
+            serviceMap.put(
                     endpoint(i),
                     new Configuration.Service(Configuration.Kind.ENDPOINT, endpointAddress.apply(i), endpointRate));
-            l.put(
+            laneMap.put(
                     "check" + i,
                     new Configuration.Lane(
                             endpoint(i),
@@ -93,7 +93,7 @@
                             3000,
                             Configuration.UnknownOutcomePolicy.FAIL));
         }
-        return new Configuration(t, s, l, k);
+        return new Configuration(tenantMap, serviceMap, laneMap, keyMap);
     }
 
     public void allow(Observations observations) {
@@ -103,6 +103,6 @@
         for (int i = 0; i < endpoints; i++) {
             observations.paced(endpoint(i), new Observations.Limit(endpointRate, 0, Duration.ZERO, Duration.ZERO));
         }
-        lanes().forEach(l -> observations.lane(l, new Observations.LaneLimits(TIME_LIMIT_MS, ATTEMPTS)));
+        lanes().forEach(lane -> observations.lane(lane, new Observations.LaneLimits(TIME_LIMIT_MS, ATTEMPTS)));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/BackendTest.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.runtime.Timers;
 import reactor.core.Disposable;
 
-/** The stand-in for a processor keeps the promises of docs/api.md, also to a caller that has gone. */
+/** The processor stub keeps the promises of docs/api.md, also when its caller disconnects. */
 class BackendTest {
     private static final Clock CLOCK = new Clock() {
         @Override
@@ -33,7 +33,7 @@
     private final Backend backend =
             new Backend("p0", "reserve", false, new Observations(), CLOCK, new CollectedTimers(), () -> 0L);
 
-    /** Timers that fire when the test says so. */
+    /** Timers that fire only when the test runs them. */
     private final class CollectedTimers implements Timers {
         @Override
         public TimerHandle after(Duration delay, Runnable task) {
@@ -63,9 +63,9 @@
         return Configurations.JSON.readTree(answer).path("state").asText();
     }
 
-    /** The store that sent it is killed while it runs: its connection ends, the work does not. */
+    /** Killing the store that sent a message closes its connection but does not stop the run. */
     @Test
-    void workEndsThoughItsCallerHasGone() throws Exception {
+    void runCompletesAfterItsCallerDisconnects() throws Exception {
         Disposable call = backend.answer(request("POST", "/messages", Map.of("messageId", "m1-1", "attempt", 1)))
                 .subscribe();
         assertEquals("running", state());
--- a/testkit/src/test/java/org/woadvale/testkit/stub/OrderRulesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ConfigurationUpdateRulesTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each check of the operators' history finds what it is for, and nothing in a history that is in order. */
-class OrderRulesTest {
+/** Each check of the operators' history finds the violation that it is meant for, and nothing in a valid history. */
+class ConfigurationUpdateRulesTest {
     private final ObservationLog log = new ObservationLog();
     private long clock;
 
@@ -24,16 +24,16 @@
     }
 
     private List<Integer> found() {
-        OrderRules rules = new OrderRules(log);
+        ConfigurationUpdateRules rules = new ConfigurationUpdateRules(log);
         return List.of(
                 rules.decidedTwice().size(),
-                rules.successions().size(),
+                rules.lostUpdates().size(),
                 rules.refusedInForce().size(),
                 rules.staleReads().size());
     }
 
     @Test
-    void historyInOrderBreaksNothing() {
+    void validHistoryBreaksNoRule() {
         call("A", 0, 2, 200);
         call("B", 2, 5, 0);
         read("A");
@@ -47,34 +47,34 @@
     }
 
     @Test
-    void acknowledgedOrderThatIsRefusedLater() {
+    void acknowledgedUpdateIsRefusedLater() {
         call("A", 0, 2, 200);
         call("A", 0, 2, 412);
         assertEquals(List.of(1, 0, 0, 0), found());
     }
 
     @Test
-    void twoOnOneBase() {
+    void twoUpdatesOnOneBase() {
         call("A", 0, 2, 200);
         call("B", 2, 5, 200);
         call("C", 2, 5, 200);
         assertEquals(1, found().get(1));
         call("D", 4, 9, 200);
-        assertEquals(2, found().get(1), "a base between is too old as well");
+        assertEquals(2, found().get(1), "a base between two acknowledged revisions is stale too");
     }
 
     @Test
-    void refusedOneInForce() {
+    void refusedConfigurationIsRead() {
         call("A", 0, 2, 200);
         call("B", 0, 3, 412);
         read("B");
         assertEquals(List.of(0, 0, 1, 0), found());
-        read("of nobody");
+        read("never sent");
         assertEquals(2, found().get(2));
     }
 
     @Test
-    void readingOlderThanAnAcknowledgementOrAReading() {
+    void staleRead() {
         call("A", 0, 2, 200);
         call("B", 2, 5, 200);
         read("A");
--- a/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/NeverListTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.woadvale.testkit.stub.Observations.Said;
 
-/** Each check is shown to fail on a planted fault, and only that check; a sound history passes all. */
+/** Each planted fault fails its own check and no other; a valid history passes all checks. */
 class NeverListTest {
     private static Duration s(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
     }
 
-    private static Observations.Submitted in(String id, String handle, Said said, String key, double at) {
+    private static Observations.Submitted submitted(String id, String handle, Said said, String key, double at) {
         return new Observations.Submitted("t", id, "l", "", key, s(at), s(at), said, "", handle, false);
     }
 
@@ -28,7 +28,7 @@
         return new Observations.Ran(handle, id, "t", "l", order, 1, processor, "svc", s(at));
     }
 
-    private static Observations.Answered ok(String handle, double at) {
+    private static Observations.Answered succeeded(String handle, double at) {
         return new Observations.Answered(handle, 1, "p", s(at), true, "r-" + handle);
     }
 
@@ -37,15 +37,15 @@
                 handle, state, proof, "l", s(at), s(at), Observations.UNSEEN, Observations.UNSEEN);
     }
 
-    private static Observations sound() {
+    private static Observations validHistory() {
         Observations observations = new Observations();
         observations.allowed("t", new Observations.Limit(1, 5, s(0), s(0)));
         observations.paced("e", new Observations.Limit(2, 0, s(0), s(0)));
         observations.lane("l", new Observations.LaneLimits(60000, 3));
-        observations.submitted.add(in("a", "m0-1", Said.ACCEPTED, "k", 1));
-        observations.submitted.add(in("b", "", Said.REFUSED, "k", 1));
+        observations.submitted.add(submitted("a", "m0-1", Said.ACCEPTED, "k", 1));
+        observations.submitted.add(submitted("b", "", Said.REFUSED, "k", 1));
         observations.ran.add(ran("m0-1", "a", "o", "p", 2));
-        observations.answered.add(ok("m0-1", 3));
+        observations.answered.add(succeeded("m0-1", 3));
         observations.shown.add(shown("m0-1", "done", "r-m0-1", 4));
         observations.configurations.add(new Observations.ConfigurationSaid("q", 1, true, true, s(1), "d1"));
         observations.reads.add(new Observations.ConfigurationRead(1, "d1", s(2)));
@@ -56,109 +56,109 @@
     }
 
     static Stream<Arguments> planted() {
-        Map<String, Consumer<Observations>> m = new TreeMap<>();
-        m.put("00 nothing", observations -> {});
-        m.put("01", observations -> observations.submitted.add(in("c", "m0-2", Said.ACCEPTED, "k", 1)));
-        m.put(
+        Map<String, Consumer<Observations>> faults = new TreeMap<>();
+        faults.put("00 nothing", observations -> {});
+        faults.put("01", observations -> observations.submitted.add(submitted("c", "m0-2", Said.ACCEPTED, "k", 1)));
+        faults.put(
                 "01 failed for no reason",
                 observations -> observations.shown.add(shown("m0-4", "failed", "who knows", 4)));
-        m.put("01 attempts not used up", observations -> {
+        faults.put("01 attempts not used up", observations -> {
             observations.turnedAway.add(new Observations.TurnedAway("m0-4", 1, s(2)));
             observations.shown.add(shown("m0-4", "failed", "attempts used up; last: answer 503", 4));
         });
-        m.put("02", observations -> observations.ran.add(ran("m0-1", "a", "o", "p", 3.5)));
-        m.put("03", observations -> {
+        faults.put("02", observations -> observations.ran.add(ran("m0-1", "a", "o", "p", 3.5)));
+        faults.put("03", observations -> {
             observations.ran.add(ran("m0-9", "b", "", "p", 2));
-            observations.answered.add(ok("m0-9", 3));
+            observations.answered.add(succeeded("m0-9", 3));
         });
-        m.put("04", observations -> {
+        faults.put("04", observations -> {
             observations.ran.add(ran("m0-2", "c", "o", "p", 2.5));
-            observations.answered.add(ok("m0-2", 3.5));
+            observations.answered.add(succeeded("m0-2", 3.5));
         });
-        m.put("04 an earlier one that had not ended", observations -> {
+        faults.put("04 an earlier message had not ended", observations -> {
             observations.submitted.add(
                     new Observations.Submitted("t", "c", "l", "o", "k", s(1), s(1), Said.ACCEPTED, "", "m0-0", false));
             observations.shown.add(new Observations.Shown("m0-0", "failed", "unclear", "l", s(4), s(4), s(1), s(2.5)));
         });
-        m.put("05 unknown but taken", observations -> {
+        faults.put("05 unknown answer but accepted", observations -> {
             for (int i = 10; i < 22; i++) {
-                observations.submitted.add(in("n" + i, "", Said.UNKNOWN, "other", 1));
+                observations.submitted.add(submitted("n" + i, "", Said.UNKNOWN, "other", 1));
                 observations.ran.add(ran("m1-" + i, "n" + i, "", "p2", 2));
-                observations.answered.add(ok("m1-" + i, 3));
+                observations.answered.add(succeeded("m1-" + i, 3));
             }
         });
-        m.put("05 after it was lowered", observations -> {
+        faults.put("05 after the limit was lowered", observations -> {
             observations.allowed("t", new Observations.Limit(0.1, 1, s(10), s(10)));
             for (int i = 10; i < 15; i++) {
-                observations.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 14));
+                observations.submitted.add(submitted("n" + i, "m1-" + i, Said.ACCEPTED, "other", 14));
                 observations.shown.add(shown("m1-" + i, "failed", "unclear", 15));
             }
         });
-        m.put("05", observations -> {
+        faults.put("05", observations -> {
             for (int i = 10; i < 22; i++) {
-                observations.submitted.add(in("n" + i, "m1-" + i, Said.ACCEPTED, "other", 1));
+                observations.submitted.add(submitted("n" + i, "m1-" + i, Said.ACCEPTED, "other", 1));
                 observations.shown.add(shown("m1-" + i, "failed", "unclear", 4));
             }
         });
-        m.put("06", observations -> {
+        faults.put("06", observations -> {
             for (int i = 0; i < 12; i++) {
                 observations.endpoints.add(new Observations.RequestAtEndpoint("e", s(1 + i * 0.1)));
             }
         });
-        m.put("07", observations -> {
-            observations.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 6.5));
+        faults.put("07", observations -> {
+            observations.submitted.add(submitted("z", "m0-7", Said.ACCEPTED, "k", 6.5));
             observations.shown.add(shown("m0-7", "failed", "unclear", 9));
         });
-        m.put(
-                "07 served a fetch",
+        faults.put(
+                "07 fetch served",
                 observations -> observations.served.add(new Observations.KeyServed("k", "fetch", s(6.5))));
-        m.put("07 accepted late", observations -> {
-            observations.submitted.add(in("z", "m0-7", Said.ACCEPTED, "k", 5.5));
+        faults.put("07 accepted late", observations -> {
+            observations.submitted.add(submitted("z", "m0-7", Said.ACCEPTED, "k", 5.5));
             observations.shown.add(new Observations.Shown("m0-7", "failed", "unclear", "l", s(9), s(9), s(6.5), s(7)));
         });
-        m.put("08 gone back", observations -> {
+        faults.put("08 reverted to an older version", observations -> {
             observations.versions.add(new Observations.NodeVersion("n", 4, s(1)));
             observations.versions.add(new Observations.NodeVersion("n", -1, s(2)));
             observations.versions.add(new Observations.NodeVersion("n", 3, s(3)));
         });
-        m.put(
+        faults.put(
                 "08",
                 observations -> observations.ignored.add(new Observations.ConfigurationNeeded("lane", s(1), s(4.5))));
-        m.put("09", observations -> observations.reads.add(new Observations.ConfigurationRead(0, "d0", s(2))));
-        m.put("10", observations -> {
+        faults.put("09", observations -> observations.reads.add(new Observations.ConfigurationRead(0, "d0", s(2))));
+        faults.put("10", observations -> {
             observations.ran.add(ran("m0-8", "y", "", "p", 4.5));
-            observations.answered.add(ok("m0-8", 5));
+            observations.answered.add(succeeded("m0-8", 5));
         });
-        m.put("11", observations -> observations.shown.add(shown("m0-5", "done", "made up", 4)));
-        m.put("12", observations -> observations.outages.add(new Observations.Outage(s(1), s(14))));
-        return m.entrySet().stream().map(entry -> Arguments.of(entry.getKey(), entry.getValue()));
+        faults.put("11", observations -> observations.shown.add(shown("m0-5", "done", "made up", 4)));
+        faults.put("12", observations -> observations.outages.add(new Observations.Outage(s(1), s(14))));
+        return faults.entrySet().stream().map(entry -> Arguments.of(entry.getKey(), entry.getValue()));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("planted")
     void onlyThePlantedFaultIsFound(String line, Consumer<Observations> plant) {
-        Observations observations = sound();
+        Observations observations = validHistory();
         plant.accept(observations);
         List<String> found = new NeverList(observations).broken();
         assertEquals(line.startsWith("00") ? List.of() : List.of(line.substring(0, 2)), found);
     }
 
     @Test
-    void endedMessageMayNotBeShownAsOpenLater() {
-        Observations observations = sound();
+    void endedMessageMustNotBeShownAsOpenLater() {
+        Observations observations = validHistory();
         observations.shown.add(new Observations.Shown(
                 "m0-1", "ready", "", "l", s(3.9), s(4.5), Observations.UNSEEN, Observations.UNSEEN));
-        assertEquals(List.of(), new AnswerFaults(observations).lost());
+        assertEquals(List.of(), new MessageChecks(observations).lost());
         observations.shown.add(new Observations.Shown(
                 "m0-1", "ready", "", "l", s(4.1), s(4.5), Observations.UNSEEN, Observations.UNSEEN));
-        assertEquals(1, new AnswerFaults(observations).lost().size());
+        assertEquals(1, new MessageChecks(observations).lost().size());
     }
 
     @Test
-    void twoLayoutsOfOneVersionAndBadOnesAreFound() {
-        Observations observations = sound();
+    void invalidAndDuplicateConfigurationVersionsAreFound() {
+        Observations observations = validHistory();
         observations.configurations.add(new Observations.ConfigurationSaid("r", 1, true, true, s(2), "d2"));
         observations.configurations.add(new Observations.ConfigurationSaid("bad", 2, true, false, s(2), "d3"));
-        assertEquals(2, new Orders(observations).badConfiguration().size());
+        assertEquals(2, new OperatorChecks(observations).badConfiguration().size());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/stub/ObservationLogBuilder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ObservationLogBuilder.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A day as it was seen from outside, written by hand. */
+/** Builds by hand the observations of a test run. */
 abstract class ObservationLogBuilder {
     static final String HOST = "h";
-    final ObservationLog w = new ObservationLog();
+    final ObservationLog log = new ObservationLog();
 
     static Duration s(double seconds) {
         return Duration.ofMillis((long) (seconds * 1000));
@@ -27,57 +27,59 @@
                 List.of(new ConfigurationStub.Tenant("t", List.of("k", "spare"), 1, 1)));
     }
 
-    void paper(ConfigurationStub stub, long base, boolean valid, int status, double at) {
-        w.configurationStub.add(new ObservationLog.Paper(stub, stub.text(), base, valid, s(at), status, s(at)));
+    void configurationSubmitted(ConfigurationStub stub, long base, boolean valid, int status, double at) {
+        log.configurationStub.add(new ObservationLog.Paper(stub, stub.text(), base, valid, s(at), status, s(at)));
     }
 
     @BeforeEach
-    void first() {
-        paper(configurationStub(1, "a", "order"), 0, true, 200, 1);
+    void submitInitialConfiguration() {
+        configurationSubmitted(configurationStub(1, "a", "order"), 0, true, 200, 1);
     }
 
     void sent(String id, String route, String key, String order, double at) {
-        w.sent.add(new ObservationLog.Sent(id, HOST, "/" + route + "/x", key, order, "body", 0, "n1", s(at)));
+        log.sent.add(new ObservationLog.Sent(id, HOST, "/" + route + "/x", key, order, "body", 0, "n1", s(at)));
     }
 
-    void said(String id, int status, double at) {
-        w.said.add(new ObservationLog.Said(id, status, "ref", s(at)));
+    void answered(String id, int status, double at) {
+        log.said.add(new ObservationLog.Said(id, status, "ref", s(at)));
     }
 
     void accepted(String id, String route, String order, double at) {
         sent(id, route, "k", order, at);
-        said(id, 202, at + 0.1);
+        answered(id, 202, at + 0.1);
     }
 
     void began(String id, String route, String order, double at) {
-        w.began.add(new ObservationLog.Began(id, "svc", "t", order, "POST", "/" + route + "/x", "body", s(at)));
+        log.began.add(new ObservationLog.Began(id, "svc", "t", order, "POST", "/" + route + "/x", "body", s(at)));
     }
 
     void ended(String id, int status, double began, double at) {
-        w.ended.add(new ObservationLog.Ended(id, status, status == 200 ? "seal" : "", s(began), s(at)));
+        log.ended.add(new ObservationLog.Ended(id, status, status == 200 ? "seal" : "", s(began), s(at)));
     }
 
     void shown(String id, String state, String seal, int bodyStatus, String body) {
-        w.shown.add(new ObservationLog.Shown(id, 200, state, seal, bodyStatus, body));
+        log.shown.add(new ObservationLog.Shown(id, 200, state, seal, bodyStatus, body));
     }
 
-    void done(String id, String route, String order, double at) {
+    void completed(String id, String route, String order, double at) {
         accepted(id, route, order, at);
         began(id, route, order, at + 0.2);
         ended(id, 200, at + 0.2, at + 0.3);
         shown(id, "completed", "seal", 404, "");
     }
 
-    void breaks(String... rules) {
-        w.readBack.add(new ObservationLog.ReadBack(
+    void assertBroken(String... rules) {
+        log.readBack.add(new ObservationLog.ReadBack(
                 200,
-                w.configurationStub.stream()
-                        .filter(paper -> paper.status() == 200 && paper.valid())
-                        .reduce((a, paper) -> paper)
+                log.configurationStub.stream()
+                        .filter(submitted -> submitted.status() == 200 && submitted.valid())
+                        .reduce((a, submitted) -> submitted)
                         .orElseThrow()
                         .text(),
                 s(60)));
         assertEquals(
-                List.of(rules), new Rules(w).broken(), new Rules(w).violations().toString());
+                List.of(rules),
+                new Rules(log).broken(),
+                new Rules(log).violations().toString());
     }
 }
