--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.CompletableFuture;
 import org.woadvale.common.config.Configurations;
 
-/** The stand-in's HTTP client: the JDK's own, so that no code is shared with the tested programs. */
+/** The HTTP client of the stubs. It uses the JDK's client so that it shares no code with the tested programs. */
 public final class Client {
     public record Got(int status, JsonNode json, Map<String, List<String>> headers, byte[] body) {
-        private static final int MOST_TOLD = 500;
+        private static final int MAX_BODY_CHARS = 500;
 
-        /** For people who look for the cause: status, headers and the beginning of the body. */
+        /** For diagnosis: status, headers and the beginning of the body. */
         String told() {
             String text = new String(body, StandardCharsets.UTF_8);
             return status + " " + headers + " " + body.length + " bytes: "
-                    + text.substring(0, Math.min(MOST_TOLD, text.length()));
+                    + text.substring(0, Math.min(MAX_BODY_CHARS, text.length()));
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
@@ -11,45 +11,46 @@
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.Observations;
 
-/** Failures on the real fleet, under traffic. */
+/** Failure drills: each injects a failure into a fleet of processes under traffic. */
 final class Drills {
     private interface Drill {
         void run(Fleet fleet, StubEnvironment environment, Load load) throws IOException;
     }
 
-    /** What is to be set up before the fleet starts. */
+    /** Set-up that must be done before the fleet starts. */
     interface Before {
         void run(Fleet fleet) throws IOException;
     }
 
     private static final int RATE = 120;
-    private static final Map<String, Drill> ALL = new LinkedHashMap<>();
+    private static final Map<String, Drill> DRILLS = new LinkedHashMap<>();
 
     static {
-        ALL.put("kill-store", (fleet, environment, load) -> killOne(fleet.stores.get(0), environment, load));
-        ALL.put("kill-intake", (fleet, environment, load) -> killOne(fleet.intakes.get(0), environment, load));
-        ALL.put(
+        DRILLS.put("kill-store", (fleet, environment, load) -> killAndRestart(fleet.stores.get(0), environment, load));
+        DRILLS.put(
+                "kill-intake", (fleet, environment, load) -> killAndRestart(fleet.intakes.get(0), environment, load));
+        DRILLS.put(
                 "kill-control-node",
-                (fleet, environment, load) -> killOne(fleet.controlNodes.get(0), environment, load));
-        ALL.put("pause-store", (fleet, environment, load) -> pauseOne(fleet.stores.get(0), load));
-        ALL.put("pause-intake", (fleet, environment, load) -> pauseOne(fleet.intakes.get(0), load));
-        ALL.put("lose-disk", Drills::loseDisk);
-        ALL.put("outage", Drills::outage);
-        ALL.put("roll", Drills::roll);
-        ALL.put("cut-intake", (fleet, environment, load) -> cutOff(fleet.intakes.get(0), fleet, environment, load));
-        ALL.put("cut-store", (fleet, environment, load) -> cutOff(fleet.stores.get(0), fleet, environment, load));
-        ALL.put(
+                (fleet, environment, load) -> killAndRestart(fleet.controlNodes.get(0), environment, load));
+        DRILLS.put("pause-store", (fleet, environment, load) -> pauseAndResume(fleet.stores.get(0), load));
+        DRILLS.put("pause-intake", (fleet, environment, load) -> pauseAndResume(fleet.intakes.get(0), load));
+        DRILLS.put("lose-disk", Drills::loseDisk);
+        DRILLS.put("outage", Drills::outage);
+        DRILLS.put("roll", Drills::roll);
+        DRILLS.put("cut-intake", (fleet, environment, load) -> cutOff(fleet.intakes.get(0), fleet, environment, load));
+        DRILLS.put("cut-store", (fleet, environment, load) -> cutOff(fleet.stores.get(0), fleet, environment, load));
+        DRILLS.put(
                 "cut-control-node",
                 (fleet, environment, load) -> cutOff(fleet.controlNodes.get(0), fleet, environment, load));
-        ALL.put("zone-off", Drills::zoneOff);
-        ALL.put("slow-endpoints", Drills::slowEndpoints);
-        ALL.put("wrap", (fleet, environment, load) -> load.run(Duration.ofSeconds(90), 270));
-        ALL.put("upgrade", Drills::upgrade);
+        DRILLS.put("zone-off", Drills::zoneOff);
+        DRILLS.put("slow-endpoints", Drills::slowEndpoints);
+        DRILLS.put("wrap", (fleet, environment, load) -> load.run(Duration.ofSeconds(90), 270));
+        DRILLS.put("upgrade", Drills::upgrade);
     }
 
     private static Relay.Cuts cuts = new Relay.Cuts();
 
-    /** Relays for the cuts, a small ring to wrap, the older build to start with. */
+    /** By drill: installs relays for the cuts, shrinks the ring so that it wraps, or selects the older build. */
     static Before before(String name) {
         return fleet -> {
             if (name.startsWith("cut-")) {
@@ -64,16 +65,16 @@
         };
     }
 
-    /** All links of one process wait for 8 s; a key is withdrawn meanwhile and goes on being used there. */
-    private static void cutOff(NodeProcess nodeProcess, Fleet fleet, StubEnvironment environment, Load load)
+    /** Cuts all links of one process for 8 s, withdraws a key meanwhile and keeps using it at the first intake. */
+    private static void cutOff(NodeProcess target, Fleet fleet, StubEnvironment environment, Load load)
             throws IOException {
         environment.putKey("short-lived", true);
         CompletableFuture<Void> traffic = traffic(load, 24);
         StubEnvironment.sleep(5000);
         fleet.all().stream()
-                .filter(process -> process != nodeProcess)
-                .forEach(process -> cuts.cut(nodeProcess.address, process.address));
-        System.out.println("Cut " + nodeProcess.name + " off.");
+                .filter(process -> process != target)
+                .forEach(process -> cuts.cut(target.address, process.address));
+        System.out.println("Isolated " + target.name + ".");
         environment.putKey("short-lived", false);
         for (int i = 0; i < 32; i++) {
             load.use("short-lived", fleet.intakes.get(0));
@@ -89,8 +90,8 @@
         StubEnvironment.sleep(5000);
         List<NodeProcess> zone = fleet.inZone(0, environment.shape);
         zone.forEach(NodeProcess::kill);
-        System.out.println(
-                "Hall 0 is off: " + zone.stream().map(process -> process.name).toList());
+        System.out.println("Killed all processes of zone 0: "
+                + zone.stream().map(process -> process.name).toList());
         StubEnvironment.sleep(7000);
         for (NodeProcess process : zone) {
             process.start();
@@ -107,38 +108,38 @@
         load.run(Duration.ofSeconds(20), RATE);
     }
 
-    /** -Dolder=JAR: the older build fills its folders, all stop, this build goes on with them. */
+    /** The build given by {@code -Dolder=JAR} writes its data directories; this build then starts on them. */
     private static void upgrade(Fleet fleet, StubEnvironment environment, Load load) throws IOException {
         load.run(Duration.ofSeconds(10), RATE);
         fleet.killAll();
         fleet.all().forEach(process -> process.build(System.getProperty("java.class.path")));
         fleet.startAll();
         environment.await(
-                "readiness on the older folders",
+                "readiness on the older build's data directories",
                 Duration.ofSeconds(60),
                 () -> fleet.all().stream().allMatch(environment::ready));
-        System.out.println("This build goes on with the older one's folders.");
+        System.out.println("This build now runs on the older build's data directories.");
         load.run(Duration.ofSeconds(10), RATE);
     }
 
     private Drills() {}
 
     static Set<String> names() {
-        return ALL.keySet();
+        return DRILLS.keySet();
     }
 
     static void run(String name, Fleet fleet, StubEnvironment environment, Load load) throws IOException {
-        if (!ALL.containsKey(name)) {
-            throw new IllegalArgumentException("no drill " + name + "; there are " + names());
+        if (!DRILLS.containsKey(name)) {
+            throw new IllegalArgumentException("unknown drill " + name + "; the drills are " + names());
         }
-        ALL.get(name).run(fleet, environment, load);
+        DRILLS.get(name).run(fleet, environment, load);
     }
 
     private static CompletableFuture<Void> traffic(Load load, int seconds) {
         return CompletableFuture.runAsync(() -> load.run(Duration.ofSeconds(seconds), RATE));
     }
 
-    private static void killOne(NodeProcess process, StubEnvironment environment, Load load) throws IOException {
+    private static void killAndRestart(NodeProcess process, StubEnvironment environment, Load load) throws IOException {
         CompletableFuture<Void> traffic = traffic(load, 20);
         StubEnvironment.sleep(5000);
         process.kill();
@@ -149,7 +150,7 @@
         traffic.join();
     }
 
-    private static void pauseOne(NodeProcess process, Load load) throws IOException {
+    private static void pauseAndResume(NodeProcess process, Load load) throws IOException {
         CompletableFuture<Void> traffic = traffic(load, 20);
         StubEnvironment.sleep(5000);
         process.signal("STOP");
@@ -166,15 +167,15 @@
         fleet.stores.get(1).loseDisk();
         StubEnvironment.sleep(1000);
         fleet.stores.get(1).start();
-        System.out.println("store1 came back with a blank disk.");
+        System.out.println("Restarted store1 with an empty disk.");
         StubEnvironment.sleep(9000);
         fleet.stores.get(0).kill();
-        System.out.println("Killed store0: only store1 and the others hold what was accepted.");
+        System.out.println("Killed store0; only store1 and the remaining stores hold the accepted messages.");
         traffic.join();
         fleet.stores.get(0).start();
     }
 
-    /** Everything is killed, everything is started; served means a submission was accepted. */
+    /** Kills and restarts all processes; service has resumed once a submission is accepted. */
     private static void outage(Fleet fleet, StubEnvironment environment, Load load) throws IOException {
         load.run(Duration.ofSeconds(5), RATE);
         fleet.killAll();
@@ -193,7 +194,7 @@
         load.run(Duration.ofSeconds(5), RATE);
     }
 
-    /** StateMachine by machine: stop in order, start again, wait until it is ready. */
+    /** Rolling restart: stops, starts and awaits the readiness of one process at a time. */
     private static void roll(Fleet fleet, StubEnvironment environment, Load load) throws IOException {
         CompletableFuture<Void> traffic = traffic(load, 60);
         for (NodeProcess process : fleet.all()) {
@@ -202,7 +203,7 @@
             environment.await(process.name + " to be ready", Duration.ofSeconds(30), () -> environment.ready(process));
             StubEnvironment.sleep(1500);
         }
-        System.out.println("Rolled " + fleet.all().size() + " processes.");
+        System.out.println("Restarted " + fleet.all().size() + " processes one at a time.");
         traffic.join();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Fleet.java
@@ -16,11 +16,11 @@
 import org.woadvale.controlplane.ControlPlaneProgram;
 import org.woadvale.dataplane.DataPlaneProgram;
 
-/** A whole fleet of real processes on loopback. */
+/** A fleet of operating-system processes on the loopback interface. */
 public final class Fleet implements AutoCloseable {
-    private static final int LOWEST = 15000;
-    private static final int HIGHEST = 32000;
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final int LOWEST_PORT = 15000;
+    private static final int HIGHEST_PORT = 32000;
+    private static final Set<Integer> ALLOCATED_PORTS = new HashSet<>();
     public final List<NodeProcess> controlNodes = new ArrayList<>();
     public final List<NodeProcess> intakes = new ArrayList<>();
     public final List<NodeProcess> stores = new ArrayList<>();
@@ -75,24 +75,24 @@
     }
 
     /**
-     * A free port that no one else was given, below the range from which the kernel takes ports for outgoing streams:
-     * one of those may otherwise sit on it before its process starts.
+     * A free loopback address whose port was not handed out before. The port lies below the kernel's ephemeral range;
+     * otherwise an outgoing connection could occupy it before the process starts.
      */
     public static synchronized String free() throws IOException {
         for (int i = 0; i < 1000; i++) {
-            int port = LOWEST + ThreadLocalRandom.current().nextInt(HIGHEST - LOWEST);
-            if (GIVEN.add(port)) {
+            int port = LOWEST_PORT + ThreadLocalRandom.current().nextInt(HIGHEST_PORT - LOWEST_PORT);
+            if (ALLOCATED_PORTS.add(port)) {
                 try (ServerSocket serverSocket = new ServerSocket(port, 1, InetAddress.getByName("127.0.0.1"))) {
                     return "127.0.0.1:" + serverSocket.getLocalPort();
                 } catch (BindException e) {
-                    // taken by somebody else: another one
+                    // another program uses the port; tries the next one
                 }
             }
         }
         throw new IOException("no free port");
     }
 
-    /** Puts a relay before every process; none may have been started yet. */
+    /** Places a relay in front of every process; no process may have been started yet. */
     public Relay.Cuts relayed() throws IOException {
         Relay.Cuts cuts = new Relay.Cuts();
         for (NodeProcess process : all()) {
@@ -103,10 +103,10 @@
         return cuts;
     }
 
-    public List<NodeProcess> inZone(int n, Shape shape) {
+    public List<NodeProcess> inZone(int zone, Shape shape) {
         return Stream.of(controlNodes, stores, intakes)
                 .flatMap(l -> IntStream.range(0, l.size())
-                        .filter(i -> i % shape.zones == n)
+                        .filter(i -> i % shape.zones == zone)
                         .mapToObj(l::get))
                 .toList();
     }
@@ -136,7 +136,7 @@
             try {
                 relay.close();
             } catch (IOException e) {
-                System.out.println("A relay did not close: " + e.getMessage());
+                System.out.println("Cannot close a relay: " + e.getMessage());
             }
         }
     }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -16,11 +16,11 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Callers: mixed traffic over all intakes at a steady rate, then the question what became of it. */
+/** Sends mixed traffic to all intakes at a constant rate, then polls the outcomes of the accepted messages. */
 public final class Load {
-    private static final Duration ASK_EACH = Duration.ofSeconds(15);
-    /** Accepted messages that were not yet shown as ended, with the last answer about each. */
-    private final Map<String, String> left = new ConcurrentHashMap<>();
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(15);
+    /** Accepted messages not yet reported as ended, with the last answer about each. */
+    private final Map<String, String> unfinished = new ConcurrentHashMap<>();
 
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
     private final StubEnvironment environment;
@@ -28,7 +28,7 @@
     private final Random random;
     private final AtomicLong ids = new AtomicLong();
     private final Map<String, Integer> owners = new ConcurrentHashMap<>();
-    private final ConcurrentLinkedQueue<CompletableFuture<?>> open = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<CompletableFuture<?>> pending = new ConcurrentLinkedQueue<>();
     private final Map<String, AtomicLong> kinds = new ConcurrentHashMap<>();
 
     public Load(StubEnvironment environment, Fleet fleet, long seed) {
@@ -37,51 +37,51 @@
         this.random = new Random(seed);
     }
 
-    public void run(Duration howLong, int perSecond) {
-        Duration begun = environment.times.monotonicTime();
-        Duration asked = begun;
+    public void run(Duration duration, int perSecond) {
+        Duration start = environment.times.monotonicTime();
+        Duration polled = start;
         long sent = 0;
-        while (environment.times.monotonicTime().minus(begun).compareTo(howLong) < 0) {
-            long due = environment.times.monotonicTime().minus(begun).toNanos() * perSecond / 1_000_000_000L;
+        while (environment.times.monotonicTime().minus(start).compareTo(duration) < 0) {
+            long due = environment.times.monotonicTime().minus(start).toNanos() * perSecond / 1_000_000_000L;
             while (sent < due) {
                 one(random.nextInt(environment.testConfiguration.tenants()));
                 sent++;
             }
-            if (environment.times.monotonicTime().minus(asked).compareTo(ASK_EACH) > 0) {
-                // ended messages are forgotten after two minutes
-                asked = environment.times.monotonicTime();
-                List.copyOf(left.keySet()).forEach(this::ask);
+            if (environment.times.monotonicTime().minus(polled).compareTo(POLL_INTERVAL) > 0) {
+                // messages are polled during the run because ended ones are deleted after two minutes
+                polled = environment.times.monotonicTime();
+                List.copyOf(unfinished.keySet()).forEach(this::pollStatus);
             }
             StubEnvironment.sleep(5);
         }
     }
 
-    /** A submission of a mixed kind at an intake that is up. */
+    /** Submits a random kind of message at a random intake. */
     public CompletableFuture<Observations.Submitted> one(int tenant) {
         List<String> lanes = environment.testConfiguration.lanes();
         String lane = random.nextInt(3) == 0 ? "accept" : lanes.get(random.nextInt(lanes.size()));
         Map<String, Object> body = new LinkedHashMap<>();
         String id = "c" + ids.incrementAndGet();
         body.put("id", id);
-        String order = lane.equals("accept") ? "applicant" + random.nextInt(60) : "";
-        if (!order.isEmpty()) {
-            body.put("orderingKey", order);
+        String orderKey = lane.equals("accept") ? "applicant" + random.nextInt(60) : "";
+        if (!orderKey.isEmpty()) {
+            body.put("orderingKey", orderKey);
         }
         body.put("delayMs", random.nextInt(10) == 0 ? 500 + random.nextInt(1500) : 0);
         body.put("body", Map.of("text", "x".repeat(200 + random.nextInt(1000))));
-        return submit(tenant, id, lane, order, Configurations.write(body), 3);
+        return submit(tenant, id, lane, orderKey, Configurations.write(body), 3);
     }
 
-    /** One submission and one read under a key at one intake, on the client's kept-alive connections. */
+    /** One submission and one read under a key at one intake, on the client's keep-alive connections. */
     public void use(String secret, NodeProcess intake) {
         String id = "k" + ids.incrementAndGet();
         byte[] body = Configurations.write(Map.of("id", id, "body", Map.of()));
-        open.add(submit(0, id, "hold", "", body, 0, intake, secret));
-        open.add(environment
+        pending.add(submit(0, id, "hold", "", body, 0, intake, secret));
+        pending.add(environment
                 .client
                 .send("GET", intake.http, "/v1/messages?state=failed", secret, new byte[0], Map.of())
-                .handle((got, e) -> {
-                    if (e == null && got.status() == 200) {
+                .handle((answer, e) -> {
+                    if (e == null && answer.status() == 200) {
                         environment.seen.saw(
                                 environment.seen.served,
                                 new Observations.KeyServed(secret, "read", environment.times.monotonicTime()));
@@ -91,77 +91,83 @@
     }
 
     private CompletableFuture<Observations.Submitted> submit(
-            int tenant, String id, String lane, String order, byte[] body, int tries) {
+            int tenant, String id, String lane, String orderKey, byte[] body, int retries) {
         return submit(
                 tenant,
                 id,
                 lane,
-                order,
+                orderKey,
                 body,
-                tries,
+                retries,
                 fleet.intakes.get(random.nextInt(fleet.intakes.size())),
                 TestConfiguration.callerKey(tenant));
     }
 
     private CompletableFuture<Observations.Submitted> submit(
-            int tenant, String id, String lane, String order, byte[] body, int tries, NodeProcess process, String key) {
+            int tenant,
+            String id,
+            String lane,
+            String orderKey,
+            byte[] body,
+            int retries,
+            NodeProcess process,
+            String key) {
         Duration sent = environment.times.monotonicTime();
-        CompletableFuture<Observations.Submitted> f = environment
+        CompletableFuture<Observations.Submitted> submission = environment
                 .client
                 .send("POST", process.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
-                .handle((got, e) -> {
-                    Sampling sampling = e == null ? Sampling.of(got) : Sampling.NONE;
-                    kinds.computeIfAbsent(sampling.kind(), k -> new AtomicLong())
-                            .incrementAndGet();
-                    if (sampling.broken()) {
-                        broken.add(id + ": " + got.told());
+                .handle((answer, e) -> {
+                    SubmissionResult result = e == null ? SubmissionResult.of(answer) : SubmissionResult.NO_ANSWER;
+                    kinds.computeIfAbsent(result.kind(), k -> new AtomicLong()).incrementAndGet();
+                    if (result.isMalformed()) {
+                        broken.add(id + ": " + answer.told());
                     }
                     Observations.Submitted submitted = new Observations.Submitted(
                             TestConfiguration.tenant(tenant),
                             id,
                             lane,
-                            order,
+                            orderKey,
                             key,
                             sent,
                             environment.times.monotonicTime(),
-                            sampling.said(),
-                            sampling.kind(),
-                            sampling.handle(),
-                            sampling.repeated());
+                            result.outcome(),
+                            result.kind(),
+                            result.handle(),
+                            result.repeated());
                     environment.seen.saw(environment.seen.submitted, submitted);
-                    if (sampling.said() == Observations.Said.ACCEPTED) {
-                        owners.put(sampling.handle(), tenant);
-                        left.put(sampling.handle(), "not asked yet");
+                    if (result.outcome() == Observations.Said.ACCEPTED) {
+                        owners.put(result.handle(), tenant);
+                        unfinished.put(result.handle(), "not polled yet");
                     }
                     return submitted;
                 })
-                .thenCompose(submitted -> submitted.said() == Observations.Said.UNKNOWN && tries > 0
-                        ? submit(tenant, id, lane, order, body, tries - 1)
+                .thenCompose(submitted -> submitted.said() == Observations.Said.UNKNOWN && retries > 0
+                        ? submit(tenant, id, lane, orderKey, body, retries - 1)
                         : CompletableFuture.completedFuture(submitted));
-        open.add(f);
-        return f;
+        pending.add(submission);
+        return submission;
     }
 
-    /** ControlMessages for every accepted message until all have ended. */
+    /** Polls every accepted message until all have ended or the limit is reached. */
     public boolean settle(Duration limit) {
-        open.forEach(f -> f.exceptionally(e -> null).join());
-        open.clear();
+        pending.forEach(f -> f.exceptionally(e -> null).join());
+        pending.clear();
         Duration until = environment.times.monotonicTime().plus(limit);
-        while (!left.isEmpty() && environment.times.monotonicTime().compareTo(until) < 0) {
-            int n = 0;
-            ArrayList<CompletableFuture<?>> wave = new ArrayList<>();
-            for (String h : left.keySet()) {
-                if (n++ >= 200) {
+        while (!unfinished.isEmpty() && environment.times.monotonicTime().compareTo(until) < 0) {
+            int count = 0;
+            ArrayList<CompletableFuture<?>> batch = new ArrayList<>();
+            for (String handle : unfinished.keySet()) {
+                if (count++ >= 200) {
                     break;
                 }
-                wave.add(ask(h));
+                batch.add(pollStatus(handle));
             }
-            wave.forEach(CompletableFuture::join);
+            batch.forEach(CompletableFuture::join);
         }
-        return left.isEmpty();
+        return unfinished.isEmpty();
     }
 
-    private CompletableFuture<?> ask(String handle) {
+    private CompletableFuture<?> pollStatus(String handle) {
         NodeProcess process = fleet.intakes.get(random.nextInt(fleet.intakes.size()));
         Duration asked = environment.times.monotonicTime();
         return environment
@@ -173,35 +179,35 @@
                         TestConfiguration.callerKey(owners.get(handle)),
                         new byte[0],
                         Map.of())
-                .handle((got, e) -> {
-                    left.computeIfPresent(handle, (h, before) -> e == null ? got.told() : "no answer: " + e);
+                .handle((answer, e) -> {
+                    unfinished.computeIfPresent(handle, (h, before) -> e == null ? answer.told() : "no answer: " + e);
                     if (e == null
-                            && got.status() == 200
-                            && got.json().path("handle").asText().equals(handle)) {
+                            && answer.status() == 200
+                            && answer.json().path("handle").asText().equals(handle)) {
                         Observations.Shown shown = Observations.Shown.read(
-                                handle, got.json(), asked, environment.times.monotonicTime(), environment::trueTime);
+                                handle, answer.json(), asked, environment.times.monotonicTime(), environment::trueTime);
                         environment.seen.saw(environment.seen.shown, shown);
                         if (shown.over()) {
-                            left.remove(handle);
+                            unfinished.remove(handle);
                         }
                     }
                     return true;
                 });
     }
 
-    /** Accepted messages that were never shown as ended, with the last answer about each. */
+    /** Accepted messages that were never reported as ended, with the last answer about each. */
     public Map<String, String> unended() {
-        return new TreeMap<>(left);
+        return new TreeMap<>(unfinished);
     }
 
-    /** Answers that say accepted but not what: docs/api.md promises a handle with every 202. */
+    /** Answers with status 202 but without the handle that docs/api.md promises. */
     public List<String> broken() {
         return List.copyOf(broken);
     }
 
     public Map<String, Long> kinds() {
         Map<String, Long> out = new TreeMap<>();
-        kinds.forEach((k, v) -> out.put(k, v.get()));
+        kinds.forEach((kind, count) -> out.put(kind, count.get()));
         return out;
     }
 
@@ -209,7 +215,7 @@
         Map<String, String> last = new HashMap<>();
         environment.seen.copy(environment.seen.shown).forEach(shown -> last.put(shown.handle(), shown.state()));
         Map<String, Long> out = new TreeMap<>();
-        last.values().forEach(s -> out.merge(s, 1L, Long::sum));
+        last.values().forEach(state -> out.merge(state, 1L, Long::sum));
         return out;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/NodeProcess.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import org.woadvale.common.config.Configurations;
 
-/** One real process of the fleet; only the fleet dispatcher starts processes. */
+/** One operating-system process of a test fleet. */
 public final class NodeProcess {
     public final String name;
     public final String address;
     public final String http;
     private final String mainClass;
-    private final Path folder;
+    private final Path directory;
     private final Path bootFile;
     private Optional<Process> process = Optional.empty();
     private String classpath = System.getProperty("java.class.path");
@@ -39,15 +39,15 @@
         this.mainClass = mainClass;
         this.address = address;
         this.http = http;
-        this.folder = Files.createDirectories(root.resolve(name));
-        this.bootFile = folder.resolve("boot.json");
+        this.directory = Files.createDirectories(root.resolve(name));
+        this.bootFile = directory.resolve("boot.json");
         Map<String, Object> boot = new LinkedHashMap<>();
         boot.put("address", address);
         boot.put("http", http);
         boot.put("hall", zone);
         boot.put("seeds", seeds);
         boot.put("roles", roles);
-        boot.put("data", disk ? folder.resolve("data").toString() : "");
+        boot.put("data", disk ? directory.resolve("data").toString() : "");
         boot.put("ringFiles", 8);
         boot.put("ringFileMb", roles.contains("store") ? 16 : 4);
         if (roles.contains("store") && System.getProperty("older", "").isEmpty()) {
@@ -57,7 +57,7 @@
         Files.write(bootFile, Configurations.write(boot));
     }
 
-    /** A field of the boot file, from the next start on. */
+    /** Sets a field of the boot file; it takes effect at the next start. */
     public NodeProcess boot(String field, Object value) throws IOException {
         Map<String, Object> boot = new LinkedHashMap<>(
                 Configurations.JSON.readerForMapOf(Object.class).readValue(bootFile.toFile()));
@@ -66,13 +66,13 @@
         return this;
     }
 
-    /** The build that the next start runs. */
+    /** Sets the class path, and so the build, that the next start runs. */
     public void build(String newClasspath) {
         classpath = newClasspath;
     }
 
     public void start() throws IOException {
-        List<String> cmd = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx192m",
                 "-XX:+UseSerialGC",
@@ -84,18 +84,18 @@
                 "run",
                 "--boot",
                 bootFile.toString()));
-        ProcessBuilder b = new ProcessBuilder(cmd)
+        ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(
-                        ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
-        process = Optional.of(b.start());
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        directory.resolve("log").toFile()));
+        process = Optional.of(builder.start());
     }
 
     public boolean alive() {
         return process.map(Process::isAlive).orElse(false);
     }
 
-    /** Like a loss of power of the process: no orderly stop. */
+    /** Kills the process without an orderly shutdown, as a power failure does. */
     public void kill() {
         process.ifPresent(process -> {
             process.destroyForcibly();
@@ -103,7 +103,7 @@
         });
     }
 
-    /** SIGTERM: the program drains first. */
+    /** Sends SIGTERM, upon which the program drains before it exits. */
     public void stop() {
         process.ifPresent(process -> {
             process.destroy();
@@ -121,20 +121,20 @@
         }
     }
 
-    public void signal(String sig) throws IOException {
+    public void signal(String signalName) throws IOException {
         if (alive()) {
-            Process k = new ProcessBuilder(
+            Process killCommand = new ProcessBuilder(
                             "kill",
-                            "-" + sig,
+                            "-" + signalName,
                             Long.toString(process.orElseThrow().pid()))
                     .start();
-            waitFor(k);
+            waitFor(killCommand);
         }
     }
 
-    /** As if the disk was lost. */
+    /** Deletes the data directory, as if the disk had been lost. */
     public void loseDisk() throws IOException {
-        try (var walk = Files.walk(folder.resolve("data"))) {
+        try (var walk = Files.walk(directory.resolve("data"))) {
             for (Path path : walk.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
@@ -142,6 +142,6 @@
     }
 
     public Path log() {
-        return folder.resolve("log");
+        return directory.resolve("log");
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Relay.java
@@ -12,28 +12,28 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A plain TCP relay before one process: links between named peers can be cut; what is on its way waits. */
+/** A TCP relay in front of one process. Links between named peers can be cut; bytes in transit wait until they heal. */
 public final class Relay implements AutoCloseable {
-    /** Which links are cut, for all relays of a fleet. */
+    /** The links that are cut, shared by all relays of a fleet. */
     public static final class Cuts {
         private final Set<String> cut = ConcurrentHashMap.newKeySet();
 
-        public void cut(String one, String other) {
-            cut.add(one + ">" + other);
-            cut.add(other + ">" + one);
+        public void cut(String peer, String other) {
+            cut.add(peer + ">" + other);
+            cut.add(other + ">" + peer);
         }
 
         public void heal() {
             cut.clear();
         }
 
-        boolean is(String from, String to) {
+        boolean isCut(String from, String to) {
             return cut.contains(from + ">" + to);
         }
     }
 
-    private static final int HELLO_NAME = 8;
-    private static final int MAX_HELLO = 256;
+    private static final int HELLO_NAME_OFFSET = 8;
+    private static final int MAX_HELLO_BYTES = 256;
     private final String self;
     private final String target;
     private final Cuts cuts;
@@ -68,18 +68,18 @@
         }
     }
 
-    /** The first frame tells who is calling. */
+    /** Reads the caller's name from its first frame and then relays both directions. */
     private void serve(Socket in) {
         try {
-            DataInputStream d = new DataInputStream(in.getInputStream());
-            int length = d.readInt();
-            if (length < HELLO_NAME || length > MAX_HELLO) {
+            DataInputStream data = new DataInputStream(in.getInputStream());
+            int length = data.readInt();
+            if (length < HELLO_NAME_OFFSET || length > MAX_HELLO_BYTES) {
                 in.close();
                 return;
             }
-            byte[] hello = d.readNBytes(length);
-            String from = new String(hello, HELLO_NAME, length - HELLO_NAME, StandardCharsets.UTF_8);
-            hold(from, self);
+            byte[] hello = data.readNBytes(length);
+            String from = new String(hello, HELLO_NAME_OFFSET, length - HELLO_NAME_OFFSET, StandardCharsets.UTF_8);
+            awaitUncut(from, self);
             Socket out = new Socket(InetAddress.getByName("127.0.0.1"), port(target));
             out.getOutputStream()
                     .write(ByteBuffer.allocate(4 + length)
@@ -93,23 +93,23 @@
         }
     }
 
-    private void hold(String from, String to) {
-        while (cuts.is(from, to)) {
+    private void awaitUncut(String from, String to) {
+        while (cuts.isCut(from, to)) {
             StubEnvironment.sleep(20);
         }
     }
 
     private void pump(Socket from, Socket to, String sender, String receiver) {
-        byte[] b = new byte[16 << 10];
+        byte[] buffer = new byte[16 << 10];
         try {
-            InputStream i = from.getInputStream();
-            OutputStream o = to.getOutputStream();
-            for (int n = i.read(b); n >= 0; n = i.read(b)) {
-                hold(sender, receiver);
-                o.write(b, 0, n);
+            InputStream input = from.getInputStream();
+            OutputStream output = to.getOutputStream();
+            for (int count = input.read(buffer); count >= 0; count = input.read(buffer)) {
+                awaitUncut(sender, receiver);
+                output.write(buffer, 0, count);
             }
         } catch (IOException e) {
-            // one side is gone: so is the other
+            // one side has closed the connection, so the other is closed as well
         }
         close(from);
         close(to);
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Shape.java
@@ -28,7 +28,7 @@
         return Arrays.stream(values())
                 .filter(shape -> shape.name().equalsIgnoreCase(name))
                 .findFirst()
-                .orElseThrow(
-                        () -> new IllegalArgumentException("no shape " + name + "; try small, lankavidya, rotterdam"));
+                .orElseThrow(() ->
+                        new IllegalArgumentException("unknown shape " + name + "; use small, lankavidya, rotterdam"));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -24,7 +24,7 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** The stand-ins around a real fleet: back ends, platform and operator. */
+/** Stubs of the services around a test fleet: backends, platform and operator. */
 public final class StubEnvironment implements AutoCloseable {
     public final Observations seen = new Observations();
     public final Clock times = new SystemClock();
@@ -34,9 +34,9 @@
     public final Map<String, Backend> backends = new LinkedHashMap<>();
     private final Map<String, String> addresses = new LinkedHashMap<>();
     private final SystemTimers timers = new SystemTimers(4);
-    private final List<HttpGateway> gates = new ArrayList<>();
+    private final List<HttpGateway> gateways = new ArrayList<>();
     private final Fleet fleet;
-    private long present;
+    private long currentVersion;
 
     public StubEnvironment(Fleet fleet, Shape shape, TestConfiguration testConfiguration)
             throws IOException, ServiceException {
@@ -45,35 +45,35 @@
         this.shape = shape;
         testConfiguration.allow(seen);
         for (int i = 0; i < shape.processors; i++) {
-            backend("p" + i, i % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP, false);
+            startBackend("p" + i, i % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP, false);
         }
         for (int i = 0; i < shape.endpoints; i++) {
-            backend(TestConfiguration.endpoint(i), TestConfiguration.endpoint(i), true);
+            startBackend(TestConfiguration.endpoint(i), TestConfiguration.endpoint(i), true);
         }
     }
 
-    private void backend(String id, String service, boolean paced) throws IOException, ServiceException {
+    private void startBackend(String id, String service, boolean paced) throws IOException, ServiceException {
         Backend backend = new Backend(id, service, paced, seen, times, timers, new SecureRandom()::nextLong);
         String address = Fleet.free();
         HttpGateway httpGateway = new HttpGateway(address, 64 << 10, backend::answer);
         httpGateway.start();
-        gates.add(httpGateway);
+        gateways.add(httpGateway);
         backends.put(id, backend);
         addresses.put(id, address);
     }
 
-    /** ControlMessages control nodes in turn until one gives a clear answer. */
+    /** Sends a request to one control node after another until one gives a definite answer. */
     public Client.Got operate(String method, String path, byte[] body, Map<String, String> headers) {
         for (int i = 0; i < 60; i++) {
             NodeProcess process = fleet.controlNodes.get(i % fleet.controlNodes.size());
             try {
-                Client.Got got = client.send(method, process.http, path, "", body, headers)
+                Client.Got answer = client.send(method, process.http, path, "", body, headers)
                         .join();
-                if (got.status() < 500) {
-                    return got;
+                if (answer.status() < 500) {
+                    return answer;
                 }
             } catch (CompletionException e) {
-                // the next one is asked
+                // tries the next control node
             }
             sleep(200);
         }
@@ -83,36 +83,37 @@
     public long putConfiguration(Configuration configuration, long base, String requestId) {
         byte[] json = Configurations.write(configuration);
         if (!System.getProperty("older", "").isEmpty()) {
-            // the older build does not know this field
+            // the older build does not support this field
             json = new String(json, StandardCharsets.UTF_8)
                     .replace(",\"ifUnclear\":\"FAIL\"", "")
                     .getBytes(StandardCharsets.UTF_8);
         }
-        Client.Got got =
+        Client.Got answer =
                 operate("PUT", "/v1/layout", json, Map.of("If-Match", Long.toString(base), "X-Request-Id", requestId));
-        boolean taken = got.status() == 200;
-        long version = taken ? got.json().path("version").asLong() : -1;
+        boolean accepted = answer.status() == 200;
+        long version = accepted ? answer.json().path("version").asLong() : -1;
         seen.saw(
                 seen.configurations,
                 new Observations.ConfigurationSaid(
                         requestId,
                         version,
-                        taken,
+                        accepted,
                         true,
                         times.monotonicTime(),
                         Configurations.sha256(new String(json, StandardCharsets.UTF_8))));
-        if (!taken) {
-            throw new IllegalStateException("layout refused: " + new String(got.body(), StandardCharsets.UTF_8));
+        if (!accepted) {
+            throw new IllegalStateException(
+                    "configuration refused: " + new String(answer.body(), StandardCharsets.UTF_8));
         }
-        present = version;
+        currentVersion = version;
         return version;
     }
 
-    /** A key of tenant 0 comes or goes; what follows is by the version that results. */
-    public void putKey(String secret, boolean there) {
-        Configuration configuration = Edit.keys(configuration(), m -> {
-            if (there) {
-                m.put(
+    /** Adds or removes a key of tenant 0, based on the current configuration version. */
+    public void putKey(String secret, boolean present) {
+        Configuration configuration = Edit.keys(configuration(), keys -> {
+            if (present) {
+                keys.put(
                         secret,
                         new Configuration.Key(
                                 Configuration.Role.CALLER,
@@ -121,8 +122,8 @@
                                 Configurations.sha256(secret)));
             }
         });
-        putConfiguration(configuration, present, "key-" + there);
-        if (!there) {
+        putConfiguration(configuration, currentVersion, "key-" + present);
+        if (!present) {
             seen.saw(seen.keys, new Observations.KeyWithdrawn(secret, times.monotonicTime()));
         }
     }
@@ -136,22 +137,22 @@
     }
 
     public void list(String id, boolean leaving) {
-        int n = Integer.parseInt(id.substring(1));
-        String service = n % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
-        Client.Got got = operate(
+        int number = Integer.parseInt(id.substring(1));
+        String service = number % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
+        Client.Got answer = operate(
                 "PUT",
                 "/v1/services/" + service + "/processors/" + id,
                 Configurations.write(Map.of("address", "http://" + addresses.get(id), "leaving", leaving)),
                 Map.of());
-        if (got.status() != 200) {
-            throw new IllegalStateException("processor refused: " + got.status());
+        if (answer.status() != 200) {
+            throw new IllegalStateException("registration of a processor was refused: " + answer.status());
         }
         if (leaving) {
             seen.saw(seen.leaving, new Observations.MarkedLeaving(id, times.monotonicTime()));
         }
     }
 
-    /** All processes are on this machine, so there is one calendar. */
+    /** Converts a timestamp to monotonic time; all processes run on this machine and share its wall clock. */
     Duration trueTime(Instant stamp) {
         return times.monotonicTime().minus(Duration.between(stamp, times.wallTime()));
     }
@@ -168,14 +169,14 @@
     }
 
     public Duration await(String what, Duration limit, BooleanSupplier until) {
-        Duration begun = times.monotonicTime();
+        Duration start = times.monotonicTime();
         while (!until.getAsBoolean()) {
-            if (times.monotonicTime().minus(begun).compareTo(limit) > 0) {
-                throw new IllegalStateException("waited in vain for " + what);
+            if (times.monotonicTime().minus(start).compareTo(limit) > 0) {
+                throw new IllegalStateException("timed out waiting for " + what);
             }
             sleep(50);
         }
-        return times.monotonicTime().minus(begun);
+        return times.monotonicTime().minus(start);
     }
 
     static void sleep(long ms) {
@@ -184,7 +185,7 @@
 
     @Override
     public void close() {
-        gates.forEach(HttpGateway::stop);
+        gateways.forEach(HttpGateway::stop);
         timers.close();
     }
 }
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -30,9 +30,9 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** One day of a real fleet of processes, run by the shipped runbooks, under traffic. Waits only on conditions. */
+/** Operates a fleet of real processes under traffic with the shipped runbooks. Waits only for conditions. */
 class FleetTest {
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(60);
 
     private Fleet fleet;
     private StubEnvironment stubEnvironment;
@@ -43,13 +43,15 @@
         return "http://" + process.http;
     }
 
-    private static String list(List<NodeProcess> vs) {
-        return vs.stream().map(FleetTest::http).collect(Collectors.joining(","));
+    private static String list(List<NodeProcess> processes) {
+        return processes.stream().map(FleetTest::http).collect(Collectors.joining(","));
     }
 
-    private void accepted(String when) {
+    private void awaitAccepted(String when) {
         stubEnvironment.await(
-                "a hand-in " + when, LONG, () -> load.one(0).join().said() == Observations.Said.ACCEPTED);
+                "an accepted submission " + when,
+                LONG_TIMEOUT,
+                () -> load.one(0).join().said() == Observations.Said.ACCEPTED);
     }
 
     @Test
@@ -63,23 +65,28 @@
             load = new Load(environment, f, 5);
             f.startAll();
             environment.await(
-                    "the core's readiness", LONG, () -> f.controlNodes.stream().allMatch(environment::ready));
+                    "readiness of the control nodes",
+                    LONG_TIMEOUT,
+                    () -> f.controlNodes.stream().allMatch(environment::ready));
             environment.putConfiguration(environment.configuration(), 0, "first");
             environment.listProcessors();
-            environment.await("readiness", LONG, () -> f.all().stream().allMatch(environment::ready));
-            accepted("after the start");
+            environment.await("readiness", LONG_TIMEOUT, () -> f.all().stream().allMatch(environment::ready));
+            awaitAccepted("after the start");
             generatedClient();
             CompletableFuture<Void> traffic = CompletableFuture.runAsync(() -> load.run(Duration.ofSeconds(12), 40));
             f.stores.get(0).kill();
-            accepted("with a store killed");
+            awaitAccepted("with a store killed");
             f.controlNodes.get(0).kill();
-            accepted("with a control node killed as well");
+            awaitAccepted("with a control node killed as well");
             f.stores.get(0).start();
             f.controlNodes.get(0).start();
-            environment.await("return", LONG, () -> f.all().stream().allMatch(environment::ready));
+            environment.await(
+                    "readiness after the restarts",
+                    LONG_TIMEOUT,
+                    () -> f.all().stream().allMatch(environment::ready));
             changeConfigurations();
             roll();
-            replaceLighthouse(root);
+            replaceControlNode(root);
             replaceStore();
             traffic.join();
             f.killAll();
@@ -89,39 +96,42 @@
             runbooks.run(
                     "check-after-outage",
                     Map.of("lighthouses", list(f.controlNodes), "stores", list(f.stores), "intakes", list(f.intakes)));
-            accepted("after the outage");
+            awaitAccepted("after the outage");
             boolean settled = load.settle(Duration.ofSeconds(120));
             assertEquals(List.of(), load.broken(), "every 202 carries a handle");
             assertTrue(settled, () -> "not every accepted message has ended: " + load.states() + " " + load.unended());
-            List<String> bad = new NeverList(environment.seen).violations();
-            assertEquals(List.of(), bad);
+            List<String> violations = new NeverList(environment.seen).violations();
+            assertEquals(List.of(), violations);
             assertTrue(
                     load.states().getOrDefault("done", 0L) > 100, load.states().toString());
         }
     }
 
     /**
-     * A caller with the client generated from our schema: processors in, sees the proof, is told the kind of a refusal.
+     * A caller with the client generated from the OpenAPI schema submits a message, reads its proof and gets the kind
+     * of a refusal.
      */
     private void generatedClient() throws ApiException {
         ClientLoad client = new ClientLoad(fleet.intakes.get(0).http, TestConfiguration.callerKey(1));
         String handle = client.submit("hold", "generated");
-        stubEnvironment.await("the end of " + handle, LONG, () -> client.over(handle));
+        stubEnvironment.await("the end of " + handle, LONG_TIMEOUT, () -> client.isTerminal(handle));
         assertEquals(Message.StateEnum.DONE, client.show(handle).getState());
-        assertTrue(client.show(handle).getProof().contains(handle), "the receipt names it");
-        ApiException no = assertThrows(ApiException.class, () -> client.submit("nowhere", "generated"));
-        assertEquals(404, no.getCode());
-        assertTrue(no.getResponseBody().contains("unknown_lane"), no.getResponseBody());
+        assertTrue(client.show(handle).getProof().contains(handle), "the receipt contains the handle");
+        ApiException refusal = assertThrows(ApiException.class, () -> client.submit("nowhere", "generated"));
+        assertEquals(404, refusal.getCode());
+        assertTrue(refusal.getResponseBody().contains("unknown_lane"), refusal.getResponseBody());
     }
 
-    /** The runbooks require a core that is ready; on a busy machine a part may be between two owners just then. */
-    private void allReady() {
+    /** The runbooks require a ready core; on a loaded machine a partition may be without an owner for a moment. */
+    private void awaitAllReady() {
         stubEnvironment.await(
-                "everybody's readiness", LONG, () -> fleet.all().stream().allMatch(stubEnvironment::ready));
+                "readiness of all nodes",
+                LONG_TIMEOUT,
+                () -> fleet.all().stream().allMatch(stubEnvironment::ready));
     }
 
     private void changeConfigurations() throws Exception {
-        allReady();
+        awaitAllReady();
         Map<String, Configuration.Lane> lanes =
                 new TreeMap<>(stubEnvironment.configuration().lanes());
         lanes.put("extra", lanes.get("hold"));
@@ -139,20 +149,22 @@
                 stubEnvironment.configuration().services(),
                 lanes,
                 keys);
-        String l = http(fleet.controlNodes.get(1));
-        String i = http(fleet.intakes.get(0));
+        String controlNode = http(fleet.controlNodes.get(1));
+        String intake = http(fleet.intakes.get(0));
         runbooks.run(
                 "put-layout",
                 Map.of(
                         "lighthouse",
-                        l,
+                        controlNode,
                         "intake",
-                        i,
+                        intake,
                         "request",
                         "day-1",
                         "layout",
                         new String(Configurations.write(next), StandardCharsets.UTF_8)));
-        runbooks.run("withdraw-key", Map.of("lighthouse", l, "intake", i, "request", "day-2", "key", "guest"));
+        runbooks.run(
+                "withdraw-key",
+                Map.of("lighthouse", controlNode, "intake", intake, "request", "day-2", "key", "guest"));
         var refused = stubEnvironment
                 .client
                 .send(
@@ -165,17 +177,17 @@
                 .join();
         assertEquals(401, refused.status());
         String address = Configurations.JSON
-                .readTree(runbooks.send("GET", l + "/v1/services/reserve/processors", Map.of(), new byte[0])
+                .readTree(runbooks.send("GET", controlNode + "/v1/services/reserve/processors", Map.of(), new byte[0])
                         .body())
                 .at("/p0/address")
                 .asText();
         runbooks.run(
                 "drain-processor",
-                Map.of("lighthouse", l, "service", "reserve", "processor", "p0", "address", address));
+                Map.of("lighthouse", controlNode, "service", "reserve", "processor", "p0", "address", address));
     }
 
     private void roll() throws ServiceException {
-        allReady();
+        awaitAllReady();
         runbooks.byHand(step -> {
             NodeProcess nodeProcess = fleet.all().stream()
                     .filter(process -> step.endsWith(process.http))
@@ -187,13 +199,13 @@
         runbooks.run("rolling-restart", Map.of("nodes", list(List.of(fleet.stores.get(1), fleet.intakes.get(1)))));
     }
 
-    private void replaceLighthouse(Path root) throws Exception {
-        allReady();
+    private void replaceControlNode(Path root) throws Exception {
+        awaitAllReady();
         List<String> seeds =
                 fleet.controlNodes.stream().map(process -> process.address).toList();
         fleet.controlNodes.get(2).kill();
         String address = Fleet.free();
-        NodeProcess fresh = new NodeProcess(
+        NodeProcess replacement = new NodeProcess(
                 "control3",
                 ControlPlaneProgram.class.getName(),
                 root,
@@ -204,31 +216,32 @@
                 List.of(),
                 true,
                 true);
-        fleet.controlNodes.set(2, fresh);
-        runbooks.byHand(step -> fresh.start());
+        fleet.controlNodes.set(2, replacement);
+        runbooks.byHand(step -> replacement.start());
         runbooks.run(
                 "replace-lighthouse",
                 Map.of(
                         "lighthouse",
                         http(fleet.controlNodes.get(0)),
                         "newLighthouse",
-                        http(fresh),
+                        http(replacement),
                         "first",
                         seeds.get(0),
                         "second",
                         seeds.get(1),
                         "third",
                         address));
-        accepted("with a new control node");
+        awaitAccepted("with a new control node");
     }
 
     private void replaceStore() throws Exception {
-        allReady();
+        awaitAllReady();
         fleet.stores.get(2).kill();
-        NodeProcess fresh = fleet.dataNode("store3", "hall2", "store");
-        fleet.stores.set(2, fresh);
-        runbooks.byHand(step -> fresh.start());
-        runbooks.run("replace-store", Map.of("lighthouse", http(fleet.controlNodes.get(0)), "store", http(fresh)));
-        accepted("with a new store");
+        NodeProcess replacement = fleet.dataNode("store3", "hall2", "store");
+        fleet.stores.set(2, replacement);
+        runbooks.byHand(step -> replacement.start());
+        runbooks.run(
+                "replace-store", Map.of("lighthouse", http(fleet.controlNodes.get(0)), "store", http(replacement)));
+        awaitAccepted("with a new store");
     }
 }
--- a/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
+++ b/testkit/src/test/java/org/woadvale/operator/RunbookHarness.java
@@ -14,9 +14,9 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.cluster.StubEnvironment;
 
-/** Runs the shipped runbooks against a test fleet, and does by program what they ask the operator to do by hand. */
+/** Runs the shipped runbooks against a test fleet and performs their manual steps in code. */
 final class RunbookHarness {
-    /** A step that the operator does by hand; fails if it cannot be done. */
+    /** A step that the operator performs manually; throws if it cannot be done. */
     interface ManualStep {
         void run(String instruction) throws IOException;
     }
@@ -57,12 +57,12 @@
         this.environment = environment;
     }
 
-    /** What is done for the manual steps of the runbooks from now on. */
+    /** Sets the action that performs the manual steps of later runbooks. */
     void byHand(ManualStep step) {
         manualStep = step;
     }
 
-    /** Runs a runbook to its end; fails the test, with everything that was said, if a step of it fails. */
+    /** Runs a runbook to its end; if a step fails, the test fails with the transcript. */
     void run(String name, Map<String, String> values) throws ServiceException {
         transcript.clear();
         assertTrue(
--- a/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
@@ -29,19 +29,20 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** What callers make of answers that are cut off or say too little; the intake is a bare socket. */
+/** How callers handle truncated and incomplete responses; the intake is a plain server socket. */
 class CutAnswersTest {
-    private static final String TAKEN = "{\"accepted\":true,\"handle\":\"m1-1\",\"id\":\"c1\",\"repeated\":true}";
+    private static final String ACCEPTED_BODY =
+            "{\"accepted\":true,\"handle\":\"m1-1\",\"id\":\"c1\",\"repeated\":true}";
 
-    /** Answers each request on a stream of its own, then closes it, in the end or before. */
-    private static final class BareIntake implements AutoCloseable {
+    /** Answers one request per connection, with a complete or a truncated response, and closes the connection. */
+    private static final class SocketIntake implements AutoCloseable {
         private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        private final ConcurrentLinkedQueue<String> asked = new ConcurrentLinkedQueue<>();
+        private final ConcurrentLinkedQueue<String> requests = new ConcurrentLinkedQueue<>();
         private final Function<String, byte[]> answers;
 
-        BareIntake(Function<String, byte[]> answers) throws IOException {
+        SocketIntake(Function<String, byte[]> answers) throws IOException {
             this.answers = answers;
-            Thread thread = new Thread(this::serve, "bare-intake");
+            Thread thread = new Thread(this::serve, "plain-socket-intake");
             thread.setDaemon(true);
             thread.start();
         }
@@ -54,21 +55,21 @@
             while (!socket.isClosed()) {
                 try (Socket s = socket.accept()) {
                     String line = request(s.getInputStream());
-                    asked.add(line);
+                    requests.add(line);
                     s.getOutputStream().write(answers.apply(line));
                 } catch (IOException e) {
-                    // closed by the caller, or in the end by the test
+                    // the caller or, at the end, the test has closed the socket
                 }
             }
         }
 
-        /** Reads head and body; the first line without the version. */
+        /** Reads the head and body of a request; returns the request line without the version. */
         private static String request(InputStream in) throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
                 if (b < 0) {
-                    throw new IOException("no whole request");
+                    throw new IOException("incomplete request");
                 }
                 head.append((char) b);
             }
@@ -89,7 +90,7 @@
         }
     }
 
-    /** As the gate answers: the length is declared. */
+    /** A response with {@code Content-Length}, as the gateway sends it. */
     private static byte[] answer(String status, String body) {
         return ("HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
                         + "\r\n\r\n" + body)
@@ -97,29 +98,29 @@
     }
 
     @Test
-    void anAnswerThatEndsEarlyIsNoAnswerWhereverItEnds() throws IOException {
-        byte[] whole = answer("202 Accepted", TAKEN);
+    void responseTruncatedAtAnyByteIsAFailure() throws IOException {
+        byte[] response = answer("202 Accepted", ACCEPTED_BODY);
         Client client = new Client();
-        try (BareIntake bareIntake =
-                new BareIntake(line -> Arrays.copyOf(whole, Integer.parseInt(line.substring(6))))) {
-            for (int i = 0; i < whole.length; i++) {
+        try (SocketIntake intake =
+                new SocketIntake(line -> Arrays.copyOf(response, Integer.parseInt(line.substring(6))))) {
+            for (int i = 0; i < response.length; i++) {
                 String path = "/" + i;
                 assertThrows(
                         CompletionException.class,
-                        () -> client.send("POST", bareIntake.address(), path, "", new byte[3], Map.of())
+                        () -> client.send("POST", intake.address(), path, "", new byte[3], Map.of())
                                 .join(),
-                        "cut after " + i + " of " + whole.length);
+                        "cut after " + i + " of " + response.length);
             }
-            Client.Got got = client.send("POST", bareIntake.address(), "/" + whole.length, "", new byte[3], Map.of())
+            Client.Got answer = client.send("POST", intake.address(), "/" + response.length, "", new byte[3], Map.of())
                     .join();
-            assertEquals("m1-1", got.json().path("handle").asText());
+            assertEquals("m1-1", answer.json().path("handle").asText());
         }
     }
 
-    /** The repeat is answered in full; what is asked of no handle is answered with a list, as by an intake. */
-    private static byte[] day(String first, String line, long submissions) {
+    /** Answers the repeated submission completely, and a GET without a handle with a list, as an intake does. */
+    private static byte[] respond(String first, String line, long submissions) {
         if (line.startsWith("POST")) {
-            return answer("202 Accepted", submissions == 1 ? first : TAKEN);
+            return answer("202 Accepted", submissions == 1 ? first : ACCEPTED_BODY);
         }
         return answer(
                 "200 OK",
@@ -138,10 +139,10 @@
                 "{\"handle\":null}",
                 "{\"accepted\":tr"
             })
-    void acceptedWithoutAHandleIsAskedAgainAndTold(String first, @TempDir Path root) throws Exception {
+    void acceptanceWithoutHandleIsRetriedAndReported(String first, @TempDir Path root) throws Exception {
         AtomicLong submissions = new AtomicLong();
-        try (BareIntake bareIntake =
-                        new BareIntake(l -> day(first, l, l.startsWith("POST") ? submissions.incrementAndGet() : 0));
+        try (SocketIntake intake = new SocketIntake(
+                        l -> respond(first, l, l.startsWith("POST") ? submissions.incrementAndGet() : 0));
                 Fleet fleet = new Fleet(Shape.SMALL, root);
                 StubEnvironment environment =
                         new StubEnvironment(fleet, Shape.SMALL, new TestConfiguration(8, 2, 45, 60, 26))) {
@@ -151,7 +152,7 @@
                     DataPlaneProgram.class.getName(),
                     root,
                     Fleet.free(),
-                    bareIntake.address(),
+                    intake.address(),
                     "hall0",
                     List.of(),
                     List.of("intake"),
@@ -168,15 +169,16 @@
             assertTrue(
                     load.broken().get(0).endsWith(" " + first.length() + " bytes: " + first),
                     load.broken().get(0));
-            assertTrue(bareIntake.asked.stream().noneMatch("GET /v1/messages/"::equals), bareIntake.asked.toString());
+            assertTrue(intake.requests.stream().noneMatch("GET /v1/messages/"::equals), intake.requests.toString());
             assertTrue(new NeverList(environment.seen).violations().stream().noneMatch(v -> v.contains("never shown")));
         }
     }
 
     @Test
-    void anAnswerAboutSomethingElseShowsNothingOfTheMessage(@TempDir Path root) throws Exception {
-        try (BareIntake bareIntake = new BareIntake(l ->
-                        l.startsWith("POST") ? answer("202 Accepted", TAKEN) : answer("200 OK", "{\"messages\":[]}"));
+    void responseForAnotherResourceIsNotAMessageStatus(@TempDir Path root) throws Exception {
+        try (SocketIntake intake = new SocketIntake(l -> l.startsWith("POST")
+                        ? answer("202 Accepted", ACCEPTED_BODY)
+                        : answer("200 OK", "{\"messages\":[]}"));
                 Fleet fleet = new Fleet(Shape.SMALL, root);
                 StubEnvironment environment =
                         new StubEnvironment(fleet, Shape.SMALL, new TestConfiguration(8, 2, 45, 60, 26))) {
@@ -186,7 +188,7 @@
                     DataPlaneProgram.class.getName(),
                     root,
                     Fleet.free(),
-                    bareIntake.address(),
+                    intake.address(),
                     "hall0",
                     List.of(),
                     List.of("intake"),
--- a/testkit/src/test/java/org/woadvale/testkit/cluster/SilentRelay.java
+++ b/testkit/src/test/java/org/woadvale/testkit/cluster/SilentRelay.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A TCP relay on loopback that can silence the connections it has: they stay open and pass nothing more on, as those of
- * a machine that lost power do at their other end. Connections that come later are served.
+ * A TCP relay on loopback that can silence its existing connections: they stay open but forward no bytes, like
+ * connections to a machine that lost power. Later connections work.
  */
 final class SilentRelay implements AutoCloseable {
     private static final int BUFFER_BYTES = 16 << 10;
@@ -22,24 +22,24 @@
     SilentRelay(int targetPort) throws IOException {
         this.targetPort = targetPort;
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** How many connections have come so far. */
+    /** The number of connections accepted so far. */
     int connections() {
         return connections.get();
     }
 
-    /** Nothing passes any more on the connections that there are. */
+    /** Stops forwarding on all existing connections. */
     void silence() {
         silencedUpTo = connections.get();
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "silent-relay");
         thread.setDaemon(true);
         thread.start();
@@ -51,8 +51,8 @@
                 Socket in = server.accept();
                 Socket out = new Socket(InetAddress.getByName("127.0.0.1"), targetPort);
                 int number = connections.incrementAndGet();
-                daemon(() -> pump(in, out, number));
-                daemon(() -> pump(out, in, number));
+                startDaemon(() -> pump(in, out, number));
+                startDaemon(() -> pump(out, in, number));
             } catch (IOException e) {
                 return;
             }
@@ -69,7 +69,7 @@
                 }
             }
         } catch (IOException e) {
-            // one side has closed it
+            // one side has closed the connection
         }
     }
 
