--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Backlog.java
@@ -13,33 +13,33 @@
 import org.woadvale.dataplane.queue.RouteTerms;
 
 /**
- * Messages that wait in one part, 1,250 bytes each: heap, and what taking them and making a view of them costs.
- * (docs/design.md, section 9.8)
+ * Messages waiting in one partition, each with a body of 1,250 bytes: the heap they occupy, and the CPU time of applying
+ * them and of writing and reading a snapshot. (docs/design.md, section 9.8)
  */
 final class Backlog implements Mechanism {
-    private static final int BODY = 1250;
-    private static final long A_MESSAGE = 6000;
-    /** A part of 16 MB (docs/design.md, section 9.8). */
-    private static final int MOST = 12_000;
+    private static final int BODY_BYTES = 1250;
+    private static final long HEAP_BYTES_PER_MESSAGE = 6000;
+    /** A partition holds at most 16 MB. (docs/design.md, section 9.8) */
+    private static final int MAX_MESSAGES = 12_000;
 
     @Override
-    public String counts() {
+    public String sizeLabel() {
         return "messages waiting in a part";
     }
 
     @Override
-    public List<Integer> sizes() {
+    public List<Integer> defaultSizes() {
         return List.of(1500, 3000, 6000, 12000);
     }
 
     @Override
-    public int most() {
-        return MOST;
+    public int maxSize() {
+        return MAX_MESSAGES;
     }
 
     @Override
-    public long needs(int size) {
-        return (64 << 20) + size * A_MESSAGE;
+    public long estimatedHeapBytes(int size) {
+        return (64 << 20) + size * HEAP_BYTES_PER_MESSAGE;
     }
 
     private static double cpuMs() {
@@ -49,7 +49,7 @@
     @Override
     public Map<String, Double> measure(int size) throws ServiceException {
         Codec codec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
-        long before = Heap.used();
+        long before = Heap.usedAfterCollection();
         MessageStateMachine stateMachine = new MessageStateMachine("m0", codec);
         double from = cpuMs();
         for (int i = 1; i <= size; i++) {
@@ -60,23 +60,23 @@
                             "hold",
                             "id" + i,
                             "",
-                            new byte[BODY],
+                            new byte[BODY_BYTES],
                             "h".repeat(64),
                             new RouteTerms("reserve", 60000, 8, 3000, false),
                             Instant.EPOCH,
                             Instant.EPOCH));
         }
-        double taken = cpuMs() - from;
+        double applyMs = cpuMs() - from;
         Map<String, Double> out = new LinkedHashMap<>();
-        out.put("heap of a part KB", (Heap.used() - before) / 1024.0);
+        out.put("heap of a part KB", (Heap.usedAfterCollection() - before) / 1024.0);
         from = cpuMs();
-        byte[] view = stateMachine.snapshot();
-        double made = cpuMs() - from;
+        byte[] snapshot = stateMachine.snapshot();
+        double snapshotMs = cpuMs() - from;
         from = cpuMs();
-        new MessageStateMachine("m0", codec).restore(view);
-        out.put("view KB", view.length / 1024.0);
-        out.put("processor ms to take all", taken);
-        out.put("processor ms to make a view", made);
+        new MessageStateMachine("m0", codec).restore(snapshot);
+        out.put("view KB", snapshot.length / 1024.0);
+        out.put("processor ms to take all", applyMs);
+        out.put("processor ms to make a view", snapshotMs);
         out.put("processor ms to read a view", cpuMs() - from);
         return out;
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/CapacityCommand.java
@@ -15,7 +15,10 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.UnavailableException;
 
-/** Measures slopes, draws them, and holds a forecast against the largest run: docs/CAPACITY.md. */
+/**
+ * Measures resource usage against size, fits and plots a line for each figure, and compares a forecast with one larger
+ * run. (docs/CAPACITY.md)
+ */
 public final class CapacityCommand {
     private final PrintStream out;
     private final PrintStream err;
@@ -25,10 +28,10 @@
         this.err = err;
     }
 
-    /** The exit code: 0 when all was measured, 2 for a bad request, 1 for a run that failed. */
+    /** Returns the exit code: 0 if every run succeeded, 1 if a run failed, 2 for an invalid command line. */
     public int run(String[] args) {
         try {
-            measure(Wanted.of(args, Heap.allowed()));
+            measure(MeasurementPlan.parse(args, Heap.maxRunBytes()));
             return 0;
         } catch (ServiceException failure) {
             err.println("capacity: " + failure.getMessage());
@@ -36,78 +39,81 @@
         }
     }
 
-    private void measure(Wanted wanted) throws ServiceException {
+    private void measure(MeasurementPlan plan) throws ServiceException {
         System.setProperty("java.awt.headless", "true");
         try {
-            Files.createDirectories(wanted.out());
+            Files.createDirectories(plan.outputFolder());
         } catch (IOException e) {
-            throw new UnavailableException("Cannot make the folder " + wanted.out() + ".");
+            throw new UnavailableException("Cannot create the folder " + plan.outputFolder() + ".");
         }
-        for (Map.Entry<Mechanism, List<Integer>> entry : wanted.runs().entrySet()) {
-            String name = wanted.name(entry.getKey());
+        for (Map.Entry<Mechanism, List<Integer>> entry : plan.sizesByMechanism().entrySet()) {
+            String name = plan.nameOf(entry.getKey());
             Map<String, Map<Integer, Double>> figures = sweep(name, entry.getKey(), entry.getValue());
-            lines(figures);
-            Plot.write(wanted.out(), name, entry.getKey().counts(), figures);
-            if (name.equals(Wanted.NODES) && wanted.largest() > 0) {
-                forecast(entry.getKey(), wanted.largest(), figures);
+            printFits(figures);
+            Plot.write(plan.outputFolder(), name, entry.getKey().sizeLabel(), figures);
+            if (name.equals(MeasurementPlan.NODES) && plan.largestSize() > 0) {
+                printForecast(entry.getKey(), plan.largestSize(), figures);
             }
         }
     }
 
-    /** The middle size is run once unrecorded, so that the first figures are not those of cold code. */
+    /** Runs the middle size once without recording it, to warm up the JIT compiler before the first measurement. */
     private Map<String, Map<Integer, Double>> sweep(String name, Mechanism mechanism, List<Integer> sizes)
             throws ServiceException {
         mechanism.measure(sizes.get(sizes.size() / 2));
         Map<String, Map<Integer, Double>> figures = new LinkedHashMap<>();
         for (int size : sizes) {
-            Map<String, Double> got = timed(name, mechanism, size);
-            got.forEach(
+            Map<String, Double> run = measureTimed(name, mechanism, size);
+            run.forEach(
                     (f, y) -> figures.computeIfAbsent(f, k -> new TreeMap<>()).put(size, y));
         }
         out.println();
-        out.println("| " + mechanism.counts() + " | "
+        out.println("| " + mechanism.sizeLabel() + " | "
                 + String.join(" | ", sizes.stream().map(String::valueOf).toList())
                 + " | slope | of the slope, standard error | at none | R² | farthest point |");
         out.println("|---" + "|---".repeat(sizes.size() + 5) + "|");
         return figures;
     }
 
-    private Map<String, Double> timed(String name, Mechanism mechanism, int size) throws ServiceException {
+    private Map<String, Double> measureTimed(String name, Mechanism mechanism, int size) throws ServiceException {
         long from = System.nanoTime();
-        Map<String, Double> got = mechanism.measure(size);
+        Map<String, Double> run = mechanism.measure(size);
         err.println("capacity: " + name + " " + size + " took "
                 + Duration.ofNanos(System.nanoTime() - from).toMillis() + " ms.");
-        return got;
+        return run;
     }
 
-    private void lines(Map<String, Map<Integer, Double>> figures) {
+    private void printFits(Map<String, Map<Integer, Double>> figures) {
         figures.forEach((f, points) -> {
-            Fit fit = Fit.of(points);
+            LinearFit fit = LinearFit.of(points);
             out.println("| " + f + " | "
                     + String.join(
                             " | ",
-                            points.values().stream().map(CapacityCommand::shown).toList())
-                    + " | " + shown(fit.slope()) + " | " + shown(fit.error()) + " | " + shown(fit.intercept()) + " | "
-                    + String.format(Locale.ROOT, "%.4f | %.0f %%", fit.r2(), 100 * fit.spread()) + " |");
+                            points.values().stream()
+                                    .map(CapacityCommand::formatFigure)
+                                    .toList())
+                    + " | " + formatFigure(fit.slope()) + " | " + formatFigure(fit.slopeStandardError()) + " | "
+                    + formatFigure(fit.intercept()) + " | "
+                    + String.format(Locale.ROOT, "%.4f | %.0f %%", fit.r2(), 100 * fit.maxRelativeResidual()) + " |");
         });
         out.println();
     }
 
-    private void forecast(Mechanism mechanism, int size, Map<String, Map<Integer, Double>> figures)
+    private void printForecast(Mechanism mechanism, int size, Map<String, Map<Integer, Double>> figures)
             throws ServiceException {
-        Map<String, Double> run = timed(Wanted.NODES, mechanism, size);
-        out.println("| " + size + " " + mechanism.counts() + " | forecast | run | run over forecast |");
+        Map<String, Double> run = measureTimed(MeasurementPlan.NODES, mechanism, size);
+        out.println("| " + size + " " + mechanism.sizeLabel() + " | forecast | run | run over forecast |");
         out.println("|---|---|---|---|");
         run.forEach((f, y) -> {
-            double said = Fit.of(figures.get(f)).at(size);
-            out.println("| " + f + " | " + shown(said) + " | " + shown(y) + " | "
-                    + String.format(Locale.ROOT, "%.2f", y / said) + " |");
+            double predicted = LinearFit.of(figures.get(f)).predict(size);
+            out.println("| " + f + " | " + formatFigure(predicted) + " | " + formatFigure(y) + " | "
+                    + String.format(Locale.ROOT, "%.2f", y / predicted) + " |");
         });
         out.println();
     }
 
-    /** Four figures. */
-    private static String shown(double d) {
+    /** Rounds to four significant digits, or to an integer from 1,000 on. */
+    private static String formatFigure(double d) {
         return d == 0
                 ? "0"
                 : Math.abs(d) >= 1000
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -10,34 +10,34 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Whole shipped nodes (8 intakes, 3 stores, 3 control nodes) under mixed traffic: what one event costs in frames, syncs
- * and processor time over all of them. The time holds the simulator and the stand-ins too, and no sockets.
+ * A simulated fleet of complete nodes (8 intakes, 3 stores, 3 control nodes) under mixed traffic: frames and CPU time per
+ * event, summed over all nodes. The CPU time includes the simulator and the stubs, and excludes sockets.
  * (docs/design.md, section 12.1)
  */
 final class Events implements Mechanism {
     private static final Duration WINDOW = Duration.ofSeconds(20);
-    private static final long NEEDED = 1L << 30;
+    private static final long HEAP_BYTES = 1L << 30;
     private static final int RING_BYTES = 4 << 20;
-    private static final int MOST = 800;
+    private static final int MAX_EVENTS_PER_SECOND = 800;
 
     @Override
-    public String counts() {
+    public String sizeLabel() {
         return "events handed in /s";
     }
 
     @Override
-    public List<Integer> sizes() {
+    public List<Integer> defaultSizes() {
         return List.of(50, 100, 200, 300);
     }
 
     @Override
-    public int most() {
-        return MOST;
+    public int maxSize() {
+        return MAX_EVENTS_PER_SECOND;
     }
 
     @Override
-    public long needs(int size) {
-        return NEEDED;
+    public long estimatedHeapBytes(int size) {
+        return HEAP_BYTES;
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -7,202 +7,232 @@
 import java.util.function.IntFunction;
 import org.woadvale.common.error.ServiceException;
 
-/** Runs of hollow fleets that differ in one number. */
+/** Measurements of hollow fleets that vary one dimension each. */
 final class FleetRuns {
     private static final Duration WINDOW = Duration.ofSeconds(10);
-    private static final Duration AWAY = Duration.ofSeconds(6);
-    private static final long FIXED = 300L << 20;
-    private static final long A_NODE = 600 << 10;
-    private static final long A_MEMBER = 900;
-    private static final long A_PROCESSOR = 1500;
-    private static final int MARKS = 10;
-    private static final int MOST_NODES = 60_000;
-    /** Of a configuration. (docs/design.md, section 6.1) */
-    private static final int MOST_TENANTS = 1000;
-
-    private static final int MOST_LISTED = 20_000;
-    private static final int MOST_CHANGES = 20;
-    private static final int MOST_DRAWN = 10_000;
-    private static final long A_BUCKET = 8 << 10;
-
-    /** One fleet after another. */
-    private interface Run {
-        Map<String, Double> of(int size) throws ServiceException;
+    private static final Duration RESTART_DOWNTIME = Duration.ofSeconds(6);
+    private static final long BASE_HEAP_BYTES = 300L << 20;
+    private static final long HEAP_BYTES_PER_NODE = 600 << 10;
+    private static final long HEAP_BYTES_PER_MEMBER = 900;
+    private static final long HEAP_BYTES_PER_PROCESSOR = 1500;
+    private static final int LEAVING_CHANGES = 10;
+    private static final int MAX_NODES = 60_000;
+    /** The limit of a configuration. (docs/design.md, section 6.1) */
+    private static final int MAX_TENANTS = 1000;
+
+    private static final int MAX_PROCESSORS = 20_000;
+    private static final int MAX_CHANGES = 20;
+    private static final int MAX_TOKENS_PER_SECOND = 10_000;
+    private static final long HEAP_BYTES_PER_BUCKET = 8 << 10;
+
+    /** Measures a new fleet of the given size. */
+    private interface Measurement {
+        Map<String, Double> measure(int size) throws ServiceException;
     }
 
-    private record Kind(String counts, List<Integer> sizes, int most, IntFunction<Long> heap, Run run)
+    private record FleetMechanism(
+            String sizeLabel,
+            List<Integer> defaultSizes,
+            int maxSize,
+            IntFunction<Long> heapEstimate,
+            Measurement measurement)
             implements Mechanism {
         @Override
-        public long needs(int size) {
-            return heap.apply(size);
+        public long estimatedHeapBytes(int size) {
+            return heapEstimate.apply(size);
         }
 
         @Override
         public Map<String, Double> measure(int size) throws ServiceException {
-            return run.of(size);
+            return measurement.measure(size);
         }
     }
 
     private FleetRuns() {}
 
-    private static long fleet(long nodes, long tenants, long destinations) {
-        return FIXED
-                + nodes * A_NODE
-                + nodes * nodes * A_MEMBER
-                + nodes * tenants * A_BUCKET
-                + nodes * destinations * A_PROCESSOR / 2;
+    private static long fleetHeapBytes(long nodes, long tenants, long destinations) {
+        return BASE_HEAP_BYTES
+                + nodes * HEAP_BYTES_PER_NODE
+                + nodes * nodes * HEAP_BYTES_PER_MEMBER
+                + nodes * tenants * HEAP_BYTES_PER_BUCKET
+                + nodes * destinations * HEAP_BYTES_PER_PROCESSOR / 2;
     }
 
-    /** Every node knows every other; one is restarted, and one configuration is changed. */
+    /** Fleets of many nodes that all know each other; one node is restarted, and the configuration is changed once. */
     static Mechanism nodes() {
         return nodes(List.of(60, 120, 240, 480), 8);
     }
 
-    /** The same under more tenants: whether nodes and tenants multiply. */
+    /** The same with more tenants, to see whether the costs of nodes and tenants multiply. */
     static Mechanism nodesOfManyTenants() {
         return nodes(List.of(30, 60, 120, 240), 32);
     }
 
     private static Mechanism nodes(List<Integer> sizes, int tenants) {
-        return new Kind("nodes, " + tenants + " tenants", sizes, MOST_NODES, n -> fleet(n, tenants, 16), n -> {
-            HollowFleet fleet = new HollowFleet(Shape.usual().nodes(n).tenants(tenants));
-            Map<String, Double> out = steady(fleet, n);
-            out.put("heap of a node KB", fleet.heapOfNodes() / 1024.0 / n);
-            double quiet = out.get("bytes of a node /s") * n;
-            Duration from = fleet.sim.now();
-            Map<String, Count> was = fleet.nodeCounts();
-            Duration known = fleet.restart(AWAY);
-            fleet.sim.run(Duration.ofSeconds(2));
-            double s = fleet.sim.now().minus(from).toMillis() / 1000.0;
-            Map<String, Count> now = fleet.nodeCounts();
-            was.remove(fleet.restarting());
-            now.remove(fleet.restarting());
-            double extra =
-                    Count.sum(now.values()).minus(Count.sum(was.values())).bytes() - quiet * s * (n - 1) / n;
-            out.put("bytes of a node for one restart", extra / (n - 1));
-            out.put("a restarted node known everywhere s", known.toMillis() / 1000.0);
-            out.put("a change everywhere s", fleet.changeEverywhere().toMillis() / 1000.0);
-            return out;
-        });
+        return new FleetMechanism(
+                "nodes, " + tenants + " tenants", sizes, MAX_NODES, n -> fleetHeapBytes(n, tenants, 16), n -> {
+                    HollowFleet fleet =
+                            new HollowFleet(FleetSize.defaults().nodes(n).tenants(tenants));
+                    Map<String, Double> out = measureSteadyState(fleet, n);
+                    out.put("heap of a node KB", fleet.heapOfNodes() / 1024.0 / n);
+                    double idleBytesPerSecond = out.get("bytes of a node /s") * n;
+                    Duration from = fleet.sim.now();
+                    Map<String, ResourceUsage> before = fleet.nodeUsage();
+                    Duration untilKnown = fleet.restart(RESTART_DOWNTIME);
+                    fleet.sim.run(Duration.ofSeconds(2));
+                    double s = fleet.sim.now().minus(from).toMillis() / 1000.0;
+                    Map<String, ResourceUsage> now = fleet.nodeUsage();
+                    before.remove(fleet.restartedNode());
+                    now.remove(fleet.restartedNode());
+                    double restartBytes = ResourceUsage.sum(now.values())
+                                    .minus(ResourceUsage.sum(before.values()))
+                                    .bytes()
+                            - idleBytesPerSecond * s * (n - 1) / n;
+                    out.put("bytes of a node for one restart", restartBytes / (n - 1));
+                    out.put("a restarted node known everywhere s", untilKnown.toMillis() / 1000.0);
+                    out.put("a change everywhere s", fleet.changeEverywhere().toMillis() / 1000.0);
+                    return out;
+                });
     }
 
     static Mechanism tenants() {
-        return new Kind("tenants", List.of(8, 16, 32, 64, 128), MOST_TENANTS, n -> fleet(36, n, 16), n -> {
-            HollowFleet fleet = new HollowFleet(Shape.usual().tenants(n));
-            Map<String, Double> out = steady(fleet, 36);
-            out.put("layout KB", fleet.configurationBytes() / 1024.0);
-            return out;
-        });
+        return new FleetMechanism(
+                "tenants", List.of(8, 16, 32, 64, 128), MAX_TENANTS, n -> fleetHeapBytes(36, n, 16), n -> {
+                    HollowFleet fleet = new HollowFleet(FleetSize.defaults().tenants(n));
+                    Map<String, Double> out = measureSteadyState(fleet, 36);
+                    out.put("layout KB", fleet.configurationBytes() / 1024.0);
+                    return out;
+                });
     }
 
-    /** Processors in one list, which the stores follow; one of them is marked and unmarked, in turns. */
+    /** Processors in one list that the stores follow; the leaving mark of one processor is set and cleared in turn. */
     static Mechanism destinations() {
-        return new Kind(
-                "processors in a list", List.of(1000, 2000, 4000, 8000), MOST_LISTED, n -> fleet(12, 8, n), n -> {
-                    HollowFleet fleet = new HollowFleet(Shape.usual().nodes(12).destinations(n));
+        return new FleetMechanism(
+                "processors in a list",
+                List.of(1000, 2000, 4000, 8000),
+                MAX_PROCESSORS,
+                n -> fleetHeapBytes(12, 8, n),
+                n -> {
+                    HollowFleet fleet =
+                            new HollowFleet(FleetSize.defaults().nodes(12).destinations(n));
                     fleet.sim.run(WINDOW);
                     Map<String, Double> out = new LinkedHashMap<>();
                     out.put("heap of a node KB", fleet.heapOfNodes() / 1024.0 / 12);
-                    Map<String, Count> nodes = fleet.nodeCounts();
-                    Map<String, Count> controlNodes = fleet.controlNodeCounts();
+                    Map<String, ResourceUsage> nodes = fleet.nodeUsage();
+                    Map<String, ResourceUsage> controlNodes = fleet.controlNodeUsage();
                     fleet.sim.run(WINDOW);
-                    Count quietNodes = Count.sum(fleet.nodeCounts().values()).minus(Count.sum(nodes.values()));
-                    Count quietControlNodes =
-                            Count.sum(fleet.controlNodeCounts().values()).minus(Count.sum(controlNodes.values()));
-                    nodes = fleet.nodeCounts();
-                    controlNodes = fleet.controlNodeCounts();
+                    ResourceUsage idleNodes =
+                            ResourceUsage.sum(fleet.nodeUsage().values()).minus(ResourceUsage.sum(nodes.values()));
+                    ResourceUsage idleControlNodes = ResourceUsage.sum(
+                                    fleet.controlNodeUsage().values())
+                            .minus(ResourceUsage.sum(controlNodes.values()));
+                    nodes = fleet.nodeUsage();
+                    controlNodes = fleet.controlNodeUsage();
                     Duration took = Duration.ZERO;
-                    for (int i = 0; i < MARKS; i++) {
-                        took = took.plus(fleet.mark(i % 2 == 0));
+                    for (int i = 0; i < LEAVING_CHANGES; i++) {
+                        took = took.plus(fleet.setLeaving(i % 2 == 0));
                     }
                     fleet.sim.run(WINDOW.minus(took));
-                    int stores = 12 / Shape.STORE_EVERY * MARKS;
+                    int stores = 12 / FleetSize.STORE_EVERY * LEAVING_CHANGES;
                     out.put(
                             "bytes of a store for one mark",
-                            Count.sum(fleet.nodeCounts().values())
-                                            .minus(Count.sum(nodes.values()))
-                                            .minus(quietNodes)
+                            ResourceUsage.sum(fleet.nodeUsage().values())
+                                            .minus(ResourceUsage.sum(nodes.values()))
+                                            .minus(idleNodes)
                                             .bytes()
                                     / stores);
                     out.put(
                             "processor ms of the core for one mark",
-                            Count.sum(fleet.controlNodeCounts().values())
-                                            .minus(Count.sum(controlNodes.values()))
-                                            .minus(quietControlNodes)
-                                            .cpuS()
+                            ResourceUsage.sum(fleet.controlNodeUsage().values())
+                                            .minus(ResourceUsage.sum(controlNodes.values()))
+                                            .minus(idleControlNodes)
+                                            .cpuSeconds()
                                     * 1000
-                                    / MARKS);
+                                    / LEAVING_CHANGES);
                     out.put(
                             "processor ms of a store for one mark",
-                            Count.sum(fleet.nodeCounts().values())
-                                            .minus(Count.sum(nodes.values()))
-                                            .minus(quietNodes)
-                                            .cpuS()
+                            ResourceUsage.sum(fleet.nodeUsage().values())
+                                            .minus(ResourceUsage.sum(nodes.values()))
+                                            .minus(idleNodes)
+                                            .cpuSeconds()
                                     * 1000
                                     / stores);
-                    out.put("a mark at each store s", took.toMillis() / 1000.0 / MARKS);
+                    out.put("a mark at each store s", took.toMillis() / 1000.0 / LEAVING_CHANGES);
                     return out;
                 });
     }
 
-    /** ConfigurationView changed within a window, evenly; a configuration of 64 tenants. */
+    /** Changes of a configuration with 64 tenants, spread evenly over the window. */
     static Mechanism changes() {
-        return new Kind("changes in 10 s", List.of(1, 2, 4, 8, 16), MOST_CHANGES, n -> fleet(36, 64, 16), n -> {
-            HollowFleet fleet = new HollowFleet(Shape.usual().tenants(64));
-            Map<String, Count> nodes = fleet.nodeCounts();
-            Map<String, Count> controlNodes = fleet.controlNodeCounts();
-            double worst = 0;
-            for (int i = 0; i < n; i++) {
-                Duration took = fleet.changeEverywhere();
-                worst = Math.max(worst, took.toMillis() / 1000.0);
-                Duration left = WINDOW.dividedBy(n).minus(took);
-                fleet.sim.run(left.isNegative() ? Duration.ZERO : left);
-            }
-            Map<String, Double> out = new LinkedHashMap<>();
-            put(out, fleet, nodes, controlNodes, 36);
-            out.put("a change everywhere, longest s", worst);
-            out.put("layout KB", fleet.configurationBytes() / 1024.0);
-            return out;
-        });
+        return new FleetMechanism(
+                "changes in 10 s", List.of(1, 2, 4, 8, 16), MAX_CHANGES, n -> fleetHeapBytes(36, 64, 16), n -> {
+                    HollowFleet fleet = new HollowFleet(FleetSize.defaults().tenants(64));
+                    Map<String, ResourceUsage> nodes = fleet.nodeUsage();
+                    Map<String, ResourceUsage> controlNodes = fleet.controlNodeUsage();
+                    double longest = 0;
+                    for (int i = 0; i < n; i++) {
+                        Duration took = fleet.changeEverywhere();
+                        longest = Math.max(longest, took.toMillis() / 1000.0);
+                        Duration remaining = WINDOW.dividedBy(n).minus(took);
+                        fleet.sim.run(remaining.isNegative() ? Duration.ZERO : remaining);
+                    }
+                    Map<String, Double> out = new LinkedHashMap<>();
+                    putUsage(out, fleet, nodes, controlNodes, 36);
+                    out.put("a change everywhere, longest s", longest);
+                    out.put("layout KB", fleet.configurationBytes() / 1024.0);
+                    return out;
+                });
     }
 
-    /** AdmissionTokens drawn by each node in a second, from the buckets of eight tenants. */
+    /** Admission tokens that each node acquires per second from the buckets of eight tenants. */
     static Mechanism passes() {
-        return new Kind(
-                "passes drawn by a node /s", List.of(25, 50, 100, 200), MOST_DRAWN, n -> fleet(36, 8, 16), n -> {
-                    HollowFleet fleet = new HollowFleet(Shape.usual().draws(n));
-                    long drawn = fleet.draws();
-                    Map<String, Double> out = steady(fleet, 36);
-                    out.put("passes drawn of a node /s", (fleet.draws() - drawn) / (double) WINDOW.toSeconds() / 36);
+        return new FleetMechanism(
+                "passes drawn by a node /s",
+                List.of(25, 50, 100, 200),
+                MAX_TOKENS_PER_SECOND,
+                n -> fleetHeapBytes(36, 8, 16),
+                n -> {
+                    HollowFleet fleet = new HollowFleet(FleetSize.defaults().withTokensPerSecond(n));
+                    long acquiredBefore = fleet.acquiredTokens();
+                    Map<String, Double> out = measureSteadyState(fleet, 36);
+                    out.put(
+                            "passes drawn of a node /s",
+                            (fleet.acquiredTokens() - acquiredBefore) / (double) WINDOW.toSeconds() / 36);
                     return out;
                 });
     }
 
-    private static Map<String, Double> steady(HollowFleet fleet, int nodes) {
-        Map<String, Count> n = fleet.nodeCounts();
-        Map<String, Count> l = fleet.controlNodeCounts();
+    private static Map<String, Double> measureSteadyState(HollowFleet fleet, int nodes) {
+        Map<String, ResourceUsage> nodesBefore = fleet.nodeUsage();
+        Map<String, ResourceUsage> controlNodesBefore = fleet.controlNodeUsage();
         fleet.sim.run(WINDOW);
         Map<String, Double> out = new LinkedHashMap<>();
-        put(out, fleet, n, l, nodes);
+        putUsage(out, fleet, nodesBefore, controlNodesBefore, nodes);
         return out;
     }
 
-    /** Means over the nodes, the busiest node, all control nodes together and the busiest of them; bytes both ways. */
-    private static void put(
+    /**
+     * Adds the usage since the given counts: the mean over the nodes, the busiest node, the sum over the control nodes and
+     * the busiest control node. Bytes count both directions.
+     */
+    private static void putUsage(
             Map<String, Double> out,
             HollowFleet fleet,
-            Map<String, Count> nodes,
-            Map<String, Count> controlNodes,
+            Map<String, ResourceUsage> nodes,
+            Map<String, ResourceUsage> controlNodes,
             int n) {
         double s = WINDOW.toSeconds();
-        Map<String, Count> now = fleet.nodeCounts();
-        Map<String, Count> core = fleet.controlNodeCounts();
-        Count mean = Count.sum(now.values()).minus(Count.sum(nodes.values())).times(1 / s / n);
-        Count all =
-                Count.sum(core.values()).minus(Count.sum(controlNodes.values())).times(1 / s);
+        Map<String, ResourceUsage> now = fleet.nodeUsage();
+        Map<String, ResourceUsage> core = fleet.controlNodeUsage();
+        ResourceUsage mean = ResourceUsage.sum(now.values())
+                .minus(ResourceUsage.sum(nodes.values()))
+                .times(1 / s / n);
+        ResourceUsage all = ResourceUsage.sum(core.values())
+                .minus(ResourceUsage.sum(controlNodes.values()))
+                .times(1 / s);
         out.put("frames of a node /s", mean.frames());
         out.put("bytes of a node /s", mean.bytes());
-        out.put("processor ms of a node /s", mean.cpuS() * 1000);
+        out.put("processor ms of a node /s", mean.cpuSeconds() * 1000);
         out.put(
                 "bytes of the busiest node /s",
                 now.keySet().stream()
@@ -212,16 +242,16 @@
         out.put(
                 "processor ms of the busiest node /s",
                 now.keySet().stream()
-                        .mapToDouble(a -> now.get(a).minus(nodes.get(a)).cpuS() * 1000 / s)
+                        .mapToDouble(a -> now.get(a).minus(nodes.get(a)).cpuSeconds() * 1000 / s)
                         .max()
                         .orElse(0));
-        out.put("asks of the core /s", all.asks());
+        out.put("asks of the core /s", all.requests());
         out.put("bytes of the core /s", all.bytes());
-        out.put("processor ms of the core /s", all.cpuS() * 1000);
+        out.put("processor ms of the core /s", all.cpuSeconds() * 1000);
         out.put(
                 "asks of the busiest control node /s",
                 core.keySet().stream()
-                        .mapToDouble(a -> core.get(a).minus(controlNodes.get(a)).asks() / s)
+                        .mapToDouble(a -> core.get(a).minus(controlNodes.get(a)).requests() / s)
                         .max()
                         .orElse(0));
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Heap.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Heap.java
@@ -3,25 +3,26 @@
 import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 
-/** Bytes of heap in use after a collection. */
+/** Heap measurements of this process. */
 final class Heap {
     /**
-     * The serial collector leaves some dead objects in place in three of four collections
-     * (MarkSweepAlwaysCompactCount).
+     * The serial collector compacts the heap completely only in every fourth collection (MarkSweepAlwaysCompactCount);
+     * the other three leave some dead objects in place.
      */
     private static final int COLLECTIONS = 4;
 
     private Heap() {}
 
-    static long used() {
+    /** Returns the bytes of heap in use after full collections. */
+    static long usedAfterCollection() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    /** What a run may take: the heap of this process, and never over half of the machine's memory. */
-    static long allowed() {
+    /** The memory that a run may use: the maximum heap of this process, and at most half of the machine's memory. */
+    static long maxRunBytes() {
         OperatingSystemMXBean os = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         return Math.min(Runtime.getRuntime().maxMemory(), os.getTotalMemorySize() / 2);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -29,65 +29,70 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Three shipped control nodes and many hollow nodes in one process, on the fake clock. (docs/design.md, section 12.1)
+ * Three complete control nodes and many hollow nodes in one process, on the simulated clock. (docs/design.md, section
+ * 12.1)
  */
 final class HollowFleet {
-    static final String LIST = ServiceNames.processors(TestConfiguration.GROUP);
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final Duration REST = Duration.ofSeconds(4);
+    static final String PROCESSOR_LIST = ServiceNames.processors(TestConfiguration.GROUP);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(4);
     private static final int RING_FILES = 6;
     private static final int RING_BYTES = 4 << 20;
-    private static final int AT_ONCE = 100;
+    private static final int PROCESSOR_BATCH = 100;
 
     final Simulator sim = new Simulator(1);
     private final HollowNet net = new HollowNet(sim);
-    private final Shape shape;
+    private final FleetSize size;
     private final Codec controlCodec = RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types());
     private final Codec dataPlaneCodec = RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, MessageCommands.types());
     private final List<String> seeds = List.of("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1");
     private final Map<String, HollowHost> controlNodes = new LinkedHashMap<>();
     private final Map<String, HollowHost> hosts = new LinkedHashMap<>();
     private final Map<String, HollowNode> nodes = new LinkedHashMap<>();
-    private final Map<String, Integer> places = new LinkedHashMap<>();
+    private final Map<String, Integer> nodeNumbers = new LinkedHashMap<>();
     private final HollowOperator operator;
     private final long heapBefore;
 
-    /** Serving when it returns: everyone knows everyone and each tenant's bucket is held. */
-    HollowFleet(Shape shape) throws ServiceException {
-        this.shape = shape;
-        for (String l : seeds) {
-            light(l);
+    /** Returns once every node knows every other and each tenant's bucket has an owner. */
+    HollowFleet(FleetSize size) throws ServiceException {
+        this.size = size;
+        for (String seed : seeds) {
+            startControlNode(seed);
         }
-        HollowHost desk = new HollowHost("10.0.9.1:1", sim);
-        net.add(desk);
+        HollowHost operatorHost = new HollowHost("10.0.9.1:1", sim);
+        net.add(operatorHost);
         CoreClient core = new CoreClient(
-                net.rpc(desk, controlCodec), sim.random()::nextLong, seeds, CoreMembers.unknown(), members -> {});
-        operator = new HollowOperator(core, shape.tenants());
-        sim.run(REST);
-        change();
-        await(() -> operator.configurationVersion() == 1, "the layout was not taken");
-        list();
-        heapBefore = Heap.used();
-        for (int i = 0; i < shape.nodes(); i++) {
-            String a = "10." + (1 + i / 62500) + "." + (i / 250 % 250) + "." + (1 + i % 250) + ":7070";
-            places.put(a, i);
-            sim.after(sim.between(0, 400_000), () -> begin(a));
+                net.rpc(operatorHost, controlCodec),
+                sim.random()::nextLong,
+                seeds,
+                CoreMembers.unknown(),
+                members -> {});
+        operator = new HollowOperator(core, size.tenants());
+        sim.run(SETTLE_TIME);
+        changeConfiguration();
+        await(() -> operator.configurationVersion() == 1, "the configuration was not accepted");
+        registerProcessors();
+        heapBefore = Heap.usedAfterCollection();
+        for (int i = 0; i < size.nodes(); i++) {
+            String address = "10." + (1 + i / 62500) + "." + (i / 250 % 250) + "." + (1 + i % 250) + ":7070";
+            nodeNumbers.put(address, i);
+            sim.after(sim.between(0, 400_000), () -> startNode(address));
         }
         sim.run(Duration.ofMillis(500));
         await(
                 () -> nodes.values().stream()
-                                .allMatch(node -> node.members() == shape.nodes()
+                                .allMatch(node -> node.memberCount() == size.nodes()
                                         && node.configurationVersion() == operator.configurationVersion())
-                        && held() == shape.tenants(),
-                "the fleet did not get ready");
-        sim.run(REST);
-        if (shape.drawsPerS() > 0) {
-            nodes.keySet().forEach(this::drawing);
-            sim.run(REST);
+                        && ownedBuckets() == size.tenants(),
+                "the fleet did not become ready");
+        sim.run(SETTLE_TIME);
+        if (size.tokensPerSecond() > 0) {
+            nodes.keySet().forEach(this::startAcquiringTokens);
+            sim.run(SETTLE_TIME);
         }
     }
 
-    private void light(String address) throws ServiceException {
+    private void startControlNode(String address) throws ServiceException {
         HollowHost host = new HollowHost(address, sim);
         net.add(host);
         controlNodes.put(address, host);
@@ -109,35 +114,35 @@
         node.start();
     }
 
-    private void begin(String address) {
-        int i = places.get(address);
+    private void startNode(String address) {
+        int i = nodeNumbers.get(address);
         HollowHost host = new HollowHost(address, sim);
         net.add(host);
         hosts.put(address, host);
-        String role = i % Shape.STORE_EVERY == 0 ? ServiceNames.STORES : ServiceNames.INTAKES;
+        String role = i % FleetSize.STORE_EVERY == 0 ? ServiceNames.STORES : ServiceNames.INTAKES;
         HollowNode node = new HollowNode(
-                host, net.rpc(host, dataPlaneCodec), dataPlaneCodec, sim, "hall" + i % Shape.ZONES, seeds, role);
+                host, net.rpc(host, dataPlaneCodec), dataPlaneCodec, sim, "hall" + i % FleetSize.ZONES, seeds, role);
         nodes.put(address, node);
-        host.work(() -> node.start(List.of(LIST)));
+        host.runMeasured(() -> node.start(List.of(PROCESSOR_LIST)));
     }
 
-    private void drawing(String address) {
+    private void startAcquiringTokens(String address) {
         HollowHost host = hosts.get(address);
-        Duration period = Duration.ofNanos((long) (1e9 / shape.drawsPerS()));
+        Duration period = Duration.ofNanos((long) (1e9 / size.tokensPerSecond()));
         host.every(
                 period,
                 () -> nodes.get(address)
-                        .draw(ServiceNames.tenantBucket(
-                                TestConfiguration.tenant(sim.random().nextInt(shape.tenants())))));
+                        .acquireToken(ServiceNames.tenantBucket(
+                                TestConfiguration.tenant(sim.random().nextInt(size.tenants())))));
     }
 
-    private int held() {
-        return nodes.values().stream().mapToInt(HollowNode::holds).sum();
+    private int ownedBuckets() {
+        return nodes.values().stream().mapToInt(HollowNode::ownedBuckets).sum();
     }
 
-    /** One more configuration: the same but for the burst of all tenants. */
-    void change() {
-        operator.change();
+    /** Stores a new configuration that differs from the previous one only in the tenants' burst size. */
+    void changeConfiguration() {
+        operator.changeConfiguration();
     }
 
     int configurationBytes() {
@@ -149,101 +154,106 @@
                 .length;
     }
 
-    private void list() throws ServiceException {
-        for (int i = 0; i < shape.destinations(); i++) {
+    private void registerProcessors() throws ServiceException {
+        for (int i = 0; i < size.destinations(); i++) {
             operator.putProcessor(i, false);
-            if (i % AT_ONCE == AT_ONCE - 1) {
+            if (i % PROCESSOR_BATCH == PROCESSOR_BATCH - 1) {
                 int upTo = i + 1;
-                await(() -> operator.processorsPut() == upTo, "a processor was not listed");
+                await(() -> operator.processorsPut() == upTo, "a processor was not registered");
             }
         }
-        await(() -> operator.processorsPut() == shape.destinations(), "a processor was not listed");
+        await(() -> operator.processorsPut() == size.destinations(), "a processor was not registered");
     }
 
     /**
-     * Marks one destination, or takes the mark back; how long until each store that follows the list has the new one.
+     * Sets or clears the leaving mark of one processor. Returns the time until every store that follows the list has the
+     * change.
      */
-    Duration mark(boolean leaving) throws ServiceException {
+    Duration setLeaving(boolean leaving) throws ServiceException {
         Duration from = sim.now();
         operator.putProcessor(0, leaving);
         await(
                 () -> nodes.values().stream()
-                        .filter(HollowNode::follows)
-                        .allMatch(node -> node.latest(LIST)
+                        .filter(HollowNode::followsProcessorLists)
+                        .allMatch(node -> node.latest(PROCESSOR_LIST)
                                         .processors()
                                         .get("processor-0")
                                         .leaving()
                                 == leaving),
-                "a mark did not arrive");
+                "a leaving mark did not reach every store");
         return sim.now().minus(from);
     }
 
-    /** One change of the configuration; how long until every node uses it, in steps of 10 ms. */
+    /** Changes the configuration. Returns the time until every node uses it, in steps of 10 ms. */
     Duration changeEverywhere() throws ServiceException {
         Duration from = sim.now();
         long before = operator.configurationVersion();
-        change();
+        changeConfiguration();
         await(
                 () -> operator.configurationVersion() > before
                         && nodes.values().stream()
                                 .allMatch(node -> node.configurationVersion() == operator.configurationVersion()),
-                "a change did not arrive everywhere");
+                "a configuration change did not reach every node");
         return sim.now().minus(from);
     }
 
-    /** Bytes of heap that came with the nodes: the core and its rings on the simulated disks are not in it. */
+    /** The heap of the hollow nodes in bytes, without the core and its ring files on simulated disks. */
     long heapOfNodes() {
-        return Heap.used() - heapBefore;
+        return Heap.usedAfterCollection() - heapBefore;
     }
 
-    /** The intake that restarts. */
-    String restarting() {
-        return places.keySet().stream().skip(1).findFirst().orElseThrow();
+    /** The address of the intake that {@link #restart} restarts. */
+    String restartedNode() {
+        return nodeNumbers.keySet().stream().skip(1).findFirst().orElseThrow();
     }
 
-    /** An intake is gone until its lease has lapsed, and comes back; how long until every node knows the new one. */
-    Duration restart(Duration away) throws ServiceException {
-        String a = restarting();
-        nodes.remove(a).stop();
-        hosts.remove(a).kill();
-        sim.run(away);
+    /**
+     * Stops an intake and starts it again after the given downtime, which outlasts its lease. Returns the time from the
+     * start until every node knows the new incarnation.
+     */
+    Duration restart(Duration downtime) throws ServiceException {
+        String address = restartedNode();
+        nodes.remove(address).stop();
+        hosts.remove(address).kill();
+        sim.run(downtime);
         Duration from = sim.now();
-        begin(a);
-        String now = nodes.get(a).incarnation();
+        startNode(address);
+        String incarnation = nodes.get(address).incarnation();
         await(
                 () -> nodes.values().stream()
-                        .allMatch(node ->
-                                node.incarnationOf(ServiceNames.INTAKES, a).equals(now)),
-                "a restarted node is not known everywhere");
+                        .allMatch(node -> node.incarnationOf(ServiceNames.INTAKES, address)
+                                .equals(incarnation)),
+                "a restarted node did not become known to every node");
         return sim.now().minus(from);
     }
 
-    /** Ends when the condition holds, looked at each 10 ms. */
+    /** Runs the simulation until the condition holds, checking it every 10 ms. */
     private void await(BooleanSupplier condition, String why) throws ServiceException {
-        Duration end = sim.now().plus(PATIENCE);
+        Duration end = sim.now().plus(AWAIT_TIMEOUT);
         while (!condition.getAsBoolean()) {
             if (sim.now().compareTo(end) > 0) {
-                throw new UnavailableException(why + " within " + PATIENCE.toSeconds() + " s at " + shape + ".");
+                throw new UnavailableException(why + " within " + AWAIT_TIMEOUT.toSeconds() + " s at " + size + ".");
             }
             sim.run(Duration.ofMillis(10));
         }
     }
 
-    long draws() {
+    long acquiredTokens() {
         return nodes.values().stream()
-                .mapToLong(node -> node.passes().atOnce() + node.passes().waited())
+                .mapToLong(
+                        node -> node.tokenCounts().atOnce() + node.tokenCounts().waited())
                 .sum();
     }
 
-    Map<String, Count> controlNodeCounts() {
-        return counts(controlNodes.values());
+    Map<String, ResourceUsage> controlNodeUsage() {
+        return usageByAddress(controlNodes.values());
     }
 
-    Map<String, Count> nodeCounts() {
-        return counts(hosts.values());
+    Map<String, ResourceUsage> nodeUsage() {
+        return usageByAddress(hosts.values());
     }
 
-    private static Map<String, Count> counts(Collection<HollowHost> from) {
-        return from.stream().collect(Collectors.toMap(host -> host.address, HollowHost::count));
+    private static Map<String, ResourceUsage> usageByAddress(Collection<HollowHost> from) {
+        return from.stream().collect(Collectors.toMap(host -> host.address, HollowHost::usage));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowHost.java
@@ -11,14 +11,14 @@
 import org.woadvale.testkit.simulation.Simulator;
 
 /**
- * One hollow machine on the fake clock: it counts what it sends and gets, and the processor time of all that runs on
- * it. (docs/design.md, section 12.1) The time is the thread's own (ThreadMXBean); asking for it costs about a
- * microsecond a task, which is not taken off. Sockets cost nothing here: see {@link Wires}.
+ * One hollow machine on the simulated clock. It counts the frames that it sends and receives, and the CPU time of all
+ * tasks that run on it. (docs/design.md, section 12.1) CPU time is that of the current thread (ThreadMXBean); reading it
+ * costs about a microsecond per task, which is not subtracted. Sockets are not simulated: see {@link TcpRequests}.
  */
 final class HollowHost implements Clock, Timers {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final Instant EPOCH = Instant.parse("2030-01-01T00:00:00Z");
-    private static final Duration DISK = Duration.ofMillis(2);
+    private static final Duration DISK_DELAY = Duration.ofMillis(2);
 
     final String address;
     private final Simulator sim;
@@ -48,28 +48,28 @@
         return alive;
     }
 
-    /** The process is gone; nothing that it had planned happens. */
+    /** Ends the process; tasks that are still scheduled do not run. */
     void kill() {
         alive = false;
     }
 
-    /** A frame that left or came, with its four bytes of length. (docs/design.md, section 3.2) */
-    void passed(int frameBytes) {
+    /** Counts a frame that was sent or received, including its four-byte length prefix. (docs/design.md, section 3.2) */
+    void countFrame(int frameBytes) {
         frames++;
         bytes += frameBytes + Integer.BYTES;
     }
 
-    void asked() {
+    void countRequest() {
         served++;
     }
 
-    /** All that was counted since the start: frames and bytes in both directions, asks answered, processor seconds. */
-    Count count() {
-        return new Count(frames, bytes, served, cpuNanos / 1e9);
+    /** Returns the usage since the start. */
+    ResourceUsage usage() {
+        return new ResourceUsage(frames, bytes, served, cpuNanos / 1e9);
     }
 
-    /** Runs as this machine's own work. */
-    void work(Runnable task) {
+    /** Runs a task and adds its CPU time to this machine's; does nothing after {@link #kill}. */
+    void runMeasured(Runnable task) {
         if (alive) {
             long from = THREADS.getCurrentThreadCpuTime();
             task.run();
@@ -92,7 +92,7 @@
         boolean[] cancelled = {false};
         sim.after(delay, () -> {
             if (!cancelled[0]) {
-                work(task);
+                runMeasured(task);
             }
         });
         return () -> cancelled[0] = true;
@@ -105,6 +105,6 @@
 
     @Override
     public void executeDiskTask(Runnable task) {
-        after(DISK, task);
+        after(DISK_DELAY, task);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNet.java
@@ -18,8 +18,8 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * Streams between hollow machines: the shipped codec writes and reads each frame, nothing is lost. (docs/design.md,
- * section 3)
+ * The simulated network between hollow machines. Each frame is encoded and decoded by the production codec; no frame is
+ * lost. (docs/design.md, section 3)
  */
 final class HollowNet {
     private final Simulator sim;
@@ -55,46 +55,46 @@
             return self.address;
         }
 
-        /** Fails as the real one does: unreachable, unknown outcome, or the peer's own fault. */
+        /** Fails like the production client: unreachable, outcome unknown, or the error that the peer returned. */
         @Override
         public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
             return Mono.defer(() -> {
                         Sinks.One<Frame> sink = Sinks.one();
-                        TimerHandle late = self.after(
+                        TimerHandle timeout = self.after(
                                 limit, () -> sink.tryEmitError(new OutcomeUnknownException("No answer in time.")));
                         byte[] bytes = codec.write(new Frame(1, Frame.Kind.REQUEST, body));
-                        self.passed(bytes.length);
-                        sim.after(delay(), () -> arrive(to, bytes, sink));
-                        return sink.asMono().doFinally(signal -> late.cancel());
+                        self.countFrame(bytes.length);
+                        sim.after(delay(), () -> deliverRequest(to, bytes, sink));
+                        return sink.asMono().doFinally(signal -> timeout.cancel());
                     })
                     .flatMap(frame -> frame.kind() == Frame.Kind.ERROR
-                            ? Mono.<T>error(fault((Frame.ErrorResponse) frame.body()))
+                            ? Mono.<T>error(exceptionOf((Frame.ErrorResponse) frame.body()))
                             : Mono.just(answer.cast(frame.body())));
         }
 
-        private ServiceException fault(Frame.ErrorResponse error) {
+        private ServiceException exceptionOf(Frame.ErrorResponse error) {
             return ServiceException.of(ErrorKind.valueOf(error.kind()), error.message(), error.details());
         }
 
-        private void arrive(String to, byte[] bytes, Sinks.One<Frame> sink) {
+        private void deliverRequest(String to, byte[] bytes, Sinks.One<Frame> sink) {
             Optional<HollowHost> target = Optional.ofNullable(hosts.get(to)).filter(HollowHost::alive);
             if (target.isEmpty()) {
-                self.work(() -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
+                self.runMeasured(() -> sink.tryEmitError(new UnreachableException("No stream to " + to + ".")));
                 return;
             }
             HollowHost host = target.get();
-            host.passed(bytes.length);
-            host.asked();
-            host.work(() -> PendingCalls.serve(host.router(), self.address, read(bytes))
-                    .subscribe(frame -> back(host, frame, sink)));
+            host.countFrame(bytes.length);
+            host.countRequest();
+            host.runMeasured(() -> PendingCalls.serve(host.router(), self.address, read(bytes))
+                    .subscribe(frame -> sendResponse(host, frame, sink)));
         }
 
-        private void back(HollowHost from, Frame frame, Sinks.One<Frame> sink) {
+        private void sendResponse(HollowHost from, Frame frame, Sinks.One<Frame> sink) {
             byte[] bytes = codec.write(frame);
-            from.passed(bytes.length);
+            from.countFrame(bytes.length);
             sim.after(delay(), () -> {
-                self.passed(bytes.length);
-                self.work(() -> sink.tryEmitValue(read(bytes)));
+                self.countFrame(bytes.length);
+                self.runMeasured(() -> sink.tryEmitValue(read(bytes)));
             });
         }
 
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -27,22 +27,22 @@
 import reactor.core.publisher.Mono;
 
 /**
- * What a data node does for control and nothing else: the shipped subscriptions, passes and leases, put together as
- * DataPlaneNode does (design 6.3, 7, 8), without callers' HTTP, messages or a disk.
+ * The control-plane side of a data node only: the production subscriptions, admission tokens and leases, wired as in
+ * DataPlaneNode (design 6.3, 7, 8), without the HTTP gateway, messages or a disk.
  */
 final class HollowNode {
-    private static final Duration LEARN = Duration.ofSeconds(2);
-    private static final Duration FOLLOW = Duration.ofSeconds(1);
+    private static final Duration MEMBERS_REFRESH_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration FOLLOW_INTERVAL = Duration.ofSeconds(1);
 
     private final NodeEnvironment environment;
     private final CoreClient core;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
     private final LocalBuckets localBuckets;
-    private final Optional<TokenGranters> holders;
+    private final Optional<TokenGranters> granters;
     private final String role;
     private final MemberLease memberLease;
-    private final List<TimerHandle> running = new ArrayList<>();
+    private final List<TimerHandle> timers = new ArrayList<>();
 
     HollowNode(
             HollowHost host, RpcClient rpc, Codec codec, Simulator sim, String zone, List<String> seeds, String role) {
@@ -61,28 +61,28 @@
         this.subscriptions = new ViewSubscriptions(environment, core, zone);
         this.configurations = new ConfigurationView(subscriptions);
         this.localBuckets = new LocalBuckets(environment, subscriptions);
-        this.holders = role.equals(ServiceNames.INTAKES)
+        this.granters = role.equals(ServiceNames.INTAKES)
                 ? Optional.of(new TokenGranters(
                         environment, core, subscriptions, configurations::admissionLimit, configurations::bucketNames))
                 : Optional.empty();
         RpcRouter router = new RpcRouter();
         router.on(ControlMessages.ServiceViewRequest.class, (f, request) -> subscriptions.onViewRequest(request))
                 .on(ControlMessages.CoreMembersRequest.class, (f, request) -> Mono.just(core.membersResponse()));
-        holders.ifPresent(granters -> router.on(TokenMessages.TokenRequest.class, granters::onTokenRequest));
+        granters.ifPresent(granters -> router.on(TokenMessages.TokenRequest.class, granters::onTokenRequest));
         host.serve(router);
     }
 
-    /** A store follows the lists of the processors that it sends to, as Dispatchers does in each round. */
+    /** Starts the node. A store follows the processor lists of its destinations, as Dispatchers does in each round. */
     void start(List<String> followed) {
         subscriptions.start();
         localBuckets.start();
-        holders.ifPresent(TokenGranters::start);
-        lease();
-        running.add(environment.timers().every(environment.timing().heartbeat(), this::lease));
-        running.add(environment.timers().every(LEARN, core::refreshMembers));
-        if (holders.isEmpty() && !followed.isEmpty()) {
+        granters.ifPresent(TokenGranters::start);
+        renewLease();
+        timers.add(environment.timers().every(environment.timing().heartbeat(), this::renewLease));
+        timers.add(environment.timers().every(MEMBERS_REFRESH_INTERVAL, core::refreshMembers));
+        if (granters.isEmpty() && !followed.isEmpty()) {
             follow(followed);
-            running.add(environment.timers().every(FOLLOW, () -> follow(followed)));
+            timers.add(environment.timers().every(FOLLOW_INTERVAL, () -> follow(followed)));
         }
     }
 
@@ -90,7 +90,7 @@
         services.forEach(subscriptions::latest);
     }
 
-    private void lease() {
+    private void renewLease() {
         core.ask(
                         ServiceNames.controlPartition(role),
                         new ControlMessages.RenewLeaseRequest(role, environment.self(), memberLease),
@@ -98,31 +98,34 @@
                 .subscribe(result -> {}, e -> {});
     }
 
-    /** One pass for one message, settled at once. (docs/design.md, section 8.3) */
-    void draw(String bucket) {
+    /** Acquires an admission token for one message and marks it as spent immediately. (docs/design.md, section 8.3) */
+    void acquireToken(String bucket) {
         localBuckets
                 .take(bucket, LocalBuckets.MAX_WAIT)
                 .subscribe(token -> localBuckets.markSpent(bucket, token), e -> {});
     }
 
-    LocalBuckets.Counts passes() {
+    LocalBuckets.Counts tokenCounts() {
         return localBuckets.counts();
     }
 
-    /** Only stores follow the lists. */
-    boolean follows() {
-        return holders.isEmpty();
+    /** Whether this node follows processor lists; only stores do. */
+    boolean followsProcessorLists() {
+        return granters.isEmpty();
     }
 
-    int holds() {
-        return holders.map(granters -> granters.ownedBuckets().size()).orElse(0);
+    int ownedBuckets() {
+        return granters.map(granters -> granters.ownedBuckets().size()).orElse(0);
     }
 
     ServiceView latest(String service) {
         return subscriptions.latest(service);
     }
 
-    /** The configuration that this node may use now; -1 where none is proven fresh. (docs/design.md, section 7.2) */
+    /**
+     * The version of the configuration that this node may use now, or -1 if none is known to be fresh. (docs/design.md,
+     * section 7.2)
+     */
     long configurationVersion() {
         return configurations
                 .fresh()
@@ -130,12 +133,12 @@
                 .orElse(-1L);
     }
 
-    int members() {
+    int memberCount() {
         return subscriptions.latest(ServiceNames.INTAKES).members().size()
                 + subscriptions.latest(ServiceNames.STORES).members().size();
     }
 
-    /** The incarnation that the node's own view of its role shows for a member; empty where it has none. */
+    /** The incarnation of a member in this node's view of the service; empty if the member is unknown. */
     String incarnationOf(String service, String node) {
         Map<String, MemberLease> members = subscriptions.latest(service).members();
         return members.containsKey(node) ? members.get(node).incarnation() : "";
@@ -146,8 +149,8 @@
     }
 
     void stop() {
-        running.forEach(TimerHandle::cancel);
-        holders.ifPresent(TokenGranters::stop);
+        timers.forEach(TimerHandle::cancel);
+        granters.ifPresent(TokenGranters::stop);
         localBuckets.stop();
         subscriptions.stop();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowOperator.java
@@ -9,7 +9,7 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Changes the configuration and the list of processors of a {@link HollowFleet}; a change that fails is not repeated.
+ * Changes the configuration and the processor list of a {@link HollowFleet}. A change that fails is not retried.
  */
 final class HollowOperator {
     private static final int RATE = 100_000;
@@ -26,18 +26,18 @@
         this.tenants = tenants;
     }
 
-    /** The version of the last change that was taken; zero before the first. */
+    /** The version of the last accepted change; zero before the first. */
     long configurationVersion() {
         return configurationVersion;
     }
 
-    /** How many puts of processors were taken. */
+    /** The number of processor updates that were accepted. */
     int processorsPut() {
         return processorsPut;
     }
 
-    /** One more configuration: the same but for the burst of all tenants. */
-    void change() {
+    /** Stores a new configuration that differs from the previous one only in the tenants' burst size. */
+    void changeConfiguration() {
         int burst = (int) (RATE + changes);
         byte[] json = Configurations.write(new TestConfiguration(tenants, 0, RATE, burst, 1).configuration(name -> ""));
         ControlMessages.PutConfiguration put =
@@ -46,12 +46,12 @@
                         ServiceNames.controlPartition(ServiceNames.CONFIGURATION),
                         new ControlApiMessages.PutConfigurationRequest(put),
                         ControlMessages.ConfigurationAccepted.class)
-                .subscribe(taken -> configurationVersion = taken.version(), error -> {});
+                .subscribe(accepted -> configurationVersion = accepted.version(), error -> {});
     }
 
-    /** Lists the processor of that number, or changes whether it is leaving. */
+    /** Registers the processor with this number, or updates whether it is leaving. */
     void putProcessor(int number, boolean leaving) {
-        String list = HollowFleet.LIST;
+        String list = HollowFleet.PROCESSOR_LIST;
         String address = "http://10.200." + number / ADDRESSES_PER_NETWORK % ADDRESSES_PER_NETWORK + "."
                 + number % ADDRESSES_PER_NETWORK + ":8080";
         Processor processor = new Processor(address, leaving);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Mechanism.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Mechanism.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 import org.woadvale.common.error.ServiceException;
 
-/** Something whose cost is measured against a size. */
+/** A part of the system whose resource usage is measured as a function of a size. */
 interface Mechanism {
-    /** What the size counts, as it stands under a plot. */
-    String counts();
+    /** What the size counts; the label of the x axis of a plot. */
+    String sizeLabel();
 
-    /** The sizes that are measured unless the command names others; at least four. */
-    List<Integer> sizes();
+    /** The sizes that are measured unless the command line gives others; at least four. */
+    List<Integer> defaultSizes();
 
-    /** The largest size that the shipped code takes at all. */
-    int most();
+    /** The largest size that the measured code supports. */
+    int maxSize();
 
-    /** Heap in bytes that a run of this size is expected to need; a little high. */
-    long needs(int size);
+    /** An estimate of the heap that a run of this size needs, in bytes; rather too high than too low. */
+    long estimatedHeapBytes(int size);
 
-    /** One run: figures by name, each with its unit in the name. */
+    /** Measures one run; returns the figures by name, each name with its unit. */
     Map<String, Double> measure(int size) throws ServiceException;
 }
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Plot.java
@@ -18,7 +18,7 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.error.UnavailableException;
 
-/** Points and their lines, drawn by XChart: one picture a mechanism. */
+/** Plots the measured points with their fitted lines: one image per mechanism. */
 final class Plot {
     private static final int WIDTH = 320;
     private static final int HEIGHT = 190;
@@ -26,36 +26,37 @@
 
     private Plot() {}
 
-    private static XYChart chart(String counts, String figure, Map<Integer, Double> points) {
-        XYChart c = new XYChartBuilder()
+    private static XYChart chart(String sizeLabel, String figure, Map<Integer, Double> points) {
+        XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
                 .title(figure)
-                .xAxisTitle(counts)
+                .xAxisTitle(sizeLabel)
                 .build();
-        c.getStyler().setLegendVisible(false).setChartTitleFont(new Font("SansSerif", Font.PLAIN, 11));
-        c.getStyler().setYAxisMin(0.0).setChartBackgroundColor(Color.WHITE).setMarkerSize(6);
+        chart.getStyler().setLegendVisible(false).setChartTitleFont(new Font("SansSerif", Font.PLAIN, 11));
+        chart.getStyler().setYAxisMin(0.0).setChartBackgroundColor(Color.WHITE).setMarkerSize(6);
         List<Integer> x = new ArrayList<>(points.keySet());
-        Fit fit = Fit.of(points);
-        c.addSeries("line", x, x.stream().map(fit::at).toList()).setMarker(SeriesMarkers.NONE);
-        c.addSeries("measured", x, new ArrayList<>(points.values()))
+        LinearFit fit = LinearFit.of(points);
+        chart.addSeries("line", x, x.stream().map(fit::predict).toList()).setMarker(SeriesMarkers.NONE);
+        chart.addSeries("measured", x, new ArrayList<>(points.values()))
                 .setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Scatter);
-        return c;
+        return chart;
     }
 
-    /** Writes NAME.png into the folder; figures by name, each with its points by size. */
-    static void write(Path folder, String name, String counts, Map<String, Map<Integer, Double>> figures)
+    /** Writes NAME.png into the folder. The figures are given by name, each with its points by size. */
+    static void write(Path folder, String name, String sizeLabel, Map<String, Map<Integer, Double>> figures)
             throws ServiceException {
-        List<XYChart> all = new ArrayList<>();
-        figures.forEach((figure, points) -> all.add(chart(counts, figure, points)));
-        int columns = Math.min(COLUMNS, all.size());
+        List<XYChart> charts = new ArrayList<>();
+        figures.forEach((figure, points) -> charts.add(chart(sizeLabel, figure, points)));
+        int columns = Math.min(COLUMNS, charts.size());
         BufferedImage sheet = new BufferedImage(
-                columns * WIDTH, (all.size() + columns - 1) / columns * HEIGHT, BufferedImage.TYPE_BYTE_INDEXED);
+                columns * WIDTH, (charts.size() + columns - 1) / columns * HEIGHT, BufferedImage.TYPE_BYTE_INDEXED);
         Graphics2D pen = sheet.createGraphics();
         pen.setColor(Color.WHITE);
         pen.fillRect(0, 0, sheet.getWidth(), sheet.getHeight());
-        for (int i = 0; i < all.size(); i++) {
-            pen.drawImage(BitmapEncoder.getBufferedImage(all.get(i)), null, i % columns * WIDTH, i / columns * HEIGHT);
+        for (int i = 0; i < charts.size(); i++) {
+            pen.drawImage(
+                    BitmapEncoder.getBufferedImage(charts.get(i)), null, i % columns * WIDTH, i / columns * HEIGHT);
         }
         pen.dispose();
         try {
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Wires.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/TcpRequests.java
@@ -20,41 +20,41 @@
 import reactor.core.publisher.Mono;
 
 /**
- * LeaseManager renewed over the shipped TCP rpc on loopback, both ends in this process: what the sockets cost that
- * hollow machines do not have. Real time; the processor time is the whole process's. (docs/design.md, section 3)
+ * Small requests over the production TCP transport on loopback, with both ends in this process: the cost of the sockets
+ * that hollow machines lack. Runs in real time; the CPU time is that of the whole process. (docs/design.md, section 3)
  */
-final class Wires implements Mechanism {
-    private static final Duration LIMIT = Duration.ofSeconds(10);
-    private static final Duration ALL = Duration.ofSeconds(120);
+final class TcpRequests implements Mechanism {
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration RUN_TIMEOUT = Duration.ofSeconds(120);
     private static final int IN_FLIGHT = 16;
     private static final int WARM_UP = 20_000;
-    private static final int MOST = 1_000_000;
+    private static final int MAX_REQUESTS = 1_000_000;
 
     @Override
-    public String counts() {
+    public String sizeLabel() {
         return "asks over one stream";
     }
 
     @Override
-    public List<Integer> sizes() {
+    public List<Integer> defaultSizes() {
         return List.of(10_000, 20_000, 40_000, 80_000);
     }
 
     @Override
-    public int most() {
-        return MOST;
+    public int maxSize() {
+        return MAX_REQUESTS;
     }
 
     @Override
-    public long needs(int size) {
+    public long estimatedHeapBytes(int size) {
         return 128 << 20;
     }
 
-    private static String free() throws ServiceException {
+    private static String freeAddress() throws ServiceException {
         try (ServerSocket serverSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + serverSocket.getLocalPort();
         } catch (IOException e) {
-            throw new UnavailableException("No free port on loopback.");
+            throw new UnavailableException("There is no free port on loopback.");
         }
     }
 
@@ -68,29 +68,29 @@
         RpcRouter router = new RpcRouter();
         router.on(
                 ControlMessages.LeaveRequest.class, (f, request) -> Mono.just(new ControlMessages.UpdateResult(true)));
-        TcpRpcClient here = new TcpRpcClient(
-                free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), timers);
-        TcpRpcClient there =
-                new TcpRpcClient(free(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), router, timers);
+        TcpRpcClient client = new TcpRpcClient(
+                freeAddress(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), new RpcRouter(), timers);
+        TcpRpcClient server = new TcpRpcClient(
+                freeAddress(), RpcTypeNumbers.codec(RpcTypeNumbers.DATA_PLANE, List.of()), router, timers);
         try {
-            there.start();
-            ask(here, there.self(), WARM_UP);
+            server.start();
+            sendRequests(client, server.self(), WARM_UP);
             double from = cpuMs();
-            ask(here, there.self(), size);
+            sendRequests(client, server.self(), size);
             Map<String, Double> out = new LinkedHashMap<>();
             out.put("processor ms of both ends", cpuMs() - from);
             return out;
         } finally {
-            here.stop();
-            there.stop();
+            client.stop();
+            server.stop();
             timers.close();
         }
     }
 
-    private static void ask(TcpRpcClient from, String to, int n) {
+    private static void sendRequests(TcpRpcClient from, String to, int n) {
         ControlMessages.LeaveRequest body = new ControlMessages.LeaveRequest("role/intake", to);
         Flux.range(0, n)
-                .flatMap(i -> from.call(to, body, ControlMessages.UpdateResult.class, LIMIT), IN_FLIGHT)
-                .blockLast(ALL);
+                .flatMap(i -> from.call(to, body, ControlMessages.UpdateResult.class, CALL_TIMEOUT), IN_FLIGHT)
+                .blockLast(RUN_TIMEOUT);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/capacity/CapacityTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/capacity/CapacityTest.java
@@ -19,27 +19,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.woadvale.common.error.ServiceException;
 
-/** The line through measured points, the command line's refusals, and that a hollow fleet serves. */
+/** The linear fit, the validation of the command line, and a hollow fleet that becomes ready. */
 class CapacityTest {
     private static final long GB = 1L << 30;
 
     @Test
-    void theFitFindsALineThatIsThere() {
+    void fitOfPointsOnALineIsExact() {
         Map<Integer, Double> points = new TreeMap<>();
         for (int x : new int[] {10, 20, 40, 80}) {
             points.put(x, 7 + 0.5 * x);
         }
-        Fit fit = Fit.of(points);
+        LinearFit fit = LinearFit.of(points);
         assertEquals(0.5, fit.slope(), 1e-9);
         assertEquals(7, fit.intercept(), 1e-9);
         assertEquals(1, fit.r2(), 1e-9);
-        assertEquals(0, fit.spread(), 1e-9);
-        assertEquals(507, fit.at(1000), 1e-6);
+        assertEquals(0, fit.maxRelativeResidual(), 1e-9);
+        assertEquals(507, fit.predict(1000), 1e-6);
     }
 
-    /** Noise of a tenth moves the slope by little, and shows as spread; a curve shows too. */
+    /** Noise of 10 % barely changes the slope but shows in the residuals, and so does a curve. */
     @Test
-    void theFitSaysHowFarPointsLie() {
+    void residualsShowNoiseAndCurvature() {
         Random random = new Random(5);
         Map<Integer, Double> noisy = new TreeMap<>();
         Map<Integer, Double> curved = new TreeMap<>();
@@ -47,15 +47,20 @@
             noisy.put(x, 3.0 * x * (0.95 + random.nextDouble() / 10));
             curved.put(x, 1.0 * x * x);
         }
-        Fit fit = Fit.of(noisy);
+        LinearFit fit = LinearFit.of(noisy);
         assertEquals(3, fit.slope(), 0.3);
-        assertTrue(fit.spread() > 0 && fit.spread() < 0.3 && fit.r2() > 0.99 && fit.error() > 0, fit::toString);
-        assertTrue(Fit.of(curved).spread() > 0.5);
+        assertTrue(
+                fit.maxRelativeResidual() > 0
+                        && fit.maxRelativeResidual() < 0.3
+                        && fit.r2() > 0.99
+                        && fit.slopeStandardError() > 0,
+                fit::toString);
+        assertTrue(LinearFit.of(curved).maxRelativeResidual() > 0.5);
     }
 
     @Test
-    void noLineGoesThroughThreePoints() {
-        assertThrows(IllegalArgumentException.class, () -> Fit.of(Map.of(1, 1.0, 2, 2.0, 3, 3.0)));
+    void fitOfThreePointsIsRejected() {
+        assertThrows(IllegalArgumentException.class, () -> LinearFit.of(Map.of(1, 1.0, 2, 2.0, 3, 3.0)));
     }
 
     @ParameterizedTest
@@ -75,7 +80,8 @@
                 "--nodes 30,60,120,240 --largest 20000; 20000 nodes, 8 tenants need about",
                 "--more; Found unexpected parameters"
             })
-    void badInputIsOneSentenceAndStartsNothing(String line, String sentence, @TempDir Path folder) throws Exception {
+    void invalidCommandLineGivesOneLineAndStartsNothing(String line, String sentence, @TempDir Path folder)
+            throws Exception {
         Path plots = folder.resolve("plots");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -83,27 +89,28 @@
                         new PrintStream(out, true, StandardCharsets.UTF_8),
                         new PrintStream(err, true, StandardCharsets.UTF_8))
                 .run((line + " --out " + plots).split(" "));
-        String said = err.toString(StandardCharsets.UTF_8);
-        assertEquals(2, code, said);
-        assertTrue(said.startsWith("capacity: " + sentence), said);
-        assertEquals(1, said.strip().lines().count(), said);
+        String message = err.toString(StandardCharsets.UTF_8);
+        assertEquals(2, code, message);
+        assertTrue(message.startsWith("capacity: " + sentence), message);
+        assertEquals(1, message.strip().lines().count(), message);
         assertEquals("", out.toString(StandardCharsets.UTF_8));
         assertFalse(Files.exists(plots));
     }
 
     @Test
-    void usualSizesFitIntoTwoGigabytes() throws ServiceException {
-        for (Mechanism mechanism : Wanted.of(new String[0], 2 * GB).runs().keySet()) {
-            assertTrue(mechanism.sizes().size() >= Fit.FEWEST, mechanism.counts());
+    void defaultSizesFitIntoTwoGigabytes() throws ServiceException {
+        for (Mechanism mechanism :
+                MeasurementPlan.parse(new String[0], 2 * GB).sizesByMechanism().keySet()) {
+            assertTrue(mechanism.defaultSizes().size() >= LinearFit.MIN_POINTS, mechanism.sizeLabel());
         }
     }
 
-    /** Everyone knows everyone, the bucket of each tenant is held, and a change reaches all. */
+    /** Every node knows every other, each tenant's bucket has an owner, and a change reaches every node. */
     @Test
-    void aHollowFleetServes() throws ServiceException {
-        HollowFleet fleet = new HollowFleet(new Shape(9, 3, 4, 0));
+    void hollowFleetBecomesReady() throws ServiceException {
+        HollowFleet fleet = new HollowFleet(new FleetSize(9, 3, 4, 0));
         assertTrue(fleet.changeEverywhere().toMillis() < 2000);
-        assertTrue(fleet.mark(true).toMillis() < 2000);
-        assertTrue(Count.sum(fleet.nodeCounts().values()).bytes() > 0);
+        assertTrue(fleet.setLeaving(true).toMillis() < 2000);
+        assertTrue(ResourceUsage.sum(fleet.nodeUsage().values()).bytes() > 0);
     }
 }
