--- a/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/BriefTableTest.java
@@ -18,7 +18,7 @@
 import org.woadvale.common.error.ErrorKind;
 import org.woadvale.testkit.cluster.TestkitProgram;
 
-/** The replicated log of the brief names only what there is. */
+/** docs/brief.md and docs/failures.md name only existing tests and drills. */
 class BriefTableTest {
     private static final Pattern TEST = Pattern.compile("`([A-Z][A-Za-z]*Test)(?:\\.([a-z][A-Za-z]*))?`");
     private static final Pattern DRILL = Pattern.compile("drills? ((?:[a-z]+(?:-[a-z]+)*(?:, )?)+)");
@@ -26,10 +26,10 @@
     private static Map<String, String> tests() throws IOException {
         try (Stream<Path> stream = Files.walk(Path.of(".."))) {
             Map<String, String> out = new HashMap<>();
-            for (Path p : stream.filter(path -> path.toString().contains("src/test/java")
-                            && path.toString().endsWith("Test.java"))
+            for (Path path : stream.filter(file -> file.toString().contains("src/test/java")
+                            && file.toString().endsWith("Test.java"))
                     .toList()) {
-                out.put(p.getFileName().toString().replace(".java", ""), Files.readString(p));
+                out.put(path.getFileName().toString().replace(".java", ""), Files.readString(path));
             }
             return out;
         }
@@ -47,7 +47,7 @@
                 String source = tests.getOrDefault(matcher.group(1), "");
                 if (source.isEmpty()
                         || Optional.ofNullable(matcher.group(2))
-                                .filter(x -> !source.contains("void " + x + "("))
+                                .filter(method -> !source.contains("void " + method + "("))
                                 .isPresent()) {
                     missing.add(page + ": " + matcher.group());
                 }
@@ -57,12 +57,12 @@
         assertEquals(List.of(), missing);
     }
 
-    /** The one closed list of kinds, in the schema that clients are made from too. */
+    /** The OpenAPI schema that clients are generated from lists the same error kinds as the code. */
     @Test
     void schemaListsEveryErrorKind() throws IOException {
         String schema = Files.readString(Path.of("..", "client", "src", "main", "openapi", "woadvale.yaml"));
         Matcher matcher = Pattern.compile("enum: \\[(bad_request[^\\]]*)\\]").matcher(schema);
-        assertTrue(matcher.find(), "the kinds must be there");
+        assertTrue(matcher.find(), "the schema does not list the error kinds");
         assertEquals(
                 Stream.of(ErrorKind.values()).map(ErrorKind::wireName).toList(),
                 List.of(matcher.group(1).split(",\\s*")));
@@ -75,15 +75,15 @@
         for (String page : List.of("brief.md", "failures.md")) {
             Matcher matcher = DRILL.matcher(Files.readString(Path.of("..", "docs", page)));
             while (matcher.find()) {
-                for (String d : matcher.group(1).split(", ")) {
-                    if (d.contains("-")
-                            || d.equals("roll")
-                            || d.equals("wrap")
-                            || d.equals("outage")
-                            || d.equals("upgrade")) {
+                for (String drill : matcher.group(1).split(", ")) {
+                    if (drill.contains("-")
+                            || drill.equals("roll")
+                            || drill.equals("wrap")
+                            || drill.equals("outage")
+                            || drill.equals("upgrade")) {
                         named++;
-                        if (!TestkitProgram.drills().contains(d)) {
-                            missing.add(d);
+                        if (!TestkitProgram.drills().contains(drill)) {
+                            missing.add(drill);
                         }
                     }
                 }
--- a/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/CallsTableTest.java
@@ -23,11 +23,11 @@
 import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.dataplane.queue.MessageCommands;
 
-/** docs/calls.md has a row for each call, says of it what its type says, and names only tests that there are. */
+/** docs/calls.md has a row for each call with the retry semantics of its type, and names only existing tests. */
 class CallsTableTest {
     private static final Path ROOT = Path.of("..");
     private static final Pattern TEST = Pattern.compile("`([A-Z][A-Za-z]*Test)(?:\\.([a-z][A-Za-z0-9]*))?`");
-    private static final Pattern PLACE = Pattern.compile("\"((?:GET|PUT|POST|DELETE) v1/[a-z]+|/-/[a-z-]+)");
+    private static final Pattern ENDPOINT = Pattern.compile("\"((?:GET|PUT|POST|DELETE) v1/[a-z]+|/-/[a-z-]+)");
     private static final Pattern CLIENT = Pattern.compile("\\bHttpClient\\.(?:create|newBuilder|newHttpClient)\\(");
 
     private static String page() throws IOException {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void everyRequestTypeHasItsRowAndTheRowSaysWhatTheTypeSays() throws IOException {
+    void everyRequestTypeHasARowWithItsRetrySemantics() throws IOException {
         List<String> wrong = new ArrayList<>();
         assertTrue(requests().size() > 25, "only " + requests().size() + " found");
         for (Class<?> type : requests()) {
@@ -75,15 +75,15 @@
         assertEquals(List.of(), wrong);
     }
 
-    /** A row of a request that is gone would promise what nobody keeps. */
+    /** A row for a removed request type would document a guarantee that no code provides. */
     @Test
-    void everyRowOfARequestIsOfOneThatThereIs() throws IOException {
-        List<String> known = requests().stream().map(CallsTableTest::name).toList();
+    void everyRequestRowNamesAnExistingType() throws IOException {
+        List<String> existing = requests().stream().map(CallsTableTest::name).toList();
         Matcher matcher =
                 Pattern.compile("(?m)^\\| `([A-Z][A-Za-z]+\\.[A-Z][A-Za-z]+)` ").matcher(page());
         List<String> stale = new ArrayList<>();
         while (matcher.find()) {
-            if (!known.contains(matcher.group(1))) {
+            if (!existing.contains(matcher.group(1))) {
                 stale.add(matcher.group(1));
             }
         }
@@ -91,9 +91,9 @@
     }
 
     @Test
-    void everyHttpPlaceAndClientHasItsRow() throws IOException {
+    void everyHttpEndpointAndClientHasARow() throws IOException {
         String page = page();
-        TreeSet<String> places = new TreeSet<>();
+        TreeSet<String> endpoints = new TreeSet<>();
         TreeSet<String> clients = new TreeSet<>();
         for (Path path : sources("main")) {
             String source = Files.readString(path);
@@ -101,16 +101,16 @@
                 continue;
             }
             if (!path.toString().contains("operator")) {
-                PLACE.matcher(source).results().forEach(match -> places.add(match.group(1)));
+                ENDPOINT.matcher(source).results().forEach(match -> endpoints.add(match.group(1)));
             }
             if (CLIENT.matcher(source).find()) {
                 clients.add(path.getFileName().toString().replace(".java", ""));
             }
         }
-        assertTrue(places.size() > 15 && clients.size() >= 3, places + " " + clients);
-        places.removeIf(x -> page.contains(x + "`"));
+        assertTrue(endpoints.size() > 15 && clients.size() >= 3, endpoints + " " + clients);
+        endpoints.removeIf(x -> page.contains(x + "`"));
         clients.removeIf(x -> page.contains("| `" + x + "` "));
-        assertEquals(List.of(), List.copyOf(places));
+        assertEquals(List.of(), List.copyOf(endpoints));
         assertEquals(List.of(), List.copyOf(clients));
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/RulesTableTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/RulesTableTest.java
@@ -18,7 +18,7 @@
 import org.woadvale.testkit.stub.ObservationLog;
 import org.woadvale.testkit.stub.Rules;
 
-/** docs/rules.md has a row for each rule, and names only tests and sections that there are. */
+/** docs/rules.md has a row for each rule, and names only existing tests and design sections. */
 class RulesTableTest {
     private static final Pattern TEST = Pattern.compile("`([A-Z][A-Za-z]*Test)(?:\\.([a-z][A-Za-z0-9]*))?`");
     private static final Pattern SECTION = Pattern.compile("(?<![.0-9])([0-9]{1,2}\\.[0-9]{1,2})(?![0-9])");
@@ -32,10 +32,10 @@
     private static Map<String, String> tests() throws IOException {
         try (Stream<Path> stream = Files.walk(Path.of(".."))) {
             Map<String, String> out = new HashMap<>();
-            for (Path p : stream.filter(path -> path.toString().contains("src/test/java")
-                            && path.toString().endsWith("Test.java"))
+            for (Path path : stream.filter(file -> file.toString().contains("src/test/java")
+                            && file.toString().endsWith("Test.java"))
                     .toList()) {
-                out.put(p.getFileName().toString().replace(".java", ""), Files.readString(p));
+                out.put(path.getFileName().toString().replace(".java", ""), Files.readString(path));
             }
             return out;
         }
@@ -52,7 +52,7 @@
             String source = tests.getOrDefault(matcher.group(1), "");
             if (source.isEmpty()
                     || Optional.ofNullable(matcher.group(2))
-                            .filter(x -> !source.contains("void " + x + "("))
+                            .filter(method -> !source.contains("void " + method + "("))
                             .isPresent()) {
                 missing.add(matcher.group());
             }
@@ -61,15 +61,15 @@
         assertEquals(List.of(), missing);
     }
 
-    /** A row has what breaks it, what keeps it, and a test or the admission that there is none. */
+    /** A row states what violates the rule, what enforces it, and a test or "none yet". */
     @Test
-    void everyRowIsWhole() throws IOException {
+    void everyRowIsComplete() throws IOException {
         List<String> rows = rows();
         assertTrue(rows.size() > 30, rows.size() + " rows");
-        for (String r : rows) {
-            String[] cells = r.substring(2).split(" \\| ");
-            assertEquals(4, cells.length, r);
-            assertTrue(TEST.matcher(cells[3]).find() || cells[3].contains("none yet"), r);
+        for (String row : rows) {
+            String[] cells = row.substring(2).split(" \\| ");
+            assertEquals(4, cells.length, row);
+            assertTrue(TEST.matcher(cells[3]).find() || cells[3].contains("none yet"), row);
         }
     }
 
@@ -77,8 +77,8 @@
     void everySectionNamedExists() throws IOException {
         String design = Files.readString(Path.of("..", "docs", "design.md"));
         List<String> missing = new ArrayList<>();
-        for (String r : rows()) {
-            Matcher matcher = SECTION.matcher(r);
+        for (String row : rows()) {
+            Matcher matcher = SECTION.matcher(row);
             while (matcher.find()) {
                 if (!Pattern.compile("(?m)^### " + Pattern.quote(matcher.group(1)) + "[. ]")
                         .matcher(design)
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void everyCheckHasItsRow() throws IOException {
+    void everyRuleHasARow() throws IOException {
         String page = String.join("\n", rows());
         new Rules(new ObservationLog())
                 .all()
--- a/testkit/src/test/java/org/woadvale/testkit/StyleTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/StyleTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The agreed style, where a machine can tell. */
+/** Checks that references to docs/design.md in sources and features name existing sections. */
 class StyleTest {
     private static final Pattern REFERENCE =
             Pattern.compile("(?:[Dd]esign|docs/design\\.md,? section) (\\d+(?:\\.\\d+)?)");
@@ -24,13 +24,13 @@
                             path.toString().endsWith(".java") || path.toString().endsWith(".feature"))
                     .filter(path -> !path.toString().contains("/target/"))
                     .toList();
-            assertTrue(all.size() > 50, "the walk must see the tree, it saw " + all.size());
+            assertTrue(all.size() > 50, "too few source files found: " + all.size());
             return all;
         }
     }
 
     @Test
-    void everyDesignReferenceHasItsSection() throws IOException {
+    void everyDesignReferenceNamesAnExistingSection() throws IOException {
         String design = Files.readString(Path.of("..", "docs", "design.md"));
         TreeSet<String> missing = new TreeSet<>();
         for (Path path : sources()) {
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/CanonicalText.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/CanonicalText.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A text of a value that depends neither on names of types and components nor on the order of maps and sets. */
+/** Renders a value as text that is independent of type and component names and of the iteration order of maps and sets. */
 final class CanonicalText {
     private CanonicalText() {}
 
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
@@ -13,8 +13,8 @@
 import org.woadvale.testkit.simulation.SimulatedFleets;
 
 /**
- * The files under {@code compatibility/} of the test resources, written by the build c85368e before its names were
- * changed. {@link #main} writes them anew into a folder: only for a change of format that is meant.
+ * The golden files in the test resource folder {@code compatibility/}. Build c85368e wrote them, before the names in the
+ * code were changed. {@link #main} regenerates them; use it only for an intended change of format.
  */
 final class GoldenFiles {
     static final String FRAMES = "frames.txt";
@@ -38,33 +38,33 @@
 
     static Set<String> exchanges() throws ServiceException {
         HttpShapes shapes = new HttpShapes();
-        SimulatedFleets.play(shapes::saw);
+        SimulatedFleets.play(shapes::add);
         return shapes.all();
     }
 
     /** Writes all files into the given folder. */
     public static void main(String[] args) throws IOException, ServiceException, ReflectiveOperationException {
-        Path to = Path.of(args[0]);
-        Files.write(to.resolve(FRAMES), StoredFrames.lines());
-        Files.write(to.resolve(EXCHANGES), new ArrayList<>(exchanges()));
+        Path folder = Path.of(args[0]);
+        Files.write(folder.resolve(FRAMES), StoredFrames.lines());
+        Files.write(folder.resolve(EXCHANGES), new ArrayList<>(exchanges()));
         SimulatedFleets.Folders folders = SimulatedFleets.folders();
-        try (OutputStream out = Files.newOutputStream(to.resolve(CONTROL_FOLDER))) {
+        try (OutputStream out = Files.newOutputStream(folder.resolve(CONTROL_FOLDER))) {
             StoredFolder.save(folders.control(), out);
         }
-        try (OutputStream out = Files.newOutputStream(to.resolve(STORE_FOLDER))) {
+        try (OutputStream out = Files.newOutputStream(folder.resolve(STORE_FOLDER))) {
             StoredFolder.save(folders.store(), out);
         }
-        try (InputStream in = Files.newInputStream(to.resolve(CONTROL_FOLDER))) {
+        try (InputStream in = Files.newInputStream(folder.resolve(CONTROL_FOLDER))) {
             Files.write(
-                    to.resolve(CONTROL_STATE),
+                    folder.resolve(CONTROL_STATE),
                     StoredFolder.recover(
                             in,
                             SimulatedFleets.CONTROL_ADDRESS,
                             StoredFrames.programs().get(0)));
         }
-        try (InputStream in = Files.newInputStream(to.resolve(STORE_FOLDER))) {
+        try (InputStream in = Files.newInputStream(folder.resolve(STORE_FOLDER))) {
             Files.write(
-                    to.resolve(STORE_STATE),
+                    folder.resolve(STORE_STATE),
                     StoredFolder.recover(
                             in,
                             SimulatedFleets.STORE_ADDRESS,
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/HttpShapes.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/HttpShapes.java
@@ -8,10 +8,13 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 
-/** The form of HTTP exchanges: method, path without ids, status, names of the headers, fields of the JSON body. */
+/**
+ * The set of distinct shapes of HTTP exchanges: method, path without ids, status, header names, and field names of the
+ * JSON body.
+ */
 final class HttpShapes {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Set<String> FIXED = Set.of(
+    private static final Set<String> LITERAL_SEGMENTS = Set.of(
             "v1",
             "layout",
             "history",
@@ -37,23 +40,23 @@
 
     private final Set<String> shapes = new TreeSet<>();
 
-    void saw(Request request, Response answer) {
+    void add(Request request, Response response) {
         StringBuilder path = new StringBuilder();
         for (String segment : request.segments()) {
-            path.append('/').append(FIXED.contains(segment) ? segment : "*");
+            path.append('/').append(LITERAL_SEGMENTS.contains(segment) ? segment : "*");
         }
-        shapes.add(request.method() + " " + path + " " + answer.status() + " "
-                + new TreeSet<>(answer.headers().keySet()) + " " + body(answer));
+        shapes.add(request.method() + " " + path + " " + response.status() + " "
+                + new TreeSet<>(response.headers().keySet()) + " " + body(response));
     }
 
-    private static String body(Response answer) {
-        boolean json = "application/json".equals(answer.headers().get("Content-Type"));
-        if (!json || answer.status() == 200 && answer.headers().containsKey("ETag")) {
+    private static String body(Response response) {
+        boolean json = "application/json".equals(response.headers().get("Content-Type"));
+        if (!json || response.status() == 200 && response.headers().containsKey("ETag")) {
             return "-";
         }
         try {
             Set<String> fields = new TreeSet<>();
-            JsonNode node = JSON.readTree(answer.body());
+            JsonNode node = JSON.readTree(response.body());
             node.fieldNames().forEachRemaining(fields::add);
             return fields + (node.has("kind") ? " " + node.get("kind").asText() : "");
         } catch (IOException e) {
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/SampleValues.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/SampleValues.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 import org.woadvale.common.rpc.Since;
 
-/** Makes one instance of a type from the types and positions of its components alone, so that names do not matter. */
+/** Creates a sample instance of a type from the types and positions of its components only; names have no effect. */
 final class SampleValues {
-    private static final int DEEPEST = 4;
+    private static final int MAX_DEPTH = 4;
 
     private SampleValues() {}
 
@@ -29,15 +29,15 @@
         if (type instanceof ParameterizedType generic) {
             return collection(generic, position, depth);
         }
-        Class<?> plain = (Class<?>) type;
-        if (plain.isRecord()) {
-            return record(plain, depth);
+        Class<?> rawType = (Class<?>) type;
+        if (rawType.isRecord()) {
+            return record(rawType, depth);
         }
-        if (plain.isEnum()) {
-            Object[] constants = plain.getEnumConstants();
+        if (rawType.isEnum()) {
+            Object[] constants = rawType.getEnumConstants();
             return constants[constants.length - 1];
         }
-        return simple(plain, position);
+        return simple(rawType, position);
     }
 
     private static Object simple(Class<?> type, int position) {
@@ -65,22 +65,24 @@
 
     private static Object collection(ParameterizedType type, int position, int depth)
             throws ReflectiveOperationException {
-        Type[] of = type.getActualTypeArguments();
-        boolean deep = depth >= DEEPEST;
+        Type[] arguments = type.getActualTypeArguments();
+        boolean tooDeep = depth >= MAX_DEPTH;
         Class<?> raw = (Class<?>) type.getRawType();
         if (raw == Map.class) {
-            return deep ? Map.of() : Map.of(of(of[0], position, depth + 1), of(of[1], position, depth + 1));
+            return tooDeep
+                    ? Map.of()
+                    : Map.of(of(arguments[0], position, depth + 1), of(arguments[1], position, depth + 1));
         } else if (raw == List.class) {
-            return deep ? List.of() : List.of(of(of[0], position, depth + 1));
+            return tooDeep ? List.of() : List.of(of(arguments[0], position, depth + 1));
         } else if (raw == Set.class) {
-            return deep ? Set.of() : Set.of(of(of[0], position, depth + 1));
+            return tooDeep ? Set.of() : Set.of(of(arguments[0], position, depth + 1));
         } else if (raw == Optional.class) {
-            return deep ? Optional.empty() : Optional.of(of(of[0], position, depth + 1));
+            return tooDeep ? Optional.empty() : Optional.of(of(arguments[0], position, depth + 1));
         }
         throw new IllegalArgumentException("no sample for " + type);
     }
 
-    /** What came with format 5 is left out while it has its default, so that bytes are those of the format before. */
+    /** Whether a component was added after format 4. It keeps its default, so that the bytes are those of format 4. */
     static boolean isOfLaterFormat(RecordComponent component) {
         Since since = component.getAnnotation(Since.class);
         return since != null && since.value() > LATEST_STORED_FORMAT;
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredBytesTest.java
@@ -13,17 +13,15 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.simulation.SimulatedFleets;
 
-/**
- * Frames, data folders and HTTP exchanges have the form that an earlier build gave them, whatever the code is named.
- */
+/** Frames, data folders and HTTP exchanges keep the format of an earlier build when names in the code change. */
 class StoredBytesTest {
     @Test
-    void everyRegisteredTypeIsWrittenAsBefore() throws IOException, ReflectiveOperationException {
+    void registeredTypesAreWrittenAsInTheGoldenFile() throws IOException, ReflectiveOperationException {
         assertEquals(String.join("\n", GoldenFiles.lines(GoldenFiles.FRAMES)), String.join("\n", StoredFrames.lines()));
     }
 
     @Test
-    void everyStoredFrameIsReadAndWrittenAgainAsItWas() throws IOException, ServiceException {
+    void storedFramesAreReadAndRewrittenUnchanged() throws IOException, ServiceException {
         List<String> lines = GoldenFiles.lines(GoldenFiles.FRAMES);
         assertTrue(lines.size() > 100, "only " + lines.size() + " frames");
         for (String line : lines) {
@@ -37,29 +35,29 @@
     }
 
     @Test
-    void aControlNodeRecoversAnEarlierBuildsFolder()
+    void controlNodeRecoversTheFolderOfAnEarlierBuild()
             throws IOException, ServiceException, ReflectiveOperationException {
-        recovers(GoldenFiles.CONTROL_FOLDER, GoldenFiles.CONTROL_STATE, SimulatedFleets.CONTROL_ADDRESS, 0);
+        assertRecovers(GoldenFiles.CONTROL_FOLDER, GoldenFiles.CONTROL_STATE, SimulatedFleets.CONTROL_ADDRESS, 0);
     }
 
     @Test
-    void aStoreRecoversAnEarlierBuildsFolder() throws IOException, ServiceException, ReflectiveOperationException {
-        recovers(GoldenFiles.STORE_FOLDER, GoldenFiles.STORE_STATE, SimulatedFleets.STORE_ADDRESS, 1);
+    void storeRecoversTheFolderOfAnEarlierBuild() throws IOException, ServiceException, ReflectiveOperationException {
+        assertRecovers(GoldenFiles.STORE_FOLDER, GoldenFiles.STORE_STATE, SimulatedFleets.STORE_ADDRESS, 1);
     }
 
-    private static void recovers(String folder, String state, String address, int program)
+    private static void assertRecovers(String folder, String state, String address, int program)
             throws IOException, ServiceException, ReflectiveOperationException {
         try (InputStream in = GoldenFiles.open(folder)) {
-            List<String> found =
+            List<String> recovered =
                     StoredFolder.recover(in, address, StoredFrames.programs().get(program));
-            assertEquals(String.join("\n", GoldenFiles.lines(state)), String.join("\n", found));
+            assertEquals(String.join("\n", GoldenFiles.lines(state)), String.join("\n", recovered));
         }
     }
 
     @Test
-    void everyHttpExchangeHasTheFormItHad() throws IOException, ServiceException {
+    void httpExchangesKeepTheirShapes() throws IOException, ServiceException {
         List<String> expected = GoldenFiles.lines(GoldenFiles.EXCHANGES);
-        assertTrue(expected.size() > 40, "only " + expected.size() + " forms");
+        assertTrue(expected.size() > 40, "only " + expected.size() + " shapes");
         Set<String> missing = new TreeSet<>(expected);
         missing.removeAll(GoldenFiles.exchanges());
         assertEquals(Set.of(), missing);
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFolder.java
@@ -31,14 +31,14 @@
 import org.woadvale.testkit.simulation.SimNet;
 import org.woadvale.testkit.simulation.Simulator;
 
-/** What replicas recover from a data folder, partition by partition. */
+/** Saves a data folder, and describes what replicas recover from it. */
 final class StoredFolder {
     private static final int RING_FILES = 8;
     private static final int RING_BYTES = 4 << 20;
     private static final int HISTORY_BYTES = 512 << 10;
 
-    /** Digits of a checksum that are kept. */
-    private static final int DIGITS = 16;
+    /** The number of leading hex digits of a checksum that are compared. */
+    private static final int CHECKSUM_DIGITS = 16;
 
     private StoredFolder() {}
 
@@ -48,41 +48,41 @@
         }
     }
 
-    /** A line for each partition: log position, term, identity, members and a checksum of the state machine. */
+    /** Returns a line per partition: log positions, term, identity, members, and checksums of the log and the state. */
     static List<String> recover(InputStream folder, String address, StoredFrames.Program program)
             throws IOException, ServiceException, ReflectiveOperationException {
         Simulator sim = new Simulator(1);
-        Harness machine = new Harness(address, sim, new SimNet(sim));
-        machine.boot(new RpcRouter());
+        Harness harness = new Harness(address, sim, new SimNet(sim));
+        harness.boot(new RpcRouter());
         try (DataInputStream data = new DataInputStream(new GZIPInputStream(folder))) {
-            machine.disk().load(data);
+            harness.disk().load(data);
         }
-        RingWriteAheadLog wal = RingWriteAheadLog.open(machine.disk(), machine.host(), RING_FILES, RING_BYTES);
+        RingWriteAheadLog wal = RingWriteAheadLog.open(harness.disk(), harness.host(), RING_FILES, RING_BYTES);
         Codec codec = program.codec();
         NodeEnvironment environment = new NodeEnvironment(
-                machine.host(),
-                machine.host(),
-                machine.rpc(codec),
+                harness.host(),
+                harness.host(),
+                harness.rpc(codec),
                 codec,
                 wal,
                 sim.random()::nextLong,
                 ReplicationTiming.partitions());
         List<String> out = new ArrayList<>();
-        for (Map.Entry<String, List<WalRecord>> part : new TreeMap<>(wal.recovered()).entrySet()) {
-            StateMachine state = part.getKey().startsWith("c")
+        for (Map.Entry<String, List<WalRecord>> partition : new TreeMap<>(wal.recovered()).entrySet()) {
+            StateMachine state = partition.getKey().startsWith("c")
                     ? new ControlStateMachine(codec, HISTORY_BYTES)
-                    : new MessageStateMachine(part.getKey(), codec);
-            Replica replica = new Replica(part.getKey(), List.of(), state, environment);
-            replica.start(part.getValue());
+                    : new MessageStateMachine(partition.getKey(), codec);
+            Replica replica = new Replica(partition.getKey(), List.of(), state, environment);
+            replica.start(partition.getValue());
             ReplicaProbe.Snapshot recovered = ReplicaProbe.state(replica);
             applyLog(recovered, state, codec);
-            out.add(line(part, recovered, codec.read(state.snapshot(), Object.class)));
+            out.add(line(partition, recovered, codec.read(state.snapshot(), Object.class)));
         }
         sim.run(Duration.ofSeconds(1));
         return out;
     }
 
-    /** As if a leader had confirmed all that is stored. */
+    /** Applies all stored entries, as if a leader had confirmed them as committed. */
     private static void applyLog(ReplicaProbe.Snapshot recovered, StateMachine state, Codec codec)
             throws ServiceException {
         for (long index = recovered.appliedIndex() + 1; index <= recovered.lastIndex(); index++) {
@@ -93,12 +93,13 @@
         }
     }
 
-    private static String line(Map.Entry<String, List<WalRecord>> part, ReplicaProbe.Snapshot recovered, Object state)
+    private static String line(
+            Map.Entry<String, List<WalRecord>> partition, ReplicaProbe.Snapshot recovered, Object state)
             throws ReflectiveOperationException {
         return String.join(
                 " ",
-                part.getKey(),
-                "records=" + part.getValue().size(),
+                partition.getKey(),
+                "records=" + partition.getValue().size(),
                 "term=" + recovered.term(),
                 "identity=" + recovered.identity(),
                 "voter=" + recovered.voter(),
@@ -110,6 +111,6 @@
     }
 
     private static String checksum(String text) {
-        return Configurations.sha256(text).substring(0, DIGITS);
+        return Configurations.sha256(text).substring(0, CHECKSUM_DIGITS);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/StoredFrames.java
@@ -18,11 +18,11 @@
 import org.woadvale.controlplane.api.ControlApiMessages;
 import org.woadvale.dataplane.queue.MessageCommands;
 
-/** One line for each registered type: its number, the bytes of a sample, the first format's order of components. */
+/** One line per registered type: program, type number, encoded sample, and the component order of the first format. */
 final class StoredFrames {
     private StoredFrames() {}
 
-    /** The types of one program. */
+    /** The registered types of one program. */
     record Program(String name, int ownFirst, List<Class<?>> own) {
         Codec codec() {
             return RpcTypeNumbers.codec(ownFirst, own);
--- a/testkit/src/test/java/org/woadvale/testkit/style/BuildPackagesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/BuildPackagesTest.java
@@ -15,14 +15,14 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The system packages of a clean build: deploy/system.toml, README.md and .ci/run name the same ones. */
+/** deploy/system.toml, README.md and .ci/run name the same system packages for a clean build. */
 class BuildPackagesTest {
     private static final Path ROOT = Path.of("..");
-    /** The Debian package of each program that a build or a process starts. */
+    /** Maps each program that the build or the deployment starts to its Debian package. */
     private static final Map<String, String> PACKAGE_OF =
             Map.of("mvn", "maven", "java", "openjdk-17-jdk-headless", "javac", "openjdk-17-jdk-headless");
-    /** Part of every Debian machine, or built into the shell. */
-    private static final Set<String> ALWAYS_THERE = Set.of("bash", "set", "cd");
+    /** Programs that every Debian system has, and shell built-ins. */
+    private static final Set<String> PREINSTALLED = Set.of("bash", "set", "cd");
 
     private static final Pattern PACKAGES = Pattern.compile("(?m)^packages = \\[(.*)]$");
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
@@ -33,7 +33,7 @@
         return Files.readString(ROOT.resolve(Path.of(first, more)));
     }
 
-    private static Set<String> listed() throws IOException {
+    private static Set<String> listedPackages() throws IOException {
         String list = PACKAGES.matcher(read("deploy", "system.toml"))
                 .results()
                 .findFirst()
@@ -51,21 +51,22 @@
                 .results()
                 .map(command -> PACKAGE_OF.get(command.group(1)))
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(needed, listed());
+        assertEquals(needed, listedPackages());
     }
 
     @Test
-    void theReadmeInstallsJustThese() throws IOException {
+    void theReadmeInstallsExactlyThesePackages() throws IOException {
         List<String> install = INSTALL.matcher(read("README.md"))
                 .results()
                 .map((MatchResult found) -> found.group(1))
                 .toList();
         assertEquals(1, install.size());
-        assertEquals(listed(), new TreeSet<>(List.of(install.get(0).trim().split(" "))));
+        assertEquals(
+                listedPackages(), new TreeSet<>(List.of(install.get(0).trim().split(" "))));
     }
 
     @Test
-    void theTestCommandStartsNothingElse() throws IOException {
+    void theTestCommandStartsOnlyTheirPrograms() throws IOException {
         List<String> lines = read(".ci", "run")
                 .lines()
                 .filter(line -> !line.startsWith("#") && !line.isBlank())
@@ -74,8 +75,8 @@
         for (String line : lines) {
             String program = line.trim().split(" ")[0];
             assertTrue(
-                    ALWAYS_THERE.contains(program) || listed().contains(PACKAGE_OF.getOrDefault(program, "")),
-                    program + " is of no listed package");
+                    PREINSTALLED.contains(program) || listedPackages().contains(PACKAGE_OF.getOrDefault(program, "")),
+                    program + " belongs to no listed package");
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/style/CheckstyleTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/CheckstyleTest.java
@@ -13,8 +13,8 @@
 import org.woadvale.testkit.style.SourceViolations.Violation;
 
 /**
- * The rules of config/checkstyle.xml over all sources. The violations that are left are counted by module and rule in
- * config/checkstyle-allowed.txt: more is a new violation, fewer is to be written down, so that it cannot come back.
+ * Applies config/checkstyle.xml to all sources. config/checkstyle-allowed.txt holds the number of remaining violations per
+ * module and rule: a higher count is a new violation; a lower count must be recorded there, so that it cannot rise again.
  */
 class CheckstyleTest {
     private static final Path ROOT = Path.of("..");
@@ -36,7 +36,7 @@
         return violation.module() + " " + violation.rule();
     }
 
-    /** The violations of each module and rule that has more than allowed, by their places. */
+    /** Lists, with their locations, all violations of every module and rule that exceeds its allowed count. */
     private static String excess(Map<String, List<Violation>> found, Map<String, Integer> allowed) {
         return found.entrySet().stream()
                 .filter(entry -> entry.getValue().size() > allowed.getOrDefault(entry.getKey(), 0))
@@ -52,17 +52,18 @@
     }
 
     @Test
-    void violationsAreThoseListedAndNoMore() throws Exception {
+    void violationCountsMatchTheAllowedCounts() throws Exception {
         List<Violation> violations = new SourceViolations(ROOT).find();
         TreeMap<String, List<Violation>> found = violations.stream()
                 .collect(Collectors.groupingBy(CheckstyleTest::key, TreeMap::new, Collectors.toList()));
         TreeMap<String, Integer> counts = new TreeMap<>();
-        found.forEach((key, of) -> counts.put(key, of.size()));
+        found.forEach((key, list) -> counts.put(key, list.size()));
         TreeMap<String, Integer> allowed = allowed();
         String excess = excess(found, allowed);
         assertTrue(
                 excess.isEmpty(),
-                () -> "mend these, or others of their rule and module:\n" + excess + "\nCounts now:\n" + lines(counts));
+                () -> "fix these, or others of the same rule and module:\n" + excess + "\nCurrent counts:\n"
+                        + lines(counts));
         assertEquals(lines(allowed), lines(counts), () -> "lower the numbers in " + ALLOWED + " to:\n" + lines(counts));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/style/KnownRed.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/KnownRed.java
@@ -8,30 +8,30 @@
 import java.util.regex.Pattern;
 
 /**
- * A test that fails for a real fault which is known and not fixed yet: a line of {@code KNOWN-RED.txt} at the
- * repository's root.
+ * A test that fails because of a known fault that is not fixed yet: a line of {@code KNOWN-RED.txt} in the repository's
+ * root folder.
  *
- * @param test class and method, as {@code package.Class.method}; of a parameterized test one case only, as {@code
- *     package.Class.method[argument]}; or the path of a script of the repository
- * @param command how it is run, with its seed if it has one
+ * @param test class and method, as {@code package.Class.method}; for a single case of a parameterized test, {@code
+ *     package.Class.method[argument]}; or the path of a script in the repository
+ * @param command the command that runs it, with the seed if there is one
  * @param seen what the failing run showed
- * @param issue where the fault is followed up
+ * @param issue the issue that tracks the fault
  */
 record KnownRed(String test, String command, String seen, String issue) {
-    /** The repository's root, from the folder in which the tests run. */
+    /** The repository's root, relative to the working directory of the tests. */
     static final Path ROOT = Path.of("..");
 
     private static final Path FILE = ROOT.resolve("KNOWN-RED.txt");
     private static final Pattern SEPARATOR = Pattern.compile("\\|");
     private static final int FIELDS = 4;
 
-    /** All lines of the file; none if there is no such file. */
+    /** Returns all entries of the file; none if the file does not exist. */
     static List<KnownRed> all() {
         try {
             return Files.exists(FILE)
                     ? Files.readAllLines(FILE).stream()
                             .filter(line -> !line.isBlank())
-                            .map(KnownRed::parsed)
+                            .map(KnownRed::parse)
                             .toList()
                     : List.of();
         } catch (IOException e) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Whether it is a script of the repository and no test of JUnit. */
+    /** Whether the entry names a script rather than a JUnit test. */
     boolean isScript() {
         return test.contains("/");
     }
@@ -49,7 +49,7 @@
         return test.replaceAll("\\[.*]$", "");
     }
 
-    /** What the display name of the single case contains; empty for a whole method. */
+    /** The text that the display name of the single case contains; empty if the entry covers the whole method. */
     String argument() {
         return test.contains("[") ? test.substring(test.indexOf('[') + 1, test.length() - 1) : "";
     }
@@ -59,7 +59,7 @@
         return List.of(test, command, seen, issue);
     }
 
-    static KnownRed parsed(String line) {
+    static KnownRed parse(String line) {
         String[] fields = SEPARATOR.split(line, -1);
         if (fields.length != FIELDS) {
             throw new IllegalArgumentException(
--- a/testkit/src/test/java/org/woadvale/testkit/style/KnownRedCondition.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/KnownRedCondition.java
@@ -7,18 +7,15 @@
 import org.junit.jupiter.api.extension.ExecutionCondition;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/**
- * Passes over the tests that {@code KNOWN-RED.txt} lists, and prints them. With {@code -Dknown-red=run} they run and
- * fail as they do.
- */
+/** Skips and prints the tests listed in {@code KNOWN-RED.txt}. With {@code -Dknown-red=run} they run as usual. */
 public final class KnownRedCondition implements ExecutionCondition {
-    private static final boolean RUN = "run".equals(System.getProperty("known-red"));
-    private static final List<KnownRed> KNOWN = KnownRed.all();
+    private static final boolean RUN_KNOWN_RED = "run".equals(System.getProperty("known-red"));
+    private static final List<KnownRed> ENTRIES = KnownRed.all();
 
     @Override
     public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
         Optional<KnownRed> known = context.getTestMethod().flatMap(method -> entry(method, context.getDisplayName()));
-        if (known.isEmpty() || RUN) {
+        if (known.isEmpty() || RUN_KNOWN_RED) {
             return ConditionEvaluationResult.enabled("not passed over");
         }
         System.out.println("KNOWN RED, passed over: " + known.get());
@@ -27,7 +24,7 @@
 
     private static Optional<KnownRed> entry(Method method, String displayName) {
         String name = method.getDeclaringClass().getName() + "." + method.getName();
-        return KNOWN.stream()
+        return ENTRIES.stream()
                 .filter(red -> red.method().equals(name) && displayName.contains(red.argument()))
                 .findFirst();
     }
--- a/testkit/src/test/java/org/woadvale/testkit/style/KnownRedTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/KnownRedTest.java
@@ -12,25 +12,25 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each line of the list of known red tests is whole, names a test or a script that there is, and stands there once. */
+/** Each line of KNOWN-RED.txt is complete and unique, and names an existing test or script. */
 class KnownRedTest {
     @Test
     void eachTestOrScriptExists() throws ClassNotFoundException {
         for (KnownRed red : KnownRed.all()) {
             if (red.isScript()) {
-                scriptExists(red);
+                assertScriptExists(red);
             } else {
-                methodExists(red);
+                assertMethodExists(red);
             }
         }
     }
 
-    private static void scriptExists(KnownRed red) {
+    private static void assertScriptExists(KnownRed red) {
         Path script = KnownRed.ROOT.resolve(red.test());
         assertTrue(Files.isRegularFile(script) && Files.isExecutable(script), red.test());
     }
 
-    private static void methodExists(KnownRed red) throws ClassNotFoundException {
+    private static void assertMethodExists(KnownRed red) throws ClassNotFoundException {
         int dot = red.method().lastIndexOf('.');
         Class<?> type = Class.forName(red.method().substring(0, dot));
         String method = red.method().substring(dot + 1);
@@ -41,18 +41,18 @@
     }
 
     @Test
-    void noFieldIsEmptyAndNoEntryStandsTwice() {
+    void noFieldIsEmptyAndNoEntryIsDuplicated() {
         Set<String> tests = new HashSet<>();
         for (KnownRed red : KnownRed.all()) {
             red.fields().forEach(field -> assertFalse(field.isEmpty(), red.toString()));
-            assertTrue(tests.add(red.test()), "twice: " + red.test());
+            assertTrue(tests.add(red.test()), "duplicate: " + red.test());
         }
     }
 
     @Test
-    void linesOfAnotherFormAreRefused() {
-        assertThrows(IllegalArgumentException.class, () -> KnownRed.parsed("a.B.c | seen | issue 1"));
-        assertThrows(IllegalArgumentException.class, () -> KnownRed.parsed("a.B.c | run | seen | issue 1 | more"));
-        assertTrue(KnownRed.parsed("a.B.c | | seen | issue 1").fields().contains(""));
+    void malformedLinesAreRejected() {
+        assertThrows(IllegalArgumentException.class, () -> KnownRed.parse("a.B.c | seen | issue 1"));
+        assertThrows(IllegalArgumentException.class, () -> KnownRed.parse("a.B.c | run | seen | issue 1 | more"));
+        assertTrue(KnownRed.parse("a.B.c | | seen | issue 1").fields().contains(""));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/style/SourceViolations.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/SourceViolations.java
@@ -15,9 +15,9 @@
 import java.util.Properties;
 import java.util.stream.Stream;
 
-/** Runs Checkstyle over the Java sources of all modules and collects what it finds. */
+/** Runs Checkstyle on the Java sources of all modules and collects the violations. */
 final class SourceViolations {
-    /** One violation: the module's directory, the rule's name in the configuration, and where it was found. */
+    /** A violation: the module's directory, the rule's name in the configuration, and the location. */
     record Violation(String module, String rule, Path file, int line, String message) {
         @Override
         public String toString() {
@@ -33,7 +33,7 @@
         this.root = root.toAbsolutePath().normalize();
     }
 
-    /** All violations, in the order of the files; an unreadable file or configuration is an error. */
+    /** Returns all violations in file order; an unreadable file or configuration is an error. */
     List<Violation> find() throws IOException, CheckstyleException {
         Path config = root.resolve("config");
         Properties properties = new Properties();
@@ -52,7 +52,7 @@
         return collector.found;
     }
 
-    /** The sources in version control's layout: MODULE/src; nothing generated. */
+    /** The sources under MODULE/src, without generated code. */
     private List<File> sources() throws IOException {
         try (Stream<Path> paths = Files.walk(root)) {
             return paths.filter(path -> path.toString().endsWith(".java"))
--- a/testkit/src/test/java/org/woadvale/testkit/style/StartedClassesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/style/StartedClassesTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each class that a build file or a page starts by its name exists and has a main method. */
+/** Every class that a build file or a documentation page names exists and has a main method. */
 class StartedClassesTest {
     private static final Path ROOT = Path.of("..");
     private static final List<String> MODULES =
@@ -56,7 +56,7 @@
                 .anyMatch(source -> read(source).contains(MAIN_METHOD));
     }
 
-    private static TreeSet<String> withoutMain(List<Path> files) {
+    private static TreeSet<String> classesWithoutMain(List<Path> files) {
         return files.stream()
                 .flatMap(file -> CLASS_NAME.matcher(read(file)).results().map(found -> found.group()))
                 .filter(className -> !hasMain(className))
@@ -64,17 +64,17 @@
     }
 
     @Test
-    void eachClassThatABuildFileNamesHasAMainMethod() {
-        assertEquals(new TreeSet<>(), withoutMain(buildFiles()));
+    void classesNamedInBuildFilesHaveAMainMethod() {
+        assertEquals(new TreeSet<>(), classesWithoutMain(buildFiles()));
     }
 
     @Test
-    void eachClassThatAPageNamesHasAMainMethod() throws IOException {
-        assertEquals(new TreeSet<>(), withoutMain(pages()));
+    void classesNamedInPagesHaveAMainMethod() throws IOException {
+        assertEquals(new TreeSet<>(), classesWithoutMain(pages()));
     }
 
     @Test
-    void eachProgramOfTheDeployFileHasAMainClass() {
+    void programsOfTheDeployFileHaveAMainClass() {
         for (String program : List.of("controlplane", "dataplane", "operator", "platform", "testkit")) {
             String buildFile = read(ROOT.resolve(program).resolve("pom.xml"));
             assertTrue(MAIN_CLASS.matcher(buildFile).find(), program + " names no main class");
