--- a/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/FleetRuns.java
@@ -128,11 +128,11 @@
                             .minus(ResourceUsage.sum(controlNodes.values()));
                     nodes = fleet.nodeUsage();
                     controlNodes = fleet.controlNodeUsage();
-                    Duration took = Duration.ZERO;
+                    Duration elapsed = Duration.ZERO;
                     for (int i = 0; i < LEAVING_CHANGES; i++) {
-                        took = took.plus(fleet.setLeaving(i % 2 == 0));
+                        elapsed = elapsed.plus(fleet.setLeaving(i % 2 == 0));
                     }
-                    fleet.sim.run(WINDOW.minus(took));
+                    fleet.sim.run(WINDOW.minus(elapsed));
                     int stores = 12 / FleetSize.STORE_EVERY * LEAVING_CHANGES;
                     out.put(
                             "bytes of a store for one mark",
@@ -157,7 +157,7 @@
                                             .cpuSeconds()
                                     * 1000
                                     / stores);
-                    out.put("a mark at each store s", took.toMillis() / 1000.0 / LEAVING_CHANGES);
+                    out.put("a mark at each store s", elapsed.toMillis() / 1000.0 / LEAVING_CHANGES);
                     return out;
                 });
     }
@@ -171,9 +171,9 @@
                     Map<String, ResourceUsage> controlNodes = fleet.controlNodeUsage();
                     double longest = 0;
                     for (int i = 0; i < n; i++) {
-                        Duration took = fleet.changeEverywhere();
-                        longest = Math.max(longest, took.toMillis() / 1000.0);
-                        Duration remaining = WINDOW.dividedBy(n).minus(took);
+                        Duration elapsed = fleet.changeEverywhere();
+                        longest = Math.max(longest, elapsed.toMillis() / 1000.0);
+                        Duration remaining = WINDOW.dividedBy(n).minus(elapsed);
                         fleet.sim.run(remaining.isNegative() ? Duration.ZERO : remaining);
                     }
                     Map<String, Double> out = new LinkedHashMap<>();
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowFleet.java
@@ -29,8 +29,8 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Three complete control nodes and many hollow nodes in one process, on the simulated clock. (docs/design.md, section
- * 12.1)
+ * Three complete control nodes and many hollow nodes in one process, on the simulated clock.
+ * (docs/design.md, section 12.1)
  */
 final class HollowFleet {
     static final String PROCESSOR_LIST = ServiceNames.processors(TestConfiguration.GROUP);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/HollowNode.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * The version of the configuration that this node may use now, or -1 if none is known to be fresh. (docs/design.md,
-     * section 7.2)
+     * The version of the configuration that this node may use now, or -1 if none is known to be fresh.
+     * (docs/design.md, section 7.2)
      */
     long configurationVersion() {
         return configurations
