--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
@@ -12,20 +12,26 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 
-/** Operators that change and read the configuration, and all that they were told; checks it as a register with CAS. */
+/**
+ * Simulates operators that read and change the configuration, records all responses, and checks the history as that of
+ * a register with compare-and-set.
+ */
 final class ConfigurationHistory {
-    private static final Duration LIMIT = Duration.ofSeconds(4);
-    private static final Duration PAUSE = Duration.ofMillis(250);
-    private static final int TAKEN = 200;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration OPERATION_INTERVAL = Duration.ofMillis(250);
+    private static final int HTTP_OK = 200;
     private static final Pattern REVISION = Pattern.compile("\"configRevision\"\\s*:\\s*([0-9]+)");
 
-    /** One request and its answer; status 0 if none came. Revision: the order's own, or the one that was read. */
+    /**
+     * One request and its response; status 0 if there was none. The revision is the one written by a PUT, or the one
+     * read by a GET.
+     */
     record Call(String to, boolean put, long base, long revision, int status, Duration from, Duration until) {
-        private Duration took() {
+        private Duration duration() {
             return until.minus(from);
         }
 
-        private boolean clear() {
+        private boolean isDefinite() {
             return status > 0 && status < 500;
         }
     }
@@ -39,13 +45,16 @@
         this.fixture = fixture;
     }
 
-    /** An operator that goes on until stopped: it reads, changes what it read, and repeats what got no clear answer. */
-    void operate(String name, List<String> machines) {
+    /**
+     * Starts an operator that runs until stopped: it reads, changes what it read, and repeats changes that got no
+     * definite response.
+     */
+    void startOperator(String name, List<String> machines) {
         read(name, machines);
     }
 
-    /** An operator whose first order builds on a revision that it knows. */
-    void order(String name, List<String> machines, long base) {
+    /** Starts an operator whose first change is based on a known revision. */
+    void submitChange(String name, List<String> machines, long base) {
         change(name, machines, base, nextRevision++);
     }
 
@@ -53,44 +62,44 @@
         stopped = true;
     }
 
-    private void later(Runnable step) {
+    private void schedule(Runnable step) {
         if (!stopped) {
-            fixture.r.sim.after(PAUSE, step);
+            fixture.r.sim.after(OPERATION_INTERVAL, step);
         }
     }
 
-    private String any(List<String> machines) {
+    private String randomMachine(List<String> machines) {
         return machines.get(fixture.r.sim.random().nextInt(machines.size()));
     }
 
     private void read(String name, List<String> machines) {
-        String to = any(machines);
+        String to = randomMachine(machines);
         Duration from = fixture.r.sim.now();
         Request get = new Request("GET", "/-/configuration", Map.of(), new byte[0]);
-        fixture.r.request(to, get, LIMIT, answer -> {
-            long revision = answer.filter(response -> response.status() == TAKEN)
+        fixture.r.request(to, get, REQUEST_TIMEOUT, answer -> {
+            long revision = answer.filter(response -> response.status() == HTTP_OK)
                     .map(ConfigurationHistory::revision)
                     .orElse(0L);
             calls.add(new Call(to, false, 0, revision, status(answer), from, fixture.r.sim.now()));
             if (revision == 0) {
-                later(() -> read(name, machines));
+                schedule(() -> read(name, machines));
             } else {
                 long next = nextRevision++;
-                later(() -> change(name, machines, revision, next));
+                schedule(() -> change(name, machines, revision, next));
             }
         });
     }
 
     private void change(String name, List<String> machines, long base, long revision) {
-        String to = any(machines);
+        String to = randomMachine(machines);
         Duration from = fixture.r.sim.now();
         byte[] text = fixture.configurationStub.with(revision).text().getBytes(StandardCharsets.UTF_8);
         Request put = new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(base)), text);
-        fixture.r.request(to, put, LIMIT, answer -> {
+        fixture.r.request(to, put, REQUEST_TIMEOUT, answer -> {
             Call call = new Call(to, true, base, revision, status(answer), from, fixture.r.sim.now());
             calls.add(call);
-            later(() -> {
-                if (call.clear()) {
+            schedule(() -> {
+                if (call.isDefinite()) {
                     read(name, machines);
                 } else {
                     change(name, machines, base, revision);
@@ -108,41 +117,45 @@
         return matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
     }
 
-    private List<Call> taken() {
+    private List<Call> acceptedChanges() {
         return calls.stream()
-                .filter(call -> call.put() && call.status() == TAKEN)
+                .filter(call -> call.put() && call.status() == HTTP_OK)
                 .toList();
     }
 
-    long acknowledged(Duration from, Duration until) {
-        return taken().stream()
+    long countAcknowledged(Duration from, Duration until) {
+        return acceptedChanges().stream()
                 .filter(call ->
                         call.until().compareTo(from) >= 0 && call.until().compareTo(until) <= 0)
                 .count();
     }
 
-    long acknowledgedBy(String machine, Duration from) {
-        return taken().stream()
+    long countAcknowledgedBy(String machine, Duration from) {
+        return acceptedChanges().stream()
                 .filter(call -> call.to().equals(machine) && call.until().compareTo(from) >= 0)
                 .count();
     }
 
-    List<Call> answersOver(Duration limit) {
-        return calls.stream().filter(call -> call.took().compareTo(limit) > 0).toList();
+    List<Call> responsesSlowerThan(Duration limit) {
+        return calls.stream()
+                .filter(call -> call.duration().compareTo(limit) > 0)
+                .toList();
     }
 
-    /** Yes, no or a configuration, by a machine that could not know. */
-    List<Call> clearAnswersOf(String machine, Duration from, Duration until) {
-        return answersOf(machine, from, until).stream().filter(Call::clear).toList();
+    /** Responses below status 500 within the period; an isolated machine must give none, as it cannot know the state. */
+    List<Call> definiteResponsesOf(String machine, Duration from, Duration until) {
+        return responsesOf(machine, from, until).stream()
+                .filter(Call::isDefinite)
+                .toList();
     }
 
-    List<Call> slowAnswersOf(String machine, Duration limit, Duration from, Duration until) {
-        return answersOf(machine, from, until).stream()
-                .filter(call -> call.took().compareTo(limit) > 0)
+    List<Call> slowResponsesOf(String machine, Duration limit, Duration from, Duration until) {
+        return responsesOf(machine, from, until).stream()
+                .filter(call -> call.duration().compareTo(limit) > 0)
                 .toList();
     }
 
-    private List<Call> answersOf(String machine, Duration from, Duration until) {
+    private List<Call> responsesOf(String machine, Duration from, Duration until) {
         return calls.stream()
                 .filter(call -> call.to().equals(machine)
                         && call.from().compareTo(from) >= 0
@@ -150,27 +163,31 @@
                 .toList();
     }
 
-    /** One yes for each base; nothing that was read is older than a yes, or a read, that ended before it was asked. */
-    List<String> faults() {
-        List<String> faults = new ArrayList<>();
+    /**
+     * Checks that at most one revision was accepted on each base, and that no read returned a revision older than one
+     * that was acknowledged or read before the read was sent.
+     */
+    List<String> violations() {
+        List<String> violations = new ArrayList<>();
         Map<Long, Long> next = new TreeMap<>();
-        for (Call yes : taken()) {
-            long other = next.getOrDefault(yes.base(), yes.revision());
-            if (other != yes.revision()) {
-                faults.add("base " + yes.base() + " taken by " + other + " and " + yes.revision());
+        for (Call accepted : acceptedChanges()) {
+            long acceptedRevision = next.getOrDefault(accepted.base(), accepted.revision());
+            if (acceptedRevision != accepted.revision()) {
+                violations.add(
+                        "base " + accepted.base() + " accepted by " + acceptedRevision + " and " + accepted.revision());
             }
-            next.put(yes.base(), yes.revision());
+            next.put(accepted.base(), accepted.revision());
         }
         for (Call read : calls) {
-            if (read.put() || read.status() != TAKEN) {
+            if (read.put() || read.status() != HTTP_OK) {
                 continue;
             }
             calls.stream()
-                    .filter(call -> call.status() == TAKEN && call.until().compareTo(read.from()) < 0)
+                    .filter(call -> call.status() == HTTP_OK && call.until().compareTo(read.from()) < 0)
                     .filter(call -> call.revision() > read.revision())
                     .findFirst()
-                    .ifPresent(call -> faults.add(read + " is older than " + call));
+                    .ifPresent(call -> violations.add(read + " is older than " + call));
         }
-        return faults;
+        return violations;
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -17,12 +17,15 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
-/** The operator's configurations through the doors: design 6.8, docs/platform.md 3. */
+/**
+ * Reading and changing the configuration over the operator's HTTP API (docs/design.md, section 6.8; docs/platform.md,
+ * section 3).
+ */
 class ControlTest {
     private PlatformFixture fixture;
 
     @BeforeEach
-    void begin() throws ServiceException {
+    void setUp() throws ServiceException {
         fixture = new PlatformFixture(21, 2);
     }
 
@@ -39,7 +42,7 @@
         return PlatformFixture.route(name, prefix, "desk", false);
     }
 
-    private ConfigurationStub more(long revision, ConfigurationStub.Route... routes) {
+    private ConfigurationStub withRoutes(long revision, ConfigurationStub.Route... routes) {
         List<ConfigurationStub.Route> all = new ArrayList<>(fixture.configurationStub.routes());
         all.addAll(List.of(routes));
         return fixture.configurationStub.routes(all).with(revision);
@@ -47,64 +50,71 @@
 
     @Test
     void textIsKeptAndReturnedByteForByte() {
-        String odd = fixture.configurationStub
+        String reformatted = fixture.configurationStub
                 .with(9)
                 .text()
                 .replace("\"limits\":", "  \"limits\" :\n\t")
                 .replace("{\"maxBody", "{\"unk\u00fcnown\":null,\"maxBody");
-        assertEquals(200, fixture.put(odd, 3, 0).status());
-        for (int l = 0; l < 3; l++) {
-            assertEquals(odd, new String(get(l).body(), StandardCharsets.UTF_8));
+        assertEquals(200, fixture.put(reformatted, 3, 0).status());
+        for (int node = 0; node < 3; node++) {
+            assertEquals(reformatted, new String(get(node).body(), StandardCharsets.UTF_8));
         }
     }
 
     @Test
     void sameTextAgainIsYesAtAnyLighthouse() {
-        ConfigurationStub next = more(9, route("r-new", "/new/"));
+        ConfigurationStub next = withRoutes(9, route("r-new", "/new/"));
         assertEquals(200, fixture.put(next, 3, 0).status());
         assertEquals(
-                200, fixture.put(more(20, route("r-other", "/other/")), 9, 1).status());
-        for (int l = 0; l < 3; l++) {
-            assertEquals(200, fixture.put(next, 3, l).status());
+                200,
+                fixture.put(withRoutes(20, route("r-other", "/other/")), 9, 1).status());
+        for (int node = 0; node < 3; node++) {
+            assertEquals(200, fixture.put(next, 3, node).status());
         }
-        assertEquals(412, fixture.put(more(21, route("r-late", "/late/")), 9, 2).status());
+        assertEquals(
+                412,
+                fixture.put(withRoutes(21, route("r-late", "/late/")), 9, 2).status());
     }
 
-    /** Refused with every fault, and nothing of it is ever in force; the same after the core was restarted. */
+    /** Invalid configurations are rejected with details and never take effect, also after a restart of the core. */
     @Test
     void invalidOnesAreRefusedAndNeverInForce() throws ServiceException {
-        List<String> bad = List.of(
+        List<String> invalid = List.of(
                 fixture.configurationStub.with(9).text().substring(0, 300),
-                more(9, PlatformFixture.route("r-x", "/x/", "nobody", false)).text(),
-                more(9, route("r-x", "/x/"), route("r-y", "/x/")).text(),
-                more(9, new ConfigurationStub.Route("r-x", PlatformFixture.HOST, "/x/", "desk", 0, 3, false, 90, false))
+                withRoutes(9, PlatformFixture.route("r-x", "/x/", "nobody", false))
+                        .text(),
+                withRoutes(9, route("r-x", "/x/"), route("r-y", "/x/")).text(),
+                withRoutes(
+                                9,
+                                new ConfigurationStub.Route(
+                                        "r-x", PlatformFixture.HOST, "/x/", "desk", 0, 3, false, 90, false))
                         .text(),
-                more(3, route("r-x", "/x/")).text(),
-                more(2, route("r-x", "/x/")).text(),
-                more(9, route("r-x", "/x/"))
+                withRoutes(3, route("r-x", "/x/")).text(),
+                withRoutes(2, route("r-x", "/x/")).text(),
+                withRoutes(9, route("r-x", "/x/"))
                         .tenants(List.of(
                                 new ConfigurationStub.Tenant("a", List.of(PlatformFixture.KEY), 9, 9),
                                 new ConfigurationStub.Tenant("b", List.of(PlatformFixture.KEY), 9, 9)))
                         .text());
-        refused(bad);
+        assertRejected(invalid);
         fixture.r.controlNodes.forEach(fixture.r::kill);
         fixture.run(500);
-        for (String l : fixture.r.controlNodes) {
-            fixture.r.restart(l);
+        for (String node : fixture.r.controlNodes) {
+            fixture.r.restart(node);
         }
         fixture.run(5000);
-        refused(bad);
+        assertRejected(invalid);
         assertEquals(404, fixture.send("/x/1", "b", Map.of()).status());
         assertEquals(fixture.configurationStub.text(), new String(get(0).body()));
     }
 
-    private void refused(List<String> bad) {
-        for (String text : bad) {
-            Response response = fixture.put(text, 3, bad.indexOf(text) % 3);
+    private void assertRejected(List<String> invalid) {
+        for (String text : invalid) {
+            Response response = fixture.put(text, 3, invalid.indexOf(text) % 3);
             assertEquals(400, response.status(), text.substring(0, 80));
             assertTrue(
                     Callers.json(response).path("details").size() > 0,
-                    "a fault by its path: " + new String(response.body()));
+                    "details must name the invalid field: " + new String(response.body()));
         }
         assertEquals(
                 400,
@@ -121,16 +131,16 @@
                         .status());
     }
 
-    /** Two operators at once on one base, at different control nodes. */
+    /** Two operators change the same base concurrently at different control nodes. */
     @Test
     void ofTwoAtOnceOneWins() {
         for (int round = 0; round < 5; round++) {
             long base = round == 0 ? 3 : 10L * round;
-            List<Integer> out = new ArrayList<>();
+            List<Integer> statuses = new ArrayList<>();
             List<String> texts = List.of(
-                    more(base + 10 - (round == 0 ? 3 : 0), route("r-a" + round, "/a" + round + "/"))
+                    withRoutes(base + 10 - (round == 0 ? 3 : 0), route("r-a" + round, "/a" + round + "/"))
                             .text(),
-                    more(base + 10 - (round == 0 ? 3 : 0), route("r-b" + round, "/b" + round + "/"))
+                    withRoutes(base + 10 - (round == 0 ? 3 : 0), route("r-b" + round, "/b" + round + "/"))
                             .text());
             for (int i = 0; i < 2; i++) {
                 fixture.r.request(
@@ -141,17 +151,17 @@
                                 Map.of("if-match", Long.toString(base)),
                                 texts.get(i).getBytes()),
                         Duration.ofSeconds(5),
-                        response -> out.add(response.map(Response::status).orElse(0)));
+                        response -> statuses.add(response.map(Response::status).orElse(0)));
             }
-            fixture.r.sim.runUntil(() -> out.size() == 2, Duration.ofSeconds(6));
-            assertEquals(Set.of(200, 412), Set.copyOf(out));
+            fixture.r.sim.runUntil(() -> statuses.size() == 2, Duration.ofSeconds(6));
+            assertEquals(Set.of(200, 412), Set.copyOf(statuses));
             assertTrue(texts.contains(new String(get(2).body())));
         }
     }
 
     @Test
     void routeIsFoundByHostAndTheLongestPrefix() {
-        ConfigurationStub next = more(
+        ConfigurationStub next = withRoutes(
                 9,
                 new ConfigurationStub.Route(
                         "r-long", PlatformFixture.HOST, "/push/deep/", "desk", 1500, 3, false, 90, false),
@@ -161,10 +171,10 @@
         fixture.accepted("/push/deep/1", "deep", Map.of());
         assertEquals("deep", new String(fixture.pull("i", 3000).body()));
         fixture.accepted("/push/1", "host", Map.of("host", "OTHER.example:80"));
-        Response keyless = fixture.pull("i", 3000);
-        assertEquals("host", new String(keyless.body()));
+        Response otherHost = fixture.pull("i", 3000);
+        assertEquals("host", new String(otherHost.body()));
         fixture.accepted("/push/2", "flat", Map.of());
-        assertEquals(204, fixture.pull("i", 1500).status(), "it is for the other service");
+        assertEquals(204, fixture.pull("i", 1500).status(), "the message is for the other service");
         for (Map<String, String> wrong : List.of(Map.of("host", "nobody.example"), Map.of("host", ""))) {
             assertEquals(404, fixture.send("/push/1", "b", wrong).status(), wrong.toString());
         }
@@ -202,7 +212,7 @@
     }
 
     @Test
-    void badHeadersAreNamed() {
+    void invalidHeadersAreRejected() {
         assertEquals(
                 400, fixture.send("/push/1", "b", Map.of("x-delay-ms", "-1")).status());
         assertEquals(
@@ -211,10 +221,10 @@
                 400, fixture.send("/push/1", "b", Map.of("x-attempt-id", "")).status());
         assertEquals(
                 400, fixture.send("/push/1", "b", Map.of("x-attempt-id", "a b")).status());
-        Optional<Response> none = fixture.r.ask(
+        Optional<Response> unknownPath = fixture.r.ask(
                 fixture.r.controlNodes.get(0),
                 new Request("GET", "/-/nothing", Map.of(), new byte[0]),
                 Duration.ofSeconds(4));
-        assertEquals(404, none.orElseThrow().status());
+        assertEquals(404, unknownPath.orElseThrow().status());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
@@ -8,11 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.error.ServiceException;
 
-/** The operators' stream of changes; more than the history keeps, so that old request ids are tried too. */
+/** A stream of configuration changes longer than the retained history, so that old request ids are repeated too. */
 class DayTest {
-    /** Before: a request id older than the 256 configurations kept was answered with stale_base after its yes. */
+    /**
+     * Guards against answering stale_base to the repeat of an accepted request whose id is older than the 256 retained
+     * configurations.
+     */
     @Test
-    void everyChangeGetsAYesOrNoWithinSecondsAndRepeatsGetTheFirst() throws ServiceException {
+    void everyChangeIsDecidedWithinSecondsAndRepeatsGetTheFirstAnswer() throws ServiceException {
         Day day = new Day(1).run(Duration.ofMinutes(6), Duration.ofMillis(600), Duration.ofSeconds(40));
         assertEquals(List.of(), day.wrong(), day::toString);
         assertTrue(day.changes() > 500 && day.repeats() > 60, day.toString());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -23,8 +23,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * A caller inside the fleet whose first answer is lost does not take its own success for a refusal (docs/design.md,
- * section 6.11).
+ * A node whose first response is lost repeats its request and does not mistake its own success for a rejection
+ * (docs/design.md, section 6.11).
  */
 class InternalRepeatTest {
     private static final String BUCKET = "bucket/of-nobody";
@@ -34,17 +34,17 @@
     private String caller;
 
     @BeforeEach
-    void begin() throws ServiceException {
+    void setUp() throws ServiceException {
         fixture = new PlatformFixture(41, 1);
         caller = fixture.r.intakes.get(0);
     }
 
-    /** Loses the first answer that is not a refusal. */
-    private static final class FirstAnswerLost implements RpcClient {
+    /** Loses the first response that is not an error. */
+    private static final class FirstResponseLost implements RpcClient {
         private final RpcClient rpc;
         private boolean lost;
 
-        FirstAnswerLost(RpcClient rpc) {
+        FirstResponseLost(RpcClient rpc) {
             this.rpc = rpc;
         }
 
@@ -54,10 +54,10 @@
         }
 
         @Override
-        public <T> Mono<T> call(String to, Object body, Class<T> answer, Duration limit) {
-            return rpc.call(to, body, answer, limit).flatMap(a -> {
+        public <T> Mono<T> call(String to, Object body, Class<T> responseType, Duration timeout) {
+            return rpc.call(to, body, responseType, timeout).flatMap(response -> {
                 if (lost) {
-                    return Mono.just(a);
+                    return Mono.just(response);
                 }
                 lost = true;
                 return Mono.error(new OutcomeUnknownException("The answer was lost."));
@@ -65,8 +65,8 @@
         }
     }
 
-    private <T> T ask(String service, RepeatableRequest body, Class<T> type) {
-        RpcClient lossy = new FirstAnswerLost(fixture.r.net.rpc(
+    private <T> T requestWithLostResponse(String service, RepeatableRequest body, Class<T> type) {
+        RpcClient lossy = new FirstResponseLost(fixture.r.net.rpc(
                 fixture.r.host(caller),
                 RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
         CoreClient core = new CoreClient(lossy, () -> 1L, fixture.r.controlNodes, CoreMembers.unknown(), members -> {});
@@ -74,44 +74,44 @@
         core.ask(ServiceNames.controlPartition(service), body, type).subscribe(out::set, e -> {
             throw new AssertionError(e);
         });
-        assertTrue(fixture.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no answer");
+        assertTrue(fixture.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no response");
         return out.get();
     }
 
-    private ControlMessages.SingletonLeaseResponse duty(long term, long requestId) {
-        return ask(
+    private ControlMessages.SingletonLeaseResponse requestLease(long term, long requestId) {
+        return requestWithLostResponse(
                 BUCKET,
                 new ControlMessages.SingletonLeaseRequest(BUCKET, caller, term, requestId),
                 ControlMessages.SingletonLeaseResponse.class);
     }
 
     @Test
-    void dutyIsTakenOnceThoughItWasAskedForTwice() {
-        ControlMessages.SingletonLeaseResponse first = duty(0, 5);
+    void repeatedLeaseRequestIsGrantedOnce() {
+        ControlMessages.SingletonLeaseResponse first = requestLease(0, 5);
         assertTrue(first.granted());
         assertEquals(1, first.lease().term());
     }
 
     @Test
-    void askWithATermOnlyRenews() {
-        assertEquals(1, duty(0, 5).lease().term());
-        assertTrue(duty(1, 0).granted());
-        ControlMessages.SingletonLeaseResponse next = duty(0, 6);
-        assertEquals(2, next.lease().term(), "a holder that knows of no term has restarted");
-        ControlMessages.SingletonLeaseResponse former = duty(1, 0);
+    void requestWithATermOnlyRenews() {
+        assertEquals(1, requestLease(0, 5).lease().term());
+        assertTrue(requestLease(1, 0).granted());
+        ControlMessages.SingletonLeaseResponse next = requestLease(0, 6);
+        assertEquals(2, next.lease().term(), "a holder that sends no term has restarted");
+        ControlMessages.SingletonLeaseResponse former = requestLease(1, 0);
         assertFalse(former.granted());
-        assertEquals(2, former.lease().term(), "nothing was taken");
+        assertEquals(2, former.lease().term(), "the lease must not change hands");
     }
 
     @Test
-    void writtenListIsAYes() {
+    void repeatedListUpdateIsAccepted() {
         Processor processor = new Processor("http://10.9.9.9:1", false);
-        ControlApiMessages.ProcessorsResponse now = ask(
+        ControlApiMessages.ProcessorsResponse current = requestWithLostResponse(
                 LIST, new ControlApiMessages.GetProcessorsRequest(LIST), ControlApiMessages.ProcessorsResponse.class);
-        ControlMessages.UpdateResult done = ask(
+        ControlMessages.UpdateResult result = requestWithLostResponse(
                 LIST,
-                new ControlMessages.PutProcessors(LIST, Map.of("p", processor), now.version() + 1, 9),
+                new ControlMessages.PutProcessors(LIST, Map.of("p", processor), current.version() + 1, 9),
                 ControlMessages.UpdateResult.class);
-        assertTrue(done.accepted(), "its own success is no refusal");
+        assertTrue(result.accepted(), "the repeat of an applied update must be accepted");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -20,168 +20,181 @@
 import org.woadvale.common.replication.Role;
 
 /**
- * A control machine that is cut off from the others for twenty seconds, with orders to it all the while.
- * (docs/design.md, section 6.12)
+ * Isolates a control machine from the others for twenty seconds while operators keep sending it requests
+ * (docs/design.md, section 6.12).
  */
 class IsolatedCoreTest {
-    private static final Duration CUT = Duration.ofSeconds(20);
-    /** After two renewals that are missing the machine knows; then it answers at once. */
-    private static final Duration KNOWN = Duration.ofMillis(700);
+    private static final Duration CUT_DURATION = Duration.ofSeconds(20);
+    /**
+     * Time until the machine detects its isolation, after two missed renewals; from then on it responds immediately.
+     */
+    private static final Duration ISOLATION_DETECTION = Duration.ofMillis(700);
 
-    private static final Duration AT_ONCE = Duration.ofMillis(300);
-    /** What left a machine before it froze has arrived by then. */
-    private static final Duration ON_THE_WAY = Duration.ofMillis(100);
+    private static final Duration IMMEDIATE_RESPONSE = Duration.ofMillis(300);
+    /** Time for frames sent before a machine was paused to arrive. */
+    private static final Duration IN_FLIGHT = Duration.ofMillis(100);
 
-    private static final Duration OPERATOR_GOES_ON = Duration.ofSeconds(1);
+    private static final Duration OPERATOR_TIMEOUT = Duration.ofSeconds(1);
 
-    /** How the machine is cut off from the other control machines. */
+    /** Which direction of the links to the other control machines is cut. */
     private enum Cut {
         BOTH_WAYS,
         INWARD,
         OUTWARD
     }
 
-    static Stream<Arguments> days() {
-        List<Arguments> all = new ArrayList<>();
+    static Stream<Arguments> cuts() {
+        List<Arguments> arguments = new ArrayList<>();
         for (Cut cut : Cut.values()) {
             for (int machine = 0; machine < 3; machine++) {
-                all.add(Arguments.of(cut, machine, 40L + 3L * cut.ordinal() + machine));
+                arguments.add(Arguments.of(cut, machine, 40L + 3L * cut.ordinal() + machine));
             }
         }
-        return all.stream();
+        return arguments.stream();
     }
 
-    private static String leader(SimulatedPlatformFleet network) {
-        return network.controlNodes.stream()
-                .filter(l -> network.host(l).alive()
-                        && network.controlNode(l).replica("c0").role() == Role.LEADER
-                        && network.controlNode(l).replica("c0").isActiveLeader())
+    private static String leader(SimulatedPlatformFleet fleet) {
+        return fleet.controlNodes.stream()
+                .filter(node -> fleet.host(node).alive()
+                        && fleet.controlNode(node).replica("c0").role() == Role.LEADER
+                        && fleet.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void cut(SimulatedPlatformFleet network, Cut how, String machine) {
-        for (String other : network.controlNodes) {
+    private static void cut(SimulatedPlatformFleet fleet, Cut how, String machine) {
+        for (String other : fleet.controlNodes) {
             if (!other.equals(machine) && how != Cut.OUTWARD) {
-                network.net.cutOneWay(other, machine);
+                fleet.net.cutOneWay(other, machine);
             }
             if (!other.equals(machine) && how != Cut.INWARD) {
-                network.net.cutOneWay(machine, other);
+                fleet.net.cutOneWay(machine, other);
             }
         }
     }
 
     /**
-     * Before: the machine kept orders for 2.5 s and more before it said anything, and was ready throughout. Machine 0
-     * is the leader of part c0.
+     * Guards against an isolated machine that holds requests for 2.5 s or more before it responds and stays ready
+     * throughout. Machine 0 is the leader of partition c0.
      */
     @ParameterizedTest
-    @MethodSource("days")
-    void theMachineSaysLaterAndTheHistoryIsLinearizable(Cut how, int machine, long seed) throws ServiceException {
+    @MethodSource("cuts")
+    void isolatedMachineRejectsRequestsAndTheHistoryIsLinearizable(Cut how, int machine, long seed)
+            throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 2);
-        SimulatedPlatformFleet network = fixture.r;
-        network.sim.run(Duration.ofSeconds(2));
-        String first = leader(network);
-        String cutOff = network.controlNodes.get((network.controlNodes.indexOf(first) + machine) % 3);
+        SimulatedPlatformFleet fleet = fixture.r;
+        fleet.sim.run(Duration.ofSeconds(2));
+        String leader = leader(fleet);
+        String isolated = fleet.controlNodes.get((fleet.controlNodes.indexOf(leader) + machine) % 3);
         ConfigurationHistory history = new ConfigurationHistory(fixture);
-        history.operate("one", network.controlNodes);
-        history.operate("two", network.controlNodes);
-        history.operate("at-the-cut-off", List.of(cutOff));
-        network.sim.run(Duration.ofSeconds(2));
-        cut(network, how, cutOff);
-        Duration from = network.sim.now();
-        network.sim.run(CUT);
-        Duration to = network.sim.now();
+        history.startOperator("one", fleet.controlNodes);
+        history.startOperator("two", fleet.controlNodes);
+        history.startOperator("at-the-cut-off", List.of(isolated));
+        fleet.sim.run(Duration.ofSeconds(2));
+        cut(fleet, how, isolated);
+        Duration from = fleet.sim.now();
+        fleet.sim.run(CUT_DURATION);
+        Duration to = fleet.sim.now();
         if (how != Cut.OUTWARD) {
-            assertEquals(503, readiness(network, cutOff));
+            assertEquals(503, readiness(fleet, isolated));
         }
-        network.net.heal();
-        network.sim.run(Duration.ofSeconds(8));
+        fleet.net.heal();
+        fleet.sim.run(Duration.ofSeconds(8));
         history.stop();
-        network.sim.run(Duration.ofSeconds(3));
-        assertTrue(history.acknowledged(from.plusSeconds(3), to) > 5, "the majority goes on");
-        assertTrue(history.acknowledgedBy(cutOff, to.plusSeconds(1)) > 0, "it serves again");
-        assertEquals(List.of(), history.answersOver(OPERATOR_GOES_ON));
-        assertEquals(List.of(), history.clearAnswersOf(cutOff, from.plus(KNOWN), to));
-        assertEquals(List.of(), history.slowAnswersOf(cutOff, AT_ONCE, from.plusSeconds(2), to));
-        assertEquals(List.of(), history.faults());
-        assertEquals(200, readiness(network, cutOff));
+        fleet.sim.run(Duration.ofSeconds(3));
+        assertTrue(history.countAcknowledged(from.plusSeconds(3), to) > 5, "the majority must keep accepting changes");
+        assertTrue(
+                history.countAcknowledgedBy(isolated, to.plusSeconds(1)) > 0, "the isolated machine must serve again");
+        assertEquals(List.of(), history.responsesSlowerThan(OPERATOR_TIMEOUT));
+        assertEquals(List.of(), history.definiteResponsesOf(isolated, from.plus(ISOLATION_DETECTION), to));
+        assertEquals(List.of(), history.slowResponsesOf(isolated, IMMEDIATE_RESPONSE, from.plusSeconds(2), to));
+        assertEquals(List.of(), history.violations());
+        assertEquals(200, readiness(fleet, isolated));
     }
 
-    private static int readiness(SimulatedPlatformFleet network, String machine) {
-        return network.ask(machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
+    private static int readiness(SimulatedPlatformFleet fleet, String machine) {
+        return fleet.ask(machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
                 .map(Response::status)
                 .orElse(0);
     }
 
-    /** The leader dies: the others say later rather than nothing, and the order is acknowledged soon after. */
+    /**
+     * After the loss of the leader the others reject requests as retryable instead of timing out, and soon accept the
+     * change.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void anOrderIsAcknowledgedSoonAfterTheLeaderIsLost(long seed) throws ServiceException {
+    void changeIsAcknowledgedSoonAfterTheLeaderIsLost(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 2);
-        SimulatedPlatformFleet network = fixture.r;
-        network.sim.run(Duration.ofSeconds(2));
-        network.kill(leader(network));
-        Duration lost = network.sim.now();
+        SimulatedPlatformFleet fleet = fixture.r;
+        fleet.sim.run(Duration.ofSeconds(2));
+        fleet.kill(leader(fleet));
+        Duration lost = fleet.sim.now();
         ConfigurationHistory history = new ConfigurationHistory(fixture);
-        history.order(
+        history.submitChange(
                 "one",
-                network.controlNodes.stream()
-                        .filter(l -> network.host(l).alive())
+                fleet.controlNodes.stream()
+                        .filter(node -> fleet.host(node).alive())
                         .toList(),
                 3);
-        network.sim.run(Duration.ofMillis(2500));
-        assertTrue(history.acknowledged(lost, network.sim.now()) > 0, "not acknowledged 2.5 s after the loss");
-        assertEquals(List.of(), history.answersOver(OPERATOR_GOES_ON));
+        fleet.sim.run(Duration.ofMillis(2500));
+        assertTrue(history.countAcknowledged(lost, fleet.sim.now()) > 0, "not acknowledged 2.5 s after the loss");
+        assertEquals(List.of(), history.responsesSlowerThan(OPERATOR_TIMEOUT));
     }
 
-    /** What was read before the machine froze does not leave after it. Before: the old configuration, seconds later. */
+    /**
+     * Guards against a machine that sends the old configuration seconds later, because it was read before the machine
+     * was paused and sent after it resumed.
+     */
     @Test
-    void anAnswerThatWasBuiltBeforeAFreezeIsNotGivenAfterIt() throws ServiceException {
+    void responseBuiltBeforeAPauseIsNotSentAfterIt() throws ServiceException {
         for (int i = 0; i < 24; i++) {
             PlatformFixture fixture = new PlatformFixture(70 + i, 2);
-            SimulatedPlatformFleet network = fixture.r;
-            network.sim.run(Duration.ofSeconds(2));
-            String frozen = leader(network);
-            int at = network.controlNodes.indexOf(frozen);
+            SimulatedPlatformFleet fleet = fixture.r;
+            fleet.sim.run(Duration.ofSeconds(2));
+            String paused = leader(fleet);
+            int pausedIndex = fleet.controlNodes.indexOf(paused);
             List<Optional<Response>> answers = new ArrayList<>();
-            network.request(
-                    frozen,
+            fleet.request(
+                    paused,
                     new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                     Duration.ofSeconds(20),
                     answers::add);
-            network.sim.run(Duration.ofNanos(250_000L * i));
-            network.host(frozen).pause(Duration.ofSeconds(5));
-            network.sim.run(ON_THE_WAY);
-            boolean before = !answers.isEmpty();
-            network.sim.run(Duration.ofSeconds(2));
-            String next = fixture.configurationStub.with(9).text();
-            assertEquals(200, fixture.put(next, 3, (at + 1) % 3).status());
-            network.sim.run(Duration.ofSeconds(8));
+            fleet.sim.run(Duration.ofNanos(250_000L * i));
+            fleet.host(paused).pause(Duration.ofSeconds(5));
+            fleet.sim.run(IN_FLIGHT);
+            boolean answeredBeforePause = !answers.isEmpty();
+            fleet.sim.run(Duration.ofSeconds(2));
+            String newText = fixture.configurationStub.with(9).text();
+            assertEquals(200, fixture.put(newText, 3, (pausedIndex + 1) % 3).status());
+            fleet.sim.run(Duration.ofSeconds(8));
             String read = answers.get(0)
                     .filter(response -> response.status() == 200)
                     .map(response -> new String(response.body()))
-                    .orElse(next);
-            assertTrue(before || read.equals(next), "the old configuration left after the freeze, run " + i);
+                    .orElse(newText);
+            assertTrue(
+                    answeredBeforePause || read.equals(newText),
+                    "the old configuration was sent after the pause, run " + i);
         }
     }
 
-    /** It uses what it has for as long as its age allows, and no longer. */
+    /** Such a node uses the configuration that it has until its maximum age, and no longer. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void aNodeThatSeesOnlyTheCutOffMachineStopsAsTheRulesAsk(int machine) throws ServiceException {
+    void nodeThatReachesOnlyTheIsolatedMachineStopsAtTheMaximumAge(int machine) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(90 + machine, 2);
-        SimulatedPlatformFleet network = fixture.r;
-        network.sim.run(Duration.ofSeconds(2));
-        String cutOff = network.controlNodes.get((network.controlNodes.indexOf(leader(network)) + machine) % 3);
-        String front = network.intakes.get(0);
-        cut(network, Cut.BOTH_WAYS, cutOff);
-        network.all().stream()
-                .filter(h -> !h.equals(front) && !h.equals(cutOff))
-                .forEach(h -> network.net.cut(front, h));
-        network.sim.run(Duration.ofMillis(1600));
-        assertTrue(network.dataPlaneNode(front).configurations().fresh().isPresent(), "stopped too early");
-        network.sim.run(Duration.ofMillis(1600));
-        assertTrue(network.dataPlaneNode(front).configurations().fresh().isEmpty(), "goes on by what it knows");
+        SimulatedPlatformFleet fleet = fixture.r;
+        fleet.sim.run(Duration.ofSeconds(2));
+        String isolated = fleet.controlNodes.get((fleet.controlNodes.indexOf(leader(fleet)) + machine) % 3);
+        String intake = fleet.intakes.get(0);
+        cut(fleet, Cut.BOTH_WAYS, isolated);
+        fleet.all().stream()
+                .filter(host -> !host.equals(intake) && !host.equals(isolated))
+                .forEach(host -> fleet.net.cut(intake, host));
+        fleet.sim.run(Duration.ofMillis(1600));
+        assertTrue(fleet.dataPlaneNode(intake).configurations().fresh().isPresent(), "stopped too early");
+        fleet.sim.run(Duration.ofMillis(1600));
+        assertTrue(
+                fleet.dataPlaneNode(intake).configurations().fresh().isEmpty(), "still uses its expired configuration");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LargeConfigurationsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LargeConfigurationsTest.java
@@ -15,28 +15,28 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /**
- * Configurations that take a good part of what one stored record can have. Guards against control processes that end
- * because the state with the updates after it is larger than a ring file (review/4).
+ * Configurations that use a large share of the maximum size of a stored record. Guards against control processes that
+ * stop because the state and the updates after it are larger than a ring file (review/4).
  */
 class LargeConfigurationsTest {
     private static final int KEYS = 9_900;
-    private static final int ORDERS_AT_ONCE = 8;
+    private static final int CONCURRENT_CHANGES = 8;
     private static final int ROUNDS = 4;
     private static final int MANY_ROUTES = 1_500;
     private static final int SMALL_RING_FILE = 1 << 20;
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final Duration PAUSE = Duration.ofMillis(100);
-    private static final Duration ROUND = Duration.ofSeconds(20);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
+    private static final Duration ROUND_TIMEOUT = Duration.ofSeconds(20);
 
-    /** One operator's order, sent until the answer is definite. */
-    private static final class Order {
+    /** One operator's change, sent until the response is definite. */
+    private static final class Change {
         private final SimulatedPlatformFleet fleet;
         private final ConfigurationStub configuration;
         private final long base;
         private int sent;
         private int status;
 
-        Order(SimulatedPlatformFleet fleet, ConfigurationStub configuration, long base) {
+        Change(SimulatedPlatformFleet fleet, ConfigurationStub configuration, long base) {
             this.fleet = fleet;
             this.configuration = configuration;
             this.base = base;
@@ -50,12 +50,12 @@
                     "/-/configuration",
                     Map.of("if-match", Long.toString(base)),
                     configuration.text().getBytes(StandardCharsets.UTF_8));
-            fleet.request(node, request, PATIENCE, answer -> {
-                int answered = answer.map(response -> response.status()).orElse(0);
-                if (answered == 0 || answered >= 500) {
-                    fleet.sim.after(PAUSE, () -> send(firstNode));
+            fleet.request(node, request, REQUEST_TIMEOUT, answer -> {
+                int responseStatus = answer.map(response -> response.status()).orElse(0);
+                if (responseStatus == 0 || responseStatus >= 500) {
+                    fleet.sim.after(RETRY_DELAY, () -> send(firstNode));
                 } else {
-                    status = answered;
+                    status = responseStatus;
                 }
             });
         }
@@ -75,47 +75,50 @@
         return new ConfigurationStub(revision, plain.routes(), plain.services(), tenants);
     }
 
-    private static void nobodyEnded(SimulatedPlatformFleet fleet) {
+    private static void assertAllControlNodesAlive(SimulatedPlatformFleet fleet) {
         assertEquals(
                 List.of(),
                 fleet.controlNodes.stream()
                         .filter(node -> !fleet.host(node).alive())
                         .toList(),
-                "ended by itself");
+                "stopped by itself");
     }
 
-    /** Sends so many orders on one base at the same time; the revision of the one that is taken. */
-    private static long round(SimulatedPlatformFleet fleet, long base) {
-        List<Order> orders = new ArrayList<>();
-        for (int i = 0; i < ORDERS_AT_ONCE; i++) {
-            orders.add(new Order(fleet, withKeys(base + 1 + i, KEYS), base));
-            orders.get(i).send(i);
+    /**
+     * Sends {@link #CONCURRENT_CHANGES} changes of one base concurrently and returns the revision of the accepted one.
+     */
+    private static long runRound(SimulatedPlatformFleet fleet, long base) {
+        List<Change> changes = new ArrayList<>();
+        for (int i = 0; i < CONCURRENT_CHANGES; i++) {
+            changes.add(new Change(fleet, withKeys(base + 1 + i, KEYS), base));
+            changes.get(i).send(i);
         }
-        boolean decided = fleet.sim.runUntil(() -> orders.stream().allMatch(Order::isDecided), ROUND);
-        nobodyEnded(fleet);
-        assertTrue(decided, "an order has no definite answer after " + ROUND);
-        List<Order> taken = orders.stream().filter(order -> order.status == 200).toList();
-        assertEquals(1, taken.size(), "orders taken on base " + base);
-        return taken.get(0).configuration.configRevision();
+        boolean decided = fleet.sim.runUntil(() -> changes.stream().allMatch(Change::isDecided), ROUND_TIMEOUT);
+        assertAllControlNodesAlive(fleet);
+        assertTrue(decided, "a change has no definite response after " + ROUND_TIMEOUT);
+        List<Change> accepted =
+                changes.stream().filter(change -> change.status == 200).toList();
+        assertEquals(1, accepted.size(), "changes accepted on base " + base);
+        return accepted.get(0).configuration.configRevision();
     }
 
     @Test
-    void eightLargeOrdersAtOnceEndNoProcess() throws ServiceException {
+    void concurrentLargeChangesStopNoProcess() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(21, 1);
         long version = PlatformFixture.plain().configRevision();
         for (int i = 0; i < ROUNDS; i++) {
-            version = round(fixture.r, version);
+            version = runRound(fixture.r, version);
         }
         for (String node : fixture.r.controlNodes) {
             fixture.r.kill(node);
             fixture.r.restart(node);
         }
         fixture.r.sim.run(Duration.ofSeconds(5));
-        round(fixture.r, version);
+        runRound(fixture.r, version);
     }
 
     @Test
-    void moreThanAThousandRoutesAreTaken() throws ServiceException {
+    void moreThanAThousandRoutesAreAccepted() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(22, 1);
         ConfigurationStub plain = PlatformFixture.plain();
         List<ConfigurationStub.Route> routes = new ArrayList<>(plain.routes());
@@ -127,14 +130,16 @@
         assertEquals(200, fixture.put(many, plain.configRevision(), 0).status());
     }
 
-    /** Refused where it is proposed, with a definite answer, and what can be stored is taken after it. */
+    /**
+     * Such a change is rejected with a definite response when it is proposed, and a smaller one is accepted afterwards.
+     */
     @Test
-    void whatCannotBeStoredIsRefusedAndEndsNoProcess() throws ServiceException {
+    void changeTooLargeToStoreIsRejectedAndStopsNoProcess() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(23, 1, SMALL_RING_FILE);
         long version = PlatformFixture.plain().configRevision();
         assertEquals(400, fixture.put(withKeys(version + 1, KEYS), version, 0).status());
         fixture.r.sim.run(Duration.ofSeconds(2));
-        nobodyEnded(fixture.r);
+        assertAllControlNodesAlive(fixture.r);
         assertEquals(200, fixture.put(withKeys(version + 1, 500), version, 0).status());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -18,26 +18,26 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /**
- * Hundreds of changes, and large ones: acknowledged in time, caught up with, and bounded in bytes. (docs/design.md,
- * section 6.11)
+ * Many and large configuration changes are acknowledged in time, replicated to every member, and bounded in bytes
+ * (docs/design.md, section 6.11).
  */
 class ManyChangesTest {
-    private static final Duration CALL = Duration.ofSeconds(4);
-    private static final Duration SILENCE = Duration.ofSeconds(1);
-    private static final Duration PAUSE = Duration.ofMillis(100);
-    private static final Duration CLEAR_ANSWER = Duration.ofSeconds(20);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
+    private static final Duration DECISION_TIMEOUT = Duration.ofSeconds(20);
     private static final int CHANGES = 600;
     private static final int LARGE_ROUTES = 700;
-    private static final Duration CALM_P99 = Duration.ofMillis(100);
-    private static final Duration LEADER_LOST = Duration.ofMillis(2500);
-    private static final int SNAPSHOT_BYTES = 3 << 20;
+    private static final Duration MAX_LATENCY = Duration.ofMillis(100);
+    private static final Duration MAX_LATENCY_LEADER_LOST = Duration.ofMillis(2500);
+    private static final int MAX_SNAPSHOT_BYTES = 3 << 20;
 
     private PlatformFixture fixture;
     private long version;
     private final Map<String, Long> bytesByType = new TreeMap<>();
 
     @BeforeEach
-    void begin() throws ServiceException {
+    void setUp() throws ServiceException {
         fixture = new PlatformFixture(51, 2);
         version = fixture.configurationStub.configRevision();
         fixture.r.net.onFrame((from, to, frame, bytes) -> {
@@ -56,38 +56,42 @@
         return fixture.configurationStub.routes(routes).with(revision).text();
     }
 
-    /** Sends the next change until it is taken and says how long its acknowledgement took; refusals fail. */
+    /**
+     * Sends the next change until it is accepted and returns the time until its acknowledgement; fails on a rejection.
+     */
     private Duration change(int routeCount, int node) {
-        Request order = new Request(
+        Request request = new Request(
                 "PUT",
                 "/-/configuration",
                 Map.of("if-match", Long.toString(version)),
                 text(version + 1, routeCount).getBytes(StandardCharsets.UTF_8));
         Duration sent = fixture.r.sim.now();
         AtomicReference<Duration> acknowledged = new AtomicReference<>();
-        send(order, node, acknowledged);
-        assertTrue(fixture.r.sim.runUntil(() -> acknowledged.get() != null, CLEAR_ANSWER), "no clear answer");
+        send(request, node, acknowledged);
+        assertTrue(fixture.r.sim.runUntil(() -> acknowledged.get() != null, DECISION_TIMEOUT), "no definite response");
         version++;
         return acknowledged.get().minus(sent);
     }
 
-    /** As the platform's operator does it: on to another node after a second of silence or an unclear answer. */
-    private void send(Request order, int node, AtomicReference<Duration> acknowledged) {
-        fixture.r.request(fixture.r.controlNodes.get(node % 3), order, SILENCE, answer -> {
-            int status = answer.map(Response::status).orElse(0);
-            assertTrue(status < 400 || status >= 500, "refused with " + status);
+    /**
+     * Like the platform's operator, goes on to another node after a second without a response or after an unclear one.
+     */
+    private void send(Request request, int node, AtomicReference<Duration> acknowledged) {
+        fixture.r.request(fixture.r.controlNodes.get(node % 3), request, REQUEST_TIMEOUT, response -> {
+            int status = response.map(Response::status).orElse(0);
+            assertTrue(status < 400 || status >= 500, "rejected with " + status);
             if (status == 200) {
                 acknowledged.compareAndSet(null, fixture.r.sim.now());
             } else {
-                fixture.r.sim.after(PAUSE, () -> send(order, node + 1, acknowledged));
+                fixture.r.sim.after(RETRY_DELAY, () -> send(request, node + 1, acknowledged));
             }
         });
     }
 
     private String leader() {
         return fixture.r.controlNodes.stream()
-                .filter(l -> fixture.r.host(l).alive()
-                        && fixture.r.controlNode(l).replica("c0").isActiveLeader())
+                .filter(node -> fixture.r.host(node).alive()
+                        && fixture.r.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
@@ -105,34 +109,36 @@
     }
 
     @Test
-    void largeOrderIsAcknowledgedInTimeAndAfterTheLossOfTheLeader() throws ServiceException {
-        List<Duration> calm = new ArrayList<>();
+    void largeChangeIsAcknowledgedInTimeAndAfterTheLossOfTheLeader() throws ServiceException {
+        List<Duration> normalTimes = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            calm.add(change(LARGE_ROUTES, i % 3));
+            normalTimes.add(change(LARGE_ROUTES, i % 3));
             fixture.run(200);
         }
-        calm.sort(Duration::compareTo);
-        List<Duration> lost = new ArrayList<>();
+        normalTimes.sort(Duration::compareTo);
+        List<Duration> leaderLostTimes = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String leader = leader();
             fixture.r.kill(leader);
-            lost.add(change(LARGE_ROUTES, (fixture.r.controlNodes.indexOf(leader) + 1) % 3));
+            leaderLostTimes.add(change(LARGE_ROUTES, (fixture.r.controlNodes.indexOf(leader) + 1) % 3));
             restartAfter(leader, 500);
             fixture.run(3000);
         }
-        lost.sort(Duration::compareTo);
-        System.out.println("large orders, " + text(version, LARGE_ROUTES).length() + " bytes: calm p50 " + calm.get(20)
-                + ", worst of 40 " + calm.get(39) + "; leader lost, worst of 10 " + lost.get(9));
-        assertTrue(calm.get(39).compareTo(CALM_P99) < 0, "in calm " + calm.get(39));
-        assertTrue(lost.get(9).compareTo(LEADER_LOST) < 0, "leader lost " + lost.get(9));
+        leaderLostTimes.sort(Duration::compareTo);
+        System.out.println("large changes, " + text(version, LARGE_ROUTES).length() + " bytes: without faults p50 "
+                + normalTimes.get(20) + ", worst of 40 " + normalTimes.get(39) + "; leader lost, worst of 10 "
+                + leaderLostTimes.get(9));
+        assertTrue(normalTimes.get(39).compareTo(MAX_LATENCY) < 0, "without faults " + normalTimes.get(39));
+        assertTrue(
+                leaderLostTimes.get(9).compareTo(MAX_LATENCY_LEADER_LOST) < 0, "leader lost " + leaderLostTimes.get(9));
     }
 
     /**
-     * Each core member is restarted, wiped and frozen in turn meanwhile; all have everything, and no more than they
-     * need.
+     * Each core member is restarted, wiped and paused in turn meanwhile; in the end all members have applied every
+     * change, and the size of their snapshots is bounded.
      */
     @Test
-    void sixHundredChangesWithEveryMemberInTrouble() throws ServiceException {
+    void manyChangesWithFaultsOfEveryMember() throws ServiceException {
         int changes = Integer.getInteger("manyChanges.count", CHANGES);
         int routeCount = Integer.getInteger("manyChanges.routes", 4);
         String first = text(version + 1, routeCount);
@@ -140,15 +146,15 @@
         for (int i = 0; i < changes; i++) {
             int member = i / 60 % 3;
             String node = fixture.r.controlNodes.get(member);
-            int trouble = i / 180;
-            if (i % 60 == 10 && trouble < 2) {
+            int fault = i / 180;
+            if (i % 60 == 10 && fault < 2) {
                 fixture.r.kill(node);
-                if (trouble == 1) {
+                if (fault == 1) {
                     fixture.r.host(node).disk.wipe();
                 }
             } else if (i % 60 == 10) {
                 fixture.r.host(node).pause(Duration.ofSeconds(4));
-            } else if (i % 60 == 40 && trouble < 2) {
+            } else if (i % 60 == 40 && fault < 2) {
                 fixture.r.restart(node);
                 fixture.run(4000);
             }
@@ -156,12 +162,12 @@
         }
         fixture.run(6000);
         for (int node = 0; node < 3; node++) {
-            assertEquals(200, fixture.put(first, base, node).status(), "the first order, at " + node);
+            assertEquals(200, fixture.put(first, base, node).status(), "the first change, at " + node);
             String read = fixture.r
                     .ask(
                             fixture.r.controlNodes.get(node),
                             new Request("GET", "/-/configuration", Map.of(), new byte[0]),
-                            CALL)
+                            READ_TIMEOUT)
                     .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                     .orElseThrow();
             assertEquals(text(version, routeCount), read);
@@ -175,7 +181,7 @@
                             .configurations()
                             .version());
             assertEquals(version, applied, name + " has applied everything");
-            assertTrue(snapshotBytes(name) < SNAPSHOT_BYTES, "snapshot of " + snapshotBytes(name));
+            assertTrue(snapshotBytes(name) < MAX_SNAPSHOT_BYTES, "snapshot of " + snapshotBytes(name));
         }
         System.out.println(changes + " changes of " + first.length() + " bytes: snapshot of c0 "
                 + snapshotBytes(leader()) + " bytes; bytes sent by type " + bytesByType);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
@@ -11,14 +11,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadvale.common.error.ServiceException;
 
-/** The operators' history of seeded days is in order, and is not where a rule of 6.11 is left out. */
+/**
+ * The history of configuration changes in seeded simulations violates no ordering rule, and does if a rule of
+ * docs/design.md, section 6.11 is left out.
+ */
 class OrderHistoryTest {
-    private static final Duration LENGTH = Duration.ofSeconds(40);
+    private static final Duration DURATION = Duration.ofSeconds(40);
 
-    private static List<String> brokenOrders(long seed, FleetOverrides seams) {
+    private static List<String> orderViolations(long seed, FleetOverrides overrides) {
         try {
-            return new SeededPlatformDays(seed, seams)
-                    .run(LENGTH).stream()
+            return new SeededPlatformDays(seed, overrides)
+                    .run(DURATION).stream()
                             .filter(v -> v.startsWith("CONFIG orders"))
                             .toList();
         } catch (ServiceException failure) {
@@ -28,25 +31,25 @@
 
     @ParameterizedTest
     @ValueSource(longs = {201, 202, 203, 204})
-    void historyIsInOrder(long seed) {
-        assertEquals(List.of(), brokenOrders(seed, FleetOverrides.none()));
+    void historyHasNoOrderViolations(long seed) {
+        assertEquals(List.of(), orderViolations(seed, FleetOverrides.none()));
     }
 
     @Test
-    void ordersWithoutIdentityAreFound() {
+    void changesWithoutRequestIdentityAreDetected() {
         assertTrue(
                 LongStream.rangeClosed(201, 204)
-                        .mapToObj(seed -> brokenOrders(seed, NaiveOrders.withoutIdentity()))
+                        .mapToObj(seed -> orderViolations(seed, NaiveOrders.withoutIdentity()))
                         .anyMatch(v -> v.toString().contains("decided twice")),
-                "a repeat is refused, and nobody noticed");
+                "the checks did not find a change that was decided twice");
     }
 
     @Test
-    void readingsWithoutTheLeaderAreFound() {
+    void readsWithoutTheLeaderAreDetected() {
         assertTrue(
                 LongStream.rangeClosed(201, 204)
-                        .mapToObj(seed -> brokenOrders(seed, NaiveOrders.readsWithoutLeader()))
+                        .mapToObj(seed -> orderViolations(seed, NaiveOrders.readsWithoutLeader()))
                         .anyMatch(v -> v.toString().contains("stale reads")),
-                "an old configuration is read, and nobody noticed");
+                "the checks did not find a stale read");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
@@ -18,17 +18,17 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
-/** An order that was taken is never refused when it comes again, and one that was refused never comes into force. */
+/** The repeat of an accepted configuration change is never rejected, and a rejected change never takes effect. */
 class OrderRepeatTest {
-    private static final Duration CALL = Duration.ofSeconds(4);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
     private static final int LATER_CHANGES = 300;
-    private static final int ORDERS_AT_ONCE = 8;
+    private static final int CONCURRENT_CHANGES = 8;
 
     private PlatformFixture fixture;
     private long version;
 
     @BeforeEach
-    void begin() throws ServiceException {
+    void setUp() throws ServiceException {
         fixture = new PlatformFixture(31, 1);
         version = fixture.configurationStub.configRevision();
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    private void repeatedEverywhere(int expected, String text, long base) {
+    private void assertStatusAtEveryNode(int expected, String text, long base) {
         for (int node = 0; node < 3; node++) {
             assertEquals(expected, fixture.put(text, base, node).status(), "at control node " + node);
         }
@@ -64,8 +64,8 @@
 
     private String leader() {
         return fixture.r.controlNodes.stream()
-                .filter(l -> fixture.r.host(l).alive()
-                        && fixture.r.controlNode(l).replica("c0").isActiveLeader())
+                .filter(node -> fixture.r.host(node).alive()
+                        && fixture.r.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
@@ -75,22 +75,23 @@
                 .ask(
                         fixture.r.controlNodes.get(node),
                         new Request("GET", "/-/configuration", Map.of(), new byte[0]),
-                        CALL)
+                        REQUEST_TIMEOUT)
                 .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                 .orElseThrow();
     }
 
     /**
-     * Repeats after many changes, after the loss of the leader, from wiped members and with the whole core restarted.
+     * Repeats an accepted change after many others, after the loss of the leader, at wiped members and after a restart
+     * of the whole core.
      */
     @Test
-    void takenOrderIsYesAfterHundredsOfChangesAndEveryRestart() throws ServiceException {
+    void acceptedChangeIsAcceptedAgainAfterManyChangesAndRestarts() throws ServiceException {
         String first = text(version + 2, "r-first");
         long base = version;
         assertEquals(200, fixture.put(first, base, 0).status());
         version += 2;
         change(LATER_CHANGES);
-        repeatedEverywhere(200, first, base);
+        assertStatusAtEveryNode(200, first, base);
         for (String node : fixture.r.controlNodes) {
             fixture.r.kill(node);
             fixture.r.host(node).disk.wipe();
@@ -98,7 +99,7 @@
             assertEquals(200, fixture.put(first, base, 0).status(), "while " + node + " is away");
             fixture.r.restart(node);
             fixture.run(6000);
-            repeatedEverywhere(200, first, base);
+            assertStatusAtEveryNode(200, first, base);
         }
         fixture.r.controlNodes.forEach(fixture.r::kill);
         fixture.run(500);
@@ -106,117 +107,129 @@
             fixture.r.restart(node);
         }
         fixture.run(4000);
-        repeatedEverywhere(200, first, base);
+        assertStatusAtEveryNode(200, first, base);
         change(1);
     }
 
-    /** The leader dies with the first copy appended; copies at the two others are answered alike. */
+    /** The leader is killed after it appended the first copy; copies sent to the two others get the same response. */
     @Test
-    void copiesAtOnceWhileTheLeaderIsLostHaveOneAnswer() throws ServiceException {
+    void concurrentCopiesDuringLeaderLossGetOneAnswer() throws ServiceException {
         for (int round = 0; round < 12; round++) {
             String text = text(version + 2, "r-round" + round);
-            String lost = leader();
+            String leader = leader();
             List<Integer> statuses = new ArrayList<>();
             for (String node : fixture.r.controlNodes) {
                 fixture.r.request(
                         node,
                         request(text, version),
-                        CALL,
+                        REQUEST_TIMEOUT,
                         response -> statuses.add(response.map(Response::status).orElse(0)));
             }
             fixture.run(1 + round);
-            fixture.r.kill(lost);
+            fixture.r.kill(leader);
             fixture.r.sim.runUntil(() -> statuses.size() == 3, Duration.ofSeconds(6));
             assertEquals(
                     List.of(),
                     statuses.stream().filter(s -> s / 100 == 4).toList(),
-                    "no copy is refused, round " + round);
-            fixture.r.restart(lost);
+                    "no copy may be rejected, round " + round);
+            fixture.r.restart(leader);
             fixture.run(3000);
-            repeatedEverywhere(200, text, version);
+            assertStatusAtEveryNode(200, text, version);
             version += 2;
         }
     }
 
-    /** Eight operators on one base, each order at all members at once: one order has a yes everywhere, seven a no. */
+    /**
+     * Eight operators send changes of one base to all members: one change is accepted by all, seven are rejected by
+     * all.
+     */
     @Test
-    void ofEightOrdersAtOnceOneIsTakenWhereverItIsSent() {
+    void exactlyOneOfEightConcurrentChangesIsAccepted() {
         List<String> texts = new ArrayList<>();
         Map<String, Set<Integer>> statuses = new TreeMap<>();
-        for (int i = 0; i < ORDERS_AT_ONCE; i++) {
+        for (int i = 0; i < CONCURRENT_CHANGES; i++) {
             String text = text(version + 2, "r-operator" + i);
             texts.add(text);
             for (String node : fixture.r.controlNodes) {
                 fixture.r.request(
                         node,
                         request(text, version),
-                        CALL,
+                        REQUEST_TIMEOUT,
                         response -> statuses.computeIfAbsent(text, t -> new TreeSet<>())
                                 .add(response.map(Response::status).orElse(0)));
             }
         }
-        fixture.run(CALL.toMillis());
-        List<String> taken =
+        fixture.run(REQUEST_TIMEOUT.toMillis());
+        List<String> accepted =
                 texts.stream().filter(t -> statuses.get(t).equals(Set.of(200))).toList();
-        assertEquals(1, taken.size(), statuses.values().toString());
-        texts.stream().filter(t -> !taken.contains(t)).forEach(t -> assertEquals(Set.of(412), statuses.get(t)));
-        assertEquals(taken.get(0), readBack(2));
+        assertEquals(1, accepted.size(), statuses.values().toString());
+        texts.stream().filter(t -> !accepted.contains(t)).forEach(t -> assertEquals(Set.of(412), statuses.get(t)));
+        assertEquals(accepted.get(0), readBack(2));
     }
 
-    /** The same text on another base is another order: refused once, it stays refused though the text was taken. */
+    /**
+     * The same text on another base is another change: once rejected it stays rejected, though the text was accepted.
+     */
     @Test
-    void refusedOrderStaysRefusedThoughItsTextWasTakenOnAnotherBase() {
-        String early = text(version + 10, "r-early");
-        repeatedEverywhere(412, early, version - 1);
-        assertEquals(200, fixture.put(early, version, 0).status());
-        repeatedEverywhere(412, early, version - 1);
-        repeatedEverywhere(200, early, version);
+    void rejectedChangeStaysRejectedThoughItsTextIsAcceptedOnAnotherBase() {
+        String earlyText = text(version + 10, "r-early");
+        assertStatusAtEveryNode(412, earlyText, version - 1);
+        assertEquals(200, fixture.put(earlyText, version, 0).status());
+        assertStatusAtEveryNode(412, earlyText, version - 1);
+        assertStatusAtEveryNode(200, earlyText, version);
     }
 
-    /** An order that was refused because its base was not reached yet, sent again once it is. */
+    /** Repeats a change that was rejected because its base was not reached yet, once the base is reached. */
     @Test
-    void orderAheadOfItsBaseNeverComesIntoForce() {
-        String ahead = text(version + 10, "r-ahead");
-        repeatedEverywhere(412, ahead, version + 2);
+    void changeAheadOfItsBaseNeverTakesEffect() {
+        String futureText = text(version + 10, "r-ahead");
+        assertStatusAtEveryNode(412, futureText, version + 2);
         change(1);
-        repeatedEverywhere(412, ahead, version);
+        assertStatusAtEveryNode(412, futureText, version);
         assertEquals(text(version, "r-0"), readBack(1));
         assertEquals(200, fixture.put(text(version + 10, "r-other"), version, 0).status());
     }
 
-    /** Texts that are different bytes are different orders, also where they read alike as text. */
+    /** Different bytes are different changes, even if they decode to the same text. */
     @Test
-    void bytesThatCannotBeReadAreRefusedAndChangeNothing() {
+    void undecodableBytesAreRejectedAndChangeNothing() {
         byte[] bytes = text(version + 2, "r-odd").getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length / 2] = (byte) 0xff;
         Optional<Response> answer = fixture.r.ask(
                 fixture.r.controlNodes.get(0),
                 new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(version)), bytes),
-                CALL);
+                REQUEST_TIMEOUT);
         assertEquals(400, answer.orElseThrow().status());
         assertEquals(fixture.configurationStub.text(), readBack(2));
     }
 
     @Test
-    void brokenOrdersHaveOneDefiniteAnswerAndChangeNothing() {
-        String good = text(version + 2, "r-good");
-        for (String match : List.of("", "  ", "*", "W/\"3\"", "-3", "3.0", "3, 4", "0x3", "9".repeat(19))) {
+    void malformedChangesAreRejectedAndChangeNothing() {
+        String valid = text(version + 2, "r-good");
+        for (String ifMatch : List.of("", "  ", "*", "W/\"3\"", "-3", "3.0", "3, 4", "0x3", "9".repeat(19))) {
             Request broken = new Request(
-                    "PUT", "/-/configuration", Map.of("if-match", match), good.getBytes(StandardCharsets.UTF_8));
+                    "PUT", "/-/configuration", Map.of("if-match", ifMatch), valid.getBytes(StandardCharsets.UTF_8));
             assertEquals(
                     400,
                     fixture.r
-                            .ask(fixture.r.controlNodes.get(0), broken, CALL)
+                            .ask(fixture.r.controlNodes.get(0), broken, REQUEST_TIMEOUT)
                             .orElseThrow()
                             .status(),
-                    "If-Match: " + match);
+                    "If-Match: " + ifMatch);
         }
         List<String> unreadable = List.of(
-                "", good.substring(0, good.length() - 1), good + "x", good + good, good + "{}", "null", "[]", "\"\"");
+                "",
+                valid.substring(0, valid.length() - 1),
+                valid + "x",
+                valid + valid,
+                valid + "{}",
+                "null",
+                "[]",
+                "\"\"");
         for (String text : unreadable) {
-            repeatedEverywhere(400, text, version);
+            assertStatusAtEveryNode(400, text, version);
         }
         assertEquals(fixture.configurationStub.text(), readBack(0));
-        assertEquals(200, fixture.put(good, version, 1).status());
+        assertEquals(200, fixture.put(valid, version, 1).status());
     }
 }
