--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.http.Response;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Bad input gets a definite kind, and nothing is stored. */
+/** Invalid input gets a definite error kind, and nothing is stored. */
 class BadInputTest {
     private final FleetSimulation simulation;
 
@@ -24,27 +24,28 @@
         simulation.w.sim.run(Duration.ofSeconds(3));
     }
 
-    private Response ask(String to, String method, String path, String key, String body, Map<String, String> more) {
-        Map<String, String> headers = new HashMap<>(more);
+    private Response send(
+            String to, String method, String path, String key, String body, Map<String, String> extraHeaders) {
+        Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("authorization", "Bearer " + key);
-        List<Response> got = new ArrayList<>();
+        List<Response> responses = new ArrayList<>();
         simulation.w.request(
                 to,
                 new Request(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                 Duration.ofSeconds(6),
-                response -> got.add(response.orElseThrow()));
+                response -> responses.add(response.orElseThrow()));
         simulation.w.sim.run(Duration.ofSeconds(7));
-        return got.get(0);
+        return responses.get(0);
     }
 
-    private String kind(String method, String path, String key, String body) {
-        Response response = ask(simulation.w.intakes.get(0), method, path, key, body, Map.of());
+    private String statusAndKind(String method, String path, String key, String body) {
+        Response response = send(simulation.w.intakes.get(0), method, path, key, body, Map.of());
         return response.status() + " "
                 + FleetSimulation.json(response).path("kind").asText();
     }
 
-    private long stored() {
-        Response response = ask(
+    private long storedMessages() {
+        Response response = send(
                 simulation.w.intakes.get(1),
                 "GET",
                 "/v1/messages?state=done",
@@ -55,42 +56,49 @@
     }
 
     @Test
-    void handInsThatCannotBeTakenAreRefusedDefinitely() {
+    void invalidSubmissionsAreRejectedAndNotStored() {
         String key = TestConfiguration.callerKey(0);
-        String good = "{\"id\":\"a\",\"body\":{}}";
-        String hold = "/v1/lanes/hold/messages";
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":"));
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":\"a b\",\"body\":{}}"));
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":\"a\"}"));
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":\"a\",\"body\":{},\"delayMs\":-1}"));
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":\"a\",\"body\":{},\"more\":1}"));
-        assertEquals("400 bad_request", kind("POST", hold, key, "{\"id\":\"a\",\"body\":{},\"orderingKey\":\"k\"}"));
-        assertEquals("400 bad_request", kind("POST", "/v1/lanes/accept/messages", key, good));
-        assertEquals("404 unknown_lane", kind("POST", "/v1/lanes/none/messages", key, good));
-        assertEquals("401 unauthorised", kind("POST", hold, "wrong", good));
-        assertEquals("403 forbidden", kind("POST", "/v1/services/reserve/fetch", key, "{\"processor\":\"p\"}"));
-        assertEquals("404 not_found", kind("GET", "/v1/messages/m0-99", key, ""));
-        assertEquals("404 not_found", kind("GET", "/v1/messages/..%2f", key, ""));
-        assertEquals("404 not_found", kind("DELETE", hold, key, ""));
-        assertEquals(0, stored());
-        assertEquals("202 ", kind("POST", hold, key, good));
-        assertEquals(1, stored());
-        assertEquals("202 ", kind("POST", hold, key, good));
-        assertEquals("409 conflict", kind("POST", hold, key, "{\"id\":\"a\",\"body\":{\"other\":1}}"));
-        assertEquals(1, stored());
+        String valid = "{\"id\":\"a\",\"body\":{}}";
+        String holdPath = "/v1/lanes/hold/messages";
+        assertEquals("400 bad_request", statusAndKind("POST", holdPath, key, "{\"id\":"));
+        assertEquals("400 bad_request", statusAndKind("POST", holdPath, key, "{\"id\":\"a b\",\"body\":{}}"));
+        assertEquals("400 bad_request", statusAndKind("POST", holdPath, key, "{\"id\":\"a\"}"));
+        assertEquals(
+                "400 bad_request", statusAndKind("POST", holdPath, key, "{\"id\":\"a\",\"body\":{},\"delayMs\":-1}"));
+        assertEquals("400 bad_request", statusAndKind("POST", holdPath, key, "{\"id\":\"a\",\"body\":{},\"more\":1}"));
+        assertEquals(
+                "400 bad_request",
+                statusAndKind("POST", holdPath, key, "{\"id\":\"a\",\"body\":{},\"orderingKey\":\"k\"}"));
+        assertEquals("400 bad_request", statusAndKind("POST", "/v1/lanes/accept/messages", key, valid));
+        assertEquals("404 unknown_lane", statusAndKind("POST", "/v1/lanes/none/messages", key, valid));
+        assertEquals("401 unauthorised", statusAndKind("POST", holdPath, "wrong", valid));
+        assertEquals(
+                "403 forbidden", statusAndKind("POST", "/v1/services/reserve/fetch", key, "{\"processor\":\"p\"}"));
+        assertEquals("404 not_found", statusAndKind("GET", "/v1/messages/m0-99", key, ""));
+        assertEquals("404 not_found", statusAndKind("GET", "/v1/messages/..%2f", key, ""));
+        assertEquals("404 not_found", statusAndKind("DELETE", holdPath, key, ""));
+        assertEquals(0, storedMessages());
+        assertEquals("202 ", statusAndKind("POST", holdPath, key, valid));
+        assertEquals(1, storedMessages());
+        assertEquals("202 ", statusAndKind("POST", holdPath, key, valid));
+        assertEquals("409 conflict", statusAndKind("POST", holdPath, key, "{\"id\":\"a\",\"body\":{\"other\":1}}"));
+        assertEquals(1, storedMessages());
     }
 
-    /** An unknown processor, service, message; a report for what has ended changes nothing. */
+    /**
+     * Unknown processors, services and messages are rejected; an outcome for a message that has ended changes nothing.
+     */
     @Test
-    void processorsGetDefiniteAnswers() {
+    void invalidProcessorRequestsGetDefiniteErrors() {
         String key = TestConfiguration.fetchKey(TestConfiguration.GROUP);
         String fetch = "/v1/services/" + TestConfiguration.GROUP + "/fetch";
-        assertEquals("403 forbidden", kind("POST", fetch, key, "{\"processor\":\"nobody\"}"));
-        assertEquals("403 forbidden", kind("POST", "/v1/services/nowhere/fetch", key, "{\"processor\":\"p0\"}"));
-        assertEquals("400 bad_request", kind("POST", fetch, key, "{\"processor\":\"p0\",\"fetch\":\"a b\"}"));
+        assertEquals("403 forbidden", statusAndKind("POST", fetch, key, "{\"processor\":\"nobody\"}"));
+        assertEquals(
+                "403 forbidden", statusAndKind("POST", "/v1/services/nowhere/fetch", key, "{\"processor\":\"p0\"}"));
+        assertEquals("400 bad_request", statusAndKind("POST", fetch, key, "{\"processor\":\"p0\",\"fetch\":\"a b\"}"));
         String done = "{\"processor\":\"p0\",\"attempt\":1,\"outcome\":\"done\",\"receipt\":\"r\"}";
-        assertEquals("404 not_found", kind("POST", "/v1/messages/m0-99/outcome", key, done));
-        Response response = ask(
+        assertEquals("404 not_found", statusAndKind("POST", "/v1/messages/m0-99/outcome", key, done));
+        Response response = send(
                 simulation.w.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
@@ -100,8 +108,8 @@
         String handle = FleetSimulation.json(response).path("handle").asText();
         assertEquals(
                 "400 bad_request",
-                kind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("\"r\"", "\"\"")));
-        Response late = ask(
+                statusAndKind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("\"r\"", "\"\"")));
+        Response lateOutcome = send(
                 simulation.w.intakes.get(0),
                 "POST",
                 "/v1/messages/" + handle + "/outcome",
@@ -110,16 +118,17 @@
                 Map.of());
         assertEquals(
                 "200 false done",
-                late.status() + " "
-                        + FleetSimulation.json(late).path("recorded").asBoolean() + " "
-                        + FleetSimulation.json(late).path("state").asText());
+                lateOutcome.status() + " "
+                        + FleetSimulation.json(lateOutcome).path("recorded").asBoolean() + " "
+                        + FleetSimulation.json(lateOutcome).path("state").asText());
         assertEquals(
-                "403 forbidden", kind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("p0", "p9")));
+                "403 forbidden",
+                statusAndKind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("p0", "p9")));
     }
 
     @Test
     void othersMessagesAreNotShown() {
-        Response response = ask(
+        Response response = send(
                 simulation.w.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
@@ -127,13 +136,14 @@
                 "{\"id\":\"a\",\"body\":{}}",
                 Map.of());
         String handle = FleetSimulation.json(response).path("handle").asText();
-        assertEquals("200 ", kind("GET", "/v1/messages/" + handle, TestConfiguration.callerKey(0), ""));
-        assertEquals("404 not_found", kind("GET", "/v1/messages/" + handle, TestConfiguration.callerKey(1), ""));
+        assertEquals("200 ", statusAndKind("GET", "/v1/messages/" + handle, TestConfiguration.callerKey(0), ""));
+        assertEquals(
+                "404 not_found", statusAndKind("GET", "/v1/messages/" + handle, TestConfiguration.callerKey(1), ""));
     }
 
     @Test
-    void overTheAllowanceIsThrottledWithATimeToComeBack() {
-        List<Response> all = new ArrayList<>();
+    void exceedingTheRateLimitIsThrottledWithRetryAfter() {
+        List<Response> responses = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             simulation.w.request(
                     simulation.w.intakes.get(i % 2),
@@ -143,64 +153,73 @@
                             Map.of("authorization", "Bearer " + TestConfiguration.callerKey(1)),
                             ("{\"id\":\"n" + i + "\",\"body\":{}}").getBytes(StandardCharsets.UTF_8)),
                     Duration.ofSeconds(6),
-                    response -> all.add(response.orElseThrow()));
+                    response -> responses.add(response.orElseThrow()));
         }
         simulation.w.sim.run(Duration.ofSeconds(7));
         List<Response> refused =
-                all.stream().filter(response -> response.status() == 429).toList();
+                responses.stream().filter(response -> response.status() == 429).toList();
         assertTrue(refused.size() > 50, "refused " + refused.size());
         assertTrue(refused.stream()
                 .allMatch(response -> Integer.parseInt(response.headers().get("Retry-After")) >= 1));
         assertTrue(
-                all.stream().filter(response -> response.status() == 202).count() <= 30 + 20,
-                "burst and a second of the rate");
+                responses.stream().filter(response -> response.status() == 202).count() <= 30 + 20,
+                "more than the burst and one second at the rate");
     }
 
     @Test
-    void layoutsThatCannotBeTakenChangeNothing() {
-        String l = simulation.w.controlNodes.get(1);
-        Map<String, String> base = Map.of("if-match", "1", "x-request-id", "bad");
-        Response response = ask(
-                l,
+    void invalidOrStaleLayoutsChangeNothing() {
+        String controlNode = simulation.w.controlNodes.get(1);
+        Map<String, String> baseHeaders = Map.of("if-match", "1", "x-request-id", "bad");
+        Response response = send(
+                controlNode,
                 "PUT",
                 "/v1/layout",
                 "",
                 "{\"lanes\":{\"x\":{\"service\":\"no\",\"ordering\":\"none\","
                         + "\"timeLimitMs\":5000,\"attempts\":1}},\"tenants\":{\"T!\":{\"ratePerS\":1,\"burstSize\":1}}}",
-                base);
+                baseHeaders);
         assertEquals(422, response.status());
-        Response unclear = ask(
-                l,
+        Response invalidValue = send(
+                controlNode,
                 "PUT",
                 "/v1/layout",
                 "",
                 "{\"services\":{\"s\":{\"kind\":\"processors\"}},\"lanes\":{\"x\":"
                         + "{\"service\":\"s\",\"timeLimitMs\":5000,\"attempts\":1,\"ifUnclear\":\"perhaps\"}}}",
-                base);
+                baseHeaders);
         assertEquals(
                 "422 lanes.x.ifUnclear",
-                unclear.status() + " "
-                        + FleetSimulation.json(unclear)
+                invalidValue.status() + " "
+                        + FleetSimulation.json(invalidValue)
                                 .path("details")
                                 .path(0)
                                 .asText()
                                 .replaceAll(":.*", ""));
-        Response stale = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "0", "x-request-id", "stale"));
+        Response stale =
+                send(controlNode, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "0", "x-request-id", "stale"));
         assertEquals(412, stale.status());
-        assertEquals("1", FleetSimulation.json(stale).path("details").path(0).asText(), "the present version is named");
-        assertEquals(400, ask(l, "PUT", "/v1/layout", "", "{}", Map.of()).status());
         assertEquals(
-                "\"1\"", ask(l, "GET", "/v1/layout", "", "", Map.of()).headers().get("ETag"));
-        Response first = ask(l, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
-        Response again = ask(
+                "1",
+                FleetSimulation.json(stale).path("details").path(0).asText(),
+                "the current version must be in the details");
+        assertEquals(
+                400, send(controlNode, "PUT", "/v1/layout", "", "{}", Map.of()).status());
+        assertEquals(
+                "\"1\"",
+                send(controlNode, "GET", "/v1/layout", "", "", Map.of())
+                        .headers()
+                        .get("ETag"));
+        Response accepted =
+                send(controlNode, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
+        Response repeated = send(
                 simulation.w.controlNodes.get(2),
                 "PUT",
                 "/v1/layout",
                 "",
                 "{}",
                 Map.of("if-match", "1", "x-request-id", "good"));
-        assertEquals(2, FleetSimulation.json(first).path("version").asInt());
-        assertEquals(2, FleetSimulation.json(again).path("version").asInt());
-        assertTrue(FleetSimulation.json(again).path("repeated").asBoolean());
+        assertEquals(2, FleetSimulation.json(accepted).path("version").asInt());
+        assertEquals(2, FleetSimulation.json(repeated).path("version").asInt());
+        assertTrue(FleetSimulation.json(repeated).path("repeated").asBoolean());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
@@ -10,9 +10,9 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Processors that fetch: lost answers, crashes. */
+/** Processors that fetch their work: lost responses and crashes. */
 class FetchTest {
-    private static FleetSimulation fetching(long seed) throws ServiceException {
+    private static FleetSimulation startWithFetchers(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(
                         seed, 2, 3, 0, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
@@ -22,12 +22,14 @@
         return simulation;
     }
 
-    /** Before fetches had ids: a message whose fetch was answered into the void stayed unclear and failed. */
+    /**
+     * Guards against a message that fails as unclear because the response to its fetch was lost; fetch ids prevent it.
+     */
     @Test
     void fetchWhoseAnswerWasLostIsRepeatedForTheSameAttempts() throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
-            FleetSimulation simulation = fetching(seed);
-            List.of("f0", "f1").forEach(f -> simulation.fetcher(f).behave(Duration.ofMillis(20), 0.4));
+            FleetSimulation simulation = startWithFetchers(seed);
+            List.of("f0", "f1").forEach(fetcher -> simulation.fetcher(fetcher).behave(Duration.ofMillis(20), 0.4));
             simulation.traffic(10);
             simulation.w.sim.run(Duration.ofSeconds(8));
             assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
@@ -39,8 +41,8 @@
     }
 
     @Test
-    void whatACrashedFetcherHadEndsAsUnclear() throws ServiceException {
-        FleetSimulation simulation = fetching(3);
+    void attemptsOfACrashedFetcherEndAsUnclear() throws ServiceException {
+        FleetSimulation simulation = startWithFetchers(3);
         simulation.fetcher("f0").behave(Duration.ofSeconds(2), 0);
         simulation.traffic(10);
         simulation.w.sim.run(Duration.ofSeconds(4));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LastLookTest.java
@@ -22,46 +22,48 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Nothing waits between the last look and the sending. */
+/** The send guard is checked again after any wait, right before a request is sent. */
 class LastLookTest {
-    /** The real client: 64 streams are busy, 16 requests wait; while they wait, the look turns to no. */
+    /** 64 connections are in use and 16 requests wait for one; the guard starts to reject while they wait. */
     @Test
     void whatWaitsForAStreamIsLookedAtAgain() throws Exception {
         AtomicInteger arrived = new AtomicInteger();
-        CountDownLatch full = new CountDownLatch(64);
-        Sinks.One<Response> answer = Sinks.one();
+        CountDownLatch allConnectionsUsed = new CountDownLatch(64);
+        Sinks.One<Response> response = Sinks.one();
         String address = Fleet.free();
-        HttpGateway httpGateway = new HttpGateway(address, 1 << 16, request -> {
+        HttpGateway gateway = new HttpGateway(address, 1 << 16, request -> {
             arrived.incrementAndGet();
-            full.countDown();
-            return answer.asMono();
+            allConnectionsUsed.countDown();
+            return response.asMono();
         });
-        httpGateway.start();
+        gateway.start();
         try {
-            AtomicBoolean may = new AtomicBoolean(true);
-            HttpDeliveryClient post = new HttpDeliveryClient();
-            List<Mono<ErrorKind>> all = new ArrayList<>();
+            AtomicBoolean maySend = new AtomicBoolean(true);
+            HttpDeliveryClient client = new HttpDeliveryClient();
+            List<Mono<ErrorKind>> results = new ArrayList<>();
             for (int i = 0; i < 80; i++) {
-                all.add(post.send(new DeliveryClient.DeliveryRequest(
+                results.add(client.send(new DeliveryClient.DeliveryRequest(
                                 "POST",
                                 "http://" + address + "/messages",
                                 new byte[] {'{', '}'},
                                 Duration.ofSeconds(20),
-                                may::get))
+                                maySend::get))
                         .map(deliveryResponse -> ErrorKind.CONFLICT)
                         .onErrorResume(e -> Mono.just(ServiceException.of(e).kind()))
                         .cache());
             }
-            all.forEach(Mono::subscribe);
-            assertTrue(full.await(30, TimeUnit.SECONDS), "64 must arrive, " + arrived.get() + " did");
-            may.set(false);
-            answer.tryEmitValue(Response.json(200, Map.of()));
-            List<ErrorKind> kinds = all.stream().map(Mono::block).toList();
+            results.forEach(Mono::subscribe);
+            assertTrue(
+                    allConnectionsUsed.await(30, TimeUnit.SECONDS),
+                    "64 requests must arrive, " + arrived.get() + " did");
+            maySend.set(false);
+            response.tryEmitValue(Response.json(200, Map.of()));
+            List<ErrorKind> kinds = results.stream().map(Mono::block).toList();
             assertEquals(64, arrived.get());
             assertEquals(
                     16, kinds.stream().filter(ErrorKind.UNREACHABLE::equals).count(), kinds.toString());
         } finally {
-            httpGateway.stop();
+            gateway.stop();
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -9,36 +9,44 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.membership.ServiceNames;
 
-/** A stream that stalls delivers its frames late, all at once, long after those who sent them have given up. */
+/**
+ * A stalled connection delivers its frames late and all at once, long after the requests have timed out at the sender.
+ */
 class LateFramesTest {
-    /** The stream stalls 1 to 6 ms after the first request. Before: marks were undone, and work went on. */
+    /**
+     * Clears the leaving mark of a processor over a connection that stalls 1 to 6 ms later, then sets it again
+     * elsewhere. Guards against the late frame undoing the newer mark, so that the processor keeps getting work.
+     */
     @Test
     void lateChangeOfAListDoesNotUndoALeavingMark() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(2));
-        String part = ServiceNames.controlPartition("service/" + FleetSimulation.service(0));
+        String partition = ServiceNames.controlPartition("service/" + FleetSimulation.service(0));
         String owner = simulation.w.controlNodes.stream()
-                .filter(l -> simulation.w.controlNode(l).replica(part).isActiveLeader())
+                .filter(node ->
+                        simulation.w.controlNode(node).replica(partition).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        // not the leader of c0: a machine that does not hear that one has no contact, and turns requests away (6.12)
-        String asked = simulation.w.controlNodes.stream()
-                .filter(l -> !l.equals(owner)
-                        && !simulation.w.controlNode(l).replica("c0").isActiveLeader())
+        // not the leader of c0: a machine that does not hear from that leader has no contact and rejects requests
+        // (docs/design.md, section 6.12)
+        String contacted = simulation.w.controlNodes.stream()
+                .filter(node -> !node.equals(owner)
+                        && !simulation.w.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        for (int k = 1; k <= 6; k++) {
-            String p = "p" + (2 * k);
-            simulation.w.request(asked, simulation.listing(p, true), Duration.ofSeconds(4), response -> {});
+        for (int round = 1; round <= 6; round++) {
+            String processor = "p" + (2 * round);
+            simulation.w.request(contacted, simulation.listing(processor, true), Duration.ofSeconds(4), response -> {});
             simulation.w.sim.run(Duration.ofSeconds(1));
-            simulation.w.request(asked, simulation.listing(p, false), Duration.ofSeconds(4), response -> {});
-            simulation.w.sim.run(Duration.ofMillis(k));
-            simulation.w.net.stall(asked, owner);
+            simulation.w.request(
+                    contacted, simulation.listing(processor, false), Duration.ofSeconds(4), response -> {});
+            simulation.w.sim.run(Duration.ofMillis(round));
+            simulation.w.net.stall(contacted, owner);
             simulation.w.sim.run(Duration.ofSeconds(4));
-            simulation.listAt(owner, p, true);
+            simulation.listAt(owner, processor, true);
             simulation.w.sim.run(Duration.ofSeconds(1));
-            assertEquals(k, simulation.w.seen.leaving.size());
+            assertEquals(round, simulation.w.seen.leaving.size());
             simulation.w.net.heal();
         }
         simulation.w.sim.run(Duration.ofSeconds(6));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -10,24 +10,24 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.common.http.Response;
 
-/** Fetched work is held by a lease (docs/design.md, section 9.10). */
+/** Leases of fetched jobs (docs/design.md, section 9.10). */
 class LeasesTest {
-    private static final int GIVEN_BACK = 150;
+    private static final int RETURNS = 150;
     private static final long LEASE_MS = SimulatedPlatformFleet.LEASE.toMillis();
 
-    private static PlatformFixture withOne(long seed) throws ServiceException {
+    private static PlatformFixture fixtureWithOneMessage(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 1);
         fixture.accepted("/pull/x?y=1", "bytes", Map.of());
         return fixture;
     }
 
-    private static String part(Response pulled) {
+    private static String partition(Response pulled) {
         return pulled.headers().get("X-Lease-Id").replaceAll("-.*", "");
     }
 
     @Test
     void jobCarriesTheRequestAsItArrived() throws ServiceException {
-        PlatformFixture fixture = withOne(1);
+        PlatformFixture fixture = fixtureWithOneMessage(1);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(
                 "200 POST /pull/x?y=1 tenant-a bytes",
@@ -37,19 +37,19 @@
                         + new String(response.body()));
         assertTrue(
                 response.headers().values().stream().noneMatch(v -> v.contains(PlatformFixture.KEY)),
-                "no key goes to a processor");
+                "no key may be sent to a processor");
         assertEquals(200, fixture.end(response, 200));
         assertEquals(204, fixture.pull("i-1", 1000).status());
     }
 
-    /** Not sooner than a lease after the last word, and not much later. */
+    /** The job is delivered again one lease time after the last sign of life, not before and not much later. */
     @Test
     void silentLeaseIsHandedAgainAndNotSooner() throws ServiceException {
-        PlatformFixture fixture = withOne(2);
+        PlatformFixture fixture = fixtureWithOneMessage(2);
         Response first = fixture.pull("i-1", 1000);
-        Duration given = fixture.r.sim.now();
+        Duration fetched = fixture.r.sim.now();
         Response second = fixture.pull("i-2", 10_000);
-        long waited = fixture.r.sim.now().minus(given).toMillis();
+        long waited = fixture.r.sim.now().minus(fetched).toMillis();
         assertEquals(first.headers().get("X-Attempt-Id"), second.headers().get("X-Attempt-Id"));
         assertNotEquals(first.headers().get("X-Lease-Id"), second.headers().get("X-Lease-Id"));
         assertTrue(waited >= LEASE_MS && waited < LEASE_MS + 700, "after " + waited + " ms");
@@ -57,46 +57,46 @@
 
     @Test
     void eachExtensionCountsAnew() throws ServiceException {
-        PlatformFixture fixture = withOne(3);
+        PlatformFixture fixture = fixtureWithOneMessage(3);
         Response first = fixture.pull("i-1", 1000);
         for (int i = 0; i < 4; i++) {
             fixture.run(LEASE_MS * 2 / 3);
             assertEquals(200, fixture.extend(first));
         }
-        Duration word = fixture.r.sim.now();
+        Duration lastExtension = fixture.r.sim.now();
         assertEquals(200, fixture.pull("i-2", 10_000).status());
         assertTrue(
-                fixture.r.sim.now().minus(word).toMillis() >= LEASE_MS - 20,
-                "after " + fixture.r.sim.now().minus(word));
+                fixture.r.sim.now().minus(lastExtension).toMillis() >= LEASE_MS - 20,
+                "after " + fixture.r.sim.now().minus(lastExtension));
     }
 
-    /** Guards against an end that is forgotten because many attempts came before it: it was refused with 409 (review/5). */
+    /** Guards against rejecting a repeated outcome with 409 because it is forgotten after many attempts (review/5). */
     @Test
     void endIsRememberedHoweverOftenTheJobWasGivenBack() throws ServiceException {
-        PlatformFixture fixture = withOne(14);
-        Response given = fixture.pull("i-1", 1000);
-        Response first = given;
-        for (int i = 0; i < GIVEN_BACK; i++) {
-            assertEquals(200, fixture.end(given, 503));
-            assertEquals(200, fixture.end(given, 503), "given back again, time " + i);
-            given = fixture.pull("i-1", 1000);
-            assertEquals(200, given.status(), "time " + i);
+        PlatformFixture fixture = fixtureWithOneMessage(14);
+        Response fetched = fixture.pull("i-1", 1000);
+        Response first = fetched;
+        for (int i = 0; i < RETURNS; i++) {
+            assertEquals(200, fixture.end(fetched, 503));
+            assertEquals(200, fixture.end(fetched, 503), "repeated return " + i);
+            fetched = fixture.pull("i-1", 1000);
+            assertEquals(200, fetched.status(), "attempt " + i);
         }
-        assertEquals(200, fixture.end(first, 503), "the very first comes once more");
-        assertEquals(200, fixture.end(given, 200));
-        assertEquals(200, fixture.end(given, 200));
-        String owner = fixture.r.owner(part(given)).orElseThrow();
+        assertEquals(200, fixture.end(first, 503), "repeat of the first return");
+        assertEquals(200, fixture.end(fetched, 200));
+        assertEquals(200, fixture.end(fetched, 200));
+        String owner = fixture.r.owner(partition(fetched)).orElseThrow();
         fixture.r.kill(owner);
         fixture.run(6000);
         fixture.r.restart(owner);
         fixture.run(6000);
-        assertEquals(200, fixture.end(given, 200), "after a change of the owner and a restart");
-        assertEquals(409, fixture.extend(given));
+        assertEquals(200, fixture.end(fetched, 200), "after a change of the leader and a restart");
+        assertEquals(409, fixture.extend(fetched));
     }
 
     @Test
     void endIsTakenOnceAndSaidAgainHasTheSameAnswer() throws ServiceException {
-        PlatformFixture fixture = withOne(4);
+        PlatformFixture fixture = fixtureWithOneMessage(4);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(200, fixture.end(response, 200));
         assertEquals(200, fixture.end(response, 200));
@@ -105,59 +105,62 @@
 
     @Test
     void olderLeaseIsGoneAfterANewerOne() throws ServiceException {
-        PlatformFixture fixture = withOne(5);
-        Response old = fixture.pull("i-1", 1000);
-        Response fresh = fixture.pull("i-2", 10_000);
-        assertEquals(409, fixture.extend(old));
-        assertEquals(409, fixture.end(old, 200));
-        assertEquals(200, fixture.extend(fresh));
-        assertEquals(200, fixture.end(fresh, 200));
-        assertEquals(409, fixture.end(old, 200));
-        assertEquals(409, fixture.end(old, 500));
+        PlatformFixture fixture = fixtureWithOneMessage(5);
+        Response expired = fixture.pull("i-1", 1000);
+        Response current = fixture.pull("i-2", 10_000);
+        assertEquals(409, fixture.extend(expired));
+        assertEquals(409, fixture.end(expired, 200));
+        assertEquals(200, fixture.extend(current));
+        assertEquals(200, fixture.end(current, 200));
+        assertEquals(409, fixture.end(expired, 200));
+        assertEquals(409, fixture.end(expired, 500));
     }
 
     @Test
-    void unknownLeaseIsGone() throws ServiceException {
-        PlatformFixture fixture = withOne(6);
-        for (String word : new String[] {"m0-99.1", "nonsense", "m7-1.1.1", "m999-1.1"}) {
-            Map<String, String> h = Map.of("x-lease-id", word, "x-job-outcome", "200", "x-server-seal", "s");
-            assertEquals(409, fixture.front("POST", "/-/job-end/x", h, "").status(), word);
-            assertEquals(409, fixture.front("POST", "/-/job-extend/x", h, "").status(), word);
+    void unknownLeaseIsRejected() throws ServiceException {
+        PlatformFixture fixture = fixtureWithOneMessage(6);
+        for (String leaseId : new String[] {"m0-99.1", "nonsense", "m7-1.1.1", "m999-1.1"}) {
+            Map<String, String> headers = Map.of("x-lease-id", leaseId, "x-job-outcome", "200", "x-server-seal", "s");
+            assertEquals(409, fixture.front("POST", "/-/job-end/x", headers, "").status(), leaseId);
+            assertEquals(
+                    409, fixture.front("POST", "/-/job-extend/x", headers, "").status(), leaseId);
         }
     }
 
-    /** The predecessor's last word is not known to the new owner: it counts from when it took over. */
+    /**
+     * The new leader does not know when the lease was last extended, so it counts the lease time from its own takeover.
+     */
     @Test
     void newOwnerCountsFromTakingOver() throws ServiceException {
-        PlatformFixture fixture = withOne(7);
+        PlatformFixture fixture = fixtureWithOneMessage(7);
         Response response = fixture.pull("i-1", 1000);
         fixture.run(1500);
         assertEquals(200, fixture.extend(response));
-        Duration word = fixture.r.sim.now();
-        String before = fixture.r.owner(part(response)).orElseThrow();
-        fixture.r.kill(before);
+        Duration lastExtension = fixture.r.sim.now();
+        String previousOwner = fixture.r.owner(partition(response)).orElseThrow();
+        fixture.r.kill(previousOwner);
         assertEquals(200, fixture.pull("i-2", 20_000).status());
-        assertNotEquals(before, fixture.r.owner(part(response)).orElseThrow());
+        assertNotEquals(previousOwner, fixture.r.owner(partition(response)).orElseThrow());
         assertTrue(
-                fixture.r.sim.now().minus(word).toMillis() >= LEASE_MS,
-                "after " + fixture.r.sim.now().minus(word));
+                fixture.r.sim.now().minus(lastExtension).toMillis() >= LEASE_MS,
+                "after " + fixture.r.sim.now().minus(lastExtension));
         assertEquals(409, fixture.end(response, 200));
     }
 
-    /** An end that was taken by an owner that is gone has the same answer from its successor. */
+    /** A repeated outcome that a failed leader had accepted gets the same response from its successor. */
     @Test
     void takenEndIsRememberedAcrossOwners() throws ServiceException {
-        PlatformFixture fixture = withOne(8);
+        PlatformFixture fixture = fixtureWithOneMessage(8);
         Response response = fixture.pull("i-1", 1000);
         assertEquals(200, fixture.end(response, 200));
-        fixture.r.kill(fixture.r.owner(part(response)).orElseThrow());
+        fixture.r.kill(fixture.r.owner(partition(response)).orElseThrow());
         fixture.run(6000);
         assertEquals(200, fixture.end(response, 200));
     }
 
     @Test
-    void workGivenBackUnrunCountsAsNoAttempt() throws ServiceException {
-        PlatformFixture fixture = withOne(9);
+    void returnedJobCountsAsNoAttempt() throws ServiceException {
+        PlatformFixture fixture = fixtureWithOneMessage(9);
         for (int i = 0; i < 6; i++) {
             Response response = fixture.pull("i-1", 5000);
             assertEquals(200, response.status(), "round " + i);
@@ -183,7 +186,7 @@
     }
 
     @Test
-    void lapsedLeasesCountAsNoAttempt() throws ServiceException {
+    void expiredLeasesCountAsNoAttempt() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(11, 1);
         String handle = fixture.accepted("/pull/x", "body", Map.of());
         for (int i = 0; i < 5; i++) {
@@ -197,7 +200,7 @@
                 fixture.state(handle).path("seal").asText());
     }
 
-    /** The next of the key waits while the first is held, and while its lease lapses. */
+    /** The next message of an ordering key waits while the first is leased, and also after that lease has expired. */
     @Test
     void orderedMessageKeepsItsPlaceWhileItsLeaseLapses() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(12, 1);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LongHeadsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LongHeadsTest.java
@@ -19,14 +19,14 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Messages with long targets wait while no processor is there. Guards against bounds that do not count what is stored:
- * every store's ring filled up, the processes ended, and no folder could be opened again (review/1).
+ * Messages with long targets are queued while there is no processor. Guards against limits that do not count all stored
+ * bytes: the ring of every store filled up, the processes stopped, and no data folder could be opened again (review/1).
  */
 class LongHeadsTest {
     private static final String TARGET = "/push/" + "x".repeat(15_000) + "/";
-    private static final Duration ANSWER_LIMIT = Duration.ofSeconds(2);
-    private static final int SENT = 400;
-    private static final int FEWEST_ACCEPTED = 60;
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
+    private static final int MESSAGES = 400;
+    private static final int MIN_ACCEPTED = 60;
 
     private final Map<String, String> bodies = new LinkedHashMap<>();
     private final Map<Integer, Integer> statuses = new TreeMap<>();
@@ -39,14 +39,14 @@
                     "authorization", "Token " + PlatformFixture.KEY,
                     "x-attempt-id", "m" + i);
             Request request = new Request("POST", TARGET + i, headers, body.getBytes());
-            Optional<Response> answer = fixture.r.ask(fixture.r.intakes.get(0), request, ANSWER_LIMIT);
+            Optional<Response> answer = fixture.r.ask(fixture.r.intakes.get(0), request, RESPONSE_TIMEOUT);
             statuses.merge(answer.map(Response::status).orElse(0), 1, Integer::sum);
             answer.filter(response -> response.status() == 202)
                     .ifPresent(response -> bodies.put(response.headers().get("X-Message-Ref"), body));
             answer.filter(response -> response.status() == 503)
                     .ifPresent(response -> assertTrue(
                             response.headers().keySet().stream().anyMatch("retry-after"::equalsIgnoreCase),
-                            "a refusal says when to come back"));
+                            "a rejection must have a Retry-After header"));
             if (restarts && i % 100 == 99) {
                 String store = fixture.r.stores.get(fixture.r.sim.random().nextInt(3));
                 fixture.r.kill(store);
@@ -57,7 +57,7 @@
         }
     }
 
-    private static void everyStoreRuns(PlatformFixture fixture) {
+    private static void assertEveryStoreRuns(PlatformFixture fixture) {
         assertEquals(
                 fixture.r.stores,
                 fixture.r.stores.stream()
@@ -65,7 +65,7 @@
                         .toList());
     }
 
-    private List<String> notReturned(PlatformFixture fixture) {
+    private List<String> lostMessages(PlatformFixture fixture) {
         List<String> lost = new ArrayList<>();
         bodies.forEach((handle, body) -> {
             Response answer = fixture.bytes(handle);
@@ -78,27 +78,27 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void storesRefuseWhatHasNoRoomAndLoseNothing(long seed) throws ServiceException {
+    void fullStoresRejectMessagesAndLoseNothing(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 1, SimulatedFleet.SMALL_RING);
-        send(fixture, SENT, false);
-        everyStoreRuns(fixture);
-        assertTrue(bodies.size() >= FEWEST_ACCEPTED, statuses.toString());
+        send(fixture, MESSAGES, false);
+        assertEveryStoreRuns(fixture);
+        assertTrue(bodies.size() >= MIN_ACCEPTED, statuses.toString());
         assertNotEquals(0, statuses.getOrDefault(503, 0), statuses.toString());
-        assertEquals(List.of(), notReturned(fixture));
-        processorsComeBack(fixture);
-        assertEquals(List.of(), queued(fixture));
+        assertEquals(List.of(), lostMessages(fixture));
+        startProcessors(fixture);
+        assertEquals(List.of(), incomplete(fixture));
         int before = bodies.size();
         send(fixture, 5, false);
-        assertTrue(bodies.size() > before, "there is room again: " + statuses);
+        assertTrue(bodies.size() > before, "there must be space again: " + statuses);
     }
 
-    /** The same with a store killed and started again every now and then: each folder opens again. */
+    /** The same with a store killed and restarted after every 100 messages: each data folder can be opened again. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12})
-    void fullStoresOpenAgainAfterAKill(long seed) throws ServiceException {
+    void fullStoresRestartAfterAKill(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 1, SimulatedFleet.SMALL_RING);
-        send(fixture, SENT, true);
-        everyStoreRuns(fixture);
+        send(fixture, MESSAGES, true);
+        assertEveryStoreRuns(fixture);
         for (String store : fixture.r.stores) {
             fixture.r.kill(store);
         }
@@ -106,13 +106,13 @@
             fixture.r.restart(store);
         }
         fixture.run(6000);
-        everyStoreRuns(fixture);
-        assertEquals(List.of(), notReturned(fixture));
-        processorsComeBack(fixture);
-        assertEquals(List.of(), queued(fixture));
+        assertEveryStoreRuns(fixture);
+        assertEquals(List.of(), lostMessages(fixture));
+        startProcessors(fixture);
+        assertEquals(List.of(), incomplete(fixture));
     }
 
-    private static void processorsComeBack(PlatformFixture fixture) {
+    private static void startProcessors(PlatformFixture fixture) {
         for (int i = 1; i <= 3; i++) {
             fixture.processor(
                     "i-" + i, "book", "10.9.0." + i + ":80", request -> Mono.just(PlatformFixture.done(request)));
@@ -120,7 +120,7 @@
         fixture.run(30_000);
     }
 
-    private List<String> queued(PlatformFixture fixture) {
+    private List<String> incomplete(PlatformFixture fixture) {
         return bodies.keySet().stream()
                 .filter(handle -> !fixture.state(handle).path("state").asText().equals("completed"))
                 .toList();
