--- a/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
@@ -9,51 +9,56 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Rightful traffic is let in, all of it runs, and no window exceeds the allowance; counted on the fake clock. */
+/**
+ * Traffic within the rate limit is accepted and processed, and no window exceeds the limit, measured on the simulated
+ * clock.
+ */
 class AdmissionTest {
-    private static final TestConfiguration EIGHT = new TestConfiguration(8, 4, 45, 60, 26);
+    private static final TestConfiguration EIGHT_TENANTS = new TestConfiguration(8, 4, 45, 60, 26);
 
-    private static void sound(Measure.Figures figures) {
+    private static void assertNothingViolatedOrFailed(Measure.Figures figures) {
         assertEquals(List.of(), figures.violations());
-        assertEquals(0, figures.failed(), "accepted messages that did not run in time");
+        assertEquals(0, figures.failed(), "accepted messages that were not processed in time");
     }
 
     /**
-     * Before: 3.7 % refused from a cold start, as the first asker emptied each bucket and spent passes were not told.
+     * Guards against refusals after a cold start: 3.7 % were refused while the first requester drained each bucket and
+     * spent tokens were not reported.
      */
     @Test
     void coldStartBelowTheAllowanceIsNotRefused() throws ServiceException {
-        Measure.Figures figures = Measure.steady(1, 8, 3, EIGHT, 200, Duration.ofSeconds(9), simulation -> {});
-        sound(figures);
+        Measure.Figures figures = Measure.steady(1, 8, 3, EIGHT_TENANTS, 200, Duration.ofSeconds(9), simulation -> {});
+        assertNothingViolatedOrFailed(figures);
         assertEquals(0, figures.throttled());
         assertTrue(
                 figures.asks() < 2 * figures.accepted(),
                 "batch requests " + figures.asks() + " for " + figures.accepted());
     }
 
-    /** Before: half of the messages of tenants of 2 a second were refused at half of their allowance. */
+    /** Guards against refusing half of the messages of tenants with a limit of 2/s at half of that limit. */
     @Test
-    void tinyTenantsOverManyIntakesAreServed() throws ServiceException {
+    void lowRateTenantsOverManyIntakesAreServed() throws ServiceException {
         Measure.Figures figures = Measure.steady(
                 1, 8, 3, new TestConfiguration(8, 2, 2, 4, 26), 8, Duration.ofSeconds(30), simulation -> {});
-        sound(figures);
+        assertNothingViolatedOrFailed(figures);
         assertTrue(figures.throttledShare() < 0.05, "throttled " + figures.throttledShare());
     }
 
     @Test
-    void twiceTheAllowanceIsHeldToIt() throws ServiceException {
+    void twiceTheRateLimitIsThrottledToTheLimit() throws ServiceException {
         Measure.Figures figures = Measure.steady(
                 1, 8, 3, new TestConfiguration(8, 4, 10, 15, 26), 160, Duration.ofSeconds(12), simulation -> {});
-        sound(figures);
+        assertNothingViolatedOrFailed(figures);
         assertTrue(figures.throttledShare() > 0.3, "throttled " + figures.throttledShare());
         assertTrue(figures.worstShare() <= 1.0, "worst window " + figures.worstShare());
     }
 
     /**
-     * Before: 50 to 101 submissions of 1500 met views that were too old; control parts' leases of 2 s were the cause.
+     * Guards against refusals because of stale views: with control partition leases of 2 s, 50 to 101 of 1500
+     * submissions were refused because their view was too old.
      */
     @Test
-    void killedOwnerOfTheLayoutRefusesNobody() throws ServiceException {
+    void killedControlNodeCausesNoRefusals() throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
             Measure.Figures figures = Measure.steady(
                     seed,
@@ -63,21 +68,23 @@
                     100,
                     Duration.ofSeconds(12),
                     simulation -> simulation.w.kill(simulation.w.controlNodes.get(0)));
-            sound(figures);
+            assertNothingViolatedOrFailed(figures);
             assertEquals(0, figures.throttled() + figures.otherRefusals());
         }
     }
 
-    /** Before: a draining store and the one it handed to gave parts back and forth, 568 times in one run. */
+    /**
+     * Guards against a draining store and its successor transferring partitions back and forth, 568 times in one run.
+     */
     @Test
-    void drainedStoreGivesItsPartsAwayForGood() throws ServiceException {
-        Measure.Figures figures = Measure.steady(1, 3, 3, EIGHT, 60, Duration.ofSeconds(12), simulation -> {
-            String s = simulation.w.stores.get(0);
-            simulation.w.dataPlaneNode(s).drain();
+    void drainedStoreTransfersItsPartitionsOnce() throws ServiceException {
+        Measure.Figures figures = Measure.steady(1, 3, 3, EIGHT_TENANTS, 60, Duration.ofSeconds(12), simulation -> {
+            String store = simulation.w.stores.get(0);
+            simulation.w.dataPlaneNode(store).drain();
             simulation.w.sim.run(Duration.ofSeconds(2));
-            assertTrue(simulation.w.dataPlaneNode(s).drain(), "all parts must be away after 2 s");
+            assertTrue(simulation.w.dataPlaneNode(store).drain(), "all partitions must be transferred after 2 s");
         });
-        sound(figures);
-        assertEquals(0, figures.throttled() + figures.otherRefusals(), "a drain refuses nobody");
+        assertNothingViolatedOrFailed(figures);
+        assertEquals(0, figures.throttled() + figures.otherRefusals(), "a drain must cause no refusals");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -18,32 +18,35 @@
 import org.woadvale.common.replication.Role;
 
 /**
- * A control machine that is gone for good is exchanged by the core itself, before the next loss may come.
- * (docs/design.md, section 6.10)
+ * The core replaces a permanently lost control machine by itself, before the next loss may occur (docs/design.md,
+ * section 6.10).
  */
 class CoreReplacementTest {
-    /** The shortest time after the start of a successor at which the next machine may be lost. */
+    /** The shortest time between the start of a successor and the loss of the next machine. */
     private static final Duration CATCH_UP = Duration.ofMillis(4100);
-    /** What a process needs from its start until its first announcement, on a machine of the users. */
+    /** Time from the start of a process until its first announcement, on the users' machines. */
     private static final Duration PROCESS_START = Duration.ofMillis(900);
 
-    /** How long a committed change of a group may take until the new member is told. */
-    private static final Duration TOLD = Duration.ofMillis(350);
+    /** Maximum time until a new member learns of a committed membership change. */
+    private static final Duration MEMBERSHIP_PROPAGATION = Duration.ofMillis(350);
 
     private static Set<String> members(FleetSimulation simulation, String node) {
         return new TreeSet<>(simulation.w.controlNode(node).controlNodes());
     }
 
-    private static void configurationIsTaken(FleetSimulation simulation, String id) {
-        AtomicInteger taken = new AtomicInteger();
-        simulation.put(simulation.configuration, simulation.version, id, response -> taken.set(response.status()));
-        assertTrue(simulation.w.sim.runUntil(() -> taken.get() == 200, Duration.ofSeconds(8)), id + ": " + taken.get());
+    private static void assertConfigurationAccepted(FleetSimulation simulation, String id) {
+        AtomicInteger status = new AtomicInteger();
+        simulation.put(simulation.configuration, simulation.version, id, response -> status.set(response.status()));
+        assertTrue(
+                simulation.w.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)), id + ": " + status.get());
     }
 
-    /** Before: the newcomer was never put into the groups, and the second loss left one of three. */
+    /**
+     * Guards against a new node that is never added to the groups, so that a second loss leaves one member of three.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void aMemberGoneForGoodIsReplacedBeforeTheNextLoss(long seed) throws ServiceException {
+    void permanentlyLostMemberIsReplacedBeforeTheNextLoss(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         simulation.w.lose(simulation.w.controlNodes.get((int) (seed % 3)));
@@ -55,53 +58,56 @@
                 CoreExchange.votesEverywhere(simulation.w, successor),
                 "not voting everywhere " + limit + " after its announcement");
         simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
-        configurationIsTaken(simulation, "after-the-second-loss");
+        assertConfigurationAccepted(simulation, "after-the-second-loss");
         simulation.w.sim.run(Duration.ofSeconds(3));
         assertEquals(List.of(), simulation.violations());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aPlannedLeaverStaysUntilItsSuccessorVotesEverywhere(long seed) throws ServiceException {
+    void drainingMemberStaysUntilItsSuccessorVotesEverywhere(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
-        String leaver = simulation.w.controlNodes.get((int) (seed % 3));
+        String departing = simulation.w.controlNodes.get((int) (seed % 3));
         String successor = simulation.w.newControlNode();
         simulation.w.sim.run(Duration.ofSeconds(1));
-        assertTrue(!CoreExchange.votesEverywhere(simulation.w, successor), "a standby machine alone changes nothing");
         assertTrue(
-                simulation.w.sim.runUntil(() -> simulation.w.controlNode(leaver).drain(), Duration.ofMillis(2500)),
+                !CoreExchange.votesEverywhere(simulation.w, successor),
+                "a standby machine must not join while all members are there");
+        assertTrue(
+                simulation.w.sim.runUntil(
+                        () -> simulation.w.controlNode(departing).drain(), Duration.ofMillis(2500)),
                 "still waiting for its successor");
-        simulation.w.lose(leaver);
-        simulation.w.sim.run(TOLD);
+        simulation.w.lose(departing);
+        simulation.w.sim.run(MEMBERSHIP_PROPAGATION);
         assertTrue(CoreExchange.votesEverywhere(simulation.w, successor));
         simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
-        configurationIsTaken(simulation, "after-the-second-loss");
+        assertConfigurationAccepted(simulation, "after-the-second-loss");
     }
 
     @Test
-    void aLeaverWithoutSuccessorDoesNotWait() throws ServiceException {
+    void drainWithoutSuccessorDoesNotWait() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(4, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        String leaver = simulation.w.controlNodes.get(0);
-        assertTrue(
-                simulation.w.sim.runUntil(() -> simulation.w.controlNode(leaver).drain(), Duration.ofMillis(1000)));
+        String departing = simulation.w.controlNodes.get(0);
+        assertTrue(simulation.w.sim.runUntil(
+                () -> simulation.w.controlNode(departing).drain(), Duration.ofMillis(1000)));
     }
 
     @Test
-    void aRestartOfTheSameMachineChangesNothing() throws ServiceException {
+    void restartOfAMemberDoesNotChangeTheMembership() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         List<Set<String>> before = new ArrayList<>();
-        simulation.w.controlNodes.forEach(l -> before.add(members(simulation, l)));
+        simulation.w.controlNodes.forEach(node -> before.add(members(simulation, node)));
         long epoch = simulation
                 .w
                 .controlNode(simulation.w.controlNodes.get(1))
                 .members()
                 .epoch();
-        for (String l : simulation.w.controlNodes) {
-            simulation.w.kill(l);
+        for (String node : simulation.w.controlNodes) {
+            simulation.w.kill(node);
             simulation.w.sim.run(Duration.ofSeconds(5));
-            simulation.w.restart(l);
+            simulation.w.restart(node);
             simulation.w.sim.run(Duration.ofSeconds(5));
         }
         for (int i = 0; i < 3; i++) {
@@ -116,10 +122,13 @@
                         .epoch());
     }
 
-    /** The whole core one by one, each time with the next loss right at the end of the time to catch up. */
+    /**
+     * Replaces every core member in turn; each loss occurs exactly at the end of the catch-up time of the last
+     * successor.
+     */
     @ParameterizedTest
     @ValueSource(longs = {7, 8, 9})
-    void theWholeCoreIsExchangedOneByOne(long seed) throws ServiceException {
+    void allCoreMembersAreReplacedOneByOne(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
@@ -127,10 +136,10 @@
             simulation.w.sim.run(Duration.ofSeconds(1));
             String successor = simulation.w.newControlNode();
             simulation.w.sim.run(CATCH_UP);
-            assertTrue(CoreExchange.votesEverywhere(simulation.w, successor), "exchange " + i);
+            assertTrue(CoreExchange.votesEverywhere(simulation.w, successor), "replacement " + i);
         }
         simulation.w.sim.run(Duration.ofSeconds(8));
-        configurationIsTaken(simulation, "by-a-core-of-others");
+        assertConfigurationAccepted(simulation, "by-a-core-of-others");
         long epoch = simulation
                 .w
                 .controlNode(simulation.w.controlNodes.get(6))
@@ -142,9 +151,9 @@
         assertEquals(List.of(), simulation.violations());
     }
 
-    /** A member that was away while it was replaced learns that, and serves nothing. */
+    /** A member that was down while it was replaced learns of its removal after its restart and leads no partition. */
     @Test
-    void aRemovedMemberKnowsItAndStandsBy() throws ServiceException {
+    void removedMemberBecomesAStandby() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(10, 3, 3, 4).startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         String removed = simulation.w.controlNodes.get(0);
@@ -153,25 +162,27 @@
         simulation.w.sim.run(Duration.ofSeconds(6));
         simulation.w.restart(removed);
         simulation.w.sim.run(Duration.ofSeconds(3));
-        assertTrue(!simulation.w.controlNode(removed).members().members().contains(removed), "it does not know");
+        assertTrue(
+                !simulation.w.controlNode(removed).members().members().contains(removed),
+                "the removed member still counts itself as a member");
         assertTrue(simulation.w.controlNode(successor).members().members().contains(successor));
         assertTrue(ServiceNames.controlPartitions().stream()
                 .noneMatch(p -> simulation.w.controlNode(removed).replica(p).role() == Role.LEADER));
         simulation.w.lose(simulation.w.controlNodes.get(1));
         simulation.w.sim.run(Duration.ofSeconds(4));
-        assertTrue(CoreExchange.votesEverywhere(simulation.w, removed), "it takes the next free place");
-        configurationIsTaken(simulation, "again");
+        assertTrue(
+                CoreExchange.votesEverywhere(simulation.w, removed), "the standby must replace the next lost member");
+        assertConfigurationAccepted(simulation, "again");
     }
 
-    /** Well inside the time to catch up, start of the process included, however the member goes. */
+    /** Holds for each kind of departure, with the start of the process included. */
     @ParameterizedTest
     @EnumSource(CoreExchange.Departure.class)
-    void aSuccessorVotesEverywhereInLessThanHalfOfTheTimeToCatchUp(CoreExchange.Departure departure)
-            throws ServiceException {
+    void successorVotesEverywhereWithinHalfOfTheCatchUpTime(CoreExchange.Departure departure) throws ServiceException {
         Duration worst = CoreExchange.measure(100, Integer.getInteger("woadvale.exchanges", 12), departure).stream()
                 .reduce((first, last) -> last)
                 .orElseThrow();
-        Duration half = CATCH_UP.dividedBy(2).minus(PROCESS_START);
-        assertTrue(worst.compareTo(half) < 0, departure + ": " + worst);
+        Duration limit = CATCH_UP.dividedBy(2).minus(PROCESS_START);
+        assertTrue(worst.compareTo(limit) < 0, departure + ": " + worst);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
@@ -10,26 +10,26 @@
 import org.woadvale.testkit.stub.Backend;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** One tenant's excess is its own trouble; fake-clock delays. */
+/** The overload of one tenant does not delay the others, measured on the simulated clock. */
 class FairnessTest {
-    private static void served(Fairness.Others others, Duration p95) {
+    private static void assertServedWithin(Fairness.Others others, Duration p95) {
         assertEquals(List.of(), others.violations());
         assertEquals(1.0, others.acceptedShare());
-        assertTrue(others.p95().compareTo(p95) < 0, "others' p95 delay " + others.p95());
+        assertTrue(others.p95().compareTo(p95) < 0, "p95 delay of the other tenants " + others.p95());
     }
 
-    /** Before, with one line by due time: 7.2 s. */
+    /** A single queue ordered by due time gave the other tenants a p95 of 7.2 s. */
     @Test
     void slowProcessorsAreSharedFairly() throws ServiceException {
-        served(
+        assertServedWithin(
                 Fairness.run(1, 120, new Backend.Manner(Duration.ofSeconds(2), 0, 0, 0), Duration.ZERO),
                 Duration.ofMillis(5000));
     }
 
-    /** Before, with retries of a whole lane in one bucket: 31.7 s. */
+    /** One retry bucket for a whole lane gave the other tenants a p95 of 31.7 s. */
     @Test
     void jobsThatCannotSucceedDoNotStarveOthers() throws ServiceException {
-        served(
+        assertServedWithin(
                 Fairness.run(
                         1,
                         120,
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
@@ -9,30 +9,31 @@
 import org.woadvale.common.error.ServiceException;
 
 /**
- * Seeds that failed in a sweep stay here, with their cause. A fault storm's course changes with the code and with the
- * set of faults, so the causes are held by tests of their own as well.
+ * Replays seeds that failed in a sweep, each with its cause. The course of a fault storm changes with the code and with
+ * the set of faults, so each cause is covered by a test of its own as well.
  */
 class FaultStormTest {
     /**
-     * 9: submissions that waited for a store outlived their passes and were accepted all at once (LateFramesTest). 21,
-     * 28, 37: an unclear attempt ran again because a stale view was taken for "the processor is gone". 7, 3110: the
-     * checker's own: a mark that the platform had taken back; a lane seen missing while the configuration that removes
-     * it was taken but not yet answered. 115: the checker's own: calendars apart, so the end had no stamp.
+     * 9: the admission tokens of submissions that waited for a store expired before the submissions were accepted all
+     * at once (LateFramesTest). 21, 28, 37: an unclear attempt ran again because a stale view was read as "the
+     * processor is gone". 7, 3110: errors of the checker: a mark that the platform had withdrawn, and a lane seen as
+     * missing while the configuration that removes it was accepted but not yet acknowledged. 115: an error of the
+     * checker: wall clocks differed, so the end had no timestamp.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7, 9, 21, 28, 37, 115, 3110})
-    void nothingThatMustNeverHappenHappens(long seed) throws ServiceException {
+    void failedSeedsViolateNoRule(long seed) throws ServiceException {
         FaultStorm storm = new FaultStorm(seed);
-        List<String> bad = storm.run();
-        assertEquals(List.of(), bad, () -> "blows: " + storm.log());
+        List<String> violations = storm.run();
+        assertEquals(List.of(), violations, () -> "faults: " + storm.log());
     }
 
     @Test
     void norAtTheDeploymentsSizes() throws ServiceException {
         for (FaultStorm.Size size : List.of(FaultStorm.Size.LANKAVIDYA, FaultStorm.Size.ROTTERDAM)) {
             FaultStorm storm = new FaultStorm(1, size);
-            List<String> bad = storm.run();
-            assertEquals(List.of(), bad, () -> size + " blows: " + storm.log());
+            List<String> violations = storm.run();
+            assertEquals(List.of(), violations, () -> size + " faults: " + storm.log());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/NeverSteps.java
@@ -12,14 +12,14 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** The steps of the features, on a simulated fleet with a fixed seed. */
+/** Cucumber step definitions, run on a simulated fleet with a fixed seed. */
 public class NeverSteps {
     private static final long SEED = 42;
     private FleetSimulation simulation;
     private ConfigurationOperator operator;
 
     @Given("a fleet of {int} intakes and {int} stores under {int} messages a second")
-    public void fleet(int intakes, int stores, int perSecond) throws ServiceException {
+    public void startFleet(int intakes, int stores, int perSecond) throws ServiceException {
         simulation = new FleetSimulation(SEED, intakes, stores, 4).startAll();
         operator = new ConfigurationOperator(simulation);
         simulation.traffic(perSecond);
@@ -27,7 +27,7 @@
     }
 
     @When("{int} seconds pass")
-    public void pass(int seconds) {
+    public void runFor(int seconds) {
         simulation.w.sim.run(Duration.ofSeconds(seconds));
     }
 
@@ -37,17 +37,20 @@
     }
 
     @When("the holder of an allowance is killed")
-    public void killHolder() {
+    public void killAllowanceHolder() {
         String holder = simulation.w.intakes.stream()
-                .filter(i ->
-                        simulation.w.dataPlaneNode(i).ownedBuckets().contains("tenant/" + TestConfiguration.tenant(0)))
+                .filter(intake -> simulation
+                        .w
+                        .dataPlaneNode(intake)
+                        .ownedBuckets()
+                        .contains("tenant/" + TestConfiguration.tenant(0)))
                 .findFirst()
                 .orElseThrow();
         simulation.w.kill(holder);
     }
 
     @When("a store loses power")
-    public void powerLoss() {
+    public void losePowerOfStore() {
         simulation.w.host(simulation.w.stores.get(1)).powerLoss();
     }
 
@@ -62,23 +65,23 @@
     }
 
     @When("a store is cut off one way")
-    public void oneWay() {
+    public void cutStoreOneWay() {
         simulation.w.all().stream()
-                .filter(h -> !h.equals(simulation.w.stores.get(0)))
-                .forEach(h -> simulation.w.net.cutOneWay(simulation.w.stores.get(0), h));
+                .filter(host -> !host.equals(simulation.w.stores.get(0)))
+                .forEach(host -> simulation.w.net.cutOneWay(simulation.w.stores.get(0), host));
     }
 
     @When("everything loses power and is restarted")
-    public void outage() throws ServiceException {
-        simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
+    public void restartEverythingAfterPowerLoss() throws ServiceException {
+        simulation.w.all().forEach(host -> simulation.w.host(host).powerLoss());
         simulation.w.sim.run(Duration.ofSeconds(1));
-        for (String h : simulation.w.all()) {
-            simulation.w.restart(h);
+        for (String host : simulation.w.all()) {
+            simulation.w.restart(host);
         }
     }
 
     @When("a key is withdrawn while an intake is cut off")
-    public void withdraw() {
+    public void withdrawKeyWhileIntakeIsCut() {
         operator.withdraw();
         simulation.w.sim.run(Duration.ofMillis(1500));
         simulation.w.net.cutOff(simulation.w.intakes.get(2));
@@ -87,18 +90,18 @@
     }
 
     @When("two layouts race and a bad one comes along")
-    public void race() {
-        long before = simulation.version;
+    public void submitCompetingLayouts() {
+        long previousVersion = simulation.version;
         operator.race();
         operator.bad();
         simulation.w.sim.run(Duration.ofSeconds(3));
-        assertEquals(before + 1, simulation.version, "exactly one of the two may win");
+        assertEquals(previousVersion + 1, simulation.version, "exactly one of the two layouts must be accepted");
         simulation.read();
         operator.change();
     }
 
     @When("a processor is marked as leaving")
-    public void leaving() {
+    public void markLeaving() {
         simulation.list("p0", true);
     }
 
@@ -111,21 +114,21 @@
     public void heal() throws ServiceException {
         simulation.w.net.heal();
         simulation.w.post.answerLoss(0);
-        for (String h : simulation.w.all()) {
-            simulation.w.restart(h);
+        for (String host : simulation.w.all()) {
+            simulation.w.restart(host);
         }
         simulation.w.sim.run(Duration.ofSeconds(3));
     }
 
     @Then("at least {int} messages were accepted and every one has ended")
-    public void ended(int least) {
+    public void assertAllEnded(int minAccepted) {
         assertTrue(simulation.settle(Duration.ofSeconds(120)), "still open: " + simulation.firstOpen());
         Map<String, Long> kinds = simulation.kinds();
-        assertTrue(kinds.getOrDefault("accepted", 0L) >= least, kinds.toString());
+        assertTrue(kinds.getOrDefault("accepted", 0L) >= minAccepted, kinds.toString());
     }
 
     @Then("nothing that must never happen has happened")
-    public void never() {
+    public void assertNoViolations() {
         assertEquals(List.of(), simulation.violations());
     }
 }
