--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
@@ -142,7 +142,7 @@
                 .toList();
     }
 
-    /** Responses below status 500 within the period; an isolated machine must give none, as it cannot know the state. */
+    /** Responses below status 500 within the period; an isolated machine must give none, as it lacks the state. */
     List<Call> definiteResponsesOf(String machine, Duration from, Duration until) {
         return responsesOf(machine, from, until).stream()
                 .filter(Call::isDefinite)
