--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.woadvale.common.error.ServiceException;
 
-/** Each never-line fails without the mechanism that keeps it, and holds with it. */
+/** Each rule of the never list holds in the shipped code and is violated without the mechanism that enforces it. */
 class PairsTest {
     static Stream<Pairs.Pair> pairs() {
         return Pairs.all().stream();
@@ -18,17 +18,18 @@
 
     @ParameterizedTest(name = "line {0}")
     @MethodSource("pairs")
-    void lineHoldsAndBreaksWithoutItsMechanism(Pairs.Pair pair) throws ServiceException {
+    void ruleHoldsAndIsViolatedWithoutItsMechanism(Pairs.Pair pair) throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
             assertEquals(List.of(), pair.shipped(seed), pair.failure);
         }
-        List<String> broken = pair.brokenWithout(1);
+        List<String> violated = pair.brokenWithout(1);
         assertTrue(
-                broken.contains(pair.line), () -> pair.failure + " without " + pair.leftOut + " broke only " + broken);
+                violated.contains(pair.line),
+                () -> pair.failure + " without " + pair.leftOut + " violated only " + violated);
     }
 
     @Test
-    void everyLineHasItsPair() {
+    void everyRuleHasItsPair() {
         assertEquals(12, Pairs.all().stream().map(pair -> pair.line).distinct().count());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Peer.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/Peer.java
@@ -10,14 +10,14 @@
 import java.util.Collections;
 import java.util.List;
 
-/** A back end on loopback that says what its script says, byte for byte. */
+/** A back end on the loopback interface that writes exactly the bytes that its script returns. */
 final class Peer implements AutoCloseable {
-    /** What to write after a whole request was read; nothing for an empty text. */
+    /** Decides what to write after a complete request has been read; an empty text writes nothing. */
     interface Script {
         Said say(int connection, int request, String head);
     }
 
-    /** Bytes, and whether the connection ends then. */
+    /** The bytes to write, and whether the connection is closed afterwards. */
     record Said(String text, boolean close) {}
 
     private final ServerSocket server;
@@ -28,7 +28,7 @@
     Peer(Script script) throws IOException {
         this.script = script;
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        Thread thread = new Thread(this::accept, "peer");
+        Thread thread = new Thread(this::acceptConnections, "peer");
         thread.setDaemon(true);
         thread.start();
     }
@@ -41,19 +41,19 @@
         return sockets.size();
     }
 
-    static String answer(int status, String id, String more, String body) {
-        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + id + "\r\n" + more + "Content-Length: " + body.length()
-                + "\r\n\r\n" + body;
+    static String answer(int status, String id, String headers, String body) {
+        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + id + "\r\n" + headers + "Content-Length: "
+                + body.length() + "\r\n\r\n" + body;
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!server.isClosed()) {
             try {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                int n = sockets.size();
-                Thread thread = new Thread(() -> serve(socket, n), "peer-" + n);
+                int connection = sockets.size();
+                Thread thread = new Thread(() -> serve(socket, connection), "peer-" + connection);
                 thread.setDaemon(true);
                 thread.start();
             } catch (IOException e) {
@@ -65,14 +65,14 @@
     private void serve(Socket socket, int connection) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (int n = 1; ; n++) {
-                String head = head(in);
+            for (int request = 1; ; request++) {
+                String head = readHead(in);
                 if (head.isEmpty()) {
                     return;
                 }
                 in.readNBytes(Integer.parseInt(head.replaceAll("(?is).*content-length: *([0-9]+).*", "$1")));
                 heads.add(head);
-                Said said = script.say(connection, n, head);
+                Said said = script.say(connection, request, head);
                 socket.getOutputStream().write(said.text().getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
                 if (said.close()) {
@@ -80,18 +80,18 @@
                 }
             }
         } catch (IOException e) {
-            // the other side has gone
+            // the client closed the connection
         }
     }
 
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder b = new StringBuilder();
         while (b.length() < 4 || !b.substring(b.length() - 4).equals("\r\n\r\n")) {
-            int c = in.read();
-            if (c < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return "";
             }
-            b.append((char) c);
+            b.append((char) next);
         }
         return b.toString();
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformFixture.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformFixture.java
@@ -18,32 +18,32 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 import reactor.core.publisher.Mono;
 
-/** Scripted clients, processors and operator around a small fleet behind the platform's doors. */
+/** Scripted clients, processors and an operator around a small fleet that is reached through the platform's API. */
 final class PlatformFixture {
     static final String HOST = "lode.example";
     static final String KEY = "key-of-a";
-    static final Duration SOON = Duration.ofSeconds(3);
+    static final Duration LIST_READ_TIME = Duration.ofSeconds(3);
 
-    /** What a scripted processor was sent. */
+    /** A request that a scripted processor received, and when. */
     record Got(Request q, Duration at) {}
 
     final SimulatedPlatformFleet r;
     final ProcessorList processorList;
     final List<Got> got = new ArrayList<>();
     ConfigurationStub configurationStub = PlatformFixture.plain();
-    private int ids;
+    private int submissions;
 
-    PlatformFixture(long seed, int fronts) throws ServiceException {
-        this(seed, fronts, SimulatedFleet.LARGE_RING);
+    PlatformFixture(long seed, int intakes) throws ServiceException {
+        this(seed, intakes, SimulatedFleet.LARGE_RING);
     }
 
-    /** With rings of so many bytes a file. */
-    PlatformFixture(long seed, int fronts, int ringBytes) throws ServiceException {
-        r = new SimulatedPlatformFleet(seed, fronts, 3, ringBytes, FleetOverrides.none());
+    /** A fleet whose ring files have the given size in bytes. */
+    PlatformFixture(long seed, int intakes, int ringBytes) throws ServiceException {
+        r = new SimulatedPlatformFleet(seed, intakes, 3, ringBytes, FleetOverrides.none());
         processorList = new ProcessorList(r.sim, Duration.ofMillis(800), 44);
         r.list(processorList::page);
         assertEquals(200, put(configurationStub, 0, 0).status());
-        assertTrue(r.sim.runUntil(r::ready, Duration.ofSeconds(40)), "the fleet did not get ready");
+        assertTrue(r.sim.runUntil(r::ready, Duration.ofSeconds(40)), "the fleet did not become ready");
     }
 
     static ConfigurationStub plain() {
@@ -72,18 +72,19 @@
         return new ConfigurationStub.Route(name, HOST, prefix, service, 1500, 3, inOrder, 90, false);
     }
 
-    private static ConfigurationStub.Service service(String name, boolean pull, boolean dedup, Optional<String> at) {
-        return new ConfigurationStub.Service(name, 0, 100, dedup, pull, at);
+    private static ConfigurationStub.Service service(
+            String name, boolean pull, boolean dedup, Optional<String> address) {
+        return new ConfigurationStub.Service(name, 0, 100, dedup, pull, address);
     }
 
     Response put(ConfigurationStub stub, long base, int controlNode) {
         return put(stub.text(), base, controlNode);
     }
 
-    Response put(String text, long base, int controlNode) {
+    Response put(String text, long base, int firstControlNode) {
         for (int i = 0; i < 20; i++) {
             Optional<Response> response = r.ask(
-                    r.controlNodes.get((controlNode + i) % 3),
+                    r.controlNodes.get((firstControlNode + i) % 3),
                     new Request(
                             "PUT",
                             "/-/configuration",
@@ -94,17 +95,17 @@
                 return response.get();
             }
         }
-        throw new AssertionError("the configuration got no clear answer");
+        throw new AssertionError("no control node gave a definite answer to the configuration");
     }
 
-    /** A processor at an address, on the list, whose answers are the script's. */
+    /** Adds a processor to the list whose answers come from the script, and waits until the fleet has read the list. */
     void processor(String id, String service, String address, Function<Request, Mono<Response>> script) {
         r.processorSimulation.place(address, request -> {
             got.add(new Got(request, r.sim.now()));
             return script.apply(request);
         });
         processorList.put(id, service, address, 4, "ready");
-        r.sim.run(SOON);
+        r.sim.run(LIST_READ_TIME);
     }
 
     static Response done(Request request) {
@@ -124,13 +125,13 @@
     }
 
     Response send(String path, String body, Map<String, String> more) {
-        Map<String, String> h = new LinkedHashMap<>(Map.of("host", HOST, "authorization", "Token " + KEY));
-        h.put("x-attempt-id", "a" + ids++);
-        h.putAll(more);
-        return front("POST", path, h, body);
+        Map<String, String> headers = new LinkedHashMap<>(Map.of("host", HOST, "authorization", "Token " + KEY));
+        headers.put("x-attempt-id", "a" + submissions++);
+        headers.putAll(more);
+        return front("POST", path, headers, body);
     }
 
-    /** The handle of an accepted message; what was refused for now is sent anew. */
+    /** Submits a message until it is accepted and returns its handle; temporary rejections are retried. */
     String accepted(String path, String body, Map<String, String> more) {
         Response response = send(path, body, more);
         for (int i = 0; i < 20 && (response.status() == 503 || response.status() == 429); i++) {
@@ -164,12 +165,12 @@
     }
 
     int end(Response pulled, int outcome) {
-        Map<String, String> h = new LinkedHashMap<>(
+        Map<String, String> headers = new LinkedHashMap<>(
                 Map.of("x-lease-id", pulled.headers().get("X-Lease-Id"), "x-job-outcome", Integer.toString(outcome)));
         if (outcome == 200) {
-            h.put("x-server-seal", "seal-" + pulled.headers().get("X-Lease-Id"));
+            headers.put("x-server-seal", "seal-" + pulled.headers().get("X-Lease-Id"));
         }
-        return front("POST", "/-/job-end/" + pulled.headers().get("X-Attempt-Id"), h, "")
+        return front("POST", "/-/job-end/" + pulled.headers().get("X-Attempt-Id"), headers, "")
                 .status();
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
@@ -8,25 +8,25 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.woadvale.common.error.ServiceException;
 
-/** As shipped nothing is broken; without the one mechanism that keeps it, the rule is. */
+/** The shipped code violates no rule; without the mechanism that enforces a rule, that rule is violated. */
 class PlatformScenariosTest {
-    private static final long MOST_SEEDS = 3;
+    private static final long MAX_SEEDS = 3;
 
     static List<RuleScenario> scenarios() {
         return PlatformScenarios.all();
     }
 
-    /** Whether the break shows depends on what is under way at the moment: it must in one of the first seeds. */
+    /** Whether a violation shows depends on the work in flight at that moment: one of the first seeds must show it. */
     @ParameterizedTest
     @MethodSource("scenarios")
-    void shippedHoldsAndWithoutItsMechanismTheRuleBreaks(RuleScenario ruleScenario) throws ServiceException {
-        List<String> broken = List.of();
-        for (long seed = 1; seed <= MOST_SEEDS && !broken.contains(ruleScenario.rule); seed++) {
+    void ruleHoldsAndIsViolatedWithoutItsMechanism(RuleScenario ruleScenario) throws ServiceException {
+        List<String> violated = List.of();
+        for (long seed = 1; seed <= MAX_SEEDS && !violated.contains(ruleScenario.rule); seed++) {
             assertEquals(List.of(), ruleScenario.shipped(seed), ruleScenario.failure + ", seed " + seed);
-            broken = ruleScenario.brokenWithout(seed);
+            violated = ruleScenario.brokenWithout(seed);
         }
         assertTrue(
-                broken.contains(ruleScenario.rule),
-                ruleScenario.failure + " without " + ruleScenario.leftOut + ": " + broken);
+                violated.contains(ruleScenario.rule),
+                ruleScenario.failure + " without " + ruleScenario.leftOut + ": " + violated);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.error.ServiceException;
 
-/** The whole stand-in of the platform around a fleet, without trouble. */
+/** The complete platform stub around a fleet, without injected faults. */
 class PlatformSimulationTest {
     @Test
-    void calmDayBreaksNoRuleAndServesAll() throws ServiceException {
+    void runWithoutFaultsBreaksNoRuleAndServesAll() throws ServiceException {
         PlatformSimulation simulation = new PlatformSimulation(1, 3, 3, FleetOverrides.none()).startAll();
         simulation.clients.start(30);
         simulation.network.sim.run(Duration.ofSeconds(6));
@@ -25,9 +25,9 @@
         assertEquals(List.of(), simulation.end(Duration.ofSeconds(10)));
         long accepted = simulation.answers().get(202);
         assertTrue(accepted > 400, simulation.answers().toString());
-        long done = simulation.seen.shown.stream()
+        long completed = simulation.seen.shown.stream()
                 .filter(shown -> shown.state().equals("completed"))
                 .count();
-        assertTrue(done > accepted * 0.9, done + " of " + accepted);
+        assertTrue(completed > accepted * 0.9, completed + " of " + accepted);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -11,22 +11,23 @@
 import org.woadvale.common.membership.ServiceView;
 import reactor.core.publisher.Mono;
 
-/** One control node reads the list for all (docs/design.md, section 6.7). */
+/** One control node reads the processor list for the whole fleet (docs/design.md, section 6.7). */
 class ProcessorRegistryTest {
     private static final String KEY = ServiceNames.processors("book");
-    private static final String AT = "10.9.0.1:8080";
+    private static final String ADDRESS = "10.9.0.1:8080";
 
     private static ServiceView view(PlatformFixture fixture) {
-        String part = ServiceNames.controlPartition(KEY);
+        String partition = ServiceNames.controlPartition(KEY);
         String owner = fixture.r.controlNodes.stream()
-                .filter(l -> fixture.r.host(l).alive()
-                        && fixture.r.controlNode(l).replica(part).isActiveLeader())
+                .filter(node -> fixture.r.host(node).alive()
+                        && fixture.r.controlNode(node).replica(partition).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         return fixture.r
                 .controlNode(owner)
-                .replica(part)
-                .inspect(i -> fixture.r.controlNode(owner).stateMachine(part).service(KEY));
+                .replica(partition)
+                .inspect(state ->
+                        fixture.r.controlNode(owner).stateMachine(partition).service(KEY));
     }
 
     @Test
@@ -43,7 +44,7 @@
                 first.processors().get("i-2").address() + " "
                         + first.processors().get("i-2").slots());
         fixture.run(5000);
-        assertEquals(first.version(), view(fixture).version(), "nothing differs, nothing is written");
+        assertEquals(first.version(), view(fixture).version(), "an unchanged list was written again");
         fixture.processorList.put("i-2", "book", "10.9.0.2:8080", 4, "draining");
         fixture.run(3000);
         assertTrue(view(fixture).processors().get("i-2").leaving());
@@ -64,11 +65,11 @@
         assertEquals(0, fixture.processorList.refused());
     }
 
-    /** What is being read stays in force while the list cannot be had. */
+    /** The list that was read last stays in force while the list is unavailable. */
     @Test
-    void listThatIsDownChangesNothing() throws ServiceException {
+    void unavailableListChangesNothing() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(3, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         fixture.processorList.down(true);
         fixture.run(8000);
         assertEquals(1, view(fixture).processors().size());
@@ -81,23 +82,23 @@
     void nextOwnerOfTheLayoutsPartReadsOn() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(4, 1);
         String owner = fixture.r.controlNodes.stream()
-                .filter(l -> fixture.r.controlNode(l).replica("c0").isActiveLeader())
+                .filter(node -> fixture.r.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         fixture.r.kill(owner);
         fixture.run(4000);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         assertEquals(1, view(fixture).processors().size());
     }
 
     @Test
     void drainingProcessorGetsNothingMore() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(5, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(1500);
         assertEquals(1, fixture.got.size());
-        Duration shown = fixture.processorList.put("i-1", "book", AT, 4, "draining");
+        Duration shown = fixture.processorList.put("i-1", "book", ADDRESS, 4, "draining");
         for (int i = 0; i < 40; i++) {
             fixture.accepted("/push/x", "b", Map.of());
             fixture.run(150);
@@ -105,24 +106,24 @@
         Duration last = fixture.got.get(fixture.got.size() - 1).at();
         assertTrue(
                 last.minus(shown).toMillis() < 2500,
-                "got work until " + last.minus(shown) + " after the list showed it");
+                "received work until " + last.minus(shown) + " after the list showed it");
         fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(PlatformFixture.done(request)));
         fixture.run(3000);
         assertEquals(41, fixture.got.size());
     }
 
-    /** Another service may take the address of one that is gone: its id is no more the one that is expected. */
+    /** A removed processor's address may be reused by another service; its instance ID is then not the expected one. */
     @Test
     void reusedAddressIsToldWhoIsExpected() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(6, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(1500);
         assertEquals("i-1", fixture.got.get(0).q().headers().get("x-expect-instance"));
         fixture.processorList.drop("i-1");
-        fixture.processor("i-7", "same", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-7", "same", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted("/push/x", "b", Map.of());
         fixture.run(3000);
-        assertEquals(1, fixture.got.size(), "nobody serves the first service any more");
+        assertEquals(1, fixture.got.size(), "no processor serves the first service any more");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
@@ -13,11 +13,12 @@
 import org.woadvale.testkit.stub.Observations;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** An outside endpoint under more work than its rate, while what paces it changes. */
+/** An external endpoint with more work than its rate limit allows, while the bucket that limits it changes. */
 class RateTest {
     private static final String ENDPOINT = TestConfiguration.endpoint(0);
 
-    private static List<String> under(long seed, Consumer<FleetSimulation> change) throws ServiceException {
+    private static List<String> violationsUnderLoad(long seed, Consumer<FleetSimulation> change)
+            throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(
                         seed, 3, 3, 2, new TestConfiguration(3, 1, 60, 60, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
@@ -32,29 +33,31 @@
 
     private static String holder(FleetSimulation simulation) {
         return simulation.w.intakes.stream()
-                .filter(i ->
-                        simulation.w.dataPlaneNode(i).ownedBuckets().stream().anyMatch(b -> b.startsWith("endpoint/")))
+                .filter(intake -> simulation.w.dataPlaneNode(intake).ownedBuckets().stream()
+                        .anyMatch(bucket -> bucket.startsWith("endpoint/")))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** The holder and one store are out of touch with everyone who could tell them, but not with each other. */
-    private static void keepInTheDark(FleetSimulation simulation) {
+    /** Cuts the bucket holder and one store off from every node that has newer views, but not from each other. */
+    private static void isolateHolderWithOneStore(FleetSimulation simulation) {
         String holder = holder(simulation);
         String store = simulation.w.stores.get(0);
         simulation.w.net.cutOff(holder);
         simulation.w.net.join(holder, store);
-        simulation.w.controlNodes.forEach(l -> simulation.w.net.cut(l, store));
-        simulation.w.intakes.stream().filter(i -> !i.equals(holder)).forEach(i -> simulation.w.net.cut(i, store));
+        simulation.w.controlNodes.forEach(node -> simulation.w.net.cut(node, store));
+        simulation.w.intakes.stream()
+                .filter(intake -> !intake.equals(holder))
+                .forEach(intake -> simulation.w.net.cut(intake, store));
         simulation.w.sim.after(Duration.ofSeconds(3), simulation.w.net::heal);
     }
 
-    /** Before: the bucket went by the service's name, and two of them were granted from for up to 2 s. */
+    /** Guards against buckets keyed by service name: after a rename, two of them granted tokens for up to 2 s. */
     @Test
-    void renamedServiceKeepsItsEndpointsBucket() throws ServiceException {
+    void renamedServiceKeepsItsEndpointBucket() throws ServiceException {
         for (long seed = 1; seed <= 1; seed++) {
-            assertEquals(List.of(), under(seed, simulation -> {
-                keepInTheDark(simulation);
+            assertEquals(List.of(), violationsUnderLoad(seed, simulation -> {
+                isolateHolderWithOneStore(simulation);
                 Configuration renamed =
                         Edit.services(simulation.configuration, m -> m.put("renamed", m.remove(ENDPOINT)));
                 simulation.put(
@@ -67,8 +70,8 @@
     }
 
     @Test
-    void loweredRateIsKeptAfterThreeSeconds() throws ServiceException {
-        assertEquals(List.of(), under(1, simulation -> {
+    void loweredRateHoldsAfterThreeSeconds() throws ServiceException {
+        assertEquals(List.of(), violationsUnderLoad(1, simulation -> {
             Duration sent = simulation.w.sim.now();
             simulation.put(
                     Edit.services(simulation.configuration, m -> m.put(ENDPOINT, Edit.rate(m.get(ENDPOINT), 8))),
@@ -82,7 +85,7 @@
     @Test
     void changeOfHolderKeepsTheRate() throws ServiceException {
         for (long seed = 1; seed <= 1; seed++) {
-            assertEquals(List.of(), under(seed, simulation -> {
+            assertEquals(List.of(), violationsUnderLoad(seed, simulation -> {
                 String holder = holder(simulation);
                 simulation.w.kill(holder);
                 simulation.w.sim.after(Duration.ofSeconds(3), () -> simulation.w.begin(holder));
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RefusedTokensTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RefusedTokensTest.java
@@ -14,17 +14,17 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 import reactor.core.publisher.Mono;
 
-/** Tokens of submissions that a store has refused. */
+/** Rate-limit tokens of submissions that a store has rejected. */
 class RefusedTokensTest {
     private static final int RATE = 20;
     private static final int BURST = 30;
-    private static final int MILLIS_BETWEEN = 20;
-    private static final Duration FLOOD = Duration.ofSeconds(10);
+    private static final int INTERVAL_MS = 20;
+    private static final Duration LOAD_TIME = Duration.ofSeconds(10);
 
-    private final AtomicLong asked = new AtomicLong();
+    private final AtomicLong submissions = new AtomicLong();
 
-    /** Every second submission that reaches a store is refused for want of room. */
-    private RpcClient refusing(RpcClient rpc) {
+    /** Rejects every second submission that reaches a store with "queue full". */
+    private RpcClient rejectEverySecondSubmission(RpcClient rpc) {
         return new RpcClient() {
             @Override
             public String self() {
@@ -33,8 +33,9 @@
 
             @Override
             public <T> Mono<T> call(String to, Object body, Class<T> type, Duration limit) {
-                boolean refused = body instanceof MessageCommands.AcceptRequest && asked.incrementAndGet() % 2 == 0;
-                return refused
+                boolean rejected =
+                        body instanceof MessageCommands.AcceptRequest && submissions.incrementAndGet() % 2 == 0;
+                return rejected
                         ? rpc.call(to, new MessageCommands.ClockRequest(true), Object.class, limit)
                                 .then(Mono.error(new QueueFullException("The part has no room.")))
                         : rpc.call(to, body, type, limit);
@@ -42,28 +43,29 @@
         };
     }
 
-    /** Guards against a token that is given back twice, by the attempt and by the stage: an allowance spent twice. */
+    /** Guards against a token returned twice, by the attempt and by the stage, so that the limit is exceeded. */
     @Test
-    void aRefusalForWantOfRoomGivesItsTokenBackOnce() throws ServiceException {
-        FleetOverrides overrides = FleetOverrides.none().withRpc((address, rpc) -> refusing(rpc));
+    void queueFullRejectionReturnsItsTokenOnce() throws ServiceException {
+        FleetOverrides overrides = FleetOverrides.none().withRpc((address, rpc) -> rejectEverySecondSubmission(rpc));
         FleetSimulation simulation = new FleetSimulation(
                         3, 1, 3, 2, new TestConfiguration(1, 2, RATE, BURST, 26), SimulatedFleet.LARGE_RING, overrides)
                 .startAll();
         simulation.w.sim.run(Duration.ofSeconds(3));
         String intake = simulation.w.intakes.get(0);
-        for (int ms = 0; ms < FLOOD.toMillis(); ms += MILLIS_BETWEEN) {
+        for (int ms = 0; ms < LOAD_TIME.toMillis(); ms += INTERVAL_MS) {
             simulation.w.sim.after(Duration.ofMillis(ms), () -> {
                 simulation.plainAt(0, List.of(intake));
                 simulation.plainAt(0, List.of(intake));
             });
         }
-        simulation.w.sim.run(FLOOD.plusSeconds(1));
+        simulation.w.sim.run(LOAD_TIME.plusSeconds(1));
         long accepted = simulation.kinds().getOrDefault("accepted", 0L);
-        assertTrue(simulation.kinds().getOrDefault("queue_full", 0L) > RATE, "too few were refused");
-        long allowance = BURST + RATE * (FLOOD.toSeconds() + 1);
-        assertTrue(accepted <= allowance, accepted + " accepted of " + allowance);
+        assertTrue(simulation.kinds().getOrDefault("queue_full", 0L) > RATE, "too few submissions were rejected");
+        long allowance = BURST + RATE * (LOAD_TIME.toSeconds() + 1);
+        assertTrue(accepted <= allowance, accepted + " accepted, but the limit allows " + allowance);
         simulation.followWhatRan();
-        assertTrue(simulation.settle(Duration.ofSeconds(60)), "not every accepted message has ended");
+        assertTrue(
+                simulation.settle(Duration.ofSeconds(60)), "some accepted messages have not reached a terminal state");
         assertEquals(List.of(), simulation.violations());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -17,22 +17,22 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** What is lost for good is replaced, with traffic going on. */
+/** Permanently lost nodes are replaced while traffic continues. */
 class RepairTest {
-    private static void ended(FleetSimulation simulation) {
+    private static void assertSettled(FleetSimulation simulation) {
         assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
         assertEquals(List.of(), simulation.violations());
     }
 
-    private static boolean allParts(FleetSimulation simulation, String store, boolean voting) {
+    private static boolean everyGroupContains(FleetSimulation simulation, String store, boolean expected) {
         return simulation.w.stores.stream()
                 .filter(s -> simulation.w.host(s).alive())
                 .allMatch(s -> simulation.w.dataPlaneNode(s).partitionGroups().values().stream()
-                        .allMatch(g -> g.contains(store) == voting));
+                        .allMatch(g -> g.contains(store) == expected));
     }
 
     @Test
-    void fourthStoreTakesThePlaceOfALostOne() throws ServiceException {
+    void fourthStoreReplacesALostOne() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(3, 3, 3, 4).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
@@ -47,50 +47,54 @@
                                                 .partitionGroups()
                                                 .size()
                                         == 8
-                                && allParts(simulation, lost, false),
+                                && everyGroupContains(simulation, lost, false),
                         Duration.ofSeconds(60)),
-                "the spare is not seated everywhere");
+                "the spare is not a member of every partition");
         simulation.w.kill(simulation.w.stores.get(1));
         simulation.w.sim.run(Duration.ofSeconds(8));
         long before = simulation.kinds().getOrDefault("accepted", 0L);
         simulation.w.sim.run(Duration.ofSeconds(5));
-        assertTrue(simulation.kinds().get("accepted") > before + 50, "service goes on after a second loss");
-        ended(simulation);
+        assertTrue(simulation.kinds().get("accepted") > before + 50, "too few messages accepted after the second loss");
+        assertSettled(simulation);
     }
 
-    /** Before: a store that merely joined got nothing. Its zone has another, so it shares that one's copies only. */
+    /**
+     * Guards against a joining store that gets no partitions. Its zone has another store, so it takes over replicas of
+     * that store only.
+     */
     @Test
-    void storeThatJoinsGetsItsShareAndThenAllIsQuiet() throws ServiceException {
+    void joiningStoreGetsItsShareAndThenNothingMoves() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(9, 3, 3, 4).startAll();
         simulation.traffic(20);
         simulation.w.sim.run(Duration.ofSeconds(5));
-        String fresh = simulation.w.newStore();
+        String joined = simulation.w.newStore();
         assertTrue(
                 simulation.w.sim.runUntil(
                         () -> simulation
                                                 .w
-                                                .dataPlaneNode(fresh)
+                                                .dataPlaneNode(joined)
                                                 .partitionGroups()
                                                 .size()
                                         == 4
-                                && simulation.w.dataPlaneNode(fresh).ledPartitionCount() == 2,
+                                && simulation.w.dataPlaneNode(joined).ledPartitionCount() == 2,
                         Duration.ofSeconds(120)),
-                "it has " + simulation.w.dataPlaneNode(fresh).partitionGroups().keySet() + ", owns "
-                        + simulation.w.dataPlaneNode(fresh).ledPartitionCount());
+                "member of "
+                        + simulation.w.dataPlaneNode(joined).partitionGroups().keySet() + ", leads "
+                        + simulation.w.dataPlaneNode(joined).ledPartitionCount());
         simulation.w.sim.run(Duration.ofSeconds(20));
-        long terms = terms(simulation);
+        long totalTerms = totalTerms(simulation);
         simulation.w.sim.run(Duration.ofSeconds(60));
-        assertEquals(terms, terms(simulation), "parts go on changing hands");
+        assertEquals(totalTerms, totalTerms(simulation), "partitions still change leaders");
         for (String s : simulation.w.stores) {
             assertEquals(2, simulation.w.dataPlaneNode(s).ledPartitionCount(), s);
         }
         assertFalse(
                 simulation.kinds().containsKey("unavailable"),
                 simulation.kinds().toString());
-        ended(simulation);
+        assertSettled(simulation);
     }
 
-    private static long terms(FleetSimulation simulation) {
+    private static long totalTerms(FleetSimulation simulation) {
         return ServiceNames.messagePartitions().stream()
                 .mapToLong(p -> simulation.w.stores.stream()
                         .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
@@ -112,7 +116,7 @@
         simulation.w.sim.run(Duration.ofSeconds(10));
         assertEquals(
                 before, simulation.w.dataPlaneNode(simulation.w.stores.get(1)).partitionGroups());
-        ended(simulation);
+        assertSettled(simulation);
     }
 
     @Test
@@ -136,20 +140,25 @@
                                         .controlNodes()
                                         .equals(wanted.stream().sorted().toList()),
                         Duration.ofSeconds(60)),
-                "not seated: " + simulation.w.controlNode(spare).controlNodes());
+                "the replacement is not a voting member: "
+                        + simulation.w.controlNode(spare).controlNodes());
         simulation.w.kill(simulation.w.controlNodes.get(1));
         simulation.w.sim.run(Duration.ofSeconds(8));
-        AtomicInteger taken = new AtomicInteger();
-        simulation.put(simulation.configuration, simulation.version, "after", response -> taken.set(response.status()));
+        AtomicInteger configurationStatus = new AtomicInteger();
+        simulation.put(
+                simulation.configuration,
+                simulation.version,
+                "after",
+                response -> configurationStatus.set(response.status()));
         assertTrue(
-                simulation.w.sim.runUntil(() -> taken.get() == 200, Duration.ofSeconds(20)), "answer " + taken.get());
-        ended(simulation);
+                simulation.w.sim.runUntil(() -> configurationStatus.get() == 200, Duration.ofSeconds(20)),
+                "answer " + configurationStatus.get());
+        assertSettled(simulation);
     }
 
     /**
-     * The operator goes on after a second of silence, so a machine that waited 2.5 s for a leader (as before) was not
-     * heard: each answer comes within that second, and the operator's repeats have a clear yes within 2.5 s of the
-     * loss.
+     * The operator gives up on a request after 1 s, so it never saw the answer of a node that waited 2.5 s for a leader.
+     * Each answer must come within 1 s, and the operator's retries must succeed within 2.5 s of the loss.
      */
     @Test
     void layoutPutRightAfterTheLossOfItsOwnerGetsAClearYes() throws ServiceException {
@@ -157,36 +166,39 @@
         Duration lost = simulation.w.sim.now();
         simulation.w.kill(simulation.w.controlNodes.get(0));
         List<Integer> answers = new ArrayList<>();
-        repeat(simulation, answers, lost.plusMillis(2500));
+        putUntilAccepted(simulation, answers, lost.plusMillis(2500));
         simulation.w.sim.run(Duration.ofSeconds(6));
         assertEquals(200, answers.get(answers.size() - 1), answers.toString());
         assertTrue(answers.stream().limit(answers.size() - 1).allMatch(a -> a >= 503), answers.toString());
     }
 
-    private static void repeat(FleetSimulation simulation, List<Integer> answers, Duration until) {
+    private static void putUntilAccepted(FleetSimulation simulation, List<Integer> answers, Duration until) {
         byte[] json = Configurations.write(simulation.configuration);
         Request put = new Request("PUT", "/v1/layout", Map.of("if-match", "1", "x-request-id", "now"), json);
         Duration sent = simulation.w.sim.now();
         simulation.w.request(simulation.w.controlNodes.get(1), put, Duration.ofSeconds(5), optional -> {
             assertTrue(
                     simulation.w.sim.now().minus(sent).compareTo(Duration.ofSeconds(1)) < 0,
-                    "silent for over a second");
-            assertTrue(simulation.w.sim.now().compareTo(until) < 0, "no clear answer yet: " + answers);
+                    "no answer within one second");
+            assertTrue(simulation.w.sim.now().compareTo(until) < 0, "no success yet: " + answers);
             answers.add(optional.map(response -> response.status()).orElse(0));
             if (answers.get(answers.size() - 1) != 200) {
-                simulation.w.sim.after(Duration.ofMillis(200), () -> repeat(simulation, answers, until));
+                simulation.w.sim.after(Duration.ofMillis(200), () -> putUntilAccepted(simulation, answers, until));
             }
         });
     }
 
-    /** Before, when restarted holders of buckets waited for their own leases to lapse: 5.6 to 6.2 s. */
+    /** An outage took 5.6 to 6.2 s when restarted bucket holders waited for their own leases to expire. */
     @Test
     void fullOutageIsOverWithinItsBudget() throws ServiceException {
         Duration took = Measure.outage(1, 8, 3, new TestConfiguration(8, 4, 45, 60, 26));
         assertTrue(took.compareTo(Duration.ofMillis(5000)) < 0, "first acceptance after " + took);
     }
 
-    /** Guards against 400 for the list of a planned exchange that the core has begun by itself: groups then differ. */
+    /**
+     * Guards against status 400 for the member list of a planned exchange that the core has already begun by itself: the
+     * groups of its partitions then differ.
+     */
     @Test
     void lighthouseIsNamedWhileTheCoreExchangesItByItself() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).startAll();
@@ -203,7 +215,7 @@
                             simulation.w.controlNode(node).controlNodes().size() == 4)
                     .findFirst();
         }
-        assertTrue(asked.isPresent(), "no exchange was seen half done");
+        assertTrue(asked.isPresent(), "no exchange was observed in progress");
         List<String> wanted = List.of(staying.get(0), staying.get(1), spare);
         byte[] body = Configurations.write(Map.of("lighthouses", wanted));
         List<Integer> answers = new ArrayList<>();
@@ -241,19 +253,19 @@
         for (String s : simulation.w.stores) {
             simulation.w.dataPlaneNode(s).drain();
             simulation.w.sim.run(Duration.ofSeconds(1));
-            assertTrue(simulation.w.dataPlaneNode(s).drain(), "drained within a second");
+            assertTrue(simulation.w.dataPlaneNode(s).drain(), "not drained within a second");
             simulation.w.kill(s);
             simulation.w.sim.run(Duration.ofSeconds(2));
             simulation.w.restart(s);
             simulation.w.sim.run(Duration.ofSeconds(6));
         }
         for (String s : simulation.w.stores) {
-            long owned = simulation.w.dataPlaneNode(s).ledPartitionCount();
-            assertTrue(owned >= 2 && owned <= 3, s + " owns " + owned + " of 8 parts");
+            long led = simulation.w.dataPlaneNode(s).ledPartitionCount();
+            assertTrue(led >= 2 && led <= 3, s + " leads " + led + " of 8 partitions");
         }
         assertFalse(
                 simulation.kinds().containsKey("unavailable"),
                 simulation.kinds().toString());
-        ended(simulation);
+        assertSettled(simulation);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -12,52 +12,53 @@
 import org.woadvale.common.http.Response;
 import reactor.core.publisher.Mono;
 
-/** Attempts without an answer are sent again (docs/design.md, section 9.11). */
+/** Attempts without an answer are resent (docs/design.md, section 9.11). */
 class ResendTest {
     private static final long TIMEOUT_MS = 1500;
-    private static final String AT = "10.9.0.1:8080";
+    private static final String ADDRESS = "10.9.0.1:8080";
 
-    private static Duration gap(PlatformFixture fixture, int from) {
+    private static Duration intervalAfter(PlatformFixture fixture, int from) {
         return fixture.got.get(from + 1).at().minus(fixture.got.get(from).at());
     }
 
-    private static Mono<Response> silenceUntil(PlatformFixture fixture, int n, Request request) {
+    private static Mono<Response> noAnswerBefore(PlatformFixture fixture, int n, Request request) {
         return fixture.got.size() < n ? Mono.never() : Mono.just(PlatformFixture.done(request));
     }
 
     @Test
-    void unclearAttemptIsSentAgainAfterItsDeadlineOnly() throws ServiceException {
+    void unclearAttemptIsResentOnlyAfterItsDeadline() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(1, 1);
-        fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 2, request));
+        fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 2, request));
         String handle = fixture.accepted("/push/x", "b", Map.of());
         fixture.run(6000);
         assertEquals(2, fixture.got.size());
         assertTrue(
-                gap(fixture, 0).toMillis() >= TIMEOUT_MS && gap(fixture, 0).toMillis() < TIMEOUT_MS + 900,
-                "after " + gap(fixture, 0));
+                intervalAfter(fixture, 0).toMillis() >= TIMEOUT_MS
+                        && intervalAfter(fixture, 0).toMillis() < TIMEOUT_MS + 900,
+                "after " + intervalAfter(fixture, 0));
         assertEquals("completed", fixture.state(handle).path("state").asText());
     }
 
-    /** The back end gives a repeat its first success again, so nothing is waited for. */
+    /** The back end answers a duplicate with its first success, so the resend does not wait for the deadline. */
     @Test
-    void unclearAnswerOfAServiceThatDedupesIsSentAgainAtOnce() throws ServiceException {
+    void unclearAttemptOfADeduplicatingServiceIsResentAtOnce() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(2, 1);
         fixture.processor(
                 "i-1",
                 "same",
-                AT,
+                ADDRESS,
                 request -> Mono.just(
                         fixture.got.size() < 3 ? PlatformFixture.answer(request, 502) : PlatformFixture.done(request)));
         fixture.accepted("/dedup/x", "b", Map.of());
         fixture.run(3000);
         assertEquals(3, fixture.got.size());
-        assertTrue(gap(fixture, 0).toMillis() < 500, "after " + gap(fixture, 0));
+        assertTrue(intervalAfter(fixture, 0).toMillis() < 500, "after " + intervalAfter(fixture, 0));
     }
 
     @Test
-    void unclearAttemptsAndSuchThatWereNotRunCountAsNoTries() throws ServiceException {
+    void unclearAndUnexecutedAttemptsDoNotCount() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(3, 1);
-        fixture.processor("i-1", "same", AT, request -> {
+        fixture.processor("i-1", "same", ADDRESS, request -> {
             int n = fixture.got.size();
             Response notRun = PlatformFixture.answer(request, 503).withHeader("X-Not-Executed", "1");
             return Mono.just(
@@ -74,9 +75,9 @@
     }
 
     @Test
-    void answers500CountAndTheThirdEndsIt() throws ServiceException {
+    void thirdAnswer500EndsTheMessage() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(4, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.answer(request, 500)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.answer(request, 500)));
         String handle = fixture.accepted("/push/x", "poison", Map.of());
         fixture.run(12_000);
         assertEquals(3, fixture.got.size());
@@ -86,7 +87,7 @@
     @Test
     void nextOfTheKeyWaitsWhileTheFirstIsUnclear() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(5, 1);
-        fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 3, request));
+        fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 3, request));
         Map<String, String> key = Map.of("x-order-key", "k");
         fixture.accepted("/order/x", "first", key);
         fixture.accepted("/order/x", "second", key);
@@ -96,23 +97,23 @@
                 fixture.got.stream().map(got -> new String(got.q().body())).toList());
     }
 
-    /** The new owner waits for the attempt's deadline too; then it is run again, once. */
+    /** The new owner also waits for the attempt's deadline; then the message is run again, once. */
     @Test
-    void newOwnerSendsAgainWhatItsPredecessorHadUnderWay() throws ServiceException {
+    void newOwnerResendsAttemptsOfItsPredecessor() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(6, 1);
-        fixture.processor("i-1", "book", AT, request -> silenceUntil(fixture, 2, request));
+        fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 2, request));
         String handle = fixture.accepted("/push/x", "b", Map.of());
         fixture.r.sim.runUntil(() -> !fixture.got.isEmpty(), Duration.ofSeconds(5));
         fixture.r.kill(fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow());
         fixture.run(9000);
         assertEquals(2, fixture.got.size());
-        assertTrue(gap(fixture, 0).toMillis() >= TIMEOUT_MS, "after " + gap(fixture, 0));
+        assertTrue(intervalAfter(fixture, 0).toMillis() >= TIMEOUT_MS, "after " + intervalAfter(fixture, 0));
         assertEquals("completed", fixture.state(handle).path("state").asText());
     }
 
     /**
-     * A planned leadership transfer while a processor works: its answer is recorded with the new owner, and nothing
-     * runs twice.
+     * Leadership is transferred while a processor works: the new owner records the processor's answer, and nothing runs
+     * twice.
      */
     @Test
     void handOverDuringARunDoesNotRunItTwice() throws ServiceException {
@@ -120,7 +121,7 @@
         fixture.processor(
                 "i-1",
                 "book",
-                AT,
+                ADDRESS,
                 request -> Mono.create(sink -> fixture.r.sim.after(
                         Duration.ofMillis(1000), () -> sink.success(PlatformFixture.done(request)))));
         String handle = fixture.accepted("/push/x", "b", Map.of());
@@ -128,7 +129,9 @@
         String before = fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow();
         fixture.r.dataPlaneNode(before).drain();
         fixture.run(6000);
-        assertTrue(!fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow().equals(before), "handed over");
+        assertTrue(
+                !fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow().equals(before),
+                "leadership was not transferred");
         assertEquals(1, fixture.got.size());
         assertEquals("completed", fixture.state(handle).path("state").asText());
     }
@@ -136,7 +139,7 @@
     @Test
     void deliveryIsTheRequestAsItArrived() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(8, 1);
-        fixture.processor("i-1", "book", AT, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
         fixture.accepted(
                 "/order/x?y=%20z", "bytes", Map.of("x-order-key", "k", "x-attempt-id", "mine", "content-type", "a/b"));
         fixture.run(1500);
@@ -147,23 +150,26 @@
         assertEquals(
                 List.of("mine", "k", "tenant-a", "i-1", PlatformFixture.HOST, "a/b"),
                 List.of("x-attempt-id", "x-order-key", "x-tenant", "x-expect-instance", "host", "content-type").stream()
-                        .map(h -> request.headers().get(h))
+                        .map(header -> request.headers().get(header))
                         .toList());
         long deadline = Long.parseLong(request.headers().get("x-deadline-ms"));
         assertTrue(deadline > 0 && deadline <= TIMEOUT_MS, "deadline " + deadline);
         assertTrue(
-                request.headers().keySet().stream().noneMatch(h -> h.equals("authorization")),
-                "no key goes to a processor");
+                request.headers().keySet().stream().noneMatch(header -> header.equals("authorization")),
+                "the access key was passed on to a processor");
     }
 
-    /** A failed message keeps its body, a done one does not; what is not there and what is another's look alike. */
+    /**
+     * A failed message keeps its body, a completed one does not. A missing message and another tenant's message get the
+     * same answer.
+     */
     @Test
     void failedMessagesKeepTheirBodiesAndDoneOnesDoNot() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(9, 1);
         fixture.processor(
                 "i-1",
                 "book",
-                AT,
+                ADDRESS,
                 request -> Mono.just(
                         new String(request.body()).equals("bad")
                                 ? PlatformFixture.answer(request, 422)
@@ -184,10 +190,10 @@
         assertEquals(
                 List.of("dead_letter", "completed", "queued"),
                 List.of(bad, good, later).stream()
-                        .map(h -> fixture.state(h).path("state").asText())
+                        .map(handle -> fixture.state(handle).path("state").asText())
                         .toList());
-        for (String none : List.of("m0-999", "m999-1", "nonsense", "m1-1x")) {
-            assertEquals(404, fixture.bytes(none).status(), none);
+        for (String unknown : List.of("m0-999", "m999-1", "nonsense", "m1-1x")) {
+            assertEquals(404, fixture.bytes(unknown).status(), unknown);
         }
         Map<String, String> other = Map.of("host", PlatformFixture.HOST, "authorization", "Token key-of-b");
         assertEquals(404, fixture.front("GET", "/-/message/" + bad, other, "").status());
