--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
@@ -16,13 +16,13 @@
 import org.woadvale.dataplane.delivery.HttpDeliveryClient;
 import reactor.core.publisher.Mono;
 
-/** The rows of docs/calls.md for deliveries: what a processor may do to the answers of one connection. */
+/** The delivery rows of docs/calls.md: what a processor may do to the answers on one connection. */
 class ProcessorAnswersTest {
     private static final Duration LONG = Duration.ofSeconds(15);
     private static final String UNKNOWN = ErrorKind.UNKNOWN_OUTCOME.name();
     private final HttpDeliveryClient client = new HttpDeliveryClient();
 
-    private String said(Peer peer, String id, Duration limit) {
+    private String resultOf(Peer peer, String id, Duration limit) {
         DeliveryClient.DeliveryRequest call = new DeliveryClient.DeliveryRequest(
                 "POST",
                 peer.address() + "/x",
@@ -41,31 +41,36 @@
         return head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1");
     }
 
-    private static Peer.Said own(String head) {
+    private static Peer.Said ownAnswer(String head) {
         return new Peer.Said(Peer.answer(200, id(head), "", "own " + id(head)), false);
     }
 
-    /** The rest of it comes with the next answer: the connection is out of step and is not used for another call. */
+    /**
+     * The rest of the second answer arrives with the next one: the connection is out of sync and is not used for
+     * another call.
+     */
     @Test
     void beginningOfASecondAnswerIsNoPartOfTheNext() throws Exception {
         String second = Peer.answer(200, "a1", "", "spare");
         try (Peer peer = new Peer((c, n, head) -> {
             if (c != 1) {
-                return own(head);
+                return ownAnswer(head);
             }
             String rest = second.substring(0, second.length() - 3);
             return n == 1
-                    ? new Peer.Said(own(head).text() + rest, false)
+                    ? new Peer.Said(ownAnswer(head).text() + rest, false)
                     : new Peer.Said(
-                            second.substring(second.length() - 3) + own(head).text(), false);
+                            second.substring(second.length() - 3)
+                                    + ownAnswer(head).text(),
+                            false);
         })) {
-            assertEquals("200 own a1", said(peer, "a1", LONG));
+            assertEquals("200 own a1", resultOf(peer, "a1", LONG));
             for (String id : List.of("a2", "a3", "a4")) {
-                String s = said(peer, id, LONG);
+                String s = resultOf(peer, id, LONG);
                 assertTrue(s.equals("200 own " + id) || s.equals(UNKNOWN), id + ": " + s);
             }
-            assertEquals("200 own a5", said(peer, "a5", LONG));
-            assertTrue(peer.connections() > 1, "the connection was used on");
+            assertEquals("200 own a5", resultOf(peer, "a5", LONG));
+            assertTrue(peer.connections() > 1, "the connection was reused");
         }
     }
 
@@ -73,9 +78,9 @@
     void answerWithTwoIdsIsNobodysAnswer() throws Exception {
         try (Peer peer = new Peer((c, n, head) -> c == 1
                 ? new Peer.Said(Peer.answer(200, "other", "X-Attempt-Id: " + id(head) + "\r\n", "mixed"), false)
-                : own(head))) {
-            assertEquals(UNKNOWN, said(peer, "a1", LONG));
-            assertEquals("200 own a2", said(peer, "a2", LONG));
+                : ownAnswer(head))) {
+            assertEquals(UNKNOWN, resultOf(peer, "a1", LONG));
+            assertEquals("200 own a2", resultOf(peer, "a2", LONG));
             assertEquals(2, peer.connections());
         }
     }
@@ -84,27 +89,27 @@
     void answerWithoutAnIdIsNobodysAnswer() throws Exception {
         try (Peer peer = new Peer((c, n, head) -> c == 1
                 ? new Peer.Said("HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false)
-                : own(head))) {
-            assertEquals(UNKNOWN, said(peer, "a1", LONG));
-            assertEquals("200 own a2", said(peer, "a2", LONG));
+                : ownAnswer(head))) {
+            assertEquals(UNKNOWN, resultOf(peer, "a1", LONG));
+            assertEquals("200 own a2", resultOf(peer, "a2", LONG));
             assertEquals(2, peer.connections());
         }
     }
 
-    /** The first answer comes while the second call waits; it must find its connection closed. */
+    /** The first answer arrives while the second call is waiting; its connection must already be closed. */
     @Test
     void connectionIsNotUsedAgainAfterATimeOut() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
         try (Peer peer = new Peer((c, n, head) -> {
             if (c == 1) {
                 await(second);
-                return own(head);
+                return ownAnswer(head);
             }
             second.countDown();
-            return own(head);
+            return ownAnswer(head);
         })) {
-            assertEquals(UNKNOWN, said(peer, "a1", Duration.ofMillis(300)));
-            assertEquals("200 own a2", said(peer, "a2", LONG));
+            assertEquals(UNKNOWN, resultOf(peer, "a1", Duration.ofMillis(300)));
+            assertEquals("200 own a2", resultOf(peer, "a2", LONG));
             assertEquals(2, peer.connections());
             assertEquals(2, peer.heads.size());
         }
@@ -118,17 +123,17 @@
         }
     }
 
-    /** The answer says "keep alive" and the processor closes as the next request is written: unknown, sent once. */
+    /** The processor closes a kept-alive connection as the next request is written: outcome unknown, sent once. */
     @Test
     void keepAliveThatDiesAsItIsUsedSendsNothingTwice() throws Exception {
-        AtomicInteger wholeRequests = new AtomicInteger();
+        AtomicInteger requests = new AtomicInteger();
         try (Peer peer = new Peer((c, n, head) -> {
-            wholeRequests.incrementAndGet();
-            return n == 1 ? own(head) : new Peer.Said("", true);
+            requests.incrementAndGet();
+            return n == 1 ? ownAnswer(head) : new Peer.Said("", true);
         })) {
-            assertEquals("200 own a1", said(peer, "a1", LONG));
-            assertEquals(UNKNOWN, said(peer, "a2", LONG));
-            assertEquals(2, wholeRequests.get());
+            assertEquals("200 own a1", resultOf(peer, "a1", LONG));
+            assertEquals(UNKNOWN, resultOf(peer, "a2", LONG));
+            assertEquals(2, requests.get());
             assertEquals(1, peer.connections());
         }
     }
@@ -138,33 +143,34 @@
         String whole = Peer.answer(200, "a", "X-Server-Seal: s\r\n", "body");
         for (int cut : List.of(1, 12, 20, whole.indexOf("\r\n\r\n") + 3, whole.length() - 1)) {
             try (Peer peer = new Peer((c, n, head) -> new Peer.Said(whole.substring(0, cut), true))) {
-                assertEquals(UNKNOWN, said(peer, "a", LONG), "cut at " + cut);
+                assertEquals(UNKNOWN, resultOf(peer, "a", LONG), "cut at " + cut);
                 assertEquals(1, peer.heads.size());
             }
         }
     }
 
-    /** Chunks that end with the connection and not with the last chunk. */
+    /** A chunked body that ends with the connection instead of the last chunk. */
     @Test
     void chunksWithoutTheirEndAreUnknown() throws Exception {
         try (Peer peer = new Peer((c, n, head) -> new Peer.Said(
                 "HTTP/1.1 200 X\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", true))) {
-            assertEquals(UNKNOWN, said(peer, "a", LONG));
+            assertEquals(UNKNOWN, resultOf(peer, "a", LONG));
         }
     }
 
-    /** An answer in advance of the answer is none: it names nobody, and the real one is then out of step. */
+    /** An interim response carries no attempt ID and is not the answer; the final one is then out of sync. */
     @Test
     void interimAnswerIsNotTheAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) ->
-                c == 1 ? new Peer.Said("HTTP/1.1 103 Early\r\n\r\n" + own(head).text(), false) : own(head))) {
-            String first = said(peer, "a1", LONG);
+        try (Peer peer = new Peer((c, n, head) -> c == 1
+                ? new Peer.Said("HTTP/1.1 103 Early\r\n\r\n" + ownAnswer(head).text(), false)
+                : ownAnswer(head))) {
+            String first = resultOf(peer, "a1", LONG);
             assertTrue(first.equals(UNKNOWN) || first.equals("200 own a1"), first);
-            assertEquals("200 own a2", said(peer, "a2", LONG));
+            assertEquals("200 own a2", resultOf(peer, "a2", LONG));
         }
     }
 
-    /** More than the client keeps of an answer: it has no body here, and no other answer either. */
+    /** An answer longer than the client accepts: its body is not returned, neither to this call nor to another. */
     @Test
     void endlessAnswerIsGivenUp() throws Exception {
         String megabyte = "x".repeat(1 << 20);
@@ -172,9 +178,9 @@
                 ? new Peer.Said(
                         "HTTP/1.1 200 X\r\nX-Attempt-Id: a1\r\nContent-Length: " + (64L << 20) + "\r\n\r\n" + megabyte,
                         false)
-                : own(head))) {
-            assertEquals(UNKNOWN, said(peer, "a1", Duration.ofSeconds(1)));
-            assertEquals("200 own a2", said(peer, "a2", LONG));
+                : ownAnswer(head))) {
+            assertEquals(UNKNOWN, resultOf(peer, "a1", Duration.ofSeconds(1)));
+            assertEquals("200 own a2", resultOf(peer, "a2", LONG));
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
@@ -15,22 +15,22 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Guards against a store that is back and cannot be reached: its peers went on using connections that were dead at its
- * end, and the next loss took the majority of every message partition.
+ * Guards against a restarted store that its peers cannot reach: they kept using connections that no longer existed at
+ * its end, so the next loss removed the majority of every message partition.
  */
 class SecondLossTest {
     private static final double MESSAGES_PER_SECOND = 40;
-    /** Longer than the pauses in which TCP would reach the machine soon after its return. */
-    private static final Duration DARK = Duration.ofMillis(6500);
-    /** The users count a machine as back 4.2 s after it has power; a second of them is the start of its process. */
+    /** So long that TCP, whose retransmission interval doubles, does not reach the machine soon after its return. */
+    private static final Duration POWER_OFF_TIME = Duration.ofMillis(6500);
+    /** The users count a machine as back 4.2 s after power-on; 1 s of that is the start of its process. */
     private static final Duration CATCH_UP = Duration.ofMillis(3200);
 
-    private static final long FEWEST_SEEDS = 4;
+    private static final long DEFAULT_SEEDS = 4;
     private static final Duration SERVICE_LIMIT = Duration.ofSeconds(30);
 
-    /** Four seeds; more by hand with {@code -Dlosses.seeds=50}. */
+    /** Four seeds by default; {@code -Dlosses.seeds=50} runs more. */
     static LongStream seeds() {
-        return LongStream.rangeClosed(1, Long.getLong("losses.seeds", FEWEST_SEEDS));
+        return LongStream.rangeClosed(1, Long.getLong("losses.seeds", DEFAULT_SEEDS));
     }
 
     private Optional<FleetSimulation> running = Optional.empty();
@@ -47,7 +47,7 @@
                 4,
                 new TestConfiguration(3, 2, 20, 30, 26),
                 SimulatedFleet.SMALL_RING,
-                FleetOverrides.none().withRpc((address, rpc) -> connections.under(rpc)));
+                FleetOverrides.none().withRpc((address, rpc) -> connections.wrap(rpc)));
         running = Optional.of(fleet);
         fleet.startAll();
         fleet.traffic(MESSAGES_PER_SECOND);
@@ -57,15 +57,15 @@
 
     private static void loseDisk(FleetSimulation fleet, SimulatedConnections connections, String store)
             throws ServiceException {
-        connections.darken(store);
+        connections.powerOff(store);
         fleet.w.kill(store);
         fleet.w.host(store).disk.wipe();
-        fleet.w.sim.run(DARK);
-        connections.lighten(store);
+        fleet.w.sim.run(POWER_OFF_TIME);
+        connections.powerOn(store);
         fleet.w.restart(store);
     }
 
-    private static boolean countsEverywhere(FleetSimulation fleet) {
+    private static boolean everyReplicaVotes(FleetSimulation fleet) {
         return fleet.w.presentStores().stream()
                 .map(fleet.w::dataPlaneNode)
                 .allMatch(store ->
@@ -74,25 +74,29 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void storesThatLoseTheirDisksInTurnLoseNoMessage(long seed) throws ServiceException {
+    void storesLosingTheirDisksInTurnLoseNoMessage(long seed) throws ServiceException {
         SimulatedConnections connections = connections(true);
         FleetSimulation fleet = fleet(seed, connections);
         loseDisk(fleet, connections, fleet.w.stores.get(0));
-        assertTrue(fleet.w.sim.runUntil(() -> countsEverywhere(fleet), CATCH_UP), "not whole after " + CATCH_UP);
+        assertTrue(
+                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
+                "not all replicas vote after " + CATCH_UP);
         loseDisk(fleet, connections, fleet.w.stores.get(1));
         fleet.w.sim.run(Duration.ofSeconds(5));
         fleet.followWhatRan();
-        assertTrue(fleet.settle(SERVICE_LIMIT), () -> "an accepted message has no end: " + fleet.firstOpen());
+        assertTrue(
+                fleet.settle(SERVICE_LIMIT),
+                () -> "an accepted message has not reached a terminal state: " + fleet.firstOpen());
         assertEquals(List.of(), fleet.violations());
     }
 
-    /** The same without the mechanism, so that the test above is known to bring the fault about. */
+    /** Shows that the test above produces the fault: without silence detection the store is not back in time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void withoutTheDetectionOfSilenceTheStoreIsNotBackInTime(long seed) throws ServiceException {
+    void withoutSilenceDetectionTheStoreIsNotBackInTime(long seed) throws ServiceException {
         SimulatedConnections connections = connections(false);
         FleetSimulation fleet = fleet(seed, connections);
         loseDisk(fleet, connections, fleet.w.stores.get(0));
-        assertFalse(fleet.w.sim.runUntil(() -> countsEverywhere(fleet), CATCH_UP));
+        assertFalse(fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeededPlatformDaysTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.woadvale.common.error.ServiceException;
 
-/** A few seeded days with trouble; `trials platform --seeds A..B` plays more. */
+/** A few seeded runs with injected faults; `trials platform --seeds A..B` runs more. */
 class SeededPlatformDaysTest {
     @Test
-    void roughDaysBreakNoRule() throws ServiceException {
+    void seededFaultsBreakNoRule() throws ServiceException {
         for (long seed = 1; seed <= 3; seed++) {
-            SeededPlatformDays day = new SeededPlatformDays(seed);
-            assertEquals(List.of(), day.run(Duration.ofSeconds(30)), "seed " + seed + ": " + day.log());
+            SeededPlatformDays simulation = new SeededPlatformDays(seed);
+            assertEquals(List.of(), simulation.run(Duration.ofSeconds(30)), "seed " + seed + ": " + simulation.log());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -22,22 +22,22 @@
 import org.woadvale.common.membership.RpcTypeNumbers;
 import org.woadvale.common.rpc.RpcClient;
 
-/** The seeds are needed at the first start only. */
+/** Seed nodes are needed only for the first start. */
 class SeedsTest {
     /**
-     * One seed after the other is lost for good and replaced; nobody who runs is told where the new ones are. 2, 3, 4:
-     * the new control node was asked for the exchange and gave a false conflict. 2, 3 again: a control node that had
-     * joined knew the others by luck only, and found no owner for seconds; and the operator of the test spent its time
-     * on control nodes that were lost for good, so it asks those that are there now, for 5 s instead of 8.
+     * Each seed node in turn is lost permanently and replaced; running nodes are not told the new addresses. Random
+     * seeds 2, 3 and 4: the new control node was asked for the exchange and answered with a false conflict. Random seeds
+     * 2 and 3: a joined control node knew the others only by chance and found no owner for seconds. The test's operator
+     * lost time on control nodes that no longer exist, so it asks only those present, for 5 s instead of 8.
      */
     @ParameterizedTest
     @ValueSource(longs = {5, 2, 3, 4})
-    void allThreeSeedsMayBeGone(long seed) throws ServiceException {
+    void allThreeSeedNodesCanBeReplaced(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.traffic(20);
         for (int i = 0; i < 3; i++) {
             simulation.w.lose(simulation.w.controlNodes.get(i));
-            String fresh = simulation.w.newControlNodeFirstSettings();
+            String replacement = simulation.w.newControlNodeFirstSettings();
             List<String> wanted = simulation.w.presentControlNodes();
             AtomicInteger status = new AtomicInteger();
             simulation.operate(
@@ -46,40 +46,41 @@
             assertTrue(
                     simulation.w.sim.runUntil(
                             () -> status.get() == 200
-                                    && CoreExchange.votesEverywhere(simulation.w, fresh)
+                                    && CoreExchange.votesEverywhere(simulation.w, replacement)
                                     && simulation
                                             .w
-                                            .controlNode(fresh)
+                                            .controlNode(replacement)
                                             .controlNodes()
                                             .equals(wanted.stream().sorted().toList()),
                             Duration.ofSeconds(60)),
-                    "not seated: " + simulation.w.controlNode(fresh).controlNodes());
+                    "the replacement is not a voting member: "
+                            + simulation.w.controlNode(replacement).controlNodes());
             simulation.w.sim.run(Duration.ofSeconds(10));
         }
         new ConfigurationOperator(simulation).changeAt(simulation.w.presentControlNodes());
         simulation.w.sim.run(Duration.ofSeconds(5));
-        assertEquals(2, simulation.version, "the layout was changed by the new core");
+        assertEquals(2, simulation.version, "the new core did not change the layout");
         simulation.w.seenVersions();
         assertEquals(
                 6,
                 simulation.w.seen.versions.stream()
                         .filter(nodeVersion -> nodeVersion.version() == 2)
                         .count(),
-                "on every data node");
+                "not in force on every data node");
         assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
         assertEquals(List.of(), simulation.violations());
     }
 
     @Test
-    void whatWasLearnedIsKeptInTheDataFolder(@TempDir Path folder) {
+    void learnedMembersAreStoredInTheDataFolder(@TempDir Path folder) {
         CoreMembers learned = new CoreMembers(17, List.of("10.0.0.1:1", "10.0.0.2:1"));
         new CoreMembersFile(folder.toString()).write(learned);
         assertEquals(learned, new CoreMembersFile(folder.toString()).read());
     }
 
-    /** Before: any other list was taken, so one process that held an old list spread it. */
+    /** Guards against adopting any differing list: one process that held an old list spread it to others. */
     @Test
-    void anOlderListIsNeverTaken() {
+    void olderListIsNeverAdopted() {
         CoreMembers newer = new CoreMembers(9, List.of("10.0.0.2:1", "10.0.0.4:1"));
         List<CoreMembers> written = new ArrayList<>();
         Simulator sim = new Simulator(1);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
@@ -15,9 +15,9 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Connections under the simulated calls, as TCP keeps them when a machine loses power: nobody closes those to it. What
- * is sent on one is lost until TCP sends it again to the machine that is back, which resets it; the pauses between
- * these attempts double. A new connection to a dark machine fails after a while.
+ * Simulates TCP connections to a machine that loses power: its peers' connections stay open. Data sent on one is lost
+ * until TCP retransmits it to the restarted machine, which resets the connection; the retransmission interval doubles
+ * each time. A new connection to a machine without power fails after a timeout.
  */
 final class SimulatedConnections {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
@@ -25,37 +25,37 @@
 
     private final Function<String, Optional<Host>> hosts;
     private final boolean detectSilence;
-    private final Set<String> dark = new HashSet<>();
-    private final Map<String, Duration> lightenedAt = new HashMap<>();
+    private final Set<String> poweredOff = new HashSet<>();
+    private final Map<String, Duration> poweredOnAt = new HashMap<>();
 
     /**
-     * Connections of a fleet.
+     * Creates the connections of a fleet.
      *
-     * @param hosts its machines by address; calls to and from unknown ones pass as they are
-     * @param detectSilence whether a connection ends by silence, not by a reset only
+     * @param hosts the machines by address; calls to and from unknown addresses pass unchanged
+     * @param detectSilence whether a silent connection is closed, instead of only one that is reset
      */
     SimulatedConnections(Function<String, Optional<Host>> hosts, boolean detectSilence) {
         this.hosts = hosts;
         this.detectSilence = detectSilence;
     }
 
-    /** The machine has no power; its connections are not closed. */
-    void darken(String address) {
-        dark.add(address);
+    /** Cuts the power of a machine without closing its connections. */
+    void powerOff(String address) {
+        poweredOff.add(address);
     }
 
-    /** The machine has power again and answers what reaches it. */
-    void lighten(String address) {
-        dark.remove(address);
-        lightenedAt.put(address, host(address).sim.now());
+    /** Restores the power of a machine, which then answers what reaches it. */
+    void powerOn(String address) {
+        poweredOff.remove(address);
+        poweredOnAt.put(address, host(address).sim.now());
     }
 
     private Host host(String address) {
         return hosts.apply(address).orElseThrow();
     }
 
-    /** Puts the connections of one process under its calls. */
-    RpcClient under(RpcClient calls) {
+    /** Sends the calls of one process over its simulated connections. */
+    RpcClient wrap(RpcClient calls) {
         return new ConnectedRpc(calls);
     }
 
@@ -94,11 +94,11 @@
                     connections.remove(to, connection);
                     return Mono.error(new OutcomeUnknownException("The connection was reset."));
                 }
-                if (connection == null && dark.contains(to)) {
+                if (connection == null && poweredOff.contains(to)) {
                     return Delays.delay(timers(), CONNECT_TIMEOUT)
                             .then(Mono.error(new UnreachableException("No connection to " + to + ".")));
                 }
-                return callOn(connection == null ? open(to) : connection, to, body, answer, limit);
+                return callOver(connection == null ? open(to) : connection, to, body, answer, limit);
             });
         }
 
@@ -121,19 +121,19 @@
             return connection;
         }
 
-        private <T> Mono<T> callOn(Connection connection, String to, Object body, Class<T> answer, Duration limit) {
-            long receptionsAtSending = connection.silence.receiveCount();
-            Mono<T> work = isDead(to, connection)
+        private <T> Mono<T> callOver(Connection connection, String to, Object body, Class<T> answer, Duration limit) {
+            long receivedBeforeSending = connection.silence.receiveCount();
+            Mono<T> response = isStale(to, connection)
                     ? Mono.<T>never().doOnSubscribe(lost -> noteLost(connection))
                     : calls.call(to, body, answer, limit).doOnNext(received -> connection.silence.onReceived());
-            return Delays.timeout(timers(), work, limit, new OutcomeUnknownException("No answer in time."))
+            return Delays.timeout(timers(), response, limit, new OutcomeUnknownException("No answer in time."))
                     .doOnError(
                             OutcomeUnknownException.class,
-                            e -> connection.silence.onUnanswered(receptionsAtSending, limit));
+                            e -> connection.silence.onUnanswered(receivedBeforeSending, limit));
         }
 
-        private boolean isDead(String to, Connection connection) {
-            return dark.contains(to) || host(to).life() != connection.peerLife;
+        private boolean isStale(String to, Connection connection) {
+            return poweredOff.contains(to) || host(to).life() != connection.peerLife;
         }
 
         private void noteLost(Connection connection) {
@@ -142,17 +142,17 @@
             }
         }
 
-        /** TCP has sent again what was lost, to a machine that is back. */
+        /** Whether TCP has retransmitted lost data to a machine that has power again. */
         private boolean isReset(String to, Connection connection) {
-            if (dark.contains(to) || connection.firstLostAt.isZero() || !isDead(to, connection)) {
+            if (poweredOff.contains(to) || connection.firstLostAt.isZero() || !isStale(to, connection)) {
                 return false;
             }
-            Duration backAt = lightenedAt.getOrDefault(to, Duration.ZERO);
-            Duration pause = FIRST_RETRANSMISSION;
-            Duration attemptAt = connection.firstLostAt.plus(pause);
+            Duration backAt = poweredOnAt.getOrDefault(to, Duration.ZERO);
+            Duration interval = FIRST_RETRANSMISSION;
+            Duration attemptAt = connection.firstLostAt.plus(interval);
             while (attemptAt.compareTo(backAt) < 0) {
-                pause = pause.multipliedBy(2);
-                attemptAt = attemptAt.plus(pause);
+                interval = interval.multipliedBy(2);
+                attemptAt = attemptAt.plus(interval);
             }
             return timers().sim.now().compareTo(attemptAt) >= 0;
         }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
@@ -10,7 +10,8 @@
 import org.woadvale.common.error.ServiceException;
 
 /**
- * The next tolerated loss may come as soon as the first store's successor counts as back. (docs/design.md, section 6.9)
+ * The next tolerated loss may come as soon as the replacement of the first store counts as available (docs/design.md,
+ * section 6.9).
  */
 class StoreReplacementTest {
     private static final int SEEDS = 4;
@@ -21,11 +22,11 @@
     @EnumSource(StoreReplacement.Departure.class)
     void secondLossAfterAReplacementLosesNothing(StoreReplacement.Departure departure) throws ServiceException {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            StoreReplacement.Outcome day = StoreReplacement.play(seed, departure);
-            assertEquals(List.of(), day.violations().stream().limit(3).toList(), departure + " with seed " + seed);
+            StoreReplacement.Outcome outcome = StoreReplacement.play(seed, departure);
+            assertEquals(List.of(), outcome.violations().stream().limit(3).toList(), departure + " with seed " + seed);
             assertTrue(
-                    day.startToCountedEverywhere().compareTo(LIMIT) < 0,
-                    departure + " with seed " + seed + " took " + day.startToCountedEverywhere());
+                    outcome.startToCountedEverywhere().compareTo(LIMIT) < 0,
+                    departure + " with seed " + seed + " took " + outcome.startToCountedEverywhere());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TenantNameTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TenantNameTest.java
@@ -13,33 +13,33 @@
 import org.woadvale.common.error.ServiceException;
 import org.woadvale.testkit.stub.ConfigurationStub;
 
-/** Processors are told a tenant by the name that its configuration gives it. */
+/** Processors receive the name of a tenant as its configuration spells it. */
 class TenantNameTest {
     private static final long LONGEST_WAIT_MS = 3000;
 
-    /** Guards against a hash in X-Tenant for names with letters that names here do not have. */
+    /** Guards against a hash in X-Tenant for names with characters that internal names do not allow. */
     @ParameterizedTest
     @ValueSource(strings = {"tenant-a", "Tenant-A", "Lode & Co. 17", "a.b", "_x"})
-    void aJobNamesItsTenantAsTheConfigurationDoes(String name) throws ServiceException {
+    void jobCarriesTheConfiguredTenantName(String name) throws ServiceException {
         assertEquals(Optional.of(name), tenantOfAPulledJob(name));
     }
 
-    /** No header can carry such a name; the job is handed out all the same. */
+    /** A name that no header can carry is replaced by a hash; the job is still handed out. */
     @Test
-    void aNameThatNoHeaderCanCarryIsStoodFor() throws ServiceException {
-        String told = tenantOfAPulledJob("M\u00fcller\nX-Seal: 1").orElseThrow();
-        assertTrue(told.matches("x[0-9a-f]{40}"), told);
+    void nameThatNoHeaderCanCarryIsHashed() throws ServiceException {
+        String tenant = tenantOfAPulledJob("M\u00fcller\nX-Seal: 1").orElseThrow();
+        assertTrue(tenant.matches("x[0-9a-f]{40}"), tenant);
     }
 
     private static Optional<String> tenantOfAPulledJob(String name) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(31, 1);
-        ConfigurationStub plain = PlatformFixture.plain();
-        ConfigurationStub named = new ConfigurationStub(
-                plain.configRevision() + 1,
-                plain.routes(),
-                plain.services(),
+        ConfigurationStub original = PlatformFixture.plain();
+        ConfigurationStub renamed = new ConfigurationStub(
+                original.configRevision() + 1,
+                original.routes(),
+                original.services(),
                 List.of(new ConfigurationStub.Tenant(name, List.of(PlatformFixture.KEY), 200, 200)));
-        assertEquals(200, fixture.put(named, plain.configRevision(), 0).status());
+        assertEquals(200, fixture.put(renamed, original.configRevision(), 0).status());
         fixture.r.sim.run(Duration.ofSeconds(2));
         fixture.accepted("/pull/1", "body", Map.of());
         return Optional.ofNullable(
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
@@ -19,15 +19,15 @@
 import org.woadvale.testkit.stub.TestConfiguration;
 
 /**
- * Fleets that bear the loss of two machines at once, with their disks. Guards against groups of three whatever the
- * fault tolerance: two lost disks of five took the majority of a group with them (review/2).
+ * Fleets that tolerate the simultaneous loss of two machines with their disks. Guards against groups of three
+ * regardless of the fault tolerance: two lost disks of five removed the majority of a group (review/2).
  */
 class TwoLossesTest {
-    private static final FaultTolerance TWO = FaultTolerance.machines(2);
-    private static final int GROUP = 5;
+    private static final FaultTolerance TWO_MACHINES = FaultTolerance.machines(2);
+    private static final int GROUP_SIZE = 5;
     private static final double MESSAGES_PER_SECOND = 40;
-    private static final Duration AWAY = Duration.ofSeconds(2);
-    /** The users count a machine as back so long after its start; the start of the process takes two of them. */
+    private static final Duration DOWNTIME = Duration.ofSeconds(2);
+    /** The users count a machine as back this long after its start; the start of the process takes 2 s of it. */
     private static final Duration CATCH_UP = Duration.ofSeconds(4);
 
     private static final Duration SERVICE_LIMIT = Duration.ofSeconds(30);
@@ -40,7 +40,7 @@
                         4,
                         new TestConfiguration(3, 2, 20, 30, 26),
                         SimulatedFleet.SMALL_RING,
-                        FleetOverrides.none().withFaultTolerance(TWO))
+                        FleetOverrides.none().withFaultTolerance(TWO_MACHINES))
                 .startAll();
     }
 
@@ -50,8 +50,8 @@
                 .allMatch(groups -> groups.values().stream().allMatch(group -> group.size() == members));
     }
 
-    private static boolean everyReplicaCounts(FleetSimulation fleet) {
-        return storeGroupsHave(fleet, GROUP)
+    private static boolean everyReplicaVotes(FleetSimulation fleet) {
+        return storeGroupsHave(fleet, GROUP_SIZE)
                 && fleet.w.presentStores().stream()
                         .map(fleet.w::dataPlaneNode)
                         .allMatch(store -> store.partitionGroups().size() == ServiceNames.MESSAGE_PARTITIONS
@@ -64,84 +64,91 @@
             fleet.w.kill(machine);
             fleet.w.host(machine).disk.wipe();
         }
-        fleet.w.sim.run(AWAY);
+        fleet.w.sim.run(DOWNTIME);
         for (String machine : machines) {
             fleet.w.restart(machine);
         }
     }
 
-    private static List<String> twoOf(FleetSimulation fleet, List<String> machines) {
+    private static List<String> pickTwo(FleetSimulation fleet, List<String> machines) {
         List<String> shuffled = new ArrayList<>(machines);
         Collections.shuffle(shuffled, fleet.w.sim.random());
         return shuffled.subList(0, 2);
     }
 
-    private static void nothingIsLost(FleetSimulation fleet) {
+    private static void assertNothingLost(FleetSimulation fleet) {
         fleet.w.sim.run(Duration.ofSeconds(5));
         fleet.followWhatRan();
-        assertTrue(fleet.settle(SERVICE_LIMIT), () -> "an accepted message has no end: " + fleet.firstOpen());
+        assertTrue(
+                fleet.settle(SERVICE_LIMIT),
+                () -> "an accepted message has not reached a terminal state: " + fleet.firstOpen());
         assertEquals(List.of(), fleet.violations());
     }
 
-    /** Two pairs of stores lose their disks, the second as soon as the first counts again. */
+    /** Two pairs of stores lose their disks, the second as soon as every replica of the first votes again. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void twoStoresThatLoseTheirDisksLoseNoMessage(long seed) throws ServiceException {
-        FleetSimulation fleet = fleet(seed, GROUP);
-        assertTrue(fleet.w.sim.runUntil(() -> storeGroupsHave(fleet, GROUP), Duration.ofSeconds(20)));
+    void twoStoresLosingTheirDisksLoseNoMessage(long seed) throws ServiceException {
+        FleetSimulation fleet = fleet(seed, GROUP_SIZE);
+        assertTrue(fleet.w.sim.runUntil(() -> storeGroupsHave(fleet, GROUP_SIZE), Duration.ofSeconds(20)));
         fleet.traffic(MESSAGES_PER_SECOND);
         fleet.w.sim.run(Duration.ofSeconds(6).plus(fleet.w.sim.between(0, 2_000_000)));
-        loseDisks(fleet, twoOf(fleet, fleet.w.stores));
+        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaCounts(fleet), CATCH_UP), "not whole again after " + CATCH_UP);
-        loseDisks(fleet, twoOf(fleet, fleet.w.stores));
-        nothingIsLost(fleet);
+                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
+                "not all replicas vote after " + CATCH_UP);
+        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
+        assertNothingLost(fleet);
     }
 
-    /** One goes for good while another has lost its disk; the others go on, and a newcomer makes the group whole. */
+    /** A store is lost permanently and another loses its disk; the rest continue, and a new store completes the group. */
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void aLossDuringAReplacementLosesNoMessage(long seed) throws ServiceException {
-        FleetSimulation fleet = fleet(seed, GROUP);
+    void lossDuringAReplacementLosesNoMessage(long seed) throws ServiceException {
+        FleetSimulation fleet = fleet(seed, GROUP_SIZE);
         fleet.traffic(MESSAGES_PER_SECOND);
         fleet.w.sim.run(Duration.ofSeconds(6));
-        List<String> two = twoOf(fleet, fleet.w.stores);
-        fleet.w.lose(two.get(0));
+        List<String> pair = pickTwo(fleet, fleet.w.stores);
+        fleet.w.lose(pair.get(0));
         fleet.w.newStore();
         fleet.w.sim.run(Duration.ofMillis(200).plus(fleet.w.sim.between(0, 1_500_000)));
-        loseDisks(fleet, List.of(two.get(1)));
+        loseDisks(fleet, List.of(pair.get(1)));
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaCounts(fleet), Duration.ofSeconds(20)),
-                "not whole with seed " + seed);
-        nothingIsLost(fleet);
+                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
+                "not all replicas vote with seed " + seed);
+        assertNothingLost(fleet);
     }
 
-    /** A fleet that begins with three stores has groups of three, and grows them when two more come. */
+    /** A fleet that starts with three stores has groups of three, which grow when two more stores join. */
     @Test
-    void groupsGrowWhenStoresCome() throws ServiceException {
+    void groupsGrowWhenStoresJoin() throws ServiceException {
         FleetSimulation fleet = fleet(7, FaultTolerance.SMALLEST_GROUP);
         assertTrue(storeGroupsHave(fleet, FaultTolerance.SMALLEST_GROUP));
         fleet.traffic(MESSAGES_PER_SECOND);
         fleet.w.newStore();
         fleet.w.sim.run(Duration.ofSeconds(10));
-        assertTrue(storeGroupsHave(fleet, FaultTolerance.SMALLEST_GROUP), "a fourth replica bears no more losses");
+        assertTrue(
+                storeGroupsHave(fleet, FaultTolerance.SMALLEST_GROUP),
+                "the groups grew, although a fourth replica tolerates no more losses");
         fleet.w.newStore();
-        assertTrue(fleet.w.sim.runUntil(() -> everyReplicaCounts(fleet), Duration.ofSeconds(20)), "not grown");
-        loseDisks(fleet, twoOf(fleet, fleet.w.stores));
-        nothingIsLost(fleet);
+        assertTrue(
+                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
+                "the groups did not grow");
+        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
+        assertNothingLost(fleet);
     }
 
-    /** A store that goes for good before its partitions are founded does not keep the others from founding them. */
+    /** A store lost permanently before its partitions are bootstrapped does not prevent the others from doing so. */
     @Test
-    void groupsAreFoundedWithoutAStoreThatIsGone() throws ServiceException {
+    void groupsAreBootstrappedWithoutALostStore() throws ServiceException {
         FleetSimulation fleet = new FleetSimulation(
                 8,
                 3,
-                GROUP,
+                GROUP_SIZE,
                 4,
                 new TestConfiguration(3, 2, 20, 30, 26),
                 SimulatedFleet.SMALL_RING,
-                FleetOverrides.none().withFaultTolerance(TWO));
+                FleetOverrides.none().withFaultTolerance(TWO_MACHINES));
         assertTrue(fleet.w.sim.runUntil(
                 () -> !fleet.w
                         .dataPlaneNode(fleet.w.stores.get(1))
@@ -152,31 +159,33 @@
         fleet.startAll();
         fleet.traffic(MESSAGES_PER_SECOND);
         fleet.w.sim.run(Duration.ofSeconds(5));
-        nothingIsLost(fleet);
+        assertNothingLost(fleet);
     }
 
-    /** The core grows to five members by itself; then two of them lose their disks with the configuration. */
+    /** The core grows to five members by itself; then two of them lose the disks that hold the configuration. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24})
-    void twoControlNodesThatLoseTheirDisksLoseNoConfiguration(long seed) throws ServiceException {
-        FleetSimulation fleet = fleet(seed, GROUP);
+    void twoControlNodesLosingTheirDisksLoseNoConfiguration(long seed) throws ServiceException {
+        FleetSimulation fleet = fleet(seed, GROUP_SIZE);
         fleet.w.newControlNodeFirstSettings();
         fleet.w.newControlNodeFirstSettings();
-        assertTrue(fleet.w.sim.runUntil(() -> coreIsWhole(fleet), Duration.ofSeconds(8)), "the core did not grow");
-        configurationIsTaken(fleet, "before");
-        loseDisks(fleet, twoOf(fleet, fleet.w.controlNodes));
-        configurationIsTaken(fleet, "after");
-        assertTrue(fleet.w.sim.runUntil(() -> coreIsWhole(fleet), CATCH_UP), "not whole again after " + CATCH_UP);
-        loseDisks(fleet, twoOf(fleet, fleet.w.controlNodes));
+        assertTrue(fleet.w.sim.runUntil(() -> coreIsComplete(fleet), Duration.ofSeconds(8)), "the core did not grow");
+        assertConfigurationAccepted(fleet, "before");
+        loseDisks(fleet, pickTwo(fleet, fleet.w.controlNodes));
+        assertConfigurationAccepted(fleet, "after");
+        assertTrue(
+                fleet.w.sim.runUntil(() -> coreIsComplete(fleet), CATCH_UP),
+                "the core is not complete after " + CATCH_UP);
+        loseDisks(fleet, pickTwo(fleet, fleet.w.controlNodes));
         fleet.read();
-        configurationIsTaken(fleet, "after-the-second-loss");
+        assertConfigurationAccepted(fleet, "after-the-second-loss");
         assertEquals(List.of(), fleet.violations());
     }
 
-    /** With four control machines the core stays at three: the fourth would bear no more losses. */
+    /** With four control machines the core stays at three: a fourth member would not tolerate more losses. */
     @Test
-    void aFourthControlNodeStandsBy() throws ServiceException {
-        FleetSimulation fleet = fleet(25, GROUP);
+    void fourthControlNodeStaysOnStandby() throws ServiceException {
+        FleetSimulation fleet = fleet(25, GROUP_SIZE);
         String fourth = fleet.w.newControlNodeFirstSettings();
         fleet.w.sim.run(Duration.ofSeconds(8));
         Set<String> members = new TreeSet<>(
@@ -185,7 +194,7 @@
         assertTrue(!members.contains(fourth));
     }
 
-    private static boolean coreIsWhole(FleetSimulation fleet) {
+    private static boolean coreIsComplete(FleetSimulation fleet) {
         return fleet.w.presentControlNodes().stream()
                 .allMatch(node -> CoreExchange.votesEverywhere(fleet.w, node)
                         && ServiceNames.controlPartitions().stream()
@@ -194,10 +203,10 @@
                                                 .replica(partition)
                                                 .members()
                                                 .size()
-                                        == GROUP));
+                                        == GROUP_SIZE));
     }
 
-    private static void configurationIsTaken(FleetSimulation fleet, String id) {
+    private static void assertConfigurationAccepted(FleetSimulation fleet, String id) {
         AtomicInteger status = new AtomicInteger();
         fleet.put(fleet.configuration, fleet.version, id, response -> status.set(response.status()));
         assertTrue(fleet.w.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)), id + ": " + status.get());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -14,48 +14,48 @@
 import org.woadvale.testkit.stub.NeverList;
 import org.woadvale.testkit.stub.TestConfiguration;
 
-/** Work that may have been done is not done again, however its answer was lost. */
+/** Work that may have run is not run again, however its answer was lost. */
 class UnclearTest {
-    private static final Backend.Manner LOSES = new Backend.Manner(Duration.ofMillis(5), 0, 0, 1);
+    private static final Backend.Manner LOSES_ANSWERS = new Backend.Manner(Duration.ofMillis(5), 0, 0, 1);
 
     private static FleetSimulation fleet(long seed) throws ServiceException {
         return new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
     }
 
-    private static FleetSimulation ended(FleetSimulation simulation) {
+    private static FleetSimulation settled(FleetSimulation simulation) {
         assertTrue(simulation.settle(Duration.ofSeconds(180)), "open: " + simulation.firstOpen());
         return simulation;
     }
 
-    /** Processors do the work and lose the answers; then each is replaced: same id, new address, no memory. */
-    private static FleetSimulation replacedOneByOne(long seed) throws ServiceException {
+    /** Processors run the work and lose the answers; then each is replaced: same ID, new address, no stored state. */
+    private static FleetSimulation replaceProcessorsInTurn(long seed) throws ServiceException {
         FleetSimulation simulation = fleet(seed);
         simulation.traffic(10);
         simulation.w.sim.run(Duration.ofSeconds(3));
-        for (String p : List.of("p0", "p1")) {
-            simulation.w.backends.get(p).behave(LOSES);
+        for (String processor : List.of("p0", "p1")) {
+            simulation.w.backends.get(processor).behave(LOSES_ANSWERS);
             simulation.w.sim.run(Duration.ofSeconds(1));
-            simulation.w.replaceBackend(p);
-            simulation.list(p, false);
+            simulation.w.replaceBackend(processor);
+            simulation.list(processor, false);
             simulation.w.sim.run(Duration.ofSeconds(5));
         }
-        return ended(simulation);
+        return settled(simulation);
     }
 
     @Test
-    void whatAPredecessorMayHaveDoneIsNotRunBySuccessors() throws ServiceException {
+    void workOfAReplacedProcessorIsNotRunByItsSuccessor() throws ServiceException {
         for (long seed = 1; seed <= 3; seed++) {
-            FleetSimulation simulation = replacedOneByOne(seed);
+            FleetSimulation simulation = replaceProcessorsInTurn(seed);
             assertEquals(List.of(), simulation.violations());
             assertTrue(simulation.w.seen.shown.stream()
                     .anyMatch(shown -> shown.proof().equals("unclear: the processor is gone")));
         }
     }
 
-    /** The lane's operator knows that the work is harmless twice. */
+    /** The lane's policy states that running its work twice is harmless. */
     @Test
-    void laneThatSaysRerunRunsItElsewhere() throws ServiceException {
+    void laneWithRerunPolicyRunsTheWorkElsewhere() throws ServiceException {
         FleetSimulation simulation = fleet(1);
         Map<String, Configuration.Lane> lanes = new TreeMap<>(simulation.configuration.lanes());
         Configuration.Lane hold = lanes.get("hold");
@@ -78,14 +78,14 @@
                 "rerun",
                 response -> {});
         simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.backends.get("p0").behave(LOSES);
+        simulation.w.backends.get("p0").behave(LOSES_ANSWERS);
         simulation.plain(0);
         simulation.w.sim.run(Duration.ofSeconds(1));
         simulation.w.replaceBackend("p0");
         simulation.list("p0", false);
-        ended(simulation);
+        settled(simulation);
         assertEquals(2, simulation.w.seen.ran.size());
-        assertEquals(List.of("02"), new NeverList(simulation.w.seen).broken(), "it ran twice, as the operator allowed");
+        assertEquals(List.of("02"), new NeverList(simulation.w.seen).broken(), "it must run twice, as the lane allows");
         assertTrue(
                 simulation.w.seen.shown.stream().anyMatch(shown -> shown.state().equals("done")));
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -13,7 +13,7 @@
 import org.woadvale.common.http.Request;
 import org.woadvale.common.http.Response;
 
-/** Fetches wait at one store at a time (docs/design.md, section 9.10). */
+/** A fetch waits at one store at a time (docs/design.md, section 9.10). */
 class WaitingPullsTest {
     private static Request pull(String instance, long waitMs) {
         return new Request(
@@ -23,20 +23,20 @@
                 new byte[0]);
     }
 
-    private static List<Response> waiting(PlatformFixture fixture, int n, long waitMs) {
-        List<Response> out = new ArrayList<>();
+    private static List<Response> startPulls(PlatformFixture fixture, int n, long waitMs) {
+        List<Response> responses = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             fixture.r.request(
                     fixture.r.intakes.get(i % fixture.r.intakes.size()),
                     pull("i-" + i, waitMs),
                     Duration.ofSeconds(30),
-                    response -> response.ifPresent(out::add));
+                    response -> response.ifPresent(responses::add));
         }
-        return out;
+        return responses;
     }
 
     @Test
-    void fetchWithoutWorkIsEmptyAfterItsWait() throws ServiceException {
+    void fetchWithoutWorkIsEmptyAfterItsWaitTime() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(1, 2);
         Duration asked = fixture.r.sim.now();
         assertEquals(204, fixture.pull("i-1", 1000).status());
@@ -51,15 +51,17 @@
                         .status());
     }
 
-    /** Work that becomes due meets a waiting fetch at once, wherever the two are. */
+    /** A message that becomes due is handed to a waiting fetch at once, whichever nodes they are on. */
     @Test
     void waitingFetchGetsWhatBecomesDue() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(2, 3);
-        List<Response> out = waiting(fixture, 6, 10_000);
+        List<Response> responses = startPulls(fixture, 6, 10_000);
         fixture.run(1000);
         Duration sent = fixture.r.sim.now();
         fixture.accepted("/pull/x", "b", Map.of());
-        assertTrue(fixture.r.sim.runUntil(() -> !out.isEmpty(), Duration.ofSeconds(2)), "nobody got it");
+        assertTrue(
+                fixture.r.sim.runUntil(() -> !responses.isEmpty(), Duration.ofSeconds(2)),
+                "no waiting fetch received the message");
         assertTrue(
                 fixture.r.sim.now().minus(sent).toMillis() < 700,
                 "after " + fixture.r.sim.now().minus(sent));
@@ -69,17 +71,18 @@
     void oneMessageGoesToOneFetchOnly() throws ServiceException {
         for (long seed = 3; seed < 6; seed++) {
             PlatformFixture fixture = new PlatformFixture(seed, 3);
-            List<Response> out = waiting(fixture, 30, 2500);
+            List<Response> responses = startPulls(fixture, 30, 2500);
             for (int i = 0; i < 12; i++) {
                 fixture.accepted("/pull/" + i, "b" + i, Map.of());
             }
             fixture.run(2600);
             HashSet<String> ids = new HashSet<>();
-            List<Response> jobs =
-                    out.stream().filter(response -> response.status() == 200).toList();
+            List<Response> jobs = responses.stream()
+                    .filter(response -> response.status() == 200)
+                    .toList();
             jobs.forEach(response -> ids.add(response.headers().get("X-Attempt-Id")));
             assertEquals(12, jobs.size());
-            assertEquals(12, ids.size(), "each once");
+            assertEquals(12, ids.size(), "a message was handed out twice");
         }
     }
 
@@ -94,20 +97,20 @@
         assertTrue(after >= 1400 && after < 2600, "after " + after + " ms");
     }
 
-    /** The asking intake dies: its fetch is gone, and what it may have been promised comes again after the lease. */
+    /** An intake's fetch is dropped when the intake dies; messages granted to it are handed out again after the lease. */
     @Test
     void fetchOfADeadIntakeLosesNothing() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(7, 2);
-        List<Response> out = new ArrayList<>();
+        List<Response> responses = new ArrayList<>();
         fixture.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
         fixture.r.request(
                 fixture.r.intakes.get(1),
                 pull("i-1", 8000),
                 Duration.ofSeconds(30),
-                response -> response.ifPresent(out::add));
+                response -> response.ifPresent(responses::add));
         fixture.run(400);
         fixture.r.kill(fixture.r.intakes.get(1));
         assertEquals("kept", new String(fixture.pull("i-2", 15_000).body()));
-        assertTrue(out.isEmpty());
+        assertTrue(responses.isEmpty());
     }
 }
