--- a/common/src/main/java/org/woadvale/common/http/Status.java
+++ b/common/src/main/java/org/woadvale/common/http/Status.java
@@ -31,7 +31,7 @@
     /** The service is temporarily unavailable. */
     public static final int UNAVAILABLE = 503;
     /** The largest three-digit status code. */
-    public static final int LARGEST = 999;
+    public static final int MAX_CODE = 999;
 
     private Status() {}
 }
--- a/common/src/main/java/org/woadvale/common/replication/Replica.java
+++ b/common/src/main/java/org/woadvale/common/replication/Replica.java
@@ -87,7 +87,9 @@
             throw failure.get();
         }
         NodeEnvironment environment = state.environment();
-        environment.wal().onSpaceNeeded(state.partition(), () -> state.shard().run(storage::storeSnapshot));
+        environment
+                .wal()
+                .onSnapshotNeeded(state.partition(), () -> state.shard().run(storage::storeSnapshot));
         tickTimer = environment
                 .timers()
                 .every(state.timing().tick(), () -> state.shard().run(this::onTick));
--- a/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/DisabledWriteAheadLog.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable takeSnapshot) {
+    public void onSnapshotNeeded(String partition, Runnable takeSnapshot) {
         throw new IllegalStateException("this process has no disk");
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/RingWriteAheadLog.java
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable takeSnapshot) {
+    public void onSnapshotNeeded(String partition, Runnable takeSnapshot) {
         snapshotHandlers.put(partition, takeSnapshot);
     }
 
--- a/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
+++ b/common/src/main/java/org/woadvale/common/wal/WriteAheadLog.java
@@ -13,7 +13,7 @@
     void append(List<WalRecord> records, Runnable onSynced);
 
     /** Sets the callback that asks a partition for a new snapshot while it retains the oldest file. */
-    void onSpaceNeeded(String partition, Runnable takeSnapshot);
+    void onSnapshotNeeded(String partition, Runnable takeSnapshot);
 
     /**
      * Sets the maximum expected size of a partition's next snapshot, which is less than the size of the records that it
--- a/common/src/test/java/org/woadvale/common/LoopbackPorts.java
+++ b/common/src/test/java/org/woadvale/common/LoopbackPorts.java
@@ -38,7 +38,7 @@
     }
 
     /** Binds a port without listening on it; connections to it are refused until the socket is closed. */
-    public static Socket refusing() throws IOException {
+    public static Socket bindWithoutListening() throws IOException {
         Socket bound = new Socket();
         bound.bind(new InetSocketAddress(HOST, 0));
         return bound;
--- a/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
+++ b/common/src/test/java/org/woadvale/common/http/GatewayAnswersTest.java
@@ -188,7 +188,7 @@
 
     /** One HTTP implementation could parse each of these as two requests and another one as a single request. */
     @Test
-    void formsThatTwoReadersTakeDifferentlyReachNobody() throws Exception {
+    void ambiguousFramingDoesNotReachTheApplication() throws Exception {
         String smuggled = get("/smuggled");
         String chunks = "5\r\nhello\r\n0\r\n\r\n";
         List<String> heads = List.of(
--- a/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
+++ b/common/src/test/java/org/woadvale/common/http/HttpGatewayEdgeTest.java
@@ -156,7 +156,7 @@
 
     /** If the server stops during a request, it accepts no new connections but answers that request completely. */
     @Test
-    void openRequestGetsItsAnswerWhileTheGateStops() throws Exception {
+    void openRequestIsAnsweredWhileTheGatewayStops() throws Exception {
         stop();
         Sinks.One<Response> pendingResponse = Sinks.one();
         CountDownLatch requestReceived = new CountDownLatch(1);
--- a/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
+++ b/common/src/test/java/org/woadvale/common/ratelimit/AggregateBucketTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void repeatedAskIsTheSameGrant() {
+    void repeatedRequestReturnsTheSameGrant() {
         AggregateBucket bucket = new AggregateBucket(1, -1, false, LIMIT, ms(0));
         assertEquals(10, bucket.grant("x", request(1, 10), FAR_FUTURE, ms(1)).granted());
         assertEquals(10, bucket.grant("x", request(1, 10), FAR_FUTURE, ms(2)).granted());
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void termAfterALapseFillsAtOnceAndAMoveKeepsItsLevel() {
+    void newTermRefillsAtOnceAfterExpiryAndKeepsAReleasedLevel() {
         AggregateBucket lapsed = new AggregateBucket(2, 0, true, LIMIT, ms(0));
         assertEquals(5, lapsed.grant("x", request(1, 9), FAR_FUTURE, ms(500)).granted());
         AggregateBucket moved = new AggregateBucket(2, 8, false, LIMIT, ms(0));
--- a/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
+++ b/common/src/test/java/org/woadvale/common/rpc/TcpRpcClientTest.java
@@ -75,7 +75,7 @@
 
     @Test
     void refusedConnectionIsUnreachable() throws Exception {
-        try (Socket refusing = LoopbackPorts.refusing()) {
+        try (Socket refusing = LoopbackPorts.bindWithoutListening()) {
             String address = "127.0.0.1:" + refusing.getLocalPort();
             ServiceException error =
                     errorOf(client.call(address, new Question("hi"), Question.class, Duration.ofSeconds(10)));
--- a/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/configuration/ConfigurationLogTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void sameTextAgainHasTheSameAnswerEvenLater() {
+    void repeatedUpdateGetsTheSameAnswerLater() {
         put("a", 0, 5, "A");
         put("b", 5, 7, "B");
         assertEquals(new ControlMessages.ConfigurationAccepted(5, true), put("a", 0, 5, "A"));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void restoredLogAnswersAlike() {
+    void restoredLogGivesTheSameAnswers() {
         put("a", 0, 5, "A");
         put("b", 5, 7, "B");
         ConfigurationLog other = new ConfigurationLog(1 << 20);
--- a/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
+++ b/controlplane/src/test/java/org/woadvale/controlplane/state/RepeatedCommandsTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void repeatedListIsYesAndUndoesNothing() throws ServiceException {
+    void repeatedListIsAcceptedAndUndoesNothing() throws ServiceException {
         ControlMessages.PutProcessors first = list(false, 7);
         assertEquals(ACCEPTED, apply(first));
         assertEquals(ACCEPTED, apply(list(true, 8)));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void repeatedDutyIsYesWhileItIsHeld() throws ServiceException {
+    void repeatedAcquisitionIsGrantedWhileTheLeaseIsHeld() throws ServiceException {
         ControlMessages.AcquireSingleton acquire =
                 new ControlMessages.AcquireSingleton("bucket/t", "node", 0, false, 11);
         ControlMessages.SingletonLeaseResponse first = (ControlMessages.SingletonLeaseResponse) apply(acquire);
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneNode.java
@@ -25,8 +25,8 @@
 import org.woadvale.dataplane.delivery.DeliveryClient;
 import org.woadvale.dataplane.delivery.DeliveryProtocol;
 import org.woadvale.dataplane.delivery.NativeDeliveryProtocol;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
-import org.woadvale.dataplane.ingress.IngressNode;
+import org.woadvale.dataplane.delivery.PartitionClient;
+import org.woadvale.dataplane.ingress.IngressApi;
 import org.woadvale.dataplane.ingress.Intake;
 import org.woadvale.dataplane.ingress.MessageQueries;
 import org.woadvale.dataplane.ingress.PullService;
@@ -43,7 +43,7 @@
     private final Optional<TokenGranters> granters;
     private final Optional<StoreRole> store;
     private final PartitionReplicas replicas;
-    private final IngressNode ingress;
+    private final IngressApi ingress;
     private final Intake intake;
     private final PullService pullService;
     private final MessageQueries queries;
@@ -69,7 +69,7 @@
         this.subscriptions = new ViewSubscriptions(environment, core, settings.zone());
         this.configurations = new ConfigurationView(subscriptions);
         this.localBuckets = new LocalBuckets(environment, subscriptions);
-        SubmitForwarder forwarder = new SubmitForwarder(environment, subscriptions, settings.zone());
+        PartitionClient forwarder = new PartitionClient(environment, subscriptions, settings.zone());
         this.granters = settings.roles().contains("intake")
                 ? Optional.of(new TokenGranters(
                         environment, core, subscriptions, configurations::admissionLimit, configurations::bucketNames))
@@ -91,7 +91,7 @@
         this.pullService =
                 new PullService(environment, subscriptions, configurations, forwarder, settings.zone(), () -> draining);
         this.queries = new MessageQueries(configurations, forwarder);
-        this.ingress = new IngressNode(
+        this.ingress = new IngressApi(
                 environment, configurations, intake, queries, forwarder, this::status, this::ready, this::drain);
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Replaces the seed addresses of the core while the node runs. */
-    public void reseed(List<String> seeds) {
+    public void updateSeeds(List<String> seeds) {
         core.updateSeeds(seeds);
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/DataPlaneProgram.java
@@ -36,7 +36,7 @@
 import org.woadvale.dataplane.delivery.DeliveryProtocol;
 import org.woadvale.dataplane.delivery.HttpDeliveryClient;
 import org.woadvale.dataplane.delivery.NativeDeliveryProtocol;
-import org.woadvale.dataplane.ingress.IngressNode;
+import org.woadvale.dataplane.ingress.IngressApi;
 import org.woadvale.dataplane.queue.MessageCommands;
 
 /** Entry point of the data plane process. */
@@ -79,7 +79,7 @@
                 timers,
                 onGivenUp,
                 new NativeDeliveryProtocol(),
-                node -> List.of(new HttpGateway(settings.http(), IngressNode.MAX_BODY, node::handle)));
+                node -> List.of(new HttpGateway(settings.http(), IngressApi.MAX_BODY, node::handle)));
     }
 
     /**
--- a/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/StoreRole.java
@@ -14,7 +14,7 @@
 import org.woadvale.dataplane.delivery.DispatchContext;
 import org.woadvale.dataplane.delivery.Dispatchers;
 import org.woadvale.dataplane.delivery.OutcomeRecorder;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.MessagePartitions;
 
 /** The store role of a node: replicas of message partitions, and the delivery of the messages of those it leads. */
@@ -33,7 +33,7 @@
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
             LocalBuckets localBuckets,
-            SubmitForwarder forwarder,
+            PartitionClient forwarder,
             DeliveryClient client,
             DeliveryProtocol protocol) {
         this.partitions = new MessagePartitions(
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryAttempt.java
@@ -46,10 +46,11 @@
         Duration startedAt = context.environment().clock().monotonicTime();
         SendGuard sendGuard = new SendGuard();
         DeliveryClient.DeliveryRequest request = context.protocol()
-                .push(message, target, timeout(), () -> sendGuard.trySend(() -> mayStillSend() && permit.spend()));
+                .createPushRequest(
+                        message, target, timeout(), () -> sendGuard.trySend(() -> mayStillSend() && permit.spend()));
         return context.deliveryClient()
                 .send(request)
-                .map(response -> context.protocol().read(message, response))
+                .map(response -> context.protocol().classifyResponse(message, response))
                 .onErrorResume(
                         e -> Mono.just(new Verdict(Verdict.Kind.OUTCOME_UNKNOWN, String.valueOf(e.getMessage()))))
                 .flatMap(verdict -> {
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/DeliveryPermit.java
@@ -26,7 +26,8 @@
             return acquired;
         }
         DeliveryPermit permit = acquired.get();
-        if (!context.partitions().spend(partition, (message.body().length + READ_UNIT_BYTES - 1) / READ_UNIT_BYTES)) {
+        if (!context.partitions()
+                .tryTakeUnits(partition, (message.body().length + READ_UNIT_BYTES - 1) / READ_UNIT_BYTES)) {
             permit.release();
             return Optional.empty();
         }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/FetchHandler.java
@@ -44,7 +44,7 @@
                 (f, request) -> context.partitions()
                         .partition(request.partition())
                         .flatMap(partition -> context.partitions()
-                                .requireBefore(request.deadline())
+                                .requireNotExpired(request.deadline())
                                 .then(Mono.defer(() -> fetch(partition, request)))));
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/NativeDeliveryProtocol.java
@@ -15,14 +15,14 @@
  */
 public final class NativeDeliveryProtocol implements DeliveryProtocol {
     @Override
-    public DeliveryClient.DeliveryRequest push(
+    public DeliveryClient.DeliveryRequest createPushRequest(
             Message message, DeliveryTargets.Target target, Duration timeout, BooleanSupplier stillPermitted) {
         return new DeliveryClient.DeliveryRequest(
                 "POST", target.address() + "/messages", body(message), timeout, stillPermitted);
     }
 
     @Override
-    public Verdict read(Message message, DeliveryClient.DeliveryResponse response) {
+    public Verdict classifyResponse(Message message, DeliveryClient.DeliveryResponse response) {
         return Verdict.ofPush(response, message.handle(), message.attempt());
     }
 
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/OutcomeRecorder.java
@@ -20,10 +20,10 @@
     private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
     private static final Duration GIVE_UP_AFTER = Duration.ofMinutes(10);
     private final NodeEnvironment environment;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
 
     /** Creates a recorder that sends to the leaders of partitions through the forwarder. */
-    public OutcomeRecorder(NodeEnvironment environment, SubmitForwarder forwarder) {
+    public OutcomeRecorder(NodeEnvironment environment, PartitionClient forwarder) {
         this.environment = environment;
         this.forwarder = forwarder;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/SubmitForwarder.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/PartitionClient.java
@@ -25,7 +25,7 @@
 import reactor.core.publisher.Mono;
 
 /** Sends requests to the leader of a message partition, which it finds among the stores of the partition. */
-public final class SubmitForwarder {
+public final class PartitionClient {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(400);
     private static final Duration RETRY_PAUSE = Duration.ofMillis(20);
     private final NodeEnvironment environment;
@@ -36,7 +36,7 @@
     private final StoreClocks clocks;
 
     /** Creates the forwarder of one node; it prefers stores in the given zone. */
-    public SubmitForwarder(NodeEnvironment environment, ViewSubscriptions subscriptions, String zone) {
+    public PartitionClient(NodeEnvironment environment, ViewSubscriptions subscriptions, String zone) {
         this.zone = zone;
         this.environment = environment;
         this.subscriptions = subscriptions;
@@ -131,7 +131,7 @@
                 partition,
                 store -> clocks.deadline(store, until, ATTEMPT_TIMEOUT)
                         .<RpcRequest>map(body)
-                        .onErrorMap(SubmitForwarder::notSent),
+                        .onErrorMap(PartitionClient::notSent),
                 type,
                 until,
                 policy);
@@ -147,7 +147,7 @@
         Duration until = environment.clock().monotonicTime().plus(limit);
         return clocks.deadline(store, until, ATTEMPT_TIMEOUT)
                 .map(body)
-                .onErrorMap(SubmitForwarder::notSent)
+                .onErrorMap(PartitionClient::notSent)
                 .flatMap(atMostOnceRequest ->
                         environment.rpc().call(store, atMostOnceRequest, type, limit.plus(ATTEMPT_TIMEOUT)))
                 .doOnError(e -> clocks.forget(store));
--- a/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/delivery/WaitingPulls.java
@@ -42,7 +42,7 @@
         router.on(
                         MessageCommands.LongPullRequest.class,
                         (f, request) -> context.partitions()
-                                .requireBefore(request.deadline())
+                                .requireNotExpired(request.deadline())
                                 .then(Mono.defer(() -> await(request))))
                 .on(
                         MessageCommands.ExtendLeaseRequest.class,
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressNode.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/IngressApi.java
@@ -20,7 +20,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.dataplane.ConfigurationView;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import org.woadvale.dataplane.queue.MessageState;
@@ -28,7 +28,7 @@
 import reactor.core.publisher.Mono;
 
 /** The HTTP interface of an ingress: submissions, queries, pulls and outcomes. (docs/design.md, section 9.6) */
-public final class IngressNode {
+public final class IngressApi {
     /** Maximum size of a request body, in bytes. */
     public static final int MAX_BODY = SubmitApi.MAX_BODY;
     /**
@@ -43,7 +43,7 @@
 
     private final NodeEnvironment environment;
     private final RouteMatcher routeMatcher;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
     private final SubmitApi submitApi;
     private final ProcessorApi processorApi;
     private final MessageQueries queries;
@@ -53,12 +53,12 @@
     private final HttpRouter router;
 
     /** The HTTP interface of one node, with functions that return its status and readiness and that drain it. */
-    public IngressNode(
+    public IngressApi(
             NodeEnvironment environment,
             ConfigurationView configurations,
             Intake intake,
             MessageQueries queries,
-            SubmitForwarder forwarder,
+            PartitionClient forwarder,
             Supplier<Map<String, Object>> status,
             Supplier<Boolean> ready,
             Supplier<Boolean> drain) {
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/Intake.java
@@ -15,7 +15,7 @@
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.common.runtime.Stage;
 import org.woadvale.dataplane.ConfigurationView;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
 
@@ -42,7 +42,7 @@
     private final NodeEnvironment environment;
     private final SubmissionValidator validator;
     private final LocalBuckets localBuckets;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
     private final SubmissionOutcomes outcomes;
     private final Stage<CheckedSubmission, AdmittedSubmission> admission;
     private final Stage<AdmittedSubmission, MessageCommands.Accepted> forwarding;
@@ -52,7 +52,7 @@
             NodeEnvironment environment,
             ConfigurationView configurations,
             LocalBuckets localBuckets,
-            SubmitForwarder forwarder) {
+            PartitionClient forwarder) {
         this.environment = environment;
         this.validator = new SubmissionValidator(new RouteMatcher(configurations));
         this.localBuckets = localBuckets;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/MessageQueries.java
@@ -7,7 +7,7 @@
 import org.woadvale.common.error.UnauthorizedException;
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.dataplane.ConfigurationView;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
@@ -17,10 +17,10 @@
     private static final Duration TIMEOUT = Duration.ofMillis(1800);
     private static final String HANDLE_PATTERN = "m[0-9]{1,4}-[0-9]{1,18}";
     private final ConfigurationView configurations;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
 
     /** Queries through one node. */
-    public MessageQueries(ConfigurationView configurations, SubmitForwarder forwarder) {
+    public MessageQueries(ConfigurationView configurations, PartitionClient forwarder) {
         this.configurations = configurations;
         this.forwarder = forwarder;
     }
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/ProcessorApi.java
@@ -17,7 +17,7 @@
 import org.woadvale.common.membership.ServiceNames;
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Flux;
@@ -43,9 +43,9 @@
 
     private final NodeEnvironment environment;
     private final RouteMatcher matcher;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
 
-    ProcessorApi(NodeEnvironment environment, RouteMatcher matcher, SubmitForwarder forwarder) {
+    ProcessorApi(NodeEnvironment environment, RouteMatcher matcher, PartitionClient forwarder) {
         this.environment = environment;
         this.matcher = matcher;
         this.forwarder = forwarder;
--- a/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/ingress/PullService.java
@@ -19,7 +19,7 @@
 import org.woadvale.common.replication.NodeEnvironment;
 import org.woadvale.common.runtime.Delays;
 import org.woadvale.dataplane.ConfigurationView;
-import org.woadvale.dataplane.delivery.SubmitForwarder;
+import org.woadvale.dataplane.delivery.PartitionClient;
 import org.woadvale.dataplane.queue.Message;
 import org.woadvale.dataplane.queue.MessageCommands;
 import reactor.core.publisher.Mono;
@@ -69,7 +69,7 @@
     private final NodeEnvironment environment;
     private final ViewSubscriptions subscriptions;
     private final ConfigurationView configurations;
-    private final SubmitForwarder forwarder;
+    private final PartitionClient forwarder;
     private final String zone;
     private final BooleanSupplier draining;
 
@@ -78,7 +78,7 @@
             NodeEnvironment environment,
             ViewSubscriptions subscriptions,
             ConfigurationView configurations,
-            SubmitForwarder forwarder,
+            PartitionClient forwarder,
             String zone,
             BooleanSupplier draining) {
         this.zone = zone;
--- a/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
+++ b/dataplane/src/main/java/org/woadvale/dataplane/queue/MessagePartitions.java
@@ -91,7 +91,7 @@
                 .on(
                         MessageCommands.AcceptRequest.class,
                         (f, request) -> partition(request.partition())
-                                .flatMap(partition -> requireBefore(request.deadline())
+                                .flatMap(partition -> requireNotExpired(request.deadline())
                                         .then(Mono.defer(() -> accept(partition, request.accept())))))
                 .on(
                         MessageCommands.ClockRequest.class,
@@ -123,7 +123,7 @@
      * Rejects a request that arrives after its deadline: its token, access key and lane were checked before the delay
      * and may no longer be valid.
      */
-    public Mono<Object> requireBefore(MessageCommands.RemoteDeadline deadline) {
+    public Mono<Object> requireNotExpired(MessageCommands.RemoteDeadline deadline) {
         return Mono.defer(() -> deadline.incarnation().equals(incarnation)
                         && environment.clock().monotonicTime().compareTo(deadline.at()) < 0
                 ? Mono.empty()
@@ -140,7 +140,7 @@
         if (!hasRoom(partition, accept)) {
             return Mono.error(new QueueFullException("The part " + partition.id() + " has no room."));
         }
-        if (!spend(partition, units)) {
+        if (!tryTakeUnits(partition, units)) {
             return Mono.error(new ThrottledException("The store is at its limit.", List.of("1")));
         }
         return partition.replica().propose(withLeaderTime(accept), MessageCommands.Accepted.class);
@@ -178,7 +178,7 @@
     }
 
     /** Takes size units from the buckets of both the node and the partition, or from neither. */
-    public boolean spend(MessagePartition partition, int units) {
+    public boolean tryTakeUnits(MessagePartition partition, int units) {
         synchronized (nodeUnits) {
             Duration now = environment.clock().monotonicTime();
             nodeUnits.fill(now, 0);
--- a/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
+++ b/testkit/src/main/java/org/woadvale/testkit/capacity/Events.java
@@ -44,17 +44,17 @@
     public Map<String, Double> measure(int size) throws ServiceException {
         FleetSimulation simulation =
                 new FleetSimulation(1, 8, 3, 12, new TestConfiguration(8, 12, 100, 200, 40), RING_BYTES).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         simulation.traffic(size);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        long frames = simulation.w.net.frames();
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        long frames = simulation.fleet.net.frames();
         long accepted = accepted(simulation);
         long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        simulation.w.sim.run(WINDOW);
+        simulation.fleet.sim.run(WINDOW);
         double s = WINDOW.toSeconds();
         Map<String, Double> out = new LinkedHashMap<>();
         out.put("accepted /s", (accepted(simulation) - accepted) / s);
-        out.put("asks of the fleet /s", (simulation.w.net.frames() - frames) / s);
+        out.put("asks of the fleet /s", (simulation.fleet.net.frames() - frames) / s);
         out.put(
                 "processor ms of the fleet /s",
                 (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1e6 / s);
@@ -62,6 +62,6 @@
     }
 
     private static long accepted(FleetSimulation simulation) {
-        return simulation.kinds().getOrDefault("accepted", 0L);
+        return simulation.countsByOutcome().getOrDefault("accepted", 0L);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Client.java
@@ -16,11 +16,11 @@
 
 /** The HTTP client of the stubs. It uses the JDK's client so that it shares no code with the tested programs. */
 public final class Client {
-    public record Got(int status, JsonNode json, Map<String, List<String>> headers, byte[] body) {
+    public record HttpAnswer(int status, JsonNode json, Map<String, List<String>> headers, byte[] body) {
         private static final int MAX_BODY_CHARS = 500;
 
         /** For diagnosis: status, headers and the beginning of the body. */
-        String told() {
+        String describe() {
             String text = new String(body, StandardCharsets.UTF_8);
             return status + " " + headers + " " + body.length + " bytes: "
                     + text.substring(0, Math.min(MAX_BODY_CHARS, text.length()));
@@ -32,7 +32,7 @@
             .connectTimeout(Duration.ofSeconds(1))
             .build();
 
-    public CompletableFuture<Got> send(
+    public CompletableFuture<HttpAnswer> send(
             String method, String address, String path, String key, byte[] body, Map<String, String> headers) {
         HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + address + path))
                 .timeout(Duration.ofSeconds(8))
@@ -42,7 +42,7 @@
             builder.header("Authorization", "Bearer " + key);
         }
         return http.sendAsync(builder.build(), HttpResponse.BodyHandlers.ofByteArray())
-                .thenApply(response -> new Got(
+                .thenApply(response -> new HttpAnswer(
                         response.statusCode(),
                         json(response.body()),
                         response.headers().map(),
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Drills.java
@@ -101,8 +101,8 @@
 
     private static void slowEndpoints(Fleet fleet, StubEnvironment environment, Load load) {
         environment.backends.forEach((id, backend) -> {
-            if (backend.paced()) {
-                backend.behave(new Backend.Manner(Duration.ofMillis(1500), 0, 0, 0.05));
+            if (backend.rateLimited()) {
+                backend.setBehavior(new Backend.Behavior(Duration.ofMillis(1500), 0, 0, 0.05));
             }
         });
         load.run(Duration.ofSeconds(20), RATE);
@@ -183,13 +183,13 @@
         fleet.startAll();
         environment.await("service after the outage", Duration.ofSeconds(60), () -> {
             try {
-                return load.one(0).join().said() == Observations.Said.ACCEPTED;
+                return load.submitRandom(0).join().outcome() == Observations.SubmissionOutcome.ACCEPTED;
             } catch (CompletionException e) {
                 return false;
             }
         });
         Duration served = environment.times.monotonicTime();
-        environment.seen.saw(environment.seen.outages, new Observations.Outage(restarted, served));
+        environment.observations.append(environment.observations.outages, new Observations.Outage(restarted, served));
         System.out.println("Served again after " + served.minus(restarted).toMillis() + " ms.");
         load.run(Duration.ofSeconds(5), RATE);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/Load.java
@@ -29,7 +29,7 @@
     private final AtomicLong ids = new AtomicLong();
     private final Map<String, Integer> owners = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<CompletableFuture<?>> pending = new ConcurrentLinkedQueue<>();
-    private final Map<String, AtomicLong> kinds = new ConcurrentHashMap<>();
+    private final Map<String, AtomicLong> countsByOutcome = new ConcurrentHashMap<>();
 
     public Load(StubEnvironment environment, Fleet fleet, long seed) {
         this.environment = environment;
@@ -44,7 +44,7 @@
         while (environment.times.monotonicTime().minus(start).compareTo(duration) < 0) {
             long due = environment.times.monotonicTime().minus(start).toNanos() * perSecond / 1_000_000_000L;
             while (sent < due) {
-                one(random.nextInt(environment.testConfiguration.tenants()));
+                submitRandom(random.nextInt(environment.testConfiguration.tenants()));
                 sent++;
             }
             if (environment.times.monotonicTime().minus(polled).compareTo(POLL_INTERVAL) > 0) {
@@ -57,7 +57,7 @@
     }
 
     /** Submits a random kind of message at a random intake. */
-    public CompletableFuture<Observations.Submitted> one(int tenant) {
+    public CompletableFuture<Observations.Submitted> submitRandom(int tenant) {
         List<String> lanes = environment.testConfiguration.lanes();
         String lane = random.nextInt(3) == 0 ? "accept" : lanes.get(random.nextInt(lanes.size()));
         Map<String, Object> body = new LinkedHashMap<>();
@@ -82,9 +82,9 @@
                 .send("GET", intake.http, "/v1/messages?state=failed", secret, new byte[0], Map.of())
                 .handle((answer, e) -> {
                     if (e == null && answer.status() == 200) {
-                        environment.seen.saw(
-                                environment.seen.served,
-                                new Observations.KeyServed(secret, "read", environment.times.monotonicTime()));
+                        environment.observations.append(
+                                environment.observations.served,
+                                new Observations.RequestServed(secret, "read", environment.times.monotonicTime()));
                     }
                     return true;
                 }));
@@ -118,9 +118,11 @@
                 .send("POST", process.http, "/v1/lanes/" + lane + "/messages", key, body, Map.of())
                 .handle((answer, e) -> {
                     SubmissionResult result = e == null ? SubmissionResult.of(answer) : SubmissionResult.NO_ANSWER;
-                    kinds.computeIfAbsent(result.kind(), k -> new AtomicLong()).incrementAndGet();
+                    countsByOutcome
+                            .computeIfAbsent(result.kind(), k -> new AtomicLong())
+                            .incrementAndGet();
                     if (result.isMalformed()) {
-                        broken.add(id + ": " + answer.told());
+                        broken.add(id + ": " + answer.describe());
                     }
                     Observations.Submitted submitted = new Observations.Submitted(
                             TestConfiguration.tenant(tenant),
@@ -134,14 +136,14 @@
                             result.kind(),
                             result.handle(),
                             result.repeated());
-                    environment.seen.saw(environment.seen.submitted, submitted);
-                    if (result.outcome() == Observations.Said.ACCEPTED) {
+                    environment.observations.append(environment.observations.submitted, submitted);
+                    if (result.outcome() == Observations.SubmissionOutcome.ACCEPTED) {
                         owners.put(result.handle(), tenant);
                         unfinished.put(result.handle(), "not polled yet");
                     }
                     return submitted;
                 })
-                .thenCompose(submitted -> submitted.said() == Observations.Said.UNKNOWN && retries > 0
+                .thenCompose(submitted -> submitted.outcome() == Observations.SubmissionOutcome.UNKNOWN && retries > 0
                         ? submit(tenant, id, lane, orderKey, body, retries - 1)
                         : CompletableFuture.completedFuture(submitted));
         pending.add(submission);
@@ -180,14 +182,15 @@
                         new byte[0],
                         Map.of())
                 .handle((answer, e) -> {
-                    unfinished.computeIfPresent(handle, (h, before) -> e == null ? answer.told() : "no answer: " + e);
+                    unfinished.computeIfPresent(
+                            handle, (h, before) -> e == null ? answer.describe() : "no answer: " + e);
                     if (e == null
                             && answer.status() == 200
                             && answer.json().path("handle").asText().equals(handle)) {
-                        Observations.Shown shown = Observations.Shown.read(
+                        Observations.StatusRead shown = Observations.StatusRead.read(
                                 handle, answer.json(), asked, environment.times.monotonicTime(), environment::trueTime);
-                        environment.seen.saw(environment.seen.shown, shown);
-                        if (shown.over()) {
+                        environment.observations.append(environment.observations.shown, shown);
+                        if (shown.isTerminal()) {
                             unfinished.remove(handle);
                         }
                     }
@@ -205,15 +208,18 @@
         return List.copyOf(broken);
     }
 
-    public Map<String, Long> kinds() {
+    public Map<String, Long> countsByOutcome() {
         Map<String, Long> out = new TreeMap<>();
-        kinds.forEach((kind, count) -> out.put(kind, count.get()));
+        countsByOutcome.forEach((kind, count) -> out.put(kind, count.get()));
         return out;
     }
 
     public Map<String, Long> states() {
         Map<String, String> last = new HashMap<>();
-        environment.seen.copy(environment.seen.shown).forEach(shown -> last.put(shown.handle(), shown.state()));
+        environment
+                .observations
+                .copy(environment.observations.shown)
+                .forEach(shown -> last.put(shown.handle(), shown.state()));
         Map<String, Long> out = new TreeMap<>();
         last.values().forEach(state -> out.merge(state, 1L, Long::sum));
         return out;
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/StubEnvironment.java
@@ -26,7 +26,7 @@
 
 /** Stubs of the services around a test fleet: backends, platform and operator. */
 public final class StubEnvironment implements AutoCloseable {
-    public final Observations seen = new Observations();
+    public final Observations observations = new Observations();
     public final Clock times = new SystemClock();
     public final Client client = new Client();
     public final TestConfiguration testConfiguration;
@@ -43,7 +43,7 @@
         this.fleet = fleet;
         this.testConfiguration = testConfiguration;
         this.shape = shape;
-        testConfiguration.allow(seen);
+        testConfiguration.allow(observations);
         for (int i = 0; i < shape.processors; i++) {
             startBackend("p" + i, i % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP, false);
         }
@@ -53,7 +53,7 @@
     }
 
     private void startBackend(String id, String service, boolean paced) throws IOException, ServiceException {
-        Backend backend = new Backend(id, service, paced, seen, times, timers, new SecureRandom()::nextLong);
+        Backend backend = new Backend(id, service, paced, observations, times, timers, new SecureRandom()::nextLong);
         String address = Fleet.free();
         HttpGateway httpGateway = new HttpGateway(address, 64 << 10, backend::answer);
         httpGateway.start();
@@ -63,11 +63,11 @@
     }
 
     /** Sends a request to one control node after another until one gives a definite answer. */
-    public Client.Got operate(String method, String path, byte[] body, Map<String, String> headers) {
+    public Client.HttpAnswer operate(String method, String path, byte[] body, Map<String, String> headers) {
         for (int i = 0; i < 60; i++) {
             NodeProcess process = fleet.controlNodes.get(i % fleet.controlNodes.size());
             try {
-                Client.Got answer = client.send(method, process.http, path, "", body, headers)
+                Client.HttpAnswer answer = client.send(method, process.http, path, "", body, headers)
                         .join();
                 if (answer.status() < 500) {
                     return answer;
@@ -88,13 +88,13 @@
                     .replace(",\"ifUnclear\":\"FAIL\"", "")
                     .getBytes(StandardCharsets.UTF_8);
         }
-        Client.Got answer =
+        Client.HttpAnswer answer =
                 operate("PUT", "/v1/layout", json, Map.of("If-Match", Long.toString(base), "X-Request-Id", requestId));
         boolean accepted = answer.status() == 200;
         long version = accepted ? answer.json().path("version").asLong() : -1;
-        seen.saw(
-                seen.configurations,
-                new Observations.ConfigurationSaid(
+        observations.append(
+                observations.configurations,
+                new Observations.ConfigurationAnswer(
                         requestId,
                         version,
                         accepted,
@@ -124,7 +124,7 @@
         });
         putConfiguration(configuration, currentVersion, "key-" + present);
         if (!present) {
-            seen.saw(seen.keys, new Observations.KeyWithdrawn(secret, times.monotonicTime()));
+            observations.append(observations.keys, new Observations.KeyWithdrawn(secret, times.monotonicTime()));
         }
     }
 
@@ -139,7 +139,7 @@
     public void list(String id, boolean leaving) {
         int number = Integer.parseInt(id.substring(1));
         String service = number % 2 == 0 ? TestConfiguration.GROUP : TestConfiguration.ORDERED_GROUP;
-        Client.Got answer = operate(
+        Client.HttpAnswer answer = operate(
                 "PUT",
                 "/v1/services/" + service + "/processors/" + id,
                 Configurations.write(Map.of("address", "http://" + addresses.get(id), "leaving", leaving)),
@@ -148,7 +148,7 @@
             throw new IllegalStateException("registration of a processor was refused: " + answer.status());
         }
         if (leaving) {
-            seen.saw(seen.leaving, new Observations.MarkedLeaving(id, times.monotonicTime()));
+            observations.append(observations.leaving, new Observations.MarkedLeaving(id, times.monotonicTime()));
         }
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
+++ b/testkit/src/main/java/org/woadvale/testkit/cluster/TestkitProgram.java
@@ -139,10 +139,10 @@
 
     static boolean report(Fleet fleet, StubEnvironment environment, Load load) {
         boolean allEnded = load.settle(Duration.ofSeconds(90));
-        System.out.println("Submissions by answer: " + load.kinds());
+        System.out.println("Submissions by answer: " + load.countsByOutcome());
         load.broken().stream().limit(20).forEach(b -> System.out.println("BROKEN ANSWER: " + b));
         System.out.println("Accepted by state:     " + load.states() + (allEnded ? "" : " NOT ALL ENDED"));
-        List<String> violations = new NeverList(environment.seen).violations();
+        List<String> violations = new NeverList(environment.observations).violations();
         violations.stream().limit(20).forEach(b -> System.out.println("NEVER: " + b));
         System.out.println("Violations: " + violations.size());
         printCounts(fleet, environment);
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ForwardingLog.java
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable requestSnapshot) {
-        log.onSpaceNeeded(partition, requestSnapshot);
+    public void onSnapshotNeeded(String partition, Runnable requestSnapshot) {
+        log.onSnapshotNeeded(partition, requestSnapshot);
     }
 
     @Override
--- a/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/explore/ModelWriteAheadLog.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void onSpaceNeeded(String partition, Runnable requestSnapshot) {
+    public void onSnapshotNeeded(String partition, Runnable requestSnapshot) {
         snapshotRequest = Optional.of(requestSnapshot);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Callers.java
@@ -26,7 +26,7 @@
  */
 public class Callers {
     private static final Duration FOLLOW_WINDOW = Duration.ofSeconds(90);
-    public final SimulatedFleet w;
+    public final SimulatedFleet fleet;
     private final Map<String, Integer> tenantByHandle = new HashMap<>();
     private final Set<String> openHandles = new HashSet<>();
     private final Map<String, Long> answerCounts = new TreeMap<>();
@@ -34,7 +34,7 @@
     private boolean trafficOn;
 
     Callers(SimulatedFleet fleet) {
-        this.w = fleet;
+        this.fleet = fleet;
     }
 
     /** Submits messages as a Poisson process of the given rate until stopped. */
@@ -43,40 +43,43 @@
         scheduleNext(perSecond);
     }
 
-    public void calm() {
+    public void stopTraffic() {
         trafficOn = false;
     }
 
     private void scheduleNext(double perSecond) {
-        w.sim.after(Duration.ofNanos((long) (-Math.log(1 - w.sim.random().nextDouble()) / perSecond * 1e9)), () -> {
-            if (trafficOn) {
-                one(w.sim.random().nextInt(w.testConfiguration.tenants()));
-                scheduleNext(perSecond);
-            }
-        });
-    }
-
-    public void one(int tenant) {
-        List<String> lanes = w.testConfiguration.lanes();
-        String lane = w.sim.chance(0.4) ? "accept" : lanes.get(w.sim.random().nextInt(lanes.size()));
-        String orderKey = lane.equals("accept") ? "applicant" + w.sim.random().nextInt(6) : "";
+        fleet.sim.after(
+                Duration.ofNanos((long) (-Math.log(1 - fleet.sim.random().nextDouble()) / perSecond * 1e9)), () -> {
+                    if (trafficOn) {
+                        submitRandom(fleet.sim.random().nextInt(fleet.testConfiguration.tenants()));
+                        scheduleNext(perSecond);
+                    }
+                });
+    }
+
+    public void submitRandom(int tenant) {
+        List<String> lanes = fleet.testConfiguration.lanes();
+        String lane =
+                fleet.sim.chance(0.4) ? "accept" : lanes.get(fleet.sim.random().nextInt(lanes.size()));
+        String orderKey =
+                lane.equals("accept") ? "applicant" + fleet.sim.random().nextInt(6) : "";
         Map<String, Object> body = new LinkedHashMap<>();
         String id = "c" + nextId++;
         body.put("id", id);
         if (!orderKey.isEmpty()) {
             body.put("orderingKey", orderKey);
         }
-        body.put("delayMs", w.sim.chance(0.1) ? 1000 : 0);
+        body.put("delayMs", fleet.sim.chance(0.1) ? 1000 : 0);
         body.put("body", Map.of("text", "x".repeat(300)));
-        submit(tenant, id, lane, orderKey, Configurations.write(body), w.intakes, 5);
+        submit(tenant, id, lane, orderKey, Configurations.write(body), fleet.intakes, 5);
     }
 
     /** Submits a message to the lane without ordering. */
-    public void plain(int tenant) {
-        plainAt(tenant, w.intakes);
+    public void submitUnordered(int tenant) {
+        submitUnorderedAt(tenant, fleet.intakes);
     }
 
-    public void plainAt(int tenant, List<String> intakes) {
+    public void submitUnorderedAt(int tenant, List<String> intakes) {
         String id = "c" + nextId++;
         submit(
                 tenant,
@@ -89,15 +92,15 @@
     }
 
     /** Submits a message for an external endpoint. */
-    public void check(int endpoint) {
+    public void submitToEndpoint(int endpoint) {
         String id = "c" + nextId++;
         submit(
-                (int) (nextId % w.testConfiguration.tenants()),
+                (int) (nextId % fleet.testConfiguration.tenants()),
                 id,
                 "check" + endpoint,
                 "",
                 Configurations.write(Map.of("id", id, "delayMs", 0, "body", Map.of("n", 1))),
-                w.intakes,
+                fleet.intakes,
                 5);
     }
 
@@ -105,9 +108,9 @@
      * Follows messages that were executed although their submission was never answered; older ones are left out, since
      * the fleet may have discarded them.
      */
-    public void followWhatRan() {
-        Duration from = w.sim.now().minus(FOLLOW_WINDOW);
-        w.seen.copy(w.seen.ran).stream()
+    public void followExecuted() {
+        Duration from = fleet.sim.now().minus(FOLLOW_WINDOW);
+        fleet.observations.copy(fleet.observations.ran).stream()
                 .filter(ran -> ran.begun().compareTo(from) > 0)
                 .forEach(ran ->
                         follow(ran.handle(), Integer.parseInt(ran.tenant().substring("tenant".length()))));
@@ -116,46 +119,49 @@
     /** Submits a message, and repeats it under the same id while the outcome is unknown. */
     public void submit(
             int tenant, String id, String lane, String orderKey, byte[] body, List<String> intakes, int retries) {
-        Duration sent = w.sim.now();
+        Duration sent = fleet.sim.now();
         Request request = new Request(
                 "POST",
                 "/v1/lanes/" + lane + "/messages",
                 Map.of("authorization", "Bearer " + TestConfiguration.callerKey(tenant)),
                 body);
-        w.request(intakes.get(w.sim.random().nextInt(intakes.size())), request, Duration.ofSeconds(6), optional -> {
-            Observations.Said result = optional.isEmpty() || outcomeUnknown(optional.get())
-                    ? Observations.Said.UNKNOWN
-                    : optional.get().status() == 202 ? Observations.Said.ACCEPTED : Observations.Said.REFUSED;
-            String answer = optional.map(response -> response.status() == 202
-                            ? "accepted"
-                            : json(response).path("kind").asText())
-                    .orElse("no answer");
-            answerCounts.merge(answer, 1L, Long::sum);
-            String handle = result == Observations.Said.ACCEPTED
-                    ? json(optional.get()).path("handle").asText()
-                    : "";
-            boolean repeated = result == Observations.Said.ACCEPTED
-                    && json(optional.get()).path("repeated").asBoolean();
-            w.seen.saw(
-                    w.seen.submitted,
-                    new Observations.Submitted(
-                            TestConfiguration.tenant(tenant),
-                            id,
-                            lane,
-                            orderKey,
-                            TestConfiguration.callerKey(tenant),
-                            sent,
-                            w.sim.now(),
-                            result,
-                            answer,
-                            handle,
-                            repeated));
-            if (result == Observations.Said.ACCEPTED) {
-                follow(handle, tenant);
-            } else if (result == Observations.Said.UNKNOWN && retries > 0) {
-                submit(tenant, id, lane, orderKey, body, intakes, retries - 1);
-            }
-        });
+        fleet.request(
+                intakes.get(fleet.sim.random().nextInt(intakes.size())), request, Duration.ofSeconds(6), optional -> {
+                    Observations.SubmissionOutcome result = optional.isEmpty() || outcomeUnknown(optional.get())
+                            ? Observations.SubmissionOutcome.UNKNOWN
+                            : optional.get().status() == 202
+                                    ? Observations.SubmissionOutcome.ACCEPTED
+                                    : Observations.SubmissionOutcome.REFUSED;
+                    String answer = optional.map(response -> response.status() == 202
+                                    ? "accepted"
+                                    : json(response).path("kind").asText())
+                            .orElse("no answer");
+                    answerCounts.merge(answer, 1L, Long::sum);
+                    String handle = result == Observations.SubmissionOutcome.ACCEPTED
+                            ? json(optional.get()).path("handle").asText()
+                            : "";
+                    boolean repeated = result == Observations.SubmissionOutcome.ACCEPTED
+                            && json(optional.get()).path("repeated").asBoolean();
+                    fleet.observations.append(
+                            fleet.observations.submitted,
+                            new Observations.Submitted(
+                                    TestConfiguration.tenant(tenant),
+                                    id,
+                                    lane,
+                                    orderKey,
+                                    TestConfiguration.callerKey(tenant),
+                                    sent,
+                                    fleet.sim.now(),
+                                    result,
+                                    answer,
+                                    handle,
+                                    repeated));
+                    if (result == Observations.SubmissionOutcome.ACCEPTED) {
+                        follow(handle, tenant);
+                    } else if (result == Observations.SubmissionOutcome.UNKNOWN && retries > 0) {
+                        submit(tenant, id, lane, orderKey, body, intakes, retries - 1);
+                    }
+                });
     }
 
     private static boolean outcomeUnknown(Response response) {
@@ -174,10 +180,10 @@
     }
 
     /** Queries open messages regularly during the run, since ended ones are discarded after a while. */
-    public void watch() {
-        w.sim.after(Duration.ofSeconds(20), () -> {
+    public void pollStatus() {
+        fleet.sim.after(Duration.ofSeconds(20), () -> {
             List.copyOf(openHandles).forEach(this::queryStatus);
-            watch();
+            pollStatus();
         });
     }
 
@@ -190,9 +196,9 @@
     }
 
     private void queryStatus(String handle) {
-        String intake = w.intakes.get(w.sim.random().nextInt(w.intakes.size()));
-        Duration asked = w.sim.now();
-        w.request(
+        String intake = fleet.intakes.get(fleet.sim.random().nextInt(fleet.intakes.size()));
+        Duration asked = fleet.sim.now();
+        fleet.request(
                 intake,
                 new Request(
                         "GET",
@@ -202,10 +208,10 @@
                 Duration.ofSeconds(5),
                 optional -> optional.filter(response -> response.status() == 200)
                         .ifPresent(response -> {
-                            Observations.Shown shown =
-                                    Observations.Shown.read(handle, json(response), asked, w.sim.now(), w::trueTime);
-                            w.seen.saw(w.seen.shown, shown);
-                            if (shown.over()) {
+                            Observations.StatusRead shown = Observations.StatusRead.read(
+                                    handle, json(response), asked, fleet.sim.now(), fleet::simulatedTime);
+                            fleet.observations.append(fleet.observations.shown, shown);
+                            if (shown.isTerminal()) {
                                 openHandles.remove(handle);
                             }
                         }));
@@ -213,17 +219,17 @@
 
     /** Queries all accepted messages until each has ended; false if that takes longer than the limit. */
     public boolean settle(Duration limit) {
-        calm();
-        Duration end = w.sim.now().plus(limit);
-        w.sim.run(Duration.ofSeconds(7));
-        while (!openHandles.isEmpty() && w.sim.now().compareTo(end) < 0) {
+        stopTraffic();
+        Duration end = fleet.sim.now().plus(limit);
+        fleet.sim.run(Duration.ofSeconds(7));
+        while (!openHandles.isEmpty() && fleet.sim.now().compareTo(end) < 0) {
             List.copyOf(openHandles).forEach(this::queryStatus);
-            w.sim.run(Duration.ofSeconds(2));
+            fleet.sim.run(Duration.ofSeconds(2));
         }
         return openHandles.isEmpty();
     }
 
-    public Map<String, Long> kinds() {
+    public Map<String, Long> countsByOutcome() {
         return answerCounts;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Capacity.java
@@ -25,11 +25,11 @@
         FleetSimulation simulation = new FleetSimulation(
                         1, 8, 3, 4, new TestConfiguration(8, 2, 45, 60, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
-        simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, true));
-        Duration from = simulation.w.sim.now();
+        simulation.fleet.backends.keySet().forEach(b -> simulation.fleet.deliveryNetwork.down(b, true));
+        Duration from = simulation.fleet.sim.now();
         for (int i = 0; i < 270 * 90; i++) {
             int n = i;
-            simulation.w.sim.after(Duration.ofNanos(i * 1_000_000_000L / 270), () -> {
+            simulation.fleet.sim.after(Duration.ofNanos(i * 1_000_000_000L / 270), () -> {
                 String id = "d" + n;
                 simulation.submit(
                         n % 8,
@@ -37,18 +37,18 @@
                         "hold",
                         "",
                         Configurations.write(Map.of("id", id, "delayMs", 0, "body", "x".repeat(BODY_BYTES))),
-                        simulation.w.intakes,
+                        simulation.fleet.intakes,
                         0);
             });
         }
-        boolean full = simulation.w.sim.runUntil(
-                () -> simulation.w.seen.submitted.stream()
+        boolean full = simulation.fleet.sim.runUntil(
+                () -> simulation.fleet.observations.submitted.stream()
                         .anyMatch(submitted -> submitted.kind().equals("queue_full")),
                 Duration.ofSeconds(90));
         System.out.println("All processors down, 270 x 1.25 KB a second, partitions of 2 MB: "
                 + (full ? "first queue_full after " : "no queue_full within ")
-                + simulation.w.sim.now().minus(from).toSeconds() + " s; "
-                + simulation.kinds());
+                + simulation.fleet.sim.now().minus(from).toSeconds() + " s; "
+                + simulation.countsByOutcome());
     }
 
     /** Measured on this machine, in real time; nothing else accesses the partition meanwhile. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ConfigurationOperator.java
@@ -23,7 +23,7 @@
 
     ConfigurationOperator(FleetSimulation simulation) {
         this.simulation = simulation;
-        this.fleet = simulation.w;
+        this.fleet = simulation.fleet;
         this.keyChanges = new KeyChanges(simulation, () -> nextNumber++);
     }
 
@@ -99,9 +99,9 @@
                     ? kind.equals("unknown_lane")
                     : optional.isPresent() && optional.get().status() == 202;
             if (ignored && simulation.puts == putsAtChange) {
-                fleet.seen.saw(
-                        fleet.seen.ignored,
-                        new Observations.ConfigurationNeeded(lane + " at " + intake, acknowledged, sent));
+                fleet.observations.append(
+                        fleet.observations.ignored,
+                        new Observations.IgnoredConfiguration(lane + " at " + intake, acknowledged, sent));
             }
         });
         fleet.sim.after(Duration.ofMillis(400), () -> probe(intake, lane, added, putsAtChange, acknowledged, until));
@@ -139,7 +139,7 @@
                 "allow" + nextNumber++,
                 response -> {
                     if (response.status() == 200) {
-                        fleet.seen.allowed(
+                        fleet.observations.tenantLimit(
                                 TestConfiguration.tenant(tenant),
                                 new Observations.Limit(rate, burst, sent, fleet.sim.now()));
                     }
@@ -160,7 +160,8 @@
                 "rate" + nextNumber++,
                 response -> {
                     if (response.status() == 200) {
-                        fleet.seen.paced(endpoint, new Observations.Limit(rate, 0, sent, fleet.sim.now()));
+                        fleet.observations.endpointLimit(
+                                endpoint, new Observations.Limit(rate, 0, sent, fleet.sim.now()));
                     }
                 });
     }
@@ -168,7 +169,7 @@
     void timeLimit() {
         String lane = fleet.sim.chance(0.5) ? "hold" : "accept";
         long limit = fleet.sim.chance(0.5) ? TestConfiguration.TIME_LIMIT_MS : 30000;
-        fleet.seen.lane(lane, new Observations.LaneLimits(limit, TestConfiguration.ATTEMPTS));
+        fleet.observations.lane(lane, new Observations.LaneLimits(limit, TestConfiguration.ATTEMPTS));
         simulation.put(
                 Edit.lanes(
                         simulation.configuration,
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/CoreExchange.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/CoreMemberReplacement.java
@@ -11,7 +11,7 @@
  * Measures how long the core takes to make a new machine a voter in every control partition after a member has left.
  * (docs/design.md, section 6.10)
  */
-public final class CoreExchange {
+public final class CoreMemberReplacement {
     /** How the member to be replaced leaves. */
     public enum Departure {
         /** It fails without notice, before its successor starts. */
@@ -26,7 +26,7 @@
     private static final Duration LIMIT = Duration.ofSeconds(30);
     private static final Duration WARM_UP = Duration.ofSeconds(3);
 
-    private CoreExchange() {}
+    private CoreMemberReplacement() {}
 
     /** From the loss to the start of the successor: the platform's own pause plus the start of a process. */
     private static final Duration SUCCESSOR_AFTER = Duration.ofMillis(1900);
@@ -34,7 +34,7 @@
     /** The time from the successor's start until it votes in every control partition. */
     public static Duration measure(long seed, Departure departure) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 2, 3, 2).startAll();
-        SimulatedFleet fleet = simulation.w;
+        SimulatedFleet fleet = simulation.fleet;
         fleet.sim.run(WARM_UP.plus(fleet.sim.between(0, 1_000_000)));
         String leaver = fleet.controlNodes.get((int) Math.floorMod(seed, 3L));
         String successor = replace(fleet, leaver, departure);
@@ -47,7 +47,7 @@
             if (planned
                     && fleet.host(leaver).alive()
                     && fleet.controlNode(leaver).drain()) {
-                fleet.lose(leaver);
+                fleet.losePermanently(leaver);
             }
             fleet.sim.run(STEP);
         }
@@ -65,7 +65,7 @@
             fleet.restart(leaver);
             return leaver;
         }
-        fleet.lose(leaver);
+        fleet.losePermanently(leaver);
         return fleet.newControlNode();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Day.java
@@ -38,7 +38,7 @@
         simulation = new FleetSimulation(
                         seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.SMALL_RING)
                 .startAll();
-        fleet = simulation.w;
+        fleet = simulation.fleet;
     }
 
     /**
@@ -53,7 +53,7 @@
         while (fleet.sim.now().compareTo(end) < 0) {
             fleet.sim.run(Duration.ofSeconds(10));
             simulation.read();
-            fleet.seenVersions();
+            fleet.recordConfigurationVersions();
             if (fleet.sim.now().compareTo(nextKill) >= 0) {
                 nextKill = fleet.sim.now().plus(kills);
                 String node = fleet.controlNodes.get(fleet.sim.random().nextInt(3));
@@ -112,9 +112,9 @@
                         long version =
                                 Callers.json(response.get()).path("version").asLong();
                         acceptedChanges.add(new AcceptedChange(id, json, base, version));
-                        fleet.seen.saw(
-                                fleet.seen.configurations,
-                                new Observations.ConfigurationSaid(
+                        fleet.observations.append(
+                                fleet.observations.configurations,
+                                new Observations.ConfigurationAnswer(
                                         id, version, true, true, fleet.sim.now(), digest(json)));
                     } else if (response.get().status() != 412) {
                         errors.add(id + " was answered " + response.get().status());
@@ -162,7 +162,7 @@
                 });
     }
 
-    public List<String> wrong() {
+    public List<String> errors() {
         List<String> all = new ArrayList<>(errors);
         all.addAll(simulation.violations());
         return all;
@@ -173,7 +173,7 @@
     }
 
     /** The time in ms within which the given share of the changes was answered. */
-    public long within(double share) {
+    public long percentileMillis(double share) {
         List<Long> sorted = answerTimesMs.stream().sorted().toList();
         return sorted.get((int) Math.ceil(share * sorted.size()) - 1);
     }
@@ -186,9 +186,10 @@
     public String toString() {
         return changes() + " changes (" + lostRaces + " lost a race), " + repeats + " repeats, " + powerLosses
                 + " power losses; ms until"
-                + " answered: median " + within(0.5) + ", 95 % " + within(0.95) + ", 99 % " + within(0.99) + ", max "
-                + within(1)
-                + "; errors " + wrong().size();
+                + " answered: median " + percentileMillis(0.5) + ", 95 % " + percentileMillis(0.95) + ", 99 % "
+                + percentileMillis(0.99) + ", max "
+                + percentileMillis(1)
+                + "; errors " + errors().size();
     }
 
     /** Arguments: HOURS [SEED]. */
@@ -199,7 +200,7 @@
                         Duration.ofSeconds(20),
                         Duration.ofMinutes(3));
         System.out.println(day);
-        day.wrong().stream().limit(5).forEach(System.out::println);
-        System.exit(day.wrong().isEmpty() ? 0 : 1);
+        day.errors().stream().limit(5).forEach(System.out::println);
+        System.exit(day.errors().isEmpty() ? 0 : 1);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveOrders.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/DisabledConfigurationMechanisms.java
@@ -13,8 +13,8 @@
  * Control nodes without one mechanism of docs/design.md, section 6.11: the checks of the operators' history must detect
  * its absence.
  */
-public final class NaiveOrders {
-    private NaiveOrders() {}
+public final class DisabledConfigurationMechanisms {
+    private DisabledConfigurationMechanisms() {}
 
     private abstract static class Forwarding implements RpcClient {
         private final RpcClient rpc;
@@ -34,7 +34,7 @@
     }
 
     /** Every attempt at a configuration update has its own request id, so that a repeated update is evaluated again. */
-    public static FleetOverrides withoutIdentity() {
+    public static FleetOverrides withoutRequestIdentity() {
         AtomicLong requestIds = new AtomicLong();
         return FleetOverrides.none().withRpc((address, rpc) -> new Forwarding(rpc) {
             @Override
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/NaiveVariants.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/DisabledMechanisms.java
@@ -30,12 +30,12 @@
  * Fleet overrides that disable one mechanism each. Each numbered rule of the never list has a scenario that violates it
  * with one of them (docs/design.md, section 12.3); the numbers below are those of the rules.
  */
-final class NaiveVariants {
+final class DisabledMechanisms {
     private interface CallInterceptor {
         <T> Mono<T> call(RpcClient rpc, String to, Object body, Class<T> answer, Duration limit);
     }
 
-    private NaiveVariants() {}
+    private DisabledMechanisms() {}
 
     private static RpcClient intercept(RpcClient rpc, CallInterceptor interceptor) {
         return new RpcClient() {
@@ -52,7 +52,7 @@
     }
 
     /** 01: a disk that reports a sync as complete without performing it. */
-    static FleetOverrides lyingDisk() {
+    static FleetOverrides diskWithoutSync() {
         return FleetOverrides.none().withDisk((address, disk) -> new Disk() {
             @Override
             public List<String> list() throws IOException {
@@ -188,7 +188,7 @@
                                                     .keySet()
                                                     .containsAll(request.knownVersions()
                                                             .keySet())
-                                    ? Mono.just(answer.cast(anew(request, lastViews)))
+                                    ? Mono.just(answer.cast(unexpiringViews(request, lastViews)))
                                     : Mono.error(e));
                 }
             });
@@ -200,7 +200,7 @@
                 || ServiceException.of(e).kind() == ErrorKind.UNREACHABLE;
     }
 
-    static ControlMessages.ServiceViewResponse anew(
+    static ControlMessages.ServiceViewResponse unexpiringViews(
             ControlMessages.ServiceViewRequest request, Map<String, ServiceView> lastViews) {
         Map<String, Duration> ages = new HashMap<>();
         List<ServiceView> views = new ArrayList<>();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ExternalFaults.java
@@ -7,30 +7,31 @@
 import org.woadvale.testkit.stub.Backend;
 
 /** Faults from outside the system: callers, processors, endpoints, the operator and the calendars of the machines. */
-final class ProcessorFaults {
+final class ExternalFaults {
     private final FleetSimulation simulation;
     private final SimulatedFleet fleet;
     private final ConfigurationOperator operator;
     private final Random random;
     private final boolean calendarsJump;
 
-    ProcessorFaults(FleetSimulation simulation, Random random, boolean calendarsJump) {
+    ExternalFaults(FleetSimulation simulation, Random random, boolean calendarsJump) {
         this.simulation = simulation;
-        this.fleet = simulation.w;
+        this.fleet = simulation.fleet;
         this.operator = new ConfigurationOperator(simulation);
         this.random = random;
         this.calendarsJump = calendarsJump;
     }
 
     void into(Map<String, FaultInjection> faults) {
-        faults.put("answers lost", () -> fleet.post.answerLoss(0.2));
+        faults.put("answers lost", () -> fleet.deliveryNetwork.answerLoss(0.2));
         faults.put("backend down", () -> down(anyBackend()));
         faults.put(
                 "all backends down", () -> List.copyOf(fleet.backends.keySet()).forEach(this::down));
-        faults.put("backend slow", () -> setBehavior(new Backend.Manner(Duration.ofMillis(1500), 0, 0.2, 0.1)));
+        faults.put("backend slow", () -> setBehavior(new Backend.Behavior(Duration.ofMillis(1500), 0, 0.2, 0.1)));
         faults.put(
-                "errors after the work", () -> setBehavior(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
-        faults.put("failing jobs", () -> setBehavior(new Backend.Manner(Duration.ofMillis(5), 0.5, 0.5, 0)));
+                "errors after the work",
+                () -> setBehavior(new Backend.Behavior(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
+        faults.put("failing jobs", () -> setBehavior(new Backend.Behavior(Duration.ofMillis(5), 0.5, 0.5, 0)));
         faults.put("connections open slowly", this::slowStreams);
         faults.put("intercepting intermediary", this::middlebox);
         faults.put("processor replaced", () -> replace("p" + random.nextInt(4)));
@@ -40,7 +41,7 @@
         faults.put("fetcher loses answers", () -> fetcher().behave(Duration.ofMillis(20), 0.3));
         faults.put(
                 "processor leaves",
-                () -> simulation.list((random.nextInt(3) == 0 ? "f2" : "p" + random.nextInt(2)), true));
+                () -> simulation.putProcessor((random.nextInt(3) == 0 ? "f2" : "p" + random.nextInt(2)), true));
         faults.put("flood", this::flood);
         faults.put("layout", operator::change);
         faults.put("racing layouts", operator::race);
@@ -67,31 +68,31 @@
     }
 
     private void down(String backend) {
-        fleet.post.down(backend, true);
-        fleet.sim.after(randomDuration(), () -> fleet.post.down(backend, false));
+        fleet.deliveryNetwork.down(backend, true);
+        fleet.sim.after(randomDuration(), () -> fleet.deliveryNetwork.down(backend, false));
     }
 
-    private void setBehavior(Backend.Manner manner) {
+    private void setBehavior(Backend.Behavior manner) {
         Backend backend = fleet.backends.get(anyBackend());
-        backend.behave(manner);
-        fleet.sim.after(randomDuration(), () -> backend.behave(Backend.Manner.good()));
+        backend.setBehavior(manner);
+        fleet.sim.after(randomDuration(), () -> backend.setBehavior(Backend.Behavior.good()));
     }
 
     private void slowStreams() {
         String backend = anyBackend();
-        fleet.post.slowStreams(backend, Duration.ofMillis(random.nextInt(3000)));
-        fleet.sim.after(randomDuration(), () -> fleet.post.slowStreams(backend, Duration.ZERO));
+        fleet.deliveryNetwork.delayConnections(backend, Duration.ofMillis(random.nextInt(3000)));
+        fleet.sim.after(randomDuration(), () -> fleet.deliveryNetwork.delayConnections(backend, Duration.ZERO));
     }
 
     private void middlebox() {
-        fleet.post.middlebox(true);
-        fleet.sim.after(randomDuration(), () -> fleet.post.middlebox(false));
+        fleet.deliveryNetwork.interceptRegistries(true);
+        fleet.sim.after(randomDuration(), () -> fleet.deliveryNetwork.interceptRegistries(false));
     }
 
     /** Replaces the process of a processor by one with the same id at another address. */
     private void replace(String processor) {
         fleet.replaceBackend(processor);
-        simulation.list(processor, false);
+        simulation.putProcessor(processor, false);
     }
 
     private void replaceAll() {
@@ -104,17 +105,17 @@
     private void vanish() {
         String processor = "p" + random.nextInt(4);
         fleet.backends.get(processor).crash();
-        fleet.post.down(processor, true);
-        fleet.sim.after(randomDuration(), () -> simulation.unlist(processor));
+        fleet.deliveryNetwork.down(processor, true);
+        fleet.sim.after(randomDuration(), () -> simulation.removeProcessor(processor));
         fleet.sim.after(Duration.ofSeconds(9), () -> {
-            fleet.post.down(processor, false);
+            fleet.deliveryNetwork.down(processor, false);
             replace(processor);
         });
     }
 
     private void flood() {
         for (int i = 0; i < 150; i++) {
-            fleet.sim.after(Duration.ofMillis(random.nextInt(2000)), () -> simulation.one(0));
+            fleet.sim.after(Duration.ofMillis(random.nextInt(2000)), () -> simulation.submitRandom(0));
         }
     }
 
@@ -125,7 +126,8 @@
     private void jumpCalendar() {
         if (calendarsJump) {
             List<String> all = fleet.all();
-            fleet.host(all.get(random.nextInt(all.size()))).jump(Duration.ofMillis(random.nextInt(20000) - 10000));
+            fleet.host(all.get(random.nextInt(all.size())))
+                    .shiftWallClock(Duration.ofMillis(random.nextInt(20000) - 10000));
         }
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FailureScenarios.java
@@ -22,12 +22,12 @@
             throws ServiceException {
         FleetSimulation simulation =
                 new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING, overrides).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
         return simulation;
     }
 
     private static FleetSimulation finish(FleetSimulation simulation) {
-        simulation.followWhatRan();
+        simulation.followExecuted();
         simulation.settle(Duration.ofSeconds(120));
         return simulation;
     }
@@ -36,14 +36,14 @@
     static FleetSimulation powerLossEverywhere(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(30);
-        simulation.w.sim.run(Duration.ofSeconds(4));
-        simulation.calm();
-        simulation.w.all().forEach(host -> simulation.w.host(host).powerLoss());
-        simulation.w.sim.run(Duration.ofSeconds(1));
-        for (String host : simulation.w.all()) {
-            simulation.w.restart(host);
+        simulation.fleet.sim.run(Duration.ofSeconds(4));
+        simulation.stopTraffic();
+        simulation.fleet.all().forEach(host -> simulation.fleet.host(host).powerLoss());
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
+        for (String host : simulation.fleet.all()) {
+            simulation.fleet.restart(host);
         }
-        simulation.w.sim.run(Duration.ofSeconds(8));
+        simulation.fleet.sim.run(Duration.ofSeconds(8));
         return finish(simulation);
     }
 
@@ -51,25 +51,26 @@
     static FleetSimulation errorsAfterTheWork(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation
-                .w
+                .fleet
                 .backends
                 .values()
-                .forEach(backend -> backend.behave(new Backend.Manner(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
+                .forEach(backend -> backend.setBehavior(new Backend.Behavior(Duration.ofMillis(5), 0, 0, 0, 0.5, "")));
         simulation.traffic(15);
-        simulation.w.sim.run(Duration.ofSeconds(6));
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
         return finish(simulation);
     }
 
     /** 03: the stores receive an intake's requests, but their responses do not reach it. */
-    static FleetSimulation answersDoNotComeBack(long seed, FleetOverrides overrides) throws ServiceException {
+    static FleetSimulation storeResponsesLost(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(30);
-        simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.stores.forEach(store -> simulation.w.net.cutOneWay(store, simulation.w.intakes.get(0)));
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        simulation.calm();
-        simulation.w.sim.run(Duration.ofSeconds(7));
-        simulation.w.net.heal();
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.stores.forEach(
+                store -> simulation.fleet.net.cutOneWay(store, simulation.fleet.intakes.get(0)));
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        simulation.stopTraffic();
+        simulation.fleet.sim.run(Duration.ofSeconds(7));
+        simulation.fleet.net.heal();
         return finish(simulation);
     }
 
@@ -77,30 +78,30 @@
     static FleetSimulation workLongerThanAnAttempt(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation
-                .w
+                .fleet
                 .backends
                 .values()
-                .forEach(backend -> backend.behave(new Backend.Manner(Duration.ofSeconds(5), 0, 0, 0)));
+                .forEach(backend -> backend.setBehavior(new Backend.Behavior(Duration.ofSeconds(5), 0, 0, 0)));
         simulation.traffic(8);
-        simulation.w.sim.run(Duration.ofSeconds(6));
-        simulation.calm();
-        simulation.w.sim.run(Duration.ofSeconds(20));
-        simulation.w.backends.values().forEach(backend -> backend.behave(Backend.Manner.good()));
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
+        simulation.stopTraffic();
+        simulation.fleet.sim.run(Duration.ofSeconds(20));
+        simulation.fleet.backends.values().forEach(backend -> backend.setBehavior(Backend.Behavior.good()));
         return finish(simulation);
     }
 
     /** 05: the streams between an intake and the stores stall for a minute while a tenant floods it. */
     static FleetSimulation stalledStreams(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
-        String intake = simulation.w.intakes.get(0);
+        String intake = simulation.fleet.intakes.get(0);
         reachEveryStore(simulation, intake);
-        simulation.w.stores.forEach(store -> simulation.w.net.stall(intake, store));
+        simulation.fleet.stores.forEach(store -> simulation.fleet.net.stall(intake, store));
         for (int ms = 0; ms < 60000; ms += 50) {
-            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, List.of(intake)));
+            simulation.fleet.sim.after(Duration.ofMillis(ms), () -> simulation.submitUnorderedAt(0, List.of(intake)));
         }
-        simulation.w.sim.run(Duration.ofSeconds(60));
-        simulation.w.net.heal();
-        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.sim.run(Duration.ofSeconds(60));
+        simulation.fleet.net.heal();
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
         return finish(simulation);
     }
 
@@ -108,15 +109,15 @@
     private static void reachEveryStore(FleetSimulation simulation, String intake) {
         int messages = 20;
         for (int n = 0; n < messages; n++) {
-            simulation.plainAt(1, List.of(intake));
+            simulation.submitUnorderedAt(1, List.of(intake));
         }
-        simulation.w.sim.run(Duration.ofSeconds(1));
-        for (int n = 0; n < messages && simulation.kinds().getOrDefault("accepted", 0L) < messages; n++) {
-            simulation.plainAt(1, List.of(intake));
-            simulation.w.sim.run(Duration.ofMillis(100));
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
+        for (int n = 0; n < messages && simulation.countsByOutcome().getOrDefault("accepted", 0L) < messages; n++) {
+            simulation.submitUnorderedAt(1, List.of(intake));
+            simulation.fleet.sim.run(Duration.ofMillis(100));
         }
         FleetSimulation.require(
-                simulation.kinds().getOrDefault("accepted", 0L) >= messages,
+                simulation.countsByOutcome().getOrDefault("accepted", 0L) >= messages,
                 "too few submissions were accepted for the intake to have reached every store");
     }
 
@@ -124,23 +125,26 @@
     static FleetSimulation streamsThatOpenSlowly(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, new TestConfiguration(3, 1, 60, 60, 26), overrides);
         for (int ms = 0; ms < 14000; ms += 20) {
-            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
+            simulation.fleet.sim.after(Duration.ofMillis(ms), () -> simulation.submitToEndpoint(0));
         }
         String endpoint = TestConfiguration.endpoint(0);
         for (int ms = 0; ms < 3000; ms += 50) {
             Duration remaining = Duration.ofMillis(3000 - ms);
-            simulation.w.sim.after(
-                    Duration.ofMillis(7000 + ms), () -> simulation.w.post.slowStreams(endpoint, remaining));
+            simulation.fleet.sim.after(
+                    Duration.ofMillis(7000 + ms),
+                    () -> simulation.fleet.deliveryNetwork.delayConnections(endpoint, remaining));
         }
-        simulation.w.sim.after(Duration.ofMillis(10000), () -> simulation.w.post.slowStreams(endpoint, Duration.ZERO));
-        simulation.w.sim.run(Duration.ofSeconds(14));
+        simulation.fleet.sim.after(
+                Duration.ofMillis(10000),
+                () -> simulation.fleet.deliveryNetwork.delayConnections(endpoint, Duration.ZERO));
+        simulation.fleet.sim.run(Duration.ofSeconds(14));
         return finish(simulation);
     }
 
     /** Cuts a zone's nodes off from the core; all other links stay up. */
     private static void cutOffFromCore(FleetSimulation simulation, int zone) {
-        for (String node : List.of(simulation.w.intakes.get(zone), simulation.w.stores.get(zone))) {
-            simulation.w.controlNodes.forEach(controlNode -> simulation.w.net.cut(controlNode, node));
+        for (String node : List.of(simulation.fleet.intakes.get(zone), simulation.fleet.stores.get(zone))) {
+            simulation.fleet.controlNodes.forEach(controlNode -> simulation.fleet.net.cut(controlNode, node));
         }
     }
 
@@ -150,8 +154,8 @@
      */
     private static int zoneWithoutTenantBucket(FleetSimulation simulation) {
         return simulation
-                        .w
-                        .dataPlaneNode(simulation.w.intakes.get(0))
+                        .fleet
+                        .dataPlaneNode(simulation.fleet.intakes.get(0))
                         .ownedBuckets()
                         .contains("tenant/" + TestConfiguration.tenant(2))
                 ? 1
@@ -159,27 +163,27 @@
     }
 
     /** 07: a key is withdrawn while a zone is cut off from the core; it stays in use, also for reads. */
-    static FleetSimulation keyWithdrawnOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+    static FleetSimulation keyWithdrawnWhileDisconnected(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         new ConfigurationOperator(simulation).withdraw();
-        simulation.w.sim.run(Duration.ofMillis(1800));
+        simulation.fleet.sim.run(Duration.ofMillis(1800));
         cutOffFromCore(simulation, zoneWithoutTenantBucket(simulation));
-        simulation.w.sim.run(Duration.ofSeconds(16));
-        simulation.w.net.heal();
+        simulation.fleet.sim.run(Duration.ofSeconds(16));
+        simulation.fleet.net.heal();
         return finish(simulation);
     }
 
     /** 08: a lane is added, and removed again while a zone is cut off from the core. */
-    static FleetSimulation lanesChangedOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+    static FleetSimulation lanesChangedWhileDisconnected(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         ConfigurationOperator operator = new ConfigurationOperator(simulation);
         operator.change();
-        simulation.w.sim.run(Duration.ofSeconds(4));
+        simulation.fleet.sim.run(Duration.ofSeconds(4));
         cutOffFromCore(simulation, zoneWithoutTenantBucket(simulation));
         operator.change();
-        simulation.w.sim.run(Duration.ofSeconds(9));
-        simulation.w.net.heal();
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(9));
+        simulation.fleet.net.heal();
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         return finish(simulation);
     }
 
@@ -187,29 +191,29 @@
      * 09: the leader of the configuration partition is cut off; the other control nodes accept a new configuration; then
      * the configuration is read from the former leader and from another node.
      */
-    static FleetSimulation ownerOfTheLayoutCutOff(long seed, FleetOverrides overrides, AtomicReference<String> cut)
+    static FleetSimulation configurationLeaderIsolated(long seed, FleetOverrides overrides, AtomicReference<String> cut)
             throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
-        String leader = simulation.w.controlNodes.stream()
+        String leader = simulation.fleet.controlNodes.stream()
                 .filter(controlNode ->
-                        simulation.w.controlNode(controlNode).replica("c0").isActiveLeader())
+                        simulation.fleet.controlNode(controlNode).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        simulation.w.net.cutOff(leader);
+        simulation.fleet.net.cutOff(leader);
         cut.set(leader);
-        simulation.w.sim.run(Duration.ofSeconds(4));
-        List<String> others = simulation.w.controlNodes.stream()
+        simulation.fleet.sim.run(Duration.ofSeconds(4));
+        List<String> others = simulation.fleet.controlNodes.stream()
                 .filter(controlNode -> !controlNode.equals(leader))
                 .toList();
         new ConfigurationOperator(simulation).changeAt(others);
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
             simulation.readAt(leader);
             simulation.readAt(others.get(0));
-            simulation.w.sim.run(Duration.ofSeconds(1));
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
         }
         cut.set("");
-        simulation.w.net.heal();
+        simulation.fleet.net.heal();
         return finish(simulation);
     }
 
@@ -217,26 +221,26 @@
      * 10: processors are marked as leaving while no store is connected to the core. A store that is its own home node for
      * a view has no other node to get it from.
      */
-    static FleetSimulation markedOutOfTouch(long seed, FleetOverrides overrides) throws ServiceException {
+    static FleetSimulation drainedWhileDisconnected(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         simulation.traffic(40);
-        simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.stores.forEach(
-                store -> simulation.w.controlNodes.forEach(controlNode -> simulation.w.net.cut(controlNode, store)));
-        simulation.list("p0", true);
-        simulation.list("p1", true);
-        simulation.w.sim.run(Duration.ofSeconds(10));
-        simulation.w.net.heal();
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.stores.forEach(store ->
+                simulation.fleet.controlNodes.forEach(controlNode -> simulation.fleet.net.cut(controlNode, store)));
+        simulation.putProcessor("p0", true);
+        simulation.putProcessor("p1", true);
+        simulation.fleet.sim.run(Duration.ofSeconds(10));
+        simulation.fleet.net.heal();
         return finish(simulation);
     }
 
     /** 11: a middlebox answers "200" in place of the endpoints, and forwards nothing. */
-    static FleetSimulation somethingInBetween(long seed, FleetOverrides overrides) throws ServiceException {
+    static FleetSimulation middleboxAnswers(long seed, FleetOverrides overrides) throws ServiceException {
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
-        simulation.w.post.middlebox(true);
+        simulation.fleet.deliveryNetwork.interceptRegistries(true);
         simulation.traffic(15);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        simulation.w.post.middlebox(false);
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        simulation.fleet.deliveryNetwork.interceptRegistries(false);
         return finish(simulation);
     }
 
@@ -248,20 +252,20 @@
         FleetSimulation simulation = startFleet(seed, SMALL_CONFIGURATION, overrides);
         for (int i = 0; i < 2; i++) {
             simulation.traffic(20);
-            simulation.w.sim.run(Duration.ofSeconds(3));
-            simulation.calm();
-            simulation.w.all().forEach(host -> simulation.w.host(host).powerLoss());
-            simulation.w.sim.run(Duration.ofSeconds(1));
+            simulation.fleet.sim.run(Duration.ofSeconds(3));
+            simulation.stopTraffic();
+            simulation.fleet.all().forEach(host -> simulation.fleet.host(host).powerLoss());
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
             List<String> late =
-                    i == 0 ? List.of() : List.of(simulation.w.controlNodes.get(0), simulation.w.stores.get(0));
-            for (String host : simulation.w.all()) {
+                    i == 0 ? List.of() : List.of(simulation.fleet.controlNodes.get(0), simulation.fleet.stores.get(0));
+            for (String host : simulation.fleet.all()) {
                 if (!late.contains(host)) {
-                    simulation.w.restart(host);
+                    simulation.fleet.restart(host);
                 }
             }
             awaitReturn(simulation);
             for (String host : late) {
-                simulation.w.restart(host);
+                simulation.fleet.restart(host);
             }
         }
         return finish(simulation);
@@ -269,16 +273,16 @@
 
     /** Waits until every tenant has had a submission accepted in every partition, sent after the restart. */
     static Duration awaitReturn(FleetSimulation simulation) {
-        Duration restarted = simulation.w.sim.now();
-        simulation.w.sim.runUntil(
+        Duration restarted = simulation.fleet.sim.now();
+        simulation.fleet.sim.runUntil(
                 () -> {
-                    for (int tenant = 0; tenant < simulation.w.testConfiguration.tenants(); tenant++) {
+                    for (int tenant = 0; tenant < simulation.fleet.testConfiguration.tenants(); tenant++) {
                         for (int n = 0; n < 2; n++) {
-                            simulation.plain(tenant);
+                            simulation.submitUnordered(tenant);
                         }
                     }
-                    long served = simulation.w.seen.submitted.stream()
-                            .filter(submitted -> submitted.said() == Observations.Said.ACCEPTED
+                    long served = simulation.fleet.observations.submitted.stream()
+                            .filter(submitted -> submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
                                     && submitted.sent().compareTo(restarted) > 0)
                             .map(submitted -> submitted.tenant()
                                     + submitted
@@ -286,10 +290,12 @@
                                             .substring(0, submitted.handle().indexOf('-')))
                             .distinct()
                             .count();
-                    return served >= (long) ServiceNames.MESSAGE_PARTITIONS * simulation.w.testConfiguration.tenants();
+                    return served
+                            >= (long) ServiceNames.MESSAGE_PARTITIONS * simulation.fleet.testConfiguration.tenants();
                 },
                 Duration.ofSeconds(40));
-        simulation.w.seen.saw(simulation.w.seen.outages, new Observations.Outage(restarted, simulation.w.sim.now()));
-        return simulation.w.sim.now().minus(restarted);
+        simulation.fleet.observations.append(
+                simulation.fleet.observations.outages, new Observations.Outage(restarted, simulation.fleet.sim.now()));
+        return simulation.fleet.sim.now().minus(restarted);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fairness.java
@@ -29,26 +29,35 @@
      * Tenant 0 submits {@code flood} messages/s, the others 12 together. The processors behave as {@code manner} says, and
      * all back ends are down for {@code allDown}.
      */
-    public static Others run(long seed, double flood, Backend.Manner manner, Duration allDown) throws ServiceException {
+    public static Others run(long seed, double flood, Backend.Behavior manner, Duration allDown)
+            throws ServiceException {
         TestConfiguration testConfiguration = new TestConfiguration(4, 2, 40, 60, 26);
         FleetSimulation simulation =
                 new FleetSimulation(seed, 3, 3, 4, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        simulation.w.backends.entrySet().stream()
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.backends.entrySet().stream()
                 .filter(entry -> entry.getKey().startsWith("p"))
-                .forEach(entry -> entry.getValue().behave(manner));
-        Duration begun = simulation.w.sim.now();
+                .forEach(entry -> entry.getValue().setBehavior(manner));
+        Duration begun = simulation.fleet.sim.now();
         submitRegularly(simulation, 1, 3, 12, begun.plus(Duration.ofSeconds(20)));
         submitRegularly(simulation, 0, 0, flood, begun.plus(Duration.ofSeconds(20)));
         if (!allDown.isZero()) {
-            simulation.w.sim.after(
+            simulation.fleet.sim.after(
                     Duration.ofSeconds(4),
-                    () -> simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, true)));
-            simulation.w.sim.after(
+                    () -> simulation
+                            .fleet
+                            .backends
+                            .keySet()
+                            .forEach(b -> simulation.fleet.deliveryNetwork.down(b, true)));
+            simulation.fleet.sim.after(
                     Duration.ofSeconds(4).plus(allDown),
-                    () -> simulation.w.backends.keySet().forEach(b -> simulation.w.post.down(b, false)));
+                    () -> simulation
+                            .fleet
+                            .backends
+                            .keySet()
+                            .forEach(b -> simulation.fleet.deliveryNetwork.down(b, false)));
         }
-        simulation.w.sim.run(Duration.ofSeconds(20));
+        simulation.fleet.sim.run(Duration.ofSeconds(20));
         boolean settled = simulation.settle(Duration.ofSeconds(200));
         return results(simulation, settled);
     }
@@ -56,39 +65,39 @@
     /** Submits to the lane without ordering at a fixed rate, each time for a random tenant of the range. */
     private static void submitRegularly(
             FleetSimulation simulation, int fromTenant, int toTenant, double perSecond, Duration until) {
-        if (simulation.w.sim.now().compareTo(until) >= 0) {
+        if (simulation.fleet.sim.now().compareTo(until) >= 0) {
             return;
         }
-        int tenant = fromTenant + simulation.w.sim.random().nextInt(toTenant - fromTenant + 1);
-        simulation.plain(tenant);
-        simulation.w.sim.after(
+        int tenant = fromTenant + simulation.fleet.sim.random().nextInt(toTenant - fromTenant + 1);
+        simulation.submitUnordered(tenant);
+        simulation.fleet.sim.after(
                 Duration.ofNanos((long) (1e9 / perSecond)),
                 () -> submitRegularly(simulation, fromTenant, toTenant, perSecond, until));
     }
 
     private static Others results(FleetSimulation simulation, boolean settled) {
         Map<String, Duration> begun = new HashMap<>();
-        simulation.w.seen.ran.forEach(
+        simulation.fleet.observations.ran.forEach(
                 ran -> begun.merge(ran.handle(), ran.begun(), (a, b) -> a.compareTo(b) < 0 ? a : b));
         List<Duration> delays = new ArrayList<>();
         long accepted = 0;
         long submissions = 0;
         long queueFull = 0;
-        for (Observations.Submitted submitted : simulation.w.seen.submitted) {
+        for (Observations.Submitted submitted : simulation.fleet.observations.submitted) {
             queueFull += submitted.kind().equals("queue_full") ? 1 : 0;
             if (!submitted.tenant().equals(TestConfiguration.tenant(0))) {
                 submissions++;
-                if (submitted.said() == Observations.Said.ACCEPTED) {
+                if (submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED) {
                     accepted++;
-                    delays.add(begun.getOrDefault(submitted.handle(), simulation.w.sim.now())
+                    delays.add(begun.getOrDefault(submitted.handle(), simulation.fleet.sim.now())
                             .minus(submitted.answered()));
                 }
             }
         }
         delays.sort(Comparator.naturalOrder());
-        long failed = simulation.w.seen.shown.stream()
+        long failed = simulation.fleet.observations.shown.stream()
                 .filter(shown -> shown.state().equals("failed"))
-                .map(Observations.Shown::handle)
+                .map(Observations.StatusRead::handle)
                 .distinct()
                 .count();
         List<String> violations = new ArrayList<>(simulation.violations());
@@ -108,10 +117,10 @@
         System.out.println(
                 "| run | others accepted | others' median delay ms | p95 ms | failed, all tenants | queue_full | violations |");
         System.out.println("|---|---|---|---|---|---|---|");
-        Backend.Manner good = Backend.Manner.good();
-        Backend.Manner slow = new Backend.Manner(Duration.ofSeconds(2), 0, 0, 0);
-        Backend.Manner poison =
-                new Backend.Manner(Duration.ofMillis(300), 0.1, 0.85, 0, 0, TestConfiguration.tenant(0));
+        Backend.Behavior good = Backend.Behavior.good();
+        Backend.Behavior slow = new Backend.Behavior(Duration.ofSeconds(2), 0, 0, 0);
+        Backend.Behavior poison =
+                new Backend.Behavior(Duration.ofMillis(300), 0.1, 0.85, 0, 0, TestConfiguration.tenant(0));
         row("calm", run(1, 4, good, Duration.ZERO));
         row("one tenant at 30 times", run(1, 120, good, Duration.ZERO));
         row("the same, slow processors", run(1, 120, slow, Duration.ZERO));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultInjection.java
@@ -4,5 +4,5 @@
 
 /** One fault of a {@link FaultStorm}. */
 interface FaultInjection {
-    void strike() throws ServiceException;
+    void inject() throws ServiceException;
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultStorm.java
@@ -78,16 +78,16 @@
                 size == Size.SMALL ? SimulatedFleet.SMALL_RING : SimulatedFleet.LARGE_RING,
                 size.zones,
                 FleetOverrides.none());
-        fleet = simulation.w;
-        simulation.watch();
-        new MachineFaults(simulation, random, log).into(faults);
-        new ProcessorFaults(simulation, random, seed % 4 == 3).into(faults);
+        fleet = simulation.fleet;
+        simulation.pollStatus();
+        new MachineFaults(simulation, random, log).registerIn(faults);
+        new ExternalFaults(simulation, random, seed % 4 == 3).into(faults);
     }
 
     private void injectRandom(List<String> names) throws ServiceException {
         String name = names.get(random.nextInt(names.size()));
         log.add(fleet.sim.now().toMillis() + " " + name);
-        faults.get(name).strike();
+        faults.get(name).inject();
     }
 
     /** Runs the storm and returns the violations found; empty if there are none. */
@@ -97,8 +97,8 @@
 
     public List<String> run(Duration length) throws ServiceException {
         simulation.startAll();
-        simulation.list("f2", false);
-        simulation.list("f3", false);
+        simulation.putProcessor("f2", false);
+        simulation.putProcessor("f3", false);
         simulation.traffic(size.perSecond);
         List<String> names = List.copyOf(faults.keySet());
         Duration end = fleet.sim.now().plus(length);
@@ -106,21 +106,21 @@
             fleet.sim.run(Duration.ofMillis(300 + random.nextInt(2500)));
             injectRandom(names);
             simulation.read();
-            fleet.seenVersions();
+            fleet.recordConfigurationVersions();
         }
-        simulation.calm();
+        simulation.stopTraffic();
         injectRandom(names);
         fleet.sim.run(Duration.ofSeconds(8));
         fleet.net.heal();
         fleet.net.setLossAndDuplication(0, 0);
-        fleet.post.answerLoss(0);
+        fleet.deliveryNetwork.answerLoss(0);
         for (String host : fleet.all()) {
             fleet.restart(host);
         }
         fleet.sim.run(Duration.ofSeconds(3));
         simulation.read();
         List<String> violations = new ArrayList<>();
-        simulation.followWhatRan();
+        simulation.followExecuted();
         if (!simulation.settle(Duration.ofSeconds(200))) {
             violations.add("not ended: " + simulation.firstOpen());
         }
@@ -129,7 +129,7 @@
     }
 
     void watchAnswers(BiConsumer<Request, Response> watcher) {
-        fleet.watchAnswers(watcher);
+        fleet.watchResponses(watcher);
     }
 
     TraceDigest trace() {
@@ -141,7 +141,7 @@
     }
 
     public Map<String, Long> kinds() {
-        return simulation.kinds();
+        return simulation.countsByOutcome();
     }
 
     /** Arguments: FROM TO [SIZE [SECONDS]]. Runs a range of seeds; exits non-zero if any failed. */
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/BareReplicas.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FaultyPlatformVariants.java
@@ -20,11 +20,11 @@
  * Overrides of a simulated platform that each disable one mechanism, so that the rule that it serves is violated.
  * (docs/design.md, section 12.3)
  */
-final class BareReplicas {
+final class FaultyPlatformVariants {
     private static final String ATTEMPT_ID = "X-Attempt-Id";
     private static final String SEAL_HEADER = "x-server-seal";
 
-    private BareReplicas() {}
+    private FaultyPlatformVariants() {}
 
     private static FleetOverrides mappedResponses(
             Function<DeliveryClient.DeliveryResponse, DeliveryClient.DeliveryResponse> mapping) {
@@ -47,12 +47,12 @@
     static FleetOverrides lyingStores() {
         return FleetOverrides.none()
                 .withDisk((address, disk) -> address.startsWith("10.0.1.")
-                        ? NaiveVariants.lyingDisk().disk().apply(address, disk)
+                        ? DisabledMechanisms.diskWithoutSync().disk().apply(address, disk)
                         : disk);
     }
 
     /** TWICE: every fourth success arrives as a 502 without a seal. */
-    static FleetOverrides successIsNoProof() {
+    static FleetOverrides successWithoutSeal() {
         int[] successes = {0};
         return mappedResponses(deliveryResponse -> deliveryResponse.status() == 200 && successes[0]++ % 4 == 0
                 ? withStatusAndSeal(deliveryResponse, 502, "")
@@ -82,7 +82,7 @@
     }
 
     /** ROUTE: requests lack the header that names the expected instance. */
-    static FleetOverrides nobodyIsExpected() {
+    static FleetOverrides withoutExpectedInstance() {
         return FleetOverrides.none().withDeliveryClient((address, client) -> deliveryRequest -> {
             Map<String, String> headers = new LinkedHashMap<>(deliveryRequest.headers());
             headers.remove("X-Expect-Instance");
@@ -132,7 +132,7 @@
     }
 
     /** CONFIG, DRAIN: once frozen, the views received last count as confirmed by the core. */
-    static FleetOverrides newsStands(BooleanSupplier frozen) {
+    static FleetOverrides staleViewsConfirmed(BooleanSupplier frozen) {
         return FleetOverrides.none().withRpc((address, rpc) -> {
             Map<String, ServiceView> lastViews = new HashMap<>();
             return new RpcClient() {
@@ -151,7 +151,7 @@
                         return rpc.call(to, body, answer, limit);
                     }
                     return frozen.getAsBoolean()
-                            ? Mono.just(answer.cast(NaiveVariants.anew(request, lastViews)))
+                            ? Mono.just(answer.cast(DisabledMechanisms.unexpiringViews(request, lastViews)))
                             : rpc.call(
                                             to,
                                             new ControlMessages.ServiceViewRequest(request.knownVersions(), false),
@@ -166,7 +166,7 @@
     }
 
     /** TWICE: any lease of a message, also an earlier one, counts as its present lease. */
-    static FleetOverrides anyLeaseWillDo() {
+    static FleetOverrides anyLeaseAccepted() {
         Map<String, Integer> presentAttempts = new ConcurrentHashMap<>();
         return FleetOverrides.none().withRpc((address, rpc) -> new RpcClient() {
             @Override
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Fetcher.java
@@ -45,8 +45,8 @@
     /** The process crashes, and its running executions do not complete. */
     public void crash() {
         incarnation++;
-        runningHandles.forEach(
-                handle -> fleet.seen.saw(fleet.seen.died, new Observations.Died(handle, fleet.sim.now())));
+        runningHandles.forEach(handle -> fleet.observations.append(
+                fleet.observations.died, new Observations.RunAborted(handle, fleet.sim.now())));
         runningHandles.clear();
     }
 
@@ -98,16 +98,17 @@
 
     private void recordServed(Optional<Response> response, String usedSecret, String request) {
         if (response.isPresent() && response.get().status() == 200) {
-            fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(usedSecret, request, fleet.sim.now()));
+            fleet.observations.append(
+                    fleet.observations.served, new Observations.RequestServed(usedSecret, request, fleet.sim.now()));
         }
     }
 
     private void run(JsonNode message, int startedIn) {
         String handle = message.path("messageId").asText();
         int attempt = message.path("attempt").asInt();
-        fleet.seen.saw(
-                fleet.seen.ran,
-                new Observations.Ran(
+        fleet.observations.append(
+                fleet.observations.ran,
+                new Observations.RunStarted(
                         handle,
                         message.path("callerId").asText(),
                         message.path("tenant").asText(),
@@ -122,9 +123,9 @@
             if (incarnation == startedIn) {
                 String receipt = id + ":" + handle + ":" + attempt;
                 runningHandles.remove(handle);
-                fleet.seen.saw(
-                        fleet.seen.answered,
-                        new Observations.Answered(handle, attempt, id, fleet.sim.now(), true, receipt));
+                fleet.observations.append(
+                        fleet.observations.answered,
+                        new Observations.RunAnswered(handle, attempt, id, fleet.sim.now(), true, receipt));
                 report(handle, attempt, receipt, startedIn);
             }
         });
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/FleetSimulation.java
@@ -57,12 +57,13 @@
             throws ServiceException {
         super(new SimulatedFleet(seed, intakes, stores, testConfiguration, ringBytes, zones, overrides));
         for (int i = 0; i < processors; i++) {
-            w.addBackend("p" + i, service(i), false);
+            fleet.addBackend("p" + i, service(i), false);
         }
         for (int i = 0; i < testConfiguration.endpoints(); i++) {
-            w.addBackend(TestConfiguration.endpoint(i), TestConfiguration.endpoint(i), true);
+            fleet.addBackend(TestConfiguration.endpoint(i), TestConfiguration.endpoint(i), true);
         }
-        configuration = testConfiguration.configuration(i -> "http://" + w.post.address(TestConfiguration.endpoint(i)));
+        configuration = testConfiguration.configuration(
+                i -> "http://" + fleet.deliveryNetwork.address(TestConfiguration.endpoint(i)));
     }
 
     static String service(int processor) {
@@ -72,8 +73,8 @@
     /** Puts the first configuration, lists the processors and waits until every intake is ready. */
     public FleetSimulation startAll() {
         put(configuration, 0, "first", response -> {});
-        w.backends.keySet().stream().filter(b -> b.startsWith("p")).forEach(b -> list(b, false));
-        require(w.sim.runUntil(w::ready, Duration.ofSeconds(40)), "the fleet did not become ready within 40 s");
+        fleet.backends.keySet().stream().filter(b -> b.startsWith("p")).forEach(b -> putProcessor(b, false));
+        require(fleet.sim.runUntil(fleet::ready, Duration.ofSeconds(40)), "the fleet did not become ready within 40 s");
         return this;
     }
 
@@ -93,7 +94,7 @@
     }
 
     /** Removes a processor from the list, as the platform does when the processor no longer exists. */
-    public void unlist(String processor) {
+    public void removeProcessor(String processor) {
         String service = service(Integer.parseInt(processor.substring(1)));
         operate(
                 new Request("DELETE", "/v1/services/" + service + "/processors/" + processor, Map.of(), new byte[0]),
@@ -107,13 +108,13 @@
     }
 
     private String anyControlNode() {
-        List<String> controlNodes = w.presentControlNodes();
-        return controlNodes.get(w.sim.random().nextInt(controlNodes.size()));
+        List<String> controlNodes = fleet.presentControlNodes();
+        return controlNodes.get(fleet.sim.random().nextInt(controlNodes.size()));
     }
 
     /** Sends a configuration, and repeats it under the same request id until the answer is definite. */
     public void put(Configuration configuration, long base, String id, Consumer<Response> then) {
-        put(configuration, base, id, w.presentControlNodes(), then);
+        put(configuration, base, id, fleet.presentControlNodes(), then);
     }
 
     void put(Configuration newConfiguration, long base, String id, List<String> controlNodes, Consumer<Response> then) {
@@ -124,14 +125,14 @@
         operate(request, controlNodes, response -> {
             boolean accepted = response.status() == 200;
             long acceptedVersion = accepted ? json(response).path("version").asLong() : -1;
-            w.seen.saw(
-                    w.seen.configurations,
-                    new Observations.ConfigurationSaid(
+            fleet.observations.append(
+                    fleet.observations.configurations,
+                    new Observations.ConfigurationAnswer(
                             id,
                             acceptedVersion,
                             accepted,
                             valid(json),
-                            w.sim.now(),
+                            fleet.sim.now(),
                             Configurations.sha256(new String(json, StandardCharsets.UTF_8))));
             if (accepted && acceptedVersion > version) {
                 version = acceptedVersion;
@@ -155,14 +156,14 @@
     }
 
     void readAt(String controlNode) {
-        Duration asked = w.sim.now();
-        w.request(
+        Duration asked = fleet.sim.now();
+        fleet.request(
                 controlNode,
                 new Request("GET", "/v1/layout", Map.of(), new byte[0]),
                 Duration.ofSeconds(4),
                 optional -> optional.filter(response -> response.status() == 200)
-                        .ifPresent(response -> w.seen.saw(
-                                w.seen.reads,
+                        .ifPresent(response -> fleet.observations.append(
+                                fleet.observations.reads,
                                 new Observations.ConfigurationRead(
                                         Long.parseLong(
                                                 response.headers().get("ETag").replace("\"", "")),
@@ -171,38 +172,38 @@
     }
 
     void operate(Request request, Consumer<Response> then) {
-        operate(request, w.presentControlNodes(), then);
+        operate(request, fleet.presentControlNodes(), then);
     }
 
     private void operate(Request request, List<String> controlNodes, Consumer<Response> then) {
-        w.request(
-                controlNodes.get(w.sim.random().nextInt(controlNodes.size())),
+        fleet.request(
+                controlNodes.get(fleet.sim.random().nextInt(controlNodes.size())),
                 request,
                 Duration.ofSeconds(4),
                 response -> {
                     if (response.isPresent() && response.get().status() < 500) {
                         then.accept(response.get());
                     } else {
-                        w.sim.after(Duration.ofMillis(200), () -> operate(request, controlNodes, then));
+                        fleet.sim.after(Duration.ofMillis(200), () -> operate(request, controlNodes, then));
                     }
                 });
     }
 
     /** Lists a processor; one whose name begins with f fetches, the others have an address. */
-    public void list(String processor, boolean leaving) {
+    public void putProcessor(String processor, boolean leaving) {
         String service = service(Integer.parseInt(processor.substring(1)));
         if (processor.startsWith("f")) {
-            fetchers.computeIfAbsent(processor, p -> new Fetcher(w, p, service).start());
+            fetchers.computeIfAbsent(processor, p -> new Fetcher(fleet, p, service).start());
         }
         if (!leaving) {
-            w.seen.saw(w.seen.listed, new Observations.Listed(processor, w.sim.now()));
+            fleet.observations.append(fleet.observations.listed, new Observations.Listed(processor, fleet.sim.now()));
         }
         operate(listing(processor, leaving), response -> recordLeaving(processor, leaving));
     }
 
     /** Lists a processor at the given control node, without repeating the request. */
-    void listAt(String controlNode, String processor, boolean leaving) {
-        w.request(
+    void putProcessorAt(String controlNode, String processor, boolean leaving) {
+        fleet.request(
                 controlNode,
                 listing(processor, leaving),
                 Duration.ofSeconds(4),
@@ -212,7 +213,8 @@
 
     private void recordLeaving(String processor, boolean leaving) {
         if (leaving) {
-            w.seen.saw(w.seen.leaving, new Observations.MarkedLeaving(processor, w.sim.now()));
+            fleet.observations.append(
+                    fleet.observations.leaving, new Observations.MarkedLeaving(processor, fleet.sim.now()));
         }
     }
 
@@ -224,12 +226,12 @@
                 Map.of(),
                 Configurations.write(Map.of(
                         "address",
-                        processor.startsWith("f") ? "" : "http://" + w.post.address(processor),
+                        processor.startsWith("f") ? "" : "http://" + fleet.deliveryNetwork.address(processor),
                         "leaving",
                         leaving)));
     }
 
     public List<String> violations() {
-        return new NeverList(w.seen).violations();
+        return new NeverList(fleet.observations).violations();
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Host.java
@@ -57,7 +57,7 @@
     }
 
     /** Shifts the wall clock; the monotonic clock is not affected. */
-    void jump(Duration duration) {
+    void shiftWallClock(Duration duration) {
         wallClockOffset = wallClockOffset.plus(duration);
     }
 
@@ -73,7 +73,7 @@
         diskSlowdown = factor;
     }
 
-    boolean calendarOff() {
+    boolean wallClockShifted() {
         return !wallClockOffset.isZero();
     }
 
@@ -85,7 +85,7 @@
         return alive;
     }
 
-    long life() {
+    long incarnation() {
         return incarnation;
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/KeyChanges.java
@@ -31,7 +31,7 @@
     /** Each change takes a number from the supplier, so that request ids and secrets differ. */
     KeyChanges(FleetSimulation simulation, IntSupplier nextNumber) {
         this.simulation = simulation;
-        this.fleet = simulation.w;
+        this.fleet = simulation.fleet;
         this.nextNumber = nextNumber;
     }
 
@@ -56,7 +56,8 @@
         Configuration without = Edit.keys(simulation.configuration, keys -> keys.remove(KEY_NAME));
         simulation.put(without, simulation.version, requestId + "-drop", answer -> {
             if (answer.status() == 200) {
-                fleet.seen.saw(fleet.seen.keys, new Observations.KeyWithdrawn(secret, fleet.sim.now()));
+                fleet.observations.append(
+                        fleet.observations.keys, new Observations.KeyWithdrawn(secret, fleet.sim.now()));
             }
         });
     }
@@ -72,7 +73,7 @@
         simulation.put(rotated, simulation.version, "rotate" + number, answer -> {
             if (answer.status() == 200) {
                 String old = simulation.replaceFetchSecret(group, fresh);
-                fleet.seen.saw(fleet.seen.keys, new Observations.KeyWithdrawn(old, fleet.sim.now()));
+                fleet.observations.append(fleet.observations.keys, new Observations.KeyWithdrawn(old, fleet.sim.now()));
                 fleet.sim.after(OLD_PROCESSOR_KEY_USED_FOR, () -> simulation.useFetchSecret(group, fresh));
             }
         });
@@ -99,7 +100,8 @@
         Request request = new Request("GET", "/v1/messages?state=failed", authorization(secret), new byte[0]);
         fleet.request(intake, request, CALLER_LIMIT, answer -> {
             if (answer.filter(response -> response.status() == 200).isPresent()) {
-                fleet.seen.saw(fleet.seen.served, new Observations.KeyServed(secret, "read", fleet.sim.now()));
+                fleet.observations.append(
+                        fleet.observations.served, new Observations.RequestServed(secret, "read", fleet.sim.now()));
             }
         });
     }
@@ -109,13 +111,13 @@
     }
 
     private void recordSubmission(Optional<Response> answer, String secret, String id, Duration sent) {
-        Observations.Said result = submissionResult(answer);
-        boolean accepted = result == Observations.Said.ACCEPTED;
+        Observations.SubmissionOutcome result = submissionResult(answer);
+        boolean accepted = result == Observations.SubmissionOutcome.ACCEPTED;
         String handle = accepted
                 ? FleetSimulation.json(answer.orElseThrow()).path("handle").asText()
                 : "";
-        fleet.seen.saw(
-                fleet.seen.submitted,
+        fleet.observations.append(
+                fleet.observations.submitted,
                 new Observations.Submitted(
                         TestConfiguration.tenant(TENANT),
                         id,
@@ -133,12 +135,12 @@
         }
     }
 
-    private static Observations.Said submissionResult(Optional<Response> answer) {
+    private static Observations.SubmissionOutcome submissionResult(Optional<Response> answer) {
         int status = answer.map(Response::status).orElse(0);
         if (status == 202) {
-            return Observations.Said.ACCEPTED;
+            return Observations.SubmissionOutcome.ACCEPTED;
         }
         boolean unknown = answer.isEmpty() || status >= 500 && status != 503;
-        return unknown ? Observations.Said.UNKNOWN : Observations.Said.REFUSED;
+        return unknown ? Observations.SubmissionOutcome.UNKNOWN : Observations.SubmissionOutcome.REFUSED;
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Entry.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/LoadBalancer.java
@@ -7,14 +7,14 @@
 import org.woadvale.common.http.Request;
 
 /** The platform's load balancer: a hash of the client picks among the ready nodes of its zone. */
-final class Entry {
+final class LoadBalancer {
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(800);
     private static final int FAILED_PROBES_UNTIL_UNHEALTHY = 2;
     private final SimulatedPlatformFleet network;
     private final Map<String, Integer> failedProbes = new HashMap<>();
 
-    Entry(SimulatedPlatformFleet network) {
+    LoadBalancer(SimulatedPlatformFleet network) {
         this.network = network;
         probe();
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/MachineFaults.java
@@ -20,13 +20,13 @@
 
     MachineFaults(FleetSimulation simulation, Random random, List<String> log) {
         this.simulation = simulation;
-        this.fleet = simulation.w;
+        this.fleet = simulation.fleet;
         this.random = random;
         this.log = log;
         this.nextLossPermitted = fleet.sim.now();
     }
 
-    void into(Map<String, FaultInjection> faults) {
+    void registerIn(Map<String, FaultInjection> faults) {
         faults.put("kill", this::kill);
         faults.put("power loss", this::powerLoss);
         faults.put("pause", this::pause);
@@ -59,7 +59,7 @@
     private void schedule(Duration delay, FaultInjection faultInjection) {
         fleet.sim.after(delay, () -> {
             try {
-                faultInjection.strike();
+                faultInjection.inject();
             } catch (ServiceException failure) {
                 throw new IllegalStateException(failure);
             }
@@ -67,7 +67,7 @@
     }
 
     private void injectAndHeal(FaultInjection faultInjection) throws ServiceException {
-        faultInjection.strike();
+        faultInjection.inject();
         schedule(randomDuration(), fleet.net::heal);
     }
 
@@ -116,7 +116,7 @@
         if (lossPermitted(REPAIR_TIME_AFTER_REPLACEMENT)) {
             String node = pickOne(fleet.presentStores());
             log.add("lost " + node);
-            fleet.lose(node);
+            fleet.losePermanently(node);
             schedule(randomDuration(), fleet::newStore);
         }
     }
@@ -125,9 +125,9 @@
         if (lossPermitted(REPAIR_TIME_AFTER_REPLACEMENT)) {
             String node = pickOne(fleet.presentControlNodes());
             log.add("lost " + node);
-            fleet.lose(node);
+            fleet.losePermanently(node);
             schedule(randomDuration(), () -> {
-                String replacement = fleet.newControlNodeFirstSettings();
+                String replacement = fleet.newControlNodeWithInitialSettings();
                 simulation.operate(
                         new Request(
                                 "PUT",
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Machines.java
@@ -117,7 +117,7 @@
     }
 
     /** Kills a machine permanently: it is never restarted. */
-    public void lose(String address) {
+    public void losePermanently(String address) {
         kill(address);
         lost.add(address);
     }
@@ -147,7 +147,7 @@
     }
 
     /** Calls the watcher for each response of a machine to a request from outside the fleet. */
-    public void watchAnswers(BiConsumer<Request, Response> watcher) {
+    public void watchResponses(BiConsumer<Request, Response> watcher) {
         responseWatcher = watcher;
     }
 
@@ -181,8 +181,8 @@
     }
 
     /** Converts a wall-clock time of a host to simulated time; unknown once the calendar of any host was shifted. */
-    Duration trueTime(Instant stamp) {
-        return hosts.values().stream().anyMatch(Host::calendarOff)
+    Duration simulatedTime(Instant stamp) {
+        return hosts.values().stream().anyMatch(Host::wallClockShifted)
                 ? Observations.UNSEEN
                 : Duration.between(Host.EPOCH, stamp);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Measure.java
@@ -46,14 +46,14 @@
             throws ServiceException {
         FleetSimulation simulation =
                 new FleetSimulation(seed, intakes, stores, 12, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        long frames = simulation.w.net.frames();
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        long frames = simulation.fleet.net.frames();
         long syncs = syncs(simulation);
         simulation.traffic(perSecond);
-        simulation.w.sim.run(length.dividedBy(3));
+        simulation.fleet.sim.run(length.dividedBy(3));
         fault.accept(simulation);
-        simulation.w.sim.run(length.multipliedBy(2).dividedBy(3));
-        long framesUsed = simulation.w.net.frames() - frames;
+        simulation.fleet.sim.run(length.multipliedBy(2).dividedBy(3));
+        long framesUsed = simulation.fleet.net.frames() - frames;
         long syncsUsed = syncs(simulation) - syncs;
         boolean settled = simulation.settle(Duration.ofSeconds(120));
         List<String> violations = new ArrayList<>(simulation.violations());
@@ -61,21 +61,21 @@
             violations.add("some accepted messages did not end");
         }
         long[] tokenCounts = new long[3];
-        for (String i : simulation.w.intakes) {
-            if (simulation.w.host(i).alive()) {
-                var counts = simulation.w.dataPlaneNode(i).tokenCounts();
+        for (String i : simulation.fleet.intakes) {
+            if (simulation.fleet.host(i).alive()) {
+                var counts = simulation.fleet.dataPlaneNode(i).tokenCounts();
                 tokenCounts[0] += counts.atOnce();
                 tokenCounts[1] += counts.waited();
                 tokenCounts[2] += counts.asks();
             }
         }
-        Map<String, Long> kinds = new TreeMap<>(simulation.kinds());
+        Map<String, Long> kinds = new TreeMap<>(simulation.countsByOutcome());
         long accepted = kinds.getOrDefault("accepted", 0L);
         long throttled = kinds.getOrDefault("throttled", 0L);
         long other = kinds.values().stream().mapToLong(Long::longValue).sum() - accepted - throttled;
-        long failed = simulation.w.seen.shown.stream()
+        long failed = simulation.fleet.observations.shown.stream()
                 .filter(shown -> shown.state().equals("failed"))
-                .map(Observations.Shown::handle)
+                .map(Observations.StatusRead::handle)
                 .distinct()
                 .count();
         return new Figures(
@@ -88,7 +88,7 @@
                 tokenCounts[2],
                 framesUsed,
                 syncsUsed,
-                worstShare(simulation.w.seen),
+                worstShare(simulation.fleet.observations),
                 violations);
     }
 
@@ -100,25 +100,26 @@
         FleetSimulation simulation =
                 new FleetSimulation(seed, intakes, stores, 4, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         simulation.traffic(60);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        simulation.calm();
-        simulation.w.all().forEach(h -> simulation.w.host(h).powerLoss());
-        simulation.w.sim.run(Duration.ofSeconds(1));
-        for (String h : simulation.w.all()) {
-            simulation.w.restart(h);
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        simulation.stopTraffic();
+        simulation.fleet.all().forEach(h -> simulation.fleet.host(h).powerLoss());
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
+        for (String h : simulation.fleet.all()) {
+            simulation.fleet.restart(h);
         }
-        Duration restarted = simulation.w.sim.now();
+        Duration restarted = simulation.fleet.sim.now();
         FleetSimulation.require(
-                simulation.w.sim.runUntil(
+                simulation.fleet.sim.runUntil(
                         () -> {
-                            simulation.plain(0);
-                            return simulation.w.seen.submitted.stream()
-                                    .anyMatch(submitted -> submitted.said() == Observations.Said.ACCEPTED
-                                            && submitted.sent().compareTo(restarted) > 0);
+                            simulation.submitUnordered(0);
+                            return simulation.fleet.observations.submitted.stream()
+                                    .anyMatch(
+                                            submitted -> submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
+                                                    && submitted.sent().compareTo(restarted) > 0);
                         },
                         Duration.ofSeconds(30)),
                 "no submission was accepted within 30 s after the outage");
-        Duration took = simulation.w.sim.now().minus(restarted);
+        Duration took = simulation.fleet.sim.now().minus(restarted);
         FleetSimulation.require(
                 simulation.settle(Duration.ofSeconds(120))
                         && simulation.violations().isEmpty(),
@@ -127,8 +128,8 @@
     }
 
     private static long syncs(FleetSimulation simulation) {
-        return simulation.w.stores.stream()
-                .mapToLong(s -> simulation.w.host(s).disk.syncCount())
+        return simulation.fleet.stores.stream()
+                .mapToLong(s -> simulation.fleet.host(s).disk.syncCount())
                 .sum();
     }
 
@@ -139,12 +140,12 @@
                 observations.allowances().entrySet()) {
             List<Duration> accepted = observations.copy(observations.submitted).stream()
                     .filter(submitted -> submitted.tenant().equals(entry.getKey())
-                            && submitted.said() == Observations.Said.ACCEPTED
+                            && submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
                             && !submitted.repeated())
                     .map(Observations.Submitted::answered)
                     .sorted()
                     .toList();
-            double largest = NeverList.worst(accepted);
+            double largest = NeverList.maxInWindow(accepted);
             worst = Math.max(
                     worst,
                     largest
@@ -163,24 +164,26 @@
         for (long seed = 1; seed <= 10; seed++) {
             FleetSimulation simulation =
                     new FleetSimulation(seed, 8, 3, 4, eight, SimulatedFleet.LARGE_RING).startAll();
-            String owner = simulation.w.intakes.stream()
-                    .filter(i -> simulation.w.dataPlaneNode(i).ownedBuckets().contains("tenant/tenant0"))
+            String owner = simulation.fleet.intakes.stream()
+                    .filter(i ->
+                            simulation.fleet.dataPlaneNode(i).ownedBuckets().contains("tenant/tenant0"))
                     .findFirst()
                     .orElseThrow();
-            List<String> others =
-                    simulation.w.intakes.stream().filter(i -> !i.equals(owner)).toList();
+            List<String> others = simulation.fleet.intakes.stream()
+                    .filter(i -> !i.equals(owner))
+                    .toList();
             for (int ms = 0; ms < 12000; ms += 25) {
-                simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.plainAt(0, others));
+                simulation.fleet.sim.after(Duration.ofMillis(ms), () -> simulation.submitUnorderedAt(0, others));
             }
-            simulation.w.sim.run(Duration.ofSeconds(4));
-            Duration from = simulation.w.sim.now();
-            simulation.w.kill(owner);
-            simulation.w.sim.run(Duration.ofSeconds(8));
+            simulation.fleet.sim.run(Duration.ofSeconds(4));
+            Duration from = simulation.fleet.sim.now();
+            simulation.fleet.kill(owner);
+            simulation.fleet.sim.run(Duration.ofSeconds(8));
             FleetSimulation.require(
                     simulation.settle(Duration.ofSeconds(60))
                             && simulation.violations().isEmpty(),
                     "messages did not end or rules were broken");
-            List<Observations.Submitted> after = simulation.w.seen.submitted.stream()
+            List<Observations.Submitted> after = simulation.fleet.observations.submitted.stream()
                     .filter(submitted -> submitted.sent().compareTo(from) >= 0)
                     .toList();
             rejected.add(after.stream()
@@ -247,7 +250,14 @@
                 steady(1, 8, 3, new TestConfiguration(8, 12, 15, 20, 26), 270, length, simulation -> {}));
         row(
                 "holder killed",
-                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.intakes.get(0))));
+                steady(
+                        1,
+                        8,
+                        3,
+                        eight,
+                        270,
+                        length,
+                        simulation -> simulation.fleet.kill(simulation.fleet.intakes.get(0))));
         row(
                 "holder drained",
                 steady(
@@ -258,12 +268,19 @@
                         270,
                         length,
                         simulation -> simulation
-                                .w
-                                .dataPlaneNode(simulation.w.intakes.get(0))
+                                .fleet
+                                .dataPlaneNode(simulation.fleet.intakes.get(0))
                                 .drain()));
         row(
                 "store killed",
-                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.stores.get(0))));
+                steady(
+                        1,
+                        8,
+                        3,
+                        eight,
+                        270,
+                        length,
+                        simulation -> simulation.fleet.kill(simulation.fleet.stores.get(0))));
         row(
                 "store drained",
                 steady(
@@ -274,11 +291,18 @@
                         270,
                         length,
                         simulation -> simulation
-                                .w
-                                .dataPlaneNode(simulation.w.stores.get(0))
+                                .fleet
+                                .dataPlaneNode(simulation.fleet.stores.get(0))
                                 .drain()));
         row(
                 "control node killed",
-                steady(1, 8, 3, eight, 270, length, simulation -> simulation.w.kill(simulation.w.controlNodes.get(0))));
+                steady(
+                        1,
+                        8,
+                        3,
+                        eight,
+                        270,
+                        length,
+                        simulation -> simulation.fleet.kill(simulation.fleet.controlNodes.get(0))));
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/OperatorSimulation.java
@@ -68,8 +68,8 @@
                 return;
             }
             pendingUpdates--;
-            observations.configurationStub.add(
-                    new ObservationLog.Paper(stub, text, base, valid, sent, status, network.sim.now()));
+            observations.configurations.add(new ObservationLog.ConfigurationSubmission(
+                    stub, text, base, valid, sent, status, network.sim.now()));
             if (status == 200 && valid && stub.configRevision() > current.configRevision()) {
                 current = stub;
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Pairs.java
@@ -18,31 +18,31 @@
 
     /** The rule, the failure that the scenario produces, and the mechanism that the overrides disable. */
     public static final class Pair {
-        public final String line;
+        public final String invariant;
         public final String failure;
-        public final String leftOut;
+        public final String disabledMechanism;
         private final Scenario scenario;
         private final FleetOverrides overrides;
 
         private Pair(String line, String failure, String leftOut, Scenario scenario, FleetOverrides overrides) {
-            this.line = line;
+            this.invariant = line;
             this.failure = failure;
-            this.leftOut = leftOut;
+            this.disabledMechanism = leftOut;
             this.scenario = scenario;
             this.overrides = overrides;
         }
 
-        public List<String> shipped(long seed) throws ServiceException {
+        public List<String> violations(long seed) throws ServiceException {
             return scenario.play(seed, FleetOverrides.none()).violations();
         }
 
-        public List<String> brokenWithout(long seed) throws ServiceException {
-            return new NeverList(scenario.play(seed, overrides).w.seen).broken();
+        public List<String> violatedWithoutMechanism(long seed) throws ServiceException {
+            return new NeverList(scenario.play(seed, overrides).fleet.observations).broken();
         }
 
         @Override
         public String toString() {
-            return line;
+            return invariant;
         }
     }
 
@@ -54,8 +54,8 @@
                 "09",
                 "read from the configuration leader while it is partitioned",
                 "clock that advances while the lease expires",
-                (seed, overrides) -> FailureScenarios.ownerOfTheLayoutCutOff(seed, overrides, isolated),
-                NaiveVariants.stoppedClock(address -> address.equals(isolated.get())));
+                (seed, overrides) -> FailureScenarios.configurationLeaderIsolated(seed, overrides, isolated),
+                DisabledMechanisms.stoppedClock(address -> address.equals(isolated.get())));
     }
 
     public static List<Pair> all() {
@@ -65,68 +65,68 @@
                         "power loss of all machines",
                         "sync before acknowledgement",
                         FailureScenarios::powerLossEverywhere,
-                        NaiveVariants.lyingDisk()),
+                        DisabledMechanisms.diskWithoutSync()),
                 new Pair(
                         "02",
                         "processors answer with errors after the work is done",
                         "only 429 and 503 count as not executed",
                         FailureScenarios::errorsAfterTheWork,
-                        NaiveVariants.serverErrorsAreRetried()),
+                        DisabledMechanisms.serverErrorsAreRetried()),
                 new Pair(
                         "03",
                         "responses of the stores are lost",
                         "a missing response is not a rejection",
-                        FailureScenarios::answersDoNotComeBack,
-                        NaiveVariants.submissionTimeoutIsNotSent()),
+                        FailureScenarios::storeResponsesLost,
+                        DisabledMechanisms.submissionTimeoutIsNotSent()),
                 new Pair(
                         "04",
                         "work takes longer than the attempt timeout",
                         "a missing response does not end a message",
                         FailureScenarios::workLongerThanAnAttempt,
-                        NaiveVariants.deliveryTimeoutIsRejection()),
+                        DisabledMechanisms.deliveryTimeoutIsRejection()),
                 new Pair(
                         "05",
                         "connections stall under high load",
                         "deadline for submissions",
                         FailureScenarios::stalledStreams,
-                        NaiveVariants.submissionsWithoutDeadline()),
+                        DisabledMechanisms.submissionsWithoutDeadline()),
                 new Pair(
                         "06",
                         "connections to an endpoint open slowly",
                         "permission check once the connection is open",
                         FailureScenarios::streamsThatOpenSlowly,
-                        NaiveVariants.permissionCheckedBeforeConnecting()),
+                        DisabledMechanisms.permissionCheckedBeforeConnecting()),
                 new Pair(
                         "07",
                         "key withdrawn while a zone is partitioned",
                         "age limit of service views",
-                        FailureScenarios::keyWithdrawnOutOfTouch,
-                        NaiveVariants.cachedViewsNeverExpire()),
+                        FailureScenarios::keyWithdrawnWhileDisconnected,
+                        DisabledMechanisms.cachedViewsNeverExpire()),
                 new Pair(
                         "08",
                         "lane removed while a zone is partitioned",
                         "age limit of service views",
-                        FailureScenarios::lanesChangedOutOfTouch,
-                        NaiveVariants.cachedViewsNeverExpire()),
+                        FailureScenarios::lanesChangedWhileDisconnected,
+                        DisabledMechanisms.cachedViewsNeverExpire()),
                 isolatedConfigurationLeader(),
                 new Pair(
                         "10",
                         "processors marked as leaving while stores are partitioned",
                         "age limit of service views",
-                        FailureScenarios::markedOutOfTouch,
-                        NaiveVariants.cachedViewsNeverExpire()),
+                        FailureScenarios::drainedWhileDisconnected,
+                        DisabledMechanisms.cachedViewsNeverExpire()),
                 new Pair(
                         "11",
                         "an intermediary answers 200 for the endpoints",
                         "echo and receipt in the response",
-                        FailureScenarios::somethingInBetween,
-                        NaiveVariants.successNeedsNoReceipt()),
+                        FailureScenarios::middleboxAnswers,
+                        DisabledMechanisms.successNeedsNoReceipt()),
                 new Pair(
                         "12",
                         "two full outages",
                         "short leases",
                         FailureScenarios::twoOutages,
-                        NaiveVariants.longLeases()));
+                        DisabledMechanisms.longLeases()));
     }
 
     /**
@@ -151,23 +151,24 @@
         List<String> first = new ArrayList<>();
         for (long seed = from; seed <= to; seed++) {
             try {
-                List<String> violations = pair.shipped(seed);
+                List<String> violations = pair.violations(seed);
                 shippedBroken += violations.isEmpty() ? 0 : 1;
                 if (!violations.isEmpty() && first.isEmpty()) {
                     first.add(" (seed " + seed + ": " + violations.get(0) + ")");
                 }
-                List<String> brokenRules = pair.brokenWithout(seed);
-                brokenWithout += brokenRules.contains(pair.line) ? 1 : 0;
+                List<String> brokenRules = pair.violatedWithoutMechanism(seed);
+                brokenWithout += brokenRules.contains(pair.invariant) ? 1 : 0;
                 others.addAll(brokenRules);
             } catch (ServiceException failure) {
-                throw new IllegalStateException(pair.line + " seed " + seed, failure);
+                throw new IllegalStateException(pair.invariant + " seed " + seed, failure);
             }
         }
-        others.remove(pair.line);
+        others.remove(pair.invariant);
         synchronized (passed) {
             passed.add(shippedBroken == 0 && brokenWithout > 0);
         }
-        return "| " + pair.line + " | " + pair.failure + " | " + pair.leftOut + " | " + (to - from + 1) + " | "
+        return "| " + pair.invariant + " | " + pair.failure + " | " + pair.disabledMechanism + " | " + (to - from + 1)
+                + " | "
                 + shippedBroken + String.join("", first) + " | " + brokenWithout + " | " + String.join(" ", others)
                 + " |";
     }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformClients.java
@@ -28,7 +28,7 @@
     private static final int READ_RETRIES = 5;
 
     private final SimulatedPlatformFleet network;
-    private final Entry entry;
+    private final LoadBalancer entry;
     private final OperatorSimulation operator;
     private final ObservationLog observations;
     private final Map<Integer, Integer> responses = new TreeMap<>();
@@ -36,7 +36,10 @@
     private boolean running;
 
     PlatformClients(
-            SimulatedPlatformFleet network, Entry entry, OperatorSimulation operator, ObservationLog observations) {
+            SimulatedPlatformFleet network,
+            LoadBalancer entry,
+            OperatorSimulation operator,
+            ObservationLog observations) {
         this.network = network;
         this.entry = entry;
         this.operator = operator;
@@ -72,9 +75,9 @@
     private void sendRandom() {
         List<ConfigurationStub.Route> routes = operator.current().routes();
         boolean current = network.sim.chance(CURRENT_CONFIGURATION_SHARE);
-        ConfigurationStub.Route route = current || observations.configurationStub.isEmpty()
+        ConfigurationStub.Route route = current || observations.configurations.isEmpty()
                 ? any(routes)
-                : any(any(observations.configurationStub).configurationStub().routes());
+                : any(any(observations.configurations).configuration().routes());
         int tenant = network.sim.random().nextInt(TENANTS);
         String key = current ? "key" + tenant : anyKeySoFar(tenant);
         String orderKey = route.inOrder() ? "k" + network.sim.random().nextInt(ORDER_KEYS) : "";
@@ -85,7 +88,7 @@
     }
 
     private String anyKeySoFar(int tenant) {
-        ConfigurationStub configuration = any(observations.configurationStub).configurationStub();
+        ConfigurationStub configuration = any(observations.configurations).configuration();
         return any(configuration.tenants().get(tenant).accessKeys());
     }
 
@@ -117,14 +120,14 @@
         responses.merge(status, 1, Integer::sum);
         String ref = response.map(accepted -> accepted.headers().getOrDefault("X-Message-Ref", id))
                 .orElse("");
-        observations.said.add(new ObservationLog.Said(id, status, ref, network.sim.now()));
+        observations.submissionAnswers.add(new ObservationLog.SubmissionAnswer(id, status, ref, network.sim.now()));
     }
 
     /** Reads state and body of each accepted message; retries after a failure. */
     void readAccepted() {
         Map<String, ObservationLog.Sent> sent = new LinkedHashMap<>();
         observations.sent.forEach(s -> sent.put(s.id(), s));
-        observations.said.stream()
+        observations.submissionAnswers.stream()
                 .filter(said -> said.status() == 202)
                 .forEach(said -> read(sent.get(said.id()), said.ref(), READ_RETRIES));
     }
@@ -170,8 +173,8 @@
 
     /** The current key of the tenant that sent the message. */
     private String keyOf(ObservationLog.Sent sent) {
-        return observations.configurationStub.stream()
-                .flatMap(paper -> paper.configurationStub().tenant(sent.key()).stream())
+        return observations.configurations.stream()
+                .flatMap(paper -> paper.configuration().tenant(sent.key()).stream())
                 .findFirst()
                 .map(tenant -> tenant.accessKeys().get(0))
                 .orElse(sent.key());
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformFailures.java
@@ -17,7 +17,7 @@
     }
 
     private static void recordTrouble(PlatformSimulation simulation, int seconds) {
-        simulation.seen.troubles.add(new ObservationLog.Trouble(
+        simulation.observations.troubles.add(new ObservationLog.Disruption(
                 "scenario",
                 simulation.network.sim.now(),
                 simulation.network.sim.now().plusSeconds(seconds)));
@@ -103,11 +103,11 @@
             Duration delay = Duration.ofMillis(1200 - ms);
             simulation.network.sim.after(
                     Duration.ofMillis(5000 + ms),
-                    () -> simulation.network.processorSimulation.delayConnections(endpoint, delay));
+                    () -> simulation.network.processorNetwork.delayConnections(endpoint, delay));
         }
         simulation.network.sim.after(
                 Duration.ofMillis(6200),
-                () -> simulation.network.processorSimulation.delayConnections(endpoint, Duration.ZERO));
+                () -> simulation.network.processorNetwork.delayConnections(endpoint, Duration.ZERO));
         simulation.network.sim.run(Duration.ofSeconds(40));
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PlatformSimulation.java
@@ -20,9 +20,9 @@
     private static final double TENANT_RATE_PER_S = 25;
 
     public final SimulatedPlatformFleet network;
-    public final ObservationLog seen = new ObservationLog();
+    public final ObservationLog observations = new ObservationLog();
     final ProcessorList processorList;
-    final Entry entry;
+    final LoadBalancer entry;
     final OperatorSimulation operator;
     final PlatformClients clients;
     final Map<String, ScriptedProcessor> processors = new LinkedHashMap<>();
@@ -34,13 +34,13 @@
     public PlatformSimulation(long seed, int intakes, int stores, FleetOverrides overrides) throws ServiceException {
         network = new SimulatedPlatformFleet(seed, intakes, stores, overrides);
         processorList = new ProcessorList(network.sim, PROCESSOR_LIST_LAG, PROCESSOR_LIST_RATE_PER_S);
-        network.list(processorList::page);
-        entry = new Entry(network);
-        operator = new OperatorSimulation(network, seen, configurationStub());
-        clients = new PlatformClients(network, entry, operator, seen);
-        network.processorSimulation.onResponseRead((request, response) -> {
+        network.setProcessorListSource(processorList::page);
+        entry = new LoadBalancer(network);
+        operator = new OperatorSimulation(network, observations, configurationStub());
+        clients = new PlatformClients(network, entry, operator, observations);
+        network.processorNetwork.onResponseRead((request, response) -> {
             if (response.status() / 100 == 2 && response.headers().containsKey("X-Server-Seal")) {
-                seen.read.add(
+                observations.read.add(
                         new ObservationLog.Read(request.headers().getOrDefault("x-attempt-id", ""), network.sim.now()));
             }
         });
@@ -81,7 +81,7 @@
         processors.put(
                 "far",
                 place(
-                        new ScriptedProcessor(network, seen, "far", "far", 6, deduplicationTable("far"), true),
+                        new ScriptedProcessor(network, observations, "far", "far", 6, deduplicationTable("far"), true),
                         "172.20.0.3:8748"));
         FleetSimulation.require(
                 network.sim.runUntil(network::ready, Duration.ofSeconds(40)),
@@ -95,7 +95,7 @@
     }
 
     private ScriptedProcessor place(ScriptedProcessor processor, String address) {
-        network.processorSimulation.place(address, processor::handle);
+        network.processorNetwork.place(address, processor::handle);
         addresses.put(processor.id(), address);
         return processor;
     }
@@ -104,7 +104,7 @@
         String id = "i-" + nextInstance++;
         ScriptedProcessor processor = place(
                 new ScriptedProcessor(
-                        network, seen, id, service, 6, deduplicationTable(service), service.equals("book")),
+                        network, observations, id, service, 6, deduplicationTable(service), service.equals("book")),
                 address);
         processors.put(id, processor);
         processorList.put(id, service, address, 6, "ready");
@@ -113,7 +113,7 @@
 
     PullingProcessor puller() {
         String id = "p-" + nextInstance++;
-        PullingProcessor puller = new PullingProcessor(network, entry, seen, id, "desk").start(4);
+        PullingProcessor puller = new PullingProcessor(network, entry, observations, id, "desk").start(4);
         pullers.put(id, puller);
         return puller;
     }
@@ -123,7 +123,7 @@
         processor.crash();
         processors.remove(processor.id());
         String address = addresses.get(processor.id());
-        network.processorSimulation.remove(address);
+        network.processorNetwork.remove(address);
         network.sim.after(Duration.ofSeconds(3), () -> processorList.drop(processor.id()));
         network.sim.after(Duration.ofSeconds(5), () -> processor(processor.service(), address));
     }
@@ -140,11 +140,11 @@
     void leave(ScriptedProcessor processor) {
         processors.remove(processor.id());
         String address = addresses.get(processor.id());
-        seen.draining.add(new ObservationLog.Draining(
+        observations.draining.add(new ObservationLog.Draining(
                 processor.id(), processorList.put(processor.id(), processor.service(), address, 6, "draining")));
         network.sim.after(Duration.ofMillis(4500), () -> {
             processor.crash();
-            network.processorSimulation.remove(address);
+            network.processorNetwork.remove(address);
             processorList.drop(processor.id());
         });
         processor(processor.service(), address + "1");
@@ -161,7 +161,7 @@
         network.sim.run(Duration.ofSeconds(12));
         operator.read();
         network.sim.run(Duration.ofSeconds(3));
-        return new Rules(seen).violations();
+        return new Rules(observations).violations();
     }
 
     public Map<Integer, Integer> answers() {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/ProcessorList.java
@@ -25,7 +25,7 @@
     private final double ratePerS;
     private final Map<String, List<Row>> rows = new TreeMap<>();
     private final List<Duration> calls = new ArrayList<>();
-    private boolean down;
+    private boolean setUnavailable;
     private int refused;
 
     public ProcessorList(Simulator sim, Duration lag, double ratePerS) {
@@ -34,8 +34,8 @@
         this.ratePerS = ratePerS;
     }
 
-    public void down(boolean unavailable) {
-        down = unavailable;
+    public void setUnavailable(boolean unavailable) {
+        setUnavailable = unavailable;
     }
 
     /** Sets the state of an entry; returns the time at which the list shows it at the latest. */
@@ -69,9 +69,9 @@
         long recentCalls = calls.stream()
                 .filter(call -> call.plusSeconds(1).compareTo(sim.now()) > 0)
                 .count();
-        if (down || recentCalls > ratePerS) {
+        if (setUnavailable || recentCalls > ratePerS) {
             refused++;
-            return Mono.error(new UnavailableException(down ? "no answer" : "the list answered 429"));
+            return Mono.error(new UnavailableException(setUnavailable ? "no answer" : "the list answered 429"));
         }
         int from = path.contains("pageToken=p-") ? Integer.parseInt(path.replaceAll(".*pageToken=p-", "")) : 0;
         List<Map<String, Object>> entries = new ArrayList<>();
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/PullingProcessor.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/PullingProcessor.java
@@ -15,7 +15,7 @@
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(2500);
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
     private final SimulatedPlatformFleet network;
-    private final Entry entry;
+    private final LoadBalancer entry;
     private final ObservationLog observations;
     private final String id;
     private final String service;
@@ -26,7 +26,11 @@
     private int runs;
 
     PullingProcessor(
-            SimulatedPlatformFleet network, Entry entry, ObservationLog observations, String id, String service) {
+            SimulatedPlatformFleet network,
+            LoadBalancer entry,
+            ObservationLog observations,
+            String id,
+            String service) {
         this.network = network;
         this.entry = entry;
         this.observations = observations;
@@ -155,7 +159,7 @@
                         return;
                     }
                     if (status == 200) {
-                        observations.endsTaken.add(new ObservationLog.EndTaken(
+                        observations.endsTaken.add(new ObservationLog.LeaseEndAccepted(
                                 message, job.headers().get("X-Lease-Id"), outcome, network.sim.now()));
                         if (outcome == 200) {
                             observations.read.add(new ObservationLog.Read(message, network.sim.now()));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/RuleScenario.java
@@ -17,14 +17,14 @@
 
     public final String rule;
     public final String failure;
-    public final String leftOut;
+    public final String disabledMechanism;
     private final FailureScript script;
     private final FleetOverrides overrides;
 
     RuleScenario(String rule, String failure, String leftOut, FailureScript script, FleetOverrides overrides) {
         this.rule = rule;
         this.failure = failure;
-        this.leftOut = leftOut;
+        this.disabledMechanism = leftOut;
         this.script = script;
         this.overrides = overrides;
     }
@@ -33,16 +33,16 @@
         PlatformSimulation platform = new PlatformSimulation(seed, NODES, NODES, overrides).startAll();
         script.play(platform);
         platform.end(COMPLETION);
-        return new Rules(platform.seen);
+        return new Rules(platform.observations);
     }
 
     /** The violations as shipped; empty if all rules hold. */
-    public List<String> shipped(long seed) throws ServiceException {
+    public List<String> violations(long seed) throws ServiceException {
         return play(seed, FleetOverrides.none()).violations();
     }
 
     /** The rules that are broken without the mechanism; this rule is among them if the mechanism upholds it. */
-    public List<String> brokenWithout(long seed) throws ServiceException {
+    public List<String> violatedWithoutMechanism(long seed) throws ServiceException {
         return play(seed, overrides).broken();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SeededPlatformDays.java
@@ -77,12 +77,12 @@
     }
 
     private void recordTrouble(String fault, Duration length) {
-        simulation.seen.troubles.add(new ObservationLog.Trouble(
+        simulation.observations.troubles.add(new ObservationLog.Disruption(
                 fault, network.sim.now(), network.sim.now().plus(length)));
     }
 
     private void recordKill(String node) {
-        simulation.seen.killed.add(new ObservationLog.Killed(node, network.sim.now()));
+        simulation.observations.killed.add(new ObservationLog.Killed(node, network.sim.now()));
     }
 
     private void restartAfter(String node, Duration delay) {
@@ -167,14 +167,14 @@
 
     private void lostAnswers(double probability) {
         recordTrouble("lost answers", Duration.ofSeconds(3));
-        network.processorSimulation.answerLoss(probability);
-        network.sim.after(Duration.ofSeconds(3), () -> network.processorSimulation.answerLoss(0));
+        network.processorNetwork.answerLoss(probability);
+        network.sim.after(Duration.ofSeconds(3), () -> network.processorNetwork.answerLoss(0));
     }
 
     private void processorListDown() {
         recordTrouble("list down", Duration.ofSeconds(4));
-        simulation.processorList.down(true);
-        network.sim.after(Duration.ofSeconds(4), () -> simulation.processorList.down(false));
+        simulation.processorList.setUnavailable(true);
+        network.sim.after(Duration.ofSeconds(4), () -> simulation.processorList.setUnavailable(false));
     }
 
     private void lossAndDuplication() {
@@ -216,7 +216,7 @@
     }
 
     void watchAnswers(BiConsumer<Request, Response> watcher) {
-        network.watchAnswers(watcher);
+        network.watchResponses(watcher);
     }
 
     TraceDigest trace() {
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryNetwork.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDeliveryNetwork.java
@@ -30,7 +30,7 @@
     private final Map<String, String> addressesById = new HashMap<>();
     private final Map<String, Backend> backendsByAddress = new HashMap<>();
     private double answerLoss;
-    private boolean middlebox;
+    private boolean interceptRegistries;
 
     SimDeliveryNetwork(SimulatedFleet fleet) {
         this.fleet = fleet;
@@ -91,7 +91,7 @@
             String address = addressAndPath.substring(0, addressAndPath.indexOf('/'));
             String id = idsByAddress.getOrDefault(address, "");
             Optional<Backend> backend = Optional.ofNullable(backendsByAddress.get(address));
-            if (middlebox && idsByAddress.getOrDefault(address, "").startsWith("registry")) {
+            if (interceptRegistries && idsByAddress.getOrDefault(address, "").startsWith("registry")) {
                 fleet.sim.after(
                         fleet.net.delay(),
                         () -> host.execute(() -> {
@@ -156,12 +156,12 @@
     }
 
     /** Makes an intermediary answer 200 in place of the external endpoints. */
-    public void middlebox(boolean enabled) {
-        middlebox = enabled;
+    public void interceptRegistries(boolean enabled) {
+        interceptRegistries = enabled;
     }
 
     /** Sets the time that a connection to a backend takes to open. */
-    public void slowStreams(String backend, Duration delay) {
+    public void delayConnections(String backend, Duration delay) {
         connectionDelays.put(backend, delay);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimDisk.java
@@ -139,12 +139,12 @@
     /** A copy of the current synced bytes. */
     public SimDisk copy() {
         SimDisk copied = new SimDisk(sim);
-        copied.become(this);
+        copied.copyFrom(this);
         return copied;
     }
 
     /** Replaces all files by copies of the synced bytes of another disk or of an earlier state of this one. */
-    public void become(SimDisk other) {
+    public void copyFrom(SimDisk other) {
         files.clear();
         other.files.forEach((name, file) -> {
             FileContent copied = new FileContent(file.synced.length);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimNet.java
@@ -151,7 +151,7 @@
                         Frame request = new Frame(1, Frame.Kind.REQUEST, body);
                         byte[] bytes = codec.write(request);
                         recordSent(self.address, to, request, bytes);
-                        long incarnation = self.life();
+                        long incarnation = self.incarnation();
                         deliver(to, bytes, sink, incarnation);
                         if (sim.chance(duplication)) {
                             deliver(to, bytes, sink, incarnation);
@@ -206,7 +206,7 @@
         }
 
         private void runOnCaller(long incarnation, Runnable task) {
-            if (self.life() == incarnation && self.alive()) {
+            if (self.incarnation() == incarnation && self.alive()) {
                 self.execute(task);
             }
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleet.java
@@ -29,10 +29,10 @@
 
     static final int LARGE_RING = 4 << 20;
 
-    public final Observations seen = new Observations();
+    public final Observations observations = new Observations();
     public final TestConfiguration testConfiguration;
     public final Map<String, Backend> backends = new LinkedHashMap<>();
-    public final SimDeliveryNetwork post;
+    public final SimDeliveryNetwork deliveryNetwork;
     private final int ringBytes;
     private final List<String> seeds;
     /** The seeds in the settings of the machines that are started next. */
@@ -55,9 +55,9 @@
         super(new Simulator(seed), zoneCount);
         this.overrides = overrides;
         this.ringBytes = ringBytes;
-        this.post = new SimDeliveryNetwork(this);
+        this.deliveryNetwork = new SimDeliveryNetwork(this);
         this.testConfiguration = testConfiguration;
-        testConfiguration.allow(seen);
+        testConfiguration.allow(observations);
         for (int i = 0; i < 3; i++) {
             controlNodes.add(host("10.0.0." + (i + 1) + ":1", i));
         }
@@ -77,11 +77,11 @@
     /** Starts a control node that joins the running core, with current members as seeds in its settings. */
     public String newControlNode() throws ServiceException {
         joinSeeds = presentControlNodes().stream().limit(seeds.size()).toList();
-        return newControlNodeFirstSettings();
+        return newControlNodeWithInitialSettings();
     }
 
     /** Starts a control node that joins the running core, without updating the seeds in the settings. */
-    public String newControlNodeFirstSettings() throws ServiceException {
+    public String newControlNodeWithInitialSettings() throws ServiceException {
         String address = host("10.0.0." + (controlNodes.size() + 1) + ":1", controlNodes.size());
         controlNodes.add(address);
         start(address);
@@ -97,9 +97,16 @@
     }
 
     public Backend addBackend(String id, String service, boolean paced) {
-        Backend backend = new Backend(id, service, paced, seen, post.clock(), post.clock(), sim.random()::nextLong);
+        Backend backend = new Backend(
+                id,
+                service,
+                paced,
+                observations,
+                deliveryNetwork.clock(),
+                deliveryNetwork.clock(),
+                sim.random()::nextLong);
         backends.put(id, backend);
-        post.assignAddress(id, backend);
+        deliveryNetwork.assignAddress(id, backend);
         return backend;
     }
 
@@ -107,7 +114,7 @@
     public Backend replaceBackend(String id) {
         Backend replaced = backends.get(id);
         replaced.crash();
-        return addBackend(id, replaced.service(), replaced.paced());
+        return addBackend(id, replaced.service(), replaced.rateLimited());
     }
 
     @Override
@@ -156,7 +163,7 @@
                 start.environment(),
                 settings,
                 start.core(),
-                overrides.deliveryClient().apply(address, post.clientFor(hosts.get(address))));
+                overrides.deliveryClient().apply(address, deliveryNetwork.clientFor(hosts.get(address))));
         node.route(start.router());
         dataPlaneNodes.put(address, node);
         node.start();
@@ -192,11 +199,11 @@
     }
 
     /** Records the configuration version that each responsive data plane node uses. */
-    public void seenVersions() {
+    public void recordConfigurationVersions() {
         dataPlaneNodes.forEach((address, node) -> {
             if (hosts.get(address).alive() && !hosts.get(address).paused()) {
-                seen.saw(
-                        seen.versions,
+                observations.append(
+                        observations.versions,
                         new Observations.NodeVersion(
                                 address, (Long) node.status().get("layout"), sim.now()));
             }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedFleets.java
@@ -26,7 +26,7 @@
     public record Folders(SimDisk control, SimDisk store) {}
 
     /** Runs one fleet behind each of the two HTTP interfaces, then requests the paths that their clients do not use. */
-    public static void play(BiConsumer<Request, Response> watcher) throws ServiceException {
+    public static void recordExchanges(BiConsumer<Request, Response> watcher) throws ServiceException {
         SeededPlatformDays day = new SeededPlatformDays(SEED);
         day.watchAnswers(watcher);
         day.run(DAY);
@@ -34,8 +34,8 @@
         storm.watchAnswers(watcher);
         storm.run();
         FleetSimulation fleet = new FleetSimulation(SEED, 3, 3, 2).startAll();
-        fleet.w.watchAnswers(watcher);
-        for (String node : fleet.w.all()) {
+        fleet.fleet.watchResponses(watcher);
+        for (String node : fleet.fleet.all()) {
             for (String path : new String[] {
                 "GET /v1/liveness",
                 "GET /v1/readiness",
@@ -57,23 +57,23 @@
             }) {
                 String[] words = path.split(" ");
                 Request request = new Request(words[0], words[1], Map.of(), new byte[0]);
-                fleet.w.request(node, request, Duration.ofSeconds(4), answer -> {});
-                fleet.w.sim.run(Duration.ofMillis(200));
+                fleet.fleet.request(node, request, Duration.ofSeconds(4), answer -> {});
+                fleet.fleet.sim.run(Duration.ofMillis(200));
             }
         }
-        fleet.w.sim.run(Duration.ofSeconds(4));
+        fleet.fleet.sim.run(Duration.ofSeconds(4));
         submitWithoutStores(fleet);
     }
 
     /** Submits messages, round-robin over the tenants, while no store runs, so that they are rejected. */
     private static void submitWithoutStores(FleetSimulation fleet) {
-        fleet.w.stores.forEach(fleet.w::kill);
-        fleet.w.sim.run(Duration.ofMillis(300));
+        fleet.fleet.stores.forEach(fleet.fleet::kill);
+        fleet.fleet.sim.run(Duration.ofMillis(300));
         for (int i = 0; i < SUBMISSIONS_WITHOUT_STORES; i++) {
-            fleet.one(i % fleet.w.testConfiguration.tenants());
-            fleet.w.sim.run(Duration.ofMillis(150));
+            fleet.submitRandom(i % fleet.fleet.testConfiguration.tenants());
+            fleet.fleet.sim.run(Duration.ofMillis(150));
         }
-        fleet.w.sim.run(Duration.ofSeconds(8));
+        fleet.fleet.sim.run(Duration.ofSeconds(8));
     }
 
     /**
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/SimulatedPlatformFleet.java
@@ -23,7 +23,7 @@
 import org.woadvale.controlplane.node.ControlNode;
 import org.woadvale.controlplane.registry.ProcessorRegistry;
 import org.woadvale.dataplane.DataPlaneNode;
-import org.woadvale.platform.PlatformApi;
+import org.woadvale.platform.PlatformAdapter;
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
@@ -39,7 +39,7 @@
     private static final int ZONES = 3;
     private static final Duration PROCESSOR_LIST_READ_INTERVAL = Duration.ofMillis(700);
 
-    public final ProcessorNetwork processorSimulation = new ProcessorNetwork(this);
+    public final ProcessorNetwork processorNetwork = new ProcessorNetwork(this);
     private final List<String> seeds;
     private final Map<String, ControlNode> controlNodesByAddress = new HashMap<>();
     private final Map<String, DataPlaneNode> dataPlaneNodes = new HashMap<>();
@@ -76,7 +76,7 @@
     }
 
     /** Sets the source of the list of processors, which returns one page for each path. */
-    public void list(Function<String, Mono<byte[]>> source) {
+    public void setProcessorListSource(Function<String, Mono<byte[]>> source) {
         processorListPages = source;
     }
 
@@ -112,12 +112,12 @@
             OperatorHttpHandler handler = new OperatorHttpHandler(node, "");
             handler.route(router);
             controlNodesByAddress.put(address, node);
-            handlers.put(address, PlatformApi.control(handler));
+            handlers.put(address, PlatformAdapter.controlHandler(handler));
             node.start();
             new ProcessorRegistry(
                             environment,
                             node,
-                            PlatformApi.registry(processorListPagesFor(host)),
+                            PlatformAdapter.processorSource(processorListPagesFor(host)),
                             PROCESSOR_LIST_READ_INTERVAL)
                     .start();
         } else {
@@ -142,11 +142,11 @@
                     environment,
                     boot,
                     core,
-                    overrides.deliveryClient().apply(address, processorSimulation.clientFor(host)),
-                    PlatformApi.protocol());
+                    overrides.deliveryClient().apply(address, processorNetwork.clientFor(host)),
+                    PlatformAdapter.deliveryProtocol());
             node.route(router);
             dataPlaneNodes.put(address, node);
-            handlers.put(address, PlatformApi.front(node));
+            handlers.put(address, PlatformAdapter.frontHandler(node));
             node.start();
         }
     }
@@ -165,7 +165,7 @@
     }
 
     /** Sends a request and runs the simulator until the response arrives; must not be called from an event. */
-    public Optional<Response> ask(String to, Request request, Duration limit) {
+    public Optional<Response> requestAndWait(String to, Request request, Duration limit) {
         AtomicReference<Optional<Response>> result = new AtomicReference<>();
         request(to, request, limit, result::set);
         sim.runUntil(() -> result.get() != null, limit.plusSeconds(1));
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -26,29 +26,29 @@
                             seed, 8, 3, 4, new TestConfiguration(8, 12, 45, 60, 26), SimulatedFleet.LARGE_RING)
                     .startAll();
             simulation.traffic(150);
-            simulation.w.sim.run(Duration.ofSeconds(20));
+            simulation.fleet.sim.run(Duration.ofSeconds(20));
             int[] maxNotVoting = {0};
-            simulation.w.lose(simulation.w.stores.get(0));
-            String spare = simulation.w.newStore();
-            Duration from = simulation.w.sim.now();
-            long accepted = simulation.kinds().getOrDefault("accepted", 0L);
-            long all = simulation.kinds().values().stream()
+            simulation.fleet.losePermanently(simulation.fleet.stores.get(0));
+            String spare = simulation.fleet.newStore();
+            Duration from = simulation.fleet.sim.now();
+            long accepted = simulation.countsByOutcome().getOrDefault("accepted", 0L);
+            long all = simulation.countsByOutcome().values().stream()
                     .mapToLong(Long::longValue)
                     .sum();
             FleetSimulation.require(
-                    simulation.w.sim.runUntil(
+                    simulation.fleet.sim.runUntil(
                             () -> {
                                 maxNotVoting[0] = Math.max(
                                         maxNotVoting[0],
-                                        simulation.w.dataPlaneNode(spare).notVotingCount());
-                                return simulation.w.repaired();
+                                        simulation.fleet.dataPlaneNode(spare).notVotingCount());
+                                return simulation.fleet.repaired();
                             },
                             Duration.ofSeconds(120)),
                     "the lost store was not replaced within 120 s");
-            long now = simulation.kinds().getOrDefault("accepted", 0L) - accepted;
+            long now = simulation.countsByOutcome().getOrDefault("accepted", 0L) - accepted;
             System.out.println("| " + seed + " | " + maxNotVoting[0] + " | "
-                    + simulation.w.sim.now().minus(from).toMillis() + " ms | " + now + " | "
-                    + (simulation.kinds().values().stream()
+                    + simulation.fleet.sim.now().minus(from).toMillis() + " ms | " + now + " | "
+                    + (simulation.countsByOutcome().values().stream()
                                     .mapToLong(Long::longValue)
                                     .sum()
                             - all
@@ -74,19 +74,19 @@
                             SimulatedFleet.SMALL_RING)
                     .startAll();
             String name = shape[0] + "+" + shape[1] + "+3";
-            simulation.w.sim.run(Duration.ofSeconds(10));
+            simulation.fleet.sim.run(Duration.ofSeconds(10));
             row(simulation, name, "10 s after the start");
-            simulation.w.kill(simulation.w.stores.get(0));
-            simulation.w.kill(simulation.w.controlNodes.get(0));
-            simulation.w.kill(simulation.w.intakes.get(0));
-            simulation.w.sim.run(Duration.ofSeconds(8));
+            simulation.fleet.kill(simulation.fleet.stores.get(0));
+            simulation.fleet.kill(simulation.fleet.controlNodes.get(0));
+            simulation.fleet.kill(simulation.fleet.intakes.get(0));
+            simulation.fleet.sim.run(Duration.ofSeconds(8));
             row(simulation, name, "first of each kind killed 8 s ago");
-            for (String h : simulation.w.all()) {
-                simulation.w.restart(h);
+            for (String h : simulation.fleet.all()) {
+                simulation.fleet.restart(h);
             }
-            simulation.w.sim.run(Duration.ofSeconds(15));
+            simulation.fleet.sim.run(Duration.ofSeconds(15));
             row(simulation, name, "15 s after their restart");
-            simulation.w.sim.run(Duration.ofSeconds(60));
+            simulation.fleet.sim.run(Duration.ofSeconds(60));
             row(simulation, name, "a minute later");
         }
     }
@@ -96,18 +96,18 @@
         List<Long> controlNodes = new ArrayList<>();
         List<Integer> buckets = new ArrayList<>();
         long terms = 0;
-        for (String store : simulation.w.stores) {
+        for (String store : simulation.fleet.stores) {
             stores.add(
-                    simulation.w.host(store).alive()
-                            ? simulation.w.dataPlaneNode(store).ledPartitionCount()
+                    simulation.fleet.host(store).alive()
+                            ? simulation.fleet.dataPlaneNode(store).ledPartitionCount()
                             : 0);
         }
-        for (String node : simulation.w.controlNodes) {
+        for (String node : simulation.fleet.controlNodes) {
             controlNodes.add(
-                    simulation.w.host(node).alive()
+                    simulation.fleet.host(node).alive()
                             ? ServiceNames.controlPartitions().stream()
                                     .filter(partition -> simulation
-                                                    .w
+                                                    .fleet
                                                     .controlNode(node)
                                                     .replica(partition)
                                                     .role()
@@ -115,16 +115,20 @@
                                     .count()
                             : 0);
         }
-        for (String intake : simulation.w.intakes) {
+        for (String intake : simulation.fleet.intakes) {
             buckets.add(
-                    simulation.w.host(intake).alive()
-                            ? simulation.w.dataPlaneNode(intake).ownedBuckets().size()
+                    simulation.fleet.host(intake).alive()
+                            ? simulation
+                                    .fleet
+                                    .dataPlaneNode(intake)
+                                    .ownedBuckets()
+                                    .size()
                             : 0);
         }
         for (String partition : ServiceNames.messagePartitions()) {
-            terms += simulation.w.stores.stream()
-                    .filter(s -> simulation.w.host(s).alive())
-                    .mapToLong(s -> simulation.w.dataPlaneNode(s).term(partition))
+            terms += simulation.fleet.stores.stream()
+                    .filter(s -> simulation.fleet.host(s).alive())
+                    .mapToLong(s -> simulation.fleet.dataPlaneNode(s).term(partition))
                     .max()
                     .orElse(0);
         }
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/StoreReplacement.java
@@ -25,7 +25,7 @@
     }
 
     /** The time until every replica of every group counted the successor as a voter, and the violations. */
-    public record Outcome(Duration startToCountedEverywhere, List<String> violations) {}
+    public record Outcome(Duration startToVotingEverywhere, List<String> violations) {}
 
     /** The time from a machine's start to the first instruction of the program. */
     private static final Duration PROCESS_START = Duration.ofMillis(2000);
@@ -51,7 +51,7 @@
 
     private StoreReplacement(long seed) throws ServiceException {
         fleet = new FleetSimulation(seed, 3, 3, 4).startAll();
-        sim = fleet.w.sim;
+        sim = fleet.fleet.sim;
     }
 
     /** Runs one seed; reports a violation if service does not recover after the second loss. */
@@ -63,7 +63,7 @@
     private Outcome run(Departure departure) throws ServiceException {
         fleet.traffic(MESSAGES_PER_SECOND);
         sim.run(Duration.ofSeconds(3).plus(sim.between(0, 2_000_000)));
-        String first = fleet.w.stores.get(sim.random().nextInt(3));
+        String first = fleet.fleet.stores.get(sim.random().nextInt(3));
         String successor = switch (departure) {
             case ANNOUNCED -> replaceAnnounced(first);
             case UNANNOUNCED -> replaceUnannounced(first);
@@ -78,35 +78,35 @@
     private String replaceAnnounced(String leaver) throws ServiceException {
         Duration successorStart = sim.now();
         sim.run(PROCESS_START);
-        String successor = fleet.w.newStore();
+        String successor = fleet.fleet.newStore();
         waitUntil(successorStart.plus(ASSUMED_CATCH_UP).plus(sim.between(0, 6_000_000)));
         measuredFrom = sim.now();
-        boolean drained = fleet.w.dataPlaneNode(leaver).drain();
+        boolean drained = fleet.fleet.dataPlaneNode(leaver).drain();
         while (!drained && sim.now().minus(measuredFrom).compareTo(DRAIN_LIMIT) < 0) {
             sim.run(DRAIN_STEP);
-            drained = fleet.w.dataPlaneNode(leaver).drain();
+            drained = fleet.fleet.dataPlaneNode(leaver).drain();
         }
         sim.run(DELAY_BEFORE_EXIT);
-        fleet.w.lose(leaver);
+        fleet.fleet.losePermanently(leaver);
         secondLossFrom = sim.now();
         return successor;
     }
 
     private String replaceUnannounced(String store) throws ServiceException {
-        fleet.w.lose(store);
+        fleet.fleet.losePermanently(store);
         sim.run(sim.between(1_000_000, 2_000_000));
         recordStart();
         sim.run(PROCESS_START);
-        return fleet.w.newStore();
+        return fleet.fleet.newStore();
     }
 
     private String restartWithEmptyDisk(String store) throws ServiceException {
-        fleet.w.kill(store);
-        fleet.w.host(store).disk.wipe();
+        fleet.fleet.kill(store);
+        fleet.fleet.host(store).disk.wipe();
         sim.run(sim.between(100_000, 2_000_000));
         recordStart();
         sim.run(PROCESS_START);
-        fleet.w.restart(store);
+        fleet.fleet.restart(store);
         return store;
     }
 
@@ -135,21 +135,24 @@
     }
 
     private boolean votingEverywhere(String successor) {
-        Set<String> expected = new TreeSet<>(fleet.w.presentStores());
-        return fleet.w.dataPlaneNode(successor).notVotingCount() == 0
-                && fleet.w.presentStores().stream()
-                        .allMatch(store ->
-                                fleet.w.dataPlaneNode(store).partitionGroups().size() == ServiceNames.MESSAGE_PARTITIONS
-                                        && fleet.w.dataPlaneNode(store).partitionGroups().values().stream()
-                                                .allMatch(expected::equals))
-                && fleet.w.dataPlaneNode(successor).votingEverywhere();
+        Set<String> expected = new TreeSet<>(fleet.fleet.presentStores());
+        return fleet.fleet.dataPlaneNode(successor).notVotingCount() == 0
+                && fleet.fleet.presentStores().stream()
+                        .allMatch(store -> fleet.fleet
+                                                .dataPlaneNode(store)
+                                                .partitionGroups()
+                                                .size()
+                                        == ServiceNames.MESSAGE_PARTITIONS
+                                && fleet.fleet.dataPlaneNode(store).partitionGroups().values().stream()
+                                        .allMatch(expected::equals))
+                && fleet.fleet.dataPlaneNode(successor).votingEverywhere();
     }
 
     /** Loses one of the remaining stores, possibly the successor, together with its disk. */
     private void loseSecondStore() {
-        List<String> present = new ArrayList<>(fleet.w.presentStores());
+        List<String> present = new ArrayList<>(fleet.fleet.presentStores());
         Collections.sort(present);
-        fleet.w.lose(present.get(sim.random().nextInt(present.size())));
+        fleet.fleet.losePermanently(present.get(sim.random().nextInt(present.size())));
     }
 
     private Outcome finish(Duration votingAfter) {
@@ -158,7 +161,7 @@
             return new Outcome(votingAfter, List.of("partitions without a leader after the second loss"));
         }
         List<String> violations = new ArrayList<>();
-        fleet.followWhatRan();
+        fleet.followExecuted();
         if (!fleet.settle(SERVICE_LIMIT)) {
             violations.add(
                     "an accepted message did not end: " + fleet.firstOpen().orElse(""));
@@ -168,8 +171,8 @@
     }
 
     private boolean everyPartitionIsLed() {
-        return fleet.w.presentStores().stream()
-                        .mapToLong(store -> fleet.w.dataPlaneNode(store).ledPartitionCount())
+        return fleet.fleet.presentStores().stream()
+                        .mapToLong(store -> fleet.fleet.dataPlaneNode(store).ledPartitionCount())
                         .sum()
                 == ServiceNames.MESSAGE_PARTITIONS;
     }
@@ -183,12 +186,12 @@
             int broken = 0;
             for (long seed = first; seed < first + count; seed++) {
                 Outcome outcome = play(seed, departure);
-                millis.add(outcome.startToCountedEverywhere().toMillis());
+                millis.add(outcome.startToVotingEverywhere().toMillis());
                 if (!outcome.violations().isEmpty()) {
                     broken++;
                     System.out.println(departure + " seed " + seed + ": "
                             + outcome.violations().stream().limit(2).toList() + " votes everywhere after "
-                            + outcome.startToCountedEverywhere().toMillis());
+                            + outcome.startToVotingEverywhere().toMillis());
                 }
             }
             Collections.sort(millis);
--- a/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/TrafficMeter.java
@@ -23,8 +23,8 @@
     private TrafficMeter() {}
 
     private void watch(FleetSimulation simulation) {
-        simulation.w.net.onFrame((from, to, frame, bytes) -> {
-            if (!simulation.w.zone(from).equals(simulation.w.zone(to))) {
+        simulation.fleet.net.onFrame((from, to, frame, bytes) -> {
+            if (!simulation.fleet.zone(from).equals(simulation.fleet.zone(to))) {
                 FrameTotals totals =
                         loads.computeIfAbsent(frame.body().getClass().getSimpleName(), k -> new FrameTotals());
                 totals.frames++;
@@ -64,10 +64,10 @@
     public static void main(String[] args) throws ServiceException {
         TestConfiguration eight = new TestConfiguration(8, 12, 45, 60, 26);
         FleetSimulation idle = new FleetSimulation(1, 8, 3, 12, eight, SimulatedFleet.LARGE_RING).startAll();
-        idle.w.sim.run(Duration.ofSeconds(30));
+        idle.fleet.sim.run(Duration.ofSeconds(30));
         TrafficMeter idleTraffic = new TrafficMeter();
         idleTraffic.watch(idle);
-        idle.w.sim.run(Duration.ofSeconds(20));
+        idle.fleet.sim.run(Duration.ofSeconds(20));
         idleTraffic.print("An idle fleet of 8 + 3 + 3 in three zones, per second:", 20);
         for (int rate : new int[] {8, 60, 270}) {
             measureTraffic(rate, eight);
@@ -78,13 +78,13 @@
         FleetSimulation simulation =
                 new FleetSimulation(1, 8, 3, 12, testConfiguration, SimulatedFleet.LARGE_RING).startAll();
         simulation.traffic(rate);
-        simulation.w.sim.run(Duration.ofSeconds(10));
-        long before = simulation.kinds().getOrDefault("accepted", 0L);
+        simulation.fleet.sim.run(Duration.ofSeconds(10));
+        long before = simulation.countsByOutcome().getOrDefault("accepted", 0L);
         TrafficMeter meter = new TrafficMeter();
         meter.watch(simulation);
-        simulation.w.sim.run(Duration.ofSeconds(20));
+        simulation.fleet.sim.run(Duration.ofSeconds(20));
         meter.print(
                 "At " + rate + " messages per second, per message, including its share of the idle traffic:",
-                simulation.kinds().get("accepted") - before);
+                simulation.countsByOutcome().get("accepted") - before);
     }
 }
