--- a/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Backend.java
@@ -22,18 +22,18 @@
 /** Stub of a processor or an external endpoint; it remembers completed runs until it crashes. */
 public final class Backend {
     /** Processing time and failure probabilities; if {@code victim} names a tenant, only its requests fail. */
-    public record Manner(
+    public record Behavior(
             Duration work, double refuse, double later, double loseAnswer, double breakAnswer, String victim) {
-        public Manner(Duration work, double refuse, double later, double loseAnswer) {
+        public Behavior(Duration work, double refuse, double later, double loseAnswer) {
             this(work, refuse, later, loseAnswer, 0, "");
         }
 
-        Manner forTenant(String tenant) {
-            return victim.isEmpty() || victim.equals(tenant) ? this : new Manner(work, 0, 0, 0);
+        Behavior forTenant(String tenant) {
+            return victim.isEmpty() || victim.equals(tenant) ? this : new Behavior(work, 0, 0, 0);
         }
 
-        public static Manner good() {
-            return new Manner(Duration.ofMillis(5), 0, 0, 0);
+        public static Behavior good() {
+            return new Behavior(Duration.ofMillis(5), 0, 0, 0);
         }
     }
 
@@ -41,7 +41,7 @@
 
     private final String id;
     private final String service;
-    private final boolean paced;
+    private final boolean rateLimited;
     private final Observations observations;
     private final Clock clock;
     private final Timers timers;
@@ -51,7 +51,7 @@
     /** Attempts reported as unknown; they must not start later. */
     private final Set<String> fenced = new HashSet<>();
 
-    private Manner behavior = Manner.good();
+    private Behavior behavior = Behavior.good();
     private boolean memoryLost;
     private int incarnation;
 
@@ -65,7 +65,7 @@
             LongSupplier random) {
         this.id = id;
         this.service = service;
-        this.paced = paced;
+        this.rateLimited = paced;
         this.observations = observations;
         this.clock = clock;
         this.timers = timers;
@@ -76,11 +76,11 @@
         return service;
     }
 
-    public boolean paced() {
-        return paced;
+    public boolean rateLimited() {
+        return rateLimited;
     }
 
-    public synchronized void behave(Manner newBehavior) {
+    public synchronized void setBehavior(Behavior newBehavior) {
         behavior = newBehavior;
     }
 
@@ -89,7 +89,7 @@
         incarnation++;
         running.forEach((handle, n) -> {
             for (int i = 0; i < n; i++) {
-                observations.saw(observations.died, new Observations.Died(handle, clock.monotonicTime()));
+                observations.append(observations.died, new Observations.RunAborted(handle, clock.monotonicTime()));
             }
         });
         running.clear();
@@ -104,8 +104,8 @@
 
     public Mono<Response> answer(Request request) {
         return Mono.defer(() -> {
-            if (paced) {
-                observations.saw(
+            if (rateLimited) {
+                observations.append(
                         observations.endpoints, new Observations.RequestAtEndpoint(service, clock.monotonicTime()));
             }
             try {
@@ -123,15 +123,15 @@
     private synchronized Mono<Response> startRun(JsonNode node) {
         String handle = node.path("messageId").asText();
         int attempt = node.path("attempt").asInt();
-        Manner behaviorNow = behavior.forTenant(node.path("tenant").asText());
+        Behavior behaviorNow = behavior.forTenant(node.path("tenant").asText());
         if (chance(behaviorNow.later()) || fenced.contains(handle + "/" + attempt)) {
-            observations.saw(
-                    observations.turnedAway, new Observations.TurnedAway(handle, attempt, clock.monotonicTime()));
+            observations.append(
+                    observations.turnedAway, new Observations.AttemptRejected(handle, attempt, clock.monotonicTime()));
             return Mono.just(Response.json(503, Map.of("error", "later")));
         }
-        observations.saw(
+        observations.append(
                 observations.ran,
-                new Observations.Ran(
+                new Observations.RunStarted(
                         handle,
                         node.path("callerId").asText(),
                         node.path("tenant").asText(),
@@ -151,22 +151,22 @@
         return answer;
     }
 
-    private synchronized Mono<Response> finishRun(String handle, int attempt, Manner behaviorNow, int startedIn) {
+    private synchronized Mono<Response> finishRun(String handle, int attempt, Behavior behaviorNow, int startedIn) {
         if (startedIn != incarnation) {
             return Mono.error(new OutcomeUnknownException("the processor died"));
         }
         running.merge(handle, -1, (a, b) -> a + b == 0 ? null : a + b);
         if (chance(behaviorNow.refuse())) {
-            observations.saw(
+            observations.append(
                     observations.answered,
-                    new Observations.Answered(handle, attempt, id, clock.monotonicTime(), false, ""));
+                    new Observations.RunAnswered(handle, attempt, id, clock.monotonicTime(), false, ""));
             return Mono.just(Response.json(422, Map.of("error", "refused")));
         }
         String receipt = id + ":" + handle + ":" + attempt;
         completed.put(handle, new Completion(attempt, receipt));
-        observations.saw(
+        observations.append(
                 observations.answered,
-                new Observations.Answered(handle, attempt, id, clock.monotonicTime(), true, receipt));
+                new Observations.RunAnswered(handle, attempt, id, clock.monotonicTime(), true, receipt));
         if (chance(behaviorNow.loseAnswer())) {
             return Mono.error(new OutcomeUnknownException("the answer is lost"));
         }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ConfigurationRules.java
@@ -23,33 +23,33 @@
         log.began.forEach(b -> began.add(b.id()));
     }
 
-    private List<ObservationLog.Paper> acknowledged() {
-        return log.configurationStub.stream()
+    private List<ObservationLog.ConfigurationSubmission> acknowledged() {
+        return log.configurations.stream()
                 .filter(submitted -> submitted.status() == 200 && submitted.valid())
                 .sorted(Comparator.comparingLong(
-                        submitted -> submitted.configurationStub().configRevision()))
+                        submitted -> submitted.configuration().configRevision()))
                 .toList();
     }
 
     /** Messages that ran under a key which an acknowledged configuration removed and no later one restored. */
     List<String> revokedKeyUsed() {
         List<String> out = new ArrayList<>();
-        List<ObservationLog.Paper> all = acknowledged();
+        List<ObservationLog.ConfigurationSubmission> all = acknowledged();
         sent.values().stream()
                 .filter(sent -> began.contains(sent.id()) && !sent.key().isEmpty())
                 .forEach(sent -> {
                     Duration latest = sent.at().minus(ObservationLog.Bounds.REVOKE);
-                    Optional<ObservationLog.Paper> last = all.stream()
+                    Optional<ObservationLog.ConfigurationSubmission> last = all.stream()
                             .filter(submitted -> submitted.answered().compareTo(latest) < 0)
                             .reduce((a, submitted) -> submitted);
                     boolean stillValid = last.isEmpty()
-                            || log.configurationStub.stream()
+                            || log.configurations.stream()
                                     .anyMatch(submitted -> submitted.valid()
-                                            && submitted.configurationStub().configRevision()
+                                            && submitted.configuration().configRevision()
                                                     >= last.get()
-                                                            .configurationStub()
+                                                            .configuration()
                                                             .configRevision()
-                                            && admits(submitted.configurationStub(), sent));
+                                            && admits(submitted.configuration(), sent));
                     if (!stillValid) {
                         out.add(sent.id() + " ran, sent at " + sent.at() + " under " + sent.key() + ", withdrawn at "
                                 + last.get().answered());
@@ -69,23 +69,25 @@
     /** Requests answered according to an outdated configuration although the node was not cut off. */
     List<String> ignored() {
         List<String> out = new ArrayList<>();
-        log.said.stream().filter(answer -> sent.containsKey(answer.id())).forEach(answer -> {
-            ObservationLog.Sent s = sent.get(answer.id());
-            List<ConfigurationStub> possible = log.ruling(s.at(), answer.at());
-            Predicate<ConfigurationStub> allows =
-                    configuration -> configuration.route(s.host(), s.path()).isPresent() && admits(configuration, s);
-            boolean wrong = answer.status() == 202
-                    ? possible.stream().noneMatch(allows)
-                    : Set.of(401, 403, 404).contains(answer.status())
-                            && possible.stream().allMatch(allows);
-            if (wrong && !possible.isEmpty() && log.calm(s.at(), answer.at())) {
-                out.add(s.id() + " " + s.path() + " sent at " + s.at() + " to " + s.node() + " was answered "
-                        + answer.status() + "; revisions that may be in force: "
-                        + possible.stream()
-                                .map(ConfigurationStub::configRevision)
-                                .toList());
-            }
-        });
+        log.submissionAnswers.stream()
+                .filter(answer -> sent.containsKey(answer.id()))
+                .forEach(answer -> {
+                    ObservationLog.Sent s = sent.get(answer.id());
+                    List<ConfigurationStub> possible = log.ruling(s.at(), answer.at());
+                    Predicate<ConfigurationStub> allows = configuration ->
+                            configuration.route(s.host(), s.path()).isPresent() && admits(configuration, s);
+                    boolean wrong = answer.status() == 202
+                            ? possible.stream().noneMatch(allows)
+                            : Set.of(401, 403, 404).contains(answer.status())
+                                    && possible.stream().allMatch(allows);
+                    if (wrong && !possible.isEmpty() && log.calm(s.at(), answer.at())) {
+                        out.add(s.id() + " " + s.path() + " sent at " + s.at() + " to " + s.node() + " was answered "
+                                + answer.status() + "; revisions that may be in force: "
+                                + possible.stream()
+                                        .map(ConfigurationStub::configRevision)
+                                        .toList());
+                    }
+                });
         return out;
     }
 
@@ -96,33 +98,36 @@
     List<String> revertedToOlder() {
         List<String> out = new ArrayList<>();
         Map<String, Duration> served = new HashMap<>();
-        log.said.stream().filter(answer -> sent.containsKey(answer.id())).forEach(answer -> {
-            ObservationLog.Sent s = sent.get(answer.id());
-            String nodeRoute = s.node() + " " + s.host() + s.path();
-            if (answer.status() == 202) {
-                served.merge(nodeRoute, answer.at(), (x, y) -> x.compareTo(y) < 0 ? x : y);
-            } else if (answer.status() == 404
-                    && served.containsKey(nodeRoute)
-                    && s.at().compareTo(served.get(nodeRoute).plus(ObservationLog.Bounds.BACK)) > 0
-                    && log.killed.stream()
-                            .noneMatch(killed -> killed.node().equals(s.node())
-                                    && killed.at().compareTo(served.get(nodeRoute)) > 0)
-                    && log.configurationStub.stream()
-                            .noneMatch(submitted -> submitted.valid()
-                                    && submitted.status() != 412
-                                    && submitted
-                                            .configurationStub()
-                                            .route(s.host(), s.path())
-                                            .isEmpty()
-                                    && submitted.sent().compareTo(answer.at()) < 0
-                                    && submitted
-                                                    .answered()
-                                                    .plus(ObservationLog.Bounds.APPLY)
-                                                    .compareTo(served.get(nodeRoute))
-                                            > 0)) {
-                out.add(nodeRoute + " was served at " + served.get(nodeRoute) + " and unknown at " + answer.at());
-            }
-        });
+        log.submissionAnswers.stream()
+                .filter(answer -> sent.containsKey(answer.id()))
+                .forEach(answer -> {
+                    ObservationLog.Sent s = sent.get(answer.id());
+                    String nodeRoute = s.node() + " " + s.host() + s.path();
+                    if (answer.status() == 202) {
+                        served.merge(nodeRoute, answer.at(), (x, y) -> x.compareTo(y) < 0 ? x : y);
+                    } else if (answer.status() == 404
+                            && served.containsKey(nodeRoute)
+                            && s.at().compareTo(served.get(nodeRoute).plus(ObservationLog.Bounds.BACK)) > 0
+                            && log.killed.stream()
+                                    .noneMatch(killed -> killed.node().equals(s.node())
+                                            && killed.at().compareTo(served.get(nodeRoute)) > 0)
+                            && log.configurations.stream()
+                                    .noneMatch(submitted -> submitted.valid()
+                                            && submitted.status() != 412
+                                            && submitted
+                                                    .configuration()
+                                                    .route(s.host(), s.path())
+                                                    .isEmpty()
+                                            && submitted.sent().compareTo(answer.at()) < 0
+                                            && submitted
+                                                            .answered()
+                                                            .plus(ObservationLog.Bounds.APPLY)
+                                                            .compareTo(served.get(nodeRoute))
+                                                    > 0)) {
+                        out.add(nodeRoute + " was served at " + served.get(nodeRoute) + " and unknown at "
+                                + answer.at());
+                    }
+                });
         return out;
     }
 
@@ -130,12 +135,12 @@
     List<String> wronglyAcknowledged() {
         List<String> out = new ArrayList<>();
         Map<Long, String> byBase = new HashMap<>();
-        log.configurationStub.stream()
+        log.configurations.stream()
                 .filter(submitted -> submitted.status() == 200)
                 .forEach(submitted -> {
                     if (!submitted.valid()) {
                         out.add("an invalid configuration was acknowledged: "
-                                + submitted.configurationStub().configRevision());
+                                + submitted.configuration().configRevision());
                     }
                     Optional.ofNullable(byBase.putIfAbsent(submitted.base(), submitted.text()))
                             .filter(t -> !t.equals(submitted.text()))
@@ -150,24 +155,23 @@
      * got no clear answer.
      */
     List<String> wrongFinalRead() {
-        List<ObservationLog.Paper> all = acknowledged();
+        List<ObservationLog.ConfigurationSubmission> all = acknowledged();
         if (all.isEmpty() || log.readBack.isEmpty()) {
             return List.of();
         }
-        ObservationLog.Paper newest = all.get(all.size() - 1);
+        ObservationLog.ConfigurationSubmission newest = all.get(all.size() - 1);
         ObservationLog.ReadBack last = log.readBack.get(log.readBack.size() - 1);
         boolean good = last.status() == 200
-                && log.configurationStub.stream()
+                && log.configurations.stream()
                         .anyMatch(submitted -> submitted.valid()
                                 && submitted.text().equals(last.text())
                                 && (submitted.text().equals(newest.text())
                                         || submitted.status() == 0
-                                                && submitted.configurationStub().configRevision()
-                                                        > newest.configurationStub()
-                                                                .configRevision()));
+                                                && submitted.configuration().configRevision()
+                                                        > newest.configuration().configRevision()));
         return good
                 ? List.of()
                 : List.of("read at the end: " + last.status() + ", newest acknowledged is "
-                        + newest.configurationStub().configRevision());
+                        + newest.configuration().configRevision());
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/EndRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/EndRules.java
@@ -44,7 +44,7 @@
     List<String> unanswered() {
         Map<String, ObservationLog.Sent> sent = new HashMap<>();
         log.sent.forEach(s -> sent.put(s.id(), s));
-        return log.said.stream()
+        return log.submissionAnswers.stream()
                 .filter(answer -> answer.status() == 0
                         && sent.containsKey(answer.id())
                         && log.calm(sent.get(answer.id()).at(), answer.at()))
@@ -70,7 +70,7 @@
                 out.add(shown.id() + " was returned with a different body");
             }
         });
-        log.said.stream()
+        log.submissionAnswers.stream()
                 .filter(answer -> answer.status() >= 200 && answer.status() < 300 && answer.status() != 202)
                 .forEach(answer -> out.add(answer.id() + " was answered " + answer.status()));
         return out;
--- a/testkit/src/main/java/org/woadvale/testkit/stub/FailureReasons.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/FailureReasons.java
@@ -18,7 +18,7 @@
         this.observations = observations;
         this.refused = observations.copy(observations.answered).stream()
                 .filter(answered -> !answered.success())
-                .map(Observations.Answered::handle)
+                .map(Observations.RunAnswered::handle)
                 .collect(Collectors.toSet());
         observations.copy(observations.ran).forEach(ran -> recordAttempt(ran.handle(), ran.attempt()));
         observations
@@ -39,7 +39,7 @@
                 .toList();
     }
 
-    private boolean isSupported(Observations.Shown shown) {
+    private boolean isSupported(Observations.StatusRead shown) {
         Optional<Observations.LaneLimits> lane =
                 Optional.ofNullable(observations.lanes().get(shown.lane()));
         if (shown.proof().startsWith("attempts used up")) {
--- a/testkit/src/main/java/org/woadvale/testkit/stub/LimitRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/LimitRules.java
@@ -20,14 +20,14 @@
     List<String> tenantQuotaExceeded() {
         Map<String, Duration> accepted = new HashMap<>();
         log.began.forEach(began -> accepted.merge(began.id(), began.at(), (x, y) -> x.compareTo(y) < 0 ? x : y));
-        log.said.stream()
+        log.submissionAnswers.stream()
                 .filter(answer -> answer.status() == 202)
                 .forEach(answer -> accepted.put(answer.id(), answer.at()));
         Map<String, List<Duration>> eventTimes = new HashMap<>();
         log.sent.stream()
                 .filter(sent -> accepted.containsKey(sent.id()))
-                .forEach(sent -> log.configurationStub.stream()
-                        .flatMap(submitted -> submitted.configurationStub().tenant(sent.key()).stream())
+                .forEach(sent -> log.configurations.stream()
+                        .flatMap(submitted -> submitted.configuration().tenant(sent.key()).stream())
                         .map(ConfigurationStub.Tenant::name)
                         .findFirst()
                         .ifPresent(t -> eventTimes
--- a/testkit/src/main/java/org/woadvale/testkit/stub/MessageChecks.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/MessageChecks.java
@@ -26,16 +26,16 @@
     List<String> lost() {
         Map<String, Duration> ended = new HashMap<>();
         observations.copy(observations.shown).stream()
-                .filter(Observations.Shown::over)
+                .filter(Observations.StatusRead::isTerminal)
                 .forEach(shown -> ended.merge(shown.handle(), shown.at(), (a, b) -> a.compareTo(b) < 0 ? a : b));
         List<String> out = new ArrayList<>(observations.copy(observations.submitted).stream()
-                .filter(submitted ->
-                        submitted.said() == Observations.Said.ACCEPTED && !ended.containsKey(submitted.handle()))
+                .filter(submitted -> submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
+                        && !ended.containsKey(submitted.handle()))
                 .map(submitted -> submitted.handle() + " was never shown as ended")
                 .distinct()
                 .toList());
         observations.copy(observations.shown).stream()
-                .filter(shown -> !shown.over()
+                .filter(shown -> !shown.isTerminal()
                         && ended.containsKey(shown.handle())
                         && shown.asked().compareTo(ended.get(shown.handle())) > 0)
                 .forEach(shown -> out.add(shown.handle() + " was shown as " + shown.state() + " after its end"));
@@ -46,7 +46,7 @@
     List<String> ranAfterSuccess() {
         Map<String, Duration> success = new HashMap<>();
         observations.copy(observations.answered).stream()
-                .filter(Observations.Answered::success)
+                .filter(Observations.RunAnswered::success)
                 .forEach(answered ->
                         success.merge(answered.handle(), answered.at(), (x, y) -> x.compareTo(y) < 0 ? x : y));
         return observations.copy(observations.ran).stream()
@@ -60,13 +60,13 @@
     List<String> refusedRan() {
         Function<Observations.Submitted, String> id =
                 submitted -> submitted.tenant() + "/" + submitted.lane() + "/" + submitted.id();
-        Map<String, Set<Observations.Said>> outcomes = observations.copy(observations.submitted).stream()
+        Map<String, Set<Observations.SubmissionOutcome>> outcomes = observations.copy(observations.submitted).stream()
                 .collect(Collectors.groupingBy(
-                        id, Collectors.mapping(Observations.Submitted::said, Collectors.toSet())));
+                        id, Collectors.mapping(Observations.Submitted::outcome, Collectors.toSet())));
         return observations.copy(observations.ran).stream()
                 .map(ran -> ran.tenant() + "/" + ran.lane() + "/" + ran.callerId())
                 .distinct()
-                .filter(k -> outcomes.getOrDefault(k, Set.of()).equals(Set.of(Observations.Said.REFUSED)))
+                .filter(k -> outcomes.getOrDefault(k, Set.of()).equals(Set.of(Observations.SubmissionOutcome.REFUSED)))
                 .map(k -> k + " ran although every submission was refused")
                 .toList();
     }
@@ -78,7 +78,7 @@
                 .copy(observations.answered)
                 .forEach(answered -> out.merge(answered.handle(), answered.at(), (x, y) -> x.compareTo(y) > 0 ? x : y));
         observations.copy(observations.shown).stream()
-                .filter(shown -> shown.over() && !shown.ended().isNegative())
+                .filter(shown -> shown.isTerminal() && !shown.ended().isNegative())
                 .forEach(shown -> out.put(shown.handle(), shown.ended()));
         return out;
     }
@@ -90,16 +90,17 @@
     List<String> outOfOrder() {
         Map<String, Duration> ended = ends();
         Set<String> live = observations.copy(observations.ran).stream()
-                .map(Observations.Ran::handle)
+                .map(Observations.RunStarted::handle)
                 .collect(Collectors.toSet());
         observations.copy(observations.died).forEach(died -> live.remove(died.handle()));
         Map<String, Set<String>> byKey = new HashMap<>();
         observations.copy(observations.submitted).stream()
-                .filter(submitted -> !submitted.orderKey().isEmpty() && submitted.said() == Observations.Said.ACCEPTED)
+                .filter(submitted -> !submitted.orderKey().isEmpty()
+                        && submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED)
                 .forEach(submitted -> byKey.computeIfAbsent(
                                 group(submitted.tenant(), submitted.lane(), submitted.orderKey()), k -> new HashSet<>())
                         .add(submitted.handle()));
-        Map<String, List<Observations.Ran>> runs = observations.copy(observations.ran).stream()
+        Map<String, List<Observations.RunStarted>> runs = observations.copy(observations.ran).stream()
                 .filter(r -> !r.orderKey().isEmpty())
                 .collect(Collectors.groupingBy(r -> group(r.tenant(), r.lane(), r.orderKey())));
         Map<String, List<Duration>> finished = new HashMap<>();
@@ -115,7 +116,7 @@
         runs.forEach((k, list) -> {
             Set<String> all = new HashSet<>(byKey.getOrDefault(k, Set.of()));
             list.forEach(r -> all.add(r.handle()));
-            for (Observations.Ran later : list) {
+            for (Observations.RunStarted later : list) {
                 for (String earlier : all) {
                     if (seq(earlier) < seq(later.handle()) && !endedBefore(ended, live, earlier, later.begun())) {
                         out.add(k + ": " + later.handle() + " began before " + earlier + " had ended");
@@ -136,7 +137,7 @@
     }
 
     private static List<String> stillRunning(
-            List<Observations.Ran> runs, Map<String, List<Duration>> finished, Observations.Ran later) {
+            List<Observations.RunStarted> runs, Map<String, List<Duration>> finished, Observations.RunStarted later) {
         Map<String, Long> begun = new HashMap<>();
         runs.stream()
                 .filter(ran ->
@@ -162,7 +163,7 @@
     /** Messages shown as done without a processor's success answer for the same message and receipt. */
     List<String> withoutProof() {
         Set<String> receipts = observations.copy(observations.answered).stream()
-                .filter(Observations.Answered::success)
+                .filter(Observations.RunAnswered::success)
                 .map(answered -> answered.handle() + "/" + answered.receipt())
                 .collect(Collectors.toSet());
         return observations.copy(observations.shown).stream()
--- a/testkit/src/main/java/org/woadvale/testkit/stub/NeverList.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/NeverList.java
@@ -49,7 +49,7 @@
     }
 
     /** The highest number of events in any window of 5 s. */
-    public static int worst(List<Duration> sorted) {
+    public static int maxInWindow(List<Duration> sorted) {
         return SlidingWindowLimits.maxInWindow(sorted);
     }
 }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ObservationLog.java
@@ -18,7 +18,7 @@
             Duration at) {}
 
     /** The answer to a submission; status 0 means no answer. */
-    public record Said(String id, int status, String ref, Duration at) {}
+    public record SubmissionAnswer(String id, int status, String ref, Duration at) {}
 
     /** A request that reached a push processor; {@code turnedAway} means that it answered 421. */
     public record Arrived(String id, String service, String instance, boolean turnedAway, Duration at) {}
@@ -40,14 +40,14 @@
     public record Read(String id, Duration at) {}
 
     /** The end of a lease was accepted with 200. */
-    public record EndTaken(String id, String lease, int outcome, Duration at) {}
+    public record LeaseEndAccepted(String id, String lease, int outcome, Duration at) {}
 
     /** The final status of a message; status 0 means no answer. */
     public record Shown(String id, int status, String state, String seal, int bodyStatus, String body) {}
 
     /** A submitted configuration; status 0 means no clear answer. */
-    public record Paper(
-            ConfigurationStub configurationStub,
+    public record ConfigurationSubmission(
+            ConfigurationStub configuration,
             String text,
             long base,
             boolean valid,
@@ -67,25 +67,25 @@
     public record Draining(String instance, Duration shown) {}
 
     /** An unplanned disruption. */
-    public record Trouble(String what, Duration from, Duration until) {}
+    public record Disruption(String what, Duration from, Duration until) {}
 
     /** The end of one incarnation of a node. */
     public record Killed(String node, Duration at) {}
 
     public final List<Sent> sent = new ArrayList<>();
-    public final List<Said> said = new ArrayList<>();
+    public final List<SubmissionAnswer> submissionAnswers = new ArrayList<>();
     public final List<Arrived> arrived = new ArrayList<>();
     public final List<Began> began = new ArrayList<>();
     public final List<Ended> ended = new ArrayList<>();
     public final List<Read> read = new ArrayList<>();
-    public final List<EndTaken> endsTaken = new ArrayList<>();
+    public final List<LeaseEndAccepted> endsTaken = new ArrayList<>();
     public final List<Shown> shown = new ArrayList<>();
-    public final List<Paper> configurationStub = new ArrayList<>();
+    public final List<ConfigurationSubmission> configurations = new ArrayList<>();
     public final List<OrderCall> orderCalls = new ArrayList<>();
     public final List<ConfigurationRead> configurationReads = new ArrayList<>();
     public final List<ReadBack> readBack = new ArrayList<>();
     public final List<Draining> draining = new ArrayList<>();
-    public final List<Trouble> troubles = new ArrayList<>();
+    public final List<Disruption> troubles = new ArrayList<>();
     public final List<Killed> killed = new ArrayList<>();
 
     /** Whether no disruption overlapped the period, which is extended by {@link Bounds#CONTACT} at its start. */
@@ -102,18 +102,18 @@
      */
     public List<ConfigurationStub> ruling(Duration from, Duration until) {
         Duration appliedBy = from.minus(Bounds.APPLY);
-        long newest = configurationStub.stream()
+        long newest = configurations.stream()
                 .filter(submitted ->
                         submitted.status() == 200 && submitted.answered().compareTo(appliedBy) < 0)
-                .mapToLong(submitted -> submitted.configurationStub().configRevision())
+                .mapToLong(submitted -> submitted.configuration().configRevision())
                 .max()
                 .orElse(0);
-        return configurationStub.stream()
+        return configurations.stream()
                 .filter(submitted -> submitted.valid()
                         && (submitted.status() == 200 || submitted.status() == 0)
-                        && submitted.configurationStub().configRevision() >= newest
+                        && submitted.configuration().configRevision() >= newest
                         && submitted.sent().compareTo(until) <= 0)
-                .map(Paper::configurationStub)
+                .map(ConfigurationSubmission::configuration)
                 .toList();
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/stub/Observations.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/Observations.java
@@ -14,7 +14,7 @@
     /** A time that was not observed. */
     public static final Duration UNSEEN = Duration.ofSeconds(-1);
 
-    public enum Said {
+    public enum SubmissionOutcome {
         ACCEPTED,
         REFUSED,
         UNKNOWN
@@ -29,12 +29,12 @@
             String key,
             Duration sent,
             Duration answered,
-            Said said,
+            SubmissionOutcome outcome,
             String kind,
             String handle,
             boolean repeated) {}
 
-    public record Ran(
+    public record RunStarted(
             String handle,
             String callerId,
             String tenant,
@@ -46,17 +46,17 @@
             Duration begun) {}
 
     /** A run ended with an answer: success or refusal. */
-    public record Answered(
+    public record RunAnswered(
             String handle, int attempt, String processor, Duration at, boolean success, String receipt) {}
 
     /** A run ended without an answer because its processor crashed. */
-    public record Died(String handle, Duration at) {}
+    public record RunAborted(String handle, Duration at) {}
 
     /** A backend answered "retry later" and did nothing. */
-    public record TurnedAway(String handle, int attempt, Duration at) {}
+    public record AttemptRejected(String handle, int attempt, Duration at) {}
 
     /** A message's status as shown to a caller; the owner's timestamps, where known, are converted to test time. */
-    public record Shown(
+    public record StatusRead(
             String handle,
             String state,
             String proof,
@@ -65,14 +65,14 @@
             Duration at,
             Duration accepted,
             Duration ended) {
-        public boolean over() {
+        public boolean isTerminal() {
             return state.equals("done") || state.equals("failed");
         }
 
         /** From the answer to a GET; {@code clock} converts the owner's timestamps, or returns {@link #UNSEEN}. */
-        public static Shown read(
+        public static StatusRead read(
                 String handle, JsonNode node, Duration asked, Duration at, Function<Instant, Duration> clock) {
-            return new Shown(
+            return new StatusRead(
                     handle,
                     node.path("state").asText(),
                     node.path("proof").asText(node.path("note").asText("")),
@@ -90,15 +90,15 @@
         }
     }
 
-    public record ConfigurationSaid(
-            String requestId, long version, boolean taken, boolean valid, Duration at, String digest) {}
+    public record ConfigurationAnswer(
+            String requestId, long version, boolean accepted, boolean valid, Duration at, String digest) {}
 
     public record ConfigurationRead(long version, String digest, Duration asked) {}
 
     public record KeyWithdrawn(String key, Duration acknowledged) {}
 
     /** A request, other than a submission, that was served under a key. */
-    public record KeyServed(String key, String what, Duration answered) {}
+    public record RequestServed(String key, String what, Duration answered) {}
 
     public record MarkedLeaving(String processor, Duration acknowledged) {}
 
@@ -107,7 +107,7 @@
 
     public record RequestAtEndpoint(String service, Duration at) {}
 
-    public record ConfigurationNeeded(String what, Duration acknowledged, Duration seenIgnored) {}
+    public record IgnoredConfiguration(String what, Duration acknowledged, Duration seenIgnored) {}
 
     /** The configuration version that a node reports; a restarted node counts as the same node. */
     public record NodeVersion(String node, long version, Duration at) {}
@@ -125,19 +125,19 @@
     }
 
     public final List<Submitted> submitted = new ArrayList<>();
-    public final List<Ran> ran = new ArrayList<>();
-    public final List<Answered> answered = new ArrayList<>();
-    public final List<Died> died = new ArrayList<>();
-    public final List<TurnedAway> turnedAway = new ArrayList<>();
-    public final List<Shown> shown = new ArrayList<>();
-    public final List<ConfigurationSaid> configurations = new ArrayList<>();
+    public final List<RunStarted> ran = new ArrayList<>();
+    public final List<RunAnswered> answered = new ArrayList<>();
+    public final List<RunAborted> died = new ArrayList<>();
+    public final List<AttemptRejected> turnedAway = new ArrayList<>();
+    public final List<StatusRead> shown = new ArrayList<>();
+    public final List<ConfigurationAnswer> configurations = new ArrayList<>();
     public final List<ConfigurationRead> reads = new ArrayList<>();
     public final List<KeyWithdrawn> keys = new ArrayList<>();
-    public final List<KeyServed> served = new ArrayList<>();
+    public final List<RequestServed> served = new ArrayList<>();
     public final List<MarkedLeaving> leaving = new ArrayList<>();
     public final List<Listed> listed = new ArrayList<>();
     public final List<RequestAtEndpoint> endpoints = new ArrayList<>();
-    public final List<ConfigurationNeeded> ignored = new ArrayList<>();
+    public final List<IgnoredConfiguration> ignored = new ArrayList<>();
     public final List<NodeVersion> versions = new ArrayList<>();
     public final List<Outage> outages = new ArrayList<>();
     /** Limits by tenant, by endpoint and by lane, as the operator set them. */
@@ -146,7 +146,7 @@
     private final Map<String, List<Limit>> rates = new HashMap<>();
     private final Map<String, LaneLimits> lanes = new HashMap<>();
 
-    public synchronized <T> void saw(List<T> list, T observation) {
+    public synchronized <T> void append(List<T> list, T observation) {
         list.add(observation);
     }
 
@@ -154,11 +154,11 @@
         return List.copyOf(list);
     }
 
-    public synchronized void allowed(String tenant, Limit limit) {
+    public synchronized void tenantLimit(String tenant, Limit limit) {
         allowances.computeIfAbsent(tenant, t -> new ArrayList<>()).add(limit);
     }
 
-    public synchronized void paced(String endpoint, Limit limit) {
+    public synchronized void endpointLimit(String endpoint, Limit limit) {
         rates.computeIfAbsent(endpoint, t -> new ArrayList<>()).add(limit);
     }
 
--- a/testkit/src/main/java/org/woadvale/testkit/stub/ObservedEnds.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/ObservedEnds.java
@@ -11,13 +11,15 @@
 final class ObservedEnds {
     private final ObservationLog log;
     private final Map<String, ObservationLog.Sent> sent = new HashMap<>();
-    private final Map<String, ObservationLog.Said> accepted = new HashMap<>();
+    private final Map<String, ObservationLog.SubmissionAnswer> accepted = new HashMap<>();
     private final Map<String, List<ObservationLog.Ended>> ended = new HashMap<>();
 
     ObservedEnds(ObservationLog log) {
         this.log = log;
         log.sent.forEach(s -> sent.put(s.id(), s));
-        log.said.stream().filter(answer -> answer.status() == 202).forEach(answer -> accepted.put(answer.id(), answer));
+        log.submissionAnswers.stream()
+                .filter(answer -> answer.status() == 202)
+                .forEach(answer -> accepted.put(answer.id(), answer));
         log.ended.forEach(
                 e -> ended.computeIfAbsent(e.id(), k -> new ArrayList<>()).add(e));
     }
@@ -26,15 +28,15 @@
         return Optional.ofNullable(sent.get(id));
     }
 
-    Map<String, ObservationLog.Said> accepted() {
+    Map<String, ObservationLog.SubmissionAnswer> accepted() {
         return accepted;
     }
 
     /** The request's route in the first valid configuration that has one. */
     Optional<ConfigurationStub.Route> route(ObservationLog.Sent sent) {
-        return log.configurationStub.stream()
-                .filter(ObservationLog.Paper::valid)
-                .flatMap(submitted -> submitted.configurationStub().route(sent.host(), sent.path()).stream())
+        return log.configurations.stream()
+                .filter(ObservationLog.ConfigurationSubmission::valid)
+                .flatMap(submitted -> submitted.configuration().route(sent.host(), sent.path()).stream())
                 .findFirst();
     }
 
@@ -75,15 +77,12 @@
             out.add(failed.get(attempts(s) - 1));
         }
         route(s).ifPresent(route -> out.add(s.at().plusMillis((long) (route.retentionS() * 1000))));
-        log.configurationStub.stream()
+        log.configurations.stream()
                 .filter(submitted -> submitted.valid()
                         && submitted.status() != 412
                         && submitted.sent().compareTo(s.at()) > 0
-                        && submitted
-                                .configurationStub()
-                                .route(s.host(), s.path())
-                                .isEmpty())
-                .map(ObservationLog.Paper::sent)
+                        && submitted.configuration().route(s.host(), s.path()).isEmpty())
+                .map(ObservationLog.ConfigurationSubmission::sent)
                 .forEach(out::add);
         return out.stream().min(Duration::compareTo);
     }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/OperatorChecks.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/OperatorChecks.java
@@ -33,7 +33,7 @@
             Duration end = keyWithdrawn.acknowledged().plus(KEY_REVOCATION_LIMIT);
             observations.copy(observations.submitted).stream()
                     .filter(submitted -> submitted.key().equals(keyWithdrawn.key())
-                            && submitted.said() == Observations.Said.ACCEPTED
+                            && submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
                             && accepted.getOrDefault(submitted.handle(), submitted.sent())
                                             .compareTo(end)
                                     > 0)
@@ -70,15 +70,15 @@
 
     List<String> badConfiguration() {
         List<String> out = new ArrayList<>();
-        List<Observations.ConfigurationSaid> answers = observations.copy(observations.configurations);
+        List<Observations.ConfigurationAnswer> answers = observations.copy(observations.configurations);
         answers.stream()
-                .filter(answer -> answer.taken() && !answer.valid())
+                .filter(answer -> answer.accepted() && !answer.valid())
                 .forEach(answer -> out.add(answer.requestId() + " is invalid but was accepted"));
         Map<Long, Set<String>> byVersion = answers.stream()
-                .filter(Observations.ConfigurationSaid::taken)
+                .filter(Observations.ConfigurationAnswer::accepted)
                 .collect(Collectors.groupingBy(
-                        Observations.ConfigurationSaid::version,
-                        Collectors.mapping(Observations.ConfigurationSaid::digest, Collectors.toSet())));
+                        Observations.ConfigurationAnswer::version,
+                        Collectors.mapping(Observations.ConfigurationAnswer::digest, Collectors.toSet())));
         byVersion.forEach((version, digests) -> {
             if (digests.size() > 1) {
                 out.add("two configurations were accepted as version " + version);
@@ -86,7 +86,7 @@
         });
         observations.copy(observations.reads).forEach(read -> {
             answers.stream()
-                    .filter(answer -> answer.taken()
+                    .filter(answer -> answer.accepted()
                             && answer.at().compareTo(read.asked()) < 0
                             && answer.version() > read.version())
                     .findFirst()
--- a/testkit/src/main/java/org/woadvale/testkit/stub/RunRules.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/RunRules.java
@@ -21,8 +21,8 @@
     }
 
     private String tenant(String key) {
-        return log.configurationStub.stream()
-                .flatMap(submitted -> submitted.configurationStub().tenant(key).stream())
+        return log.configurations.stream()
+                .flatMap(submitted -> submitted.configuration().tenant(key).stream())
                 .map(ConfigurationStub.Tenant::name)
                 .findFirst()
                 .orElse("");
@@ -97,7 +97,7 @@
     List<String> refusedButRan() {
         Set<String> ran = new HashSet<>();
         log.began.forEach(began -> ran.add(began.id()));
-        return log.said.stream()
+        return log.submissionAnswers.stream()
                 .filter(answer -> NOT_EXECUTED_STATUSES.contains(answer.status()) && ran.contains(answer.id()))
                 .map(answer -> answer.id() + " was answered " + answer.status() + " and ran")
                 .toList();
@@ -126,15 +126,15 @@
     List<String> routeNotAllowed() {
         List<String> out = new ArrayList<>();
         log.began.forEach(began -> ends.sent(began.id()).ifPresent(sent -> {
-            boolean allowed = log.configurationStub.stream()
+            boolean allowed = log.configurations.stream()
                     .anyMatch(submitted -> submitted.valid()
                             && submitted
-                                    .configurationStub()
+                                    .configuration()
                                     .route(sent.host(), sent.path())
                                     .filter(route -> route.service().equals(began.service())
                                             && (route.keyless()
                                                     || submitted
-                                                            .configurationStub()
+                                                            .configuration()
                                                             .tenant(sent.key())
                                                             .isPresent()))
                                     .isPresent());
--- a/testkit/src/main/java/org/woadvale/testkit/stub/SlidingWindowLimits.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/SlidingWindowLimits.java
@@ -26,7 +26,7 @@
             accepted.merge(ran.handle(), ran.begun(), SlidingWindowLimits::earlier);
         });
         observations.copy(observations.submitted).stream()
-                .filter(submitted -> submitted.said() == Observations.Said.ACCEPTED)
+                .filter(submitted -> submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED)
                 .forEach(submitted -> {
                     tenants.put(submitted.handle(), submitted.tenant());
                     accepted.merge(submitted.handle(), submitted.answered(), SlidingWindowLimits::earlier);
--- a/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/TestConfiguration.java
@@ -98,10 +98,11 @@
 
     public void allow(Observations observations) {
         for (int i = 0; i < tenants; i++) {
-            observations.allowed(tenant(i), new Observations.Limit(ratePerS, burst, Duration.ZERO, Duration.ZERO));
+            observations.tenantLimit(tenant(i), new Observations.Limit(ratePerS, burst, Duration.ZERO, Duration.ZERO));
         }
         for (int i = 0; i < endpoints; i++) {
-            observations.paced(endpoint(i), new Observations.Limit(endpointRate, 0, Duration.ZERO, Duration.ZERO));
+            observations.endpointLimit(
+                    endpoint(i), new Observations.Limit(endpointRate, 0, Duration.ZERO, Duration.ZERO));
         }
         lanes().forEach(lane -> observations.lane(lane, new Observations.LaneLimits(TIME_LIMIT_MS, ATTEMPTS)));
     }
--- a/testkit/src/test/java/org/woadvale/operator/FleetTest.java
+++ b/testkit/src/test/java/org/woadvale/operator/FleetTest.java
@@ -51,7 +51,7 @@
         stubEnvironment.await(
                 "an accepted submission " + when,
                 LONG_TIMEOUT,
-                () -> load.one(0).join().said() == Observations.Said.ACCEPTED);
+                () -> load.submitRandom(0).join().outcome() == Observations.SubmissionOutcome.ACCEPTED);
     }
 
     @Test
@@ -100,7 +100,7 @@
             boolean settled = load.settle(Duration.ofSeconds(120));
             assertEquals(List.of(), load.broken(), "every 202 carries a handle");
             assertTrue(settled, () -> "not every accepted message has ended: " + load.states() + " " + load.unended());
-            List<String> violations = new NeverList(environment.seen).violations();
+            List<String> violations = new NeverList(environment.observations).violations();
             assertEquals(List.of(), violations);
             assertTrue(
                     load.states().getOrDefault("done", 0L) > 100, load.states().toString());
--- a/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/cluster/CutAnswersTest.java
@@ -111,7 +111,8 @@
                                 .join(),
                         "cut after " + i + " of " + response.length);
             }
-            Client.Got answer = client.send("POST", intake.address(), "/" + response.length, "", new byte[3], Map.of())
+            Client.HttpAnswer answer = client.send(
+                            "POST", intake.address(), "/" + response.length, "", new byte[3], Map.of())
                     .join();
             assertEquals("m1-1", answer.json().path("handle").asText());
         }
@@ -159,10 +160,10 @@
                     false,
                     false));
             Load load = new Load(environment, fleet, 5);
-            Observations.Submitted submitted = load.one(0).join();
+            Observations.Submitted submitted = load.submitRandom(0).join();
             assertTrue(load.settle(Duration.ofSeconds(3)), () -> load.states() + " " + load.unended());
             assertEquals(Map.of("failed", 1L), load.states());
-            assertEquals(Observations.Said.ACCEPTED, submitted.said());
+            assertEquals(Observations.SubmissionOutcome.ACCEPTED, submitted.outcome());
             assertEquals("m1-1", submitted.handle());
             assertEquals(2, submissions.get());
             assertEquals(1, load.broken().size(), load.broken().toString());
@@ -170,7 +171,8 @@
                     load.broken().get(0).endsWith(" " + first.length() + " bytes: " + first),
                     load.broken().get(0));
             assertTrue(intake.requests.stream().noneMatch("GET /v1/messages/"::equals), intake.requests.toString());
-            assertTrue(new NeverList(environment.seen).violations().stream().noneMatch(v -> v.contains("never shown")));
+            assertTrue(new NeverList(environment.observations)
+                    .violations().stream().noneMatch(v -> v.contains("never shown")));
         }
     }
 
@@ -195,7 +197,7 @@
                     false,
                     false));
             Load load = new Load(environment, fleet, 5);
-            load.one(0).join();
+            load.submitRandom(0).join();
             assertEquals(false, load.settle(Duration.ofMillis(300)));
             assertEquals(Map.of(), load.states());
             assertTrue(
--- a/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
+++ b/testkit/src/test/java/org/woadvale/testkit/compatibility/GoldenFiles.java
@@ -38,7 +38,7 @@
 
     static Set<String> exchanges() throws ServiceException {
         HttpShapes shapes = new HttpShapes();
-        SimulatedFleets.play(shapes::add);
+        SimulatedFleets.recordExchanges(shapes::add);
         return shapes.all();
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/explore/FoundingRaceTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/explore/BootstrapRaceTest.java
@@ -13,7 +13,7 @@
  * the nodes are notified at different times.
  */
 @ExtendWith(EngineLoggingDisabled.class)
-class FoundingRaceTest {
+class BootstrapRaceTest {
     private static final Set<String> CONNECTED_PAIRS = Set.of("ab", "ba", "cd", "dc");
     private static final int ROUNDS = 12;
     private static final int MAX_DEFAULT_STEPS = 500;
--- a/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/ReplicationTest.java
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13})
-    void neverTwoOwnersUnderCuts(long seed) throws ServiceException {
+    void neverTwoLeadersUnderPartitions(long seed) throws ServiceException {
         ReplicaGroupFixture group = new ReplicaGroupFixture(seed);
         group.awaitLeader();
         group.net.setLossAndDuplication(0.05, 0.05);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void farBehindReplicaTakesAViewThenFollows() throws ServiceException {
+    void laggingReplicaInstallsASnapshotThenFollows() throws ServiceException {
         ReplicaGroupFixture group = new ReplicaGroupFixture(4);
         String leader = group.awaitLeader();
         String behind = group.hosts.keySet().stream()
@@ -120,7 +120,7 @@
      * section 5.5)
      */
     @Test
-    void naiveDiskReturnLosesAnAcceptedEntry() throws ServiceException {
+    void countingAnEmptyDiskAtOnceLosesAnAcceptedEntry() throws ServiceException {
         ReplicaGroupFixture group = new ReplicaGroupFixture(5);
         loseDiskOfTheOnlyOtherHolder(group, true);
         group.awaitLeader();
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void handOverMovesTheOwnerWithoutWaitingForTheClaim() throws ServiceException {
+    void leadershipTransferDoesNotWaitForTheLease() throws ServiceException {
         ReplicaGroupFixture group = new ReplicaGroupFixture(7);
         String formerLeader = group.awaitLeader();
         group.propose("one");
--- a/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/SnapshotTransferTest.java
@@ -163,7 +163,7 @@
         group.sim.run(Duration.ofSeconds(1));
         String identity = members(group).get(rolledBack);
         group.hosts.get(rolledBack).kill();
-        group.hosts.get(rolledBack).disk().become(earlier);
+        group.hosts.get(rolledBack).disk().copyFrom(earlier);
         group.start(rolledBack);
         group.sim.run(Duration.ofSeconds(3));
         assertFalse(
@@ -183,7 +183,7 @@
         String victim = follower(group);
         Map<String, String> before = members(group);
         group.hosts.get(victim).kill();
-        group.hosts.get(victim).disk().become(group.hosts.get(leader).disk().copy());
+        group.hosts.get(victim).disk().copyFrom(group.hosts.get(leader).disk().copy());
         group.start(victim);
         assertEquals(Role.UNINITIALIZED, group.replicas.get(victim).role());
         group.sim.run(Duration.ofSeconds(3));
--- a/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/replication/WriteAheadLogTest.java
@@ -106,7 +106,7 @@
         log.onFailure(reason -> failed[0] = true);
         long[] index = {0};
         RingWriteAheadLog wal = log;
-        log.onSpaceNeeded("m1", () -> wal.append(List.of(snapshot("m1", index[0])), () -> {}));
+        log.onSnapshotNeeded("m1", () -> wal.append(List.of(snapshot("m1", index[0])), () -> {}));
         for (int i = 0; i < 300; i++) {
             log.append(List.of(entry("m1", ++index[0], 200)), () -> {});
             sim.run(Duration.ofMillis(20));
@@ -131,7 +131,7 @@
         List<String> failed = new ArrayList<>();
         log.onFailure(failed::add);
         int[] requests = {0};
-        log.onSpaceNeeded("m1", () -> {
+        log.onSnapshotNeeded("m1", () -> {
             requests[0]++;
             sim.after(
                     Duration.ofMillis(60),
@@ -177,7 +177,7 @@
         RingWriteAheadLog wal = log;
         for (String partition : List.of("m1", "m2", "m3", "m4")) {
             log.expectSnapshotBytes(partition, 1500);
-            log.onSpaceNeeded(
+            log.onSnapshotNeeded(
                     partition,
                     () -> sim.after(
                             Duration.ofMillis(sim.random().nextInt(30)),
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/AdmissionTest.java
@@ -67,7 +67,7 @@
                     new TestConfiguration(8, 2, 45, 60, 26),
                     100,
                     Duration.ofSeconds(12),
-                    simulation -> simulation.w.kill(simulation.w.controlNodes.get(0)));
+                    simulation -> simulation.fleet.kill(simulation.fleet.controlNodes.get(0)));
             assertNothingViolatedOrFailed(figures);
             assertEquals(0, figures.throttled() + figures.otherRefusals());
         }
@@ -79,10 +79,10 @@
     @Test
     void drainedStoreTransfersItsPartitionsOnce() throws ServiceException {
         Measure.Figures figures = Measure.steady(1, 3, 3, EIGHT_TENANTS, 60, Duration.ofSeconds(12), simulation -> {
-            String store = simulation.w.stores.get(0);
-            simulation.w.dataPlaneNode(store).drain();
-            simulation.w.sim.run(Duration.ofSeconds(2));
-            assertTrue(simulation.w.dataPlaneNode(store).drain(), "all partitions must be transferred after 2 s");
+            String store = simulation.fleet.stores.get(0);
+            simulation.fleet.dataPlaneNode(store).drain();
+            simulation.fleet.sim.run(Duration.ofSeconds(2));
+            assertTrue(simulation.fleet.dataPlaneNode(store).drain(), "all partitions must be transferred after 2 s");
         });
         assertNothingViolatedOrFailed(figures);
         assertEquals(0, figures.throttled() + figures.otherRefusals(), "a drain must cause no refusals");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BadInputTest.java
@@ -21,7 +21,7 @@
 
     BadInputTest() throws ServiceException {
         simulation = new FleetSimulation(1, 2, 3, 2).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
     }
 
     private Response send(
@@ -29,24 +29,24 @@
         Map<String, String> headers = new HashMap<>(extraHeaders);
         headers.put("authorization", "Bearer " + key);
         List<Response> responses = new ArrayList<>();
-        simulation.w.request(
+        simulation.fleet.request(
                 to,
                 new Request(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                 Duration.ofSeconds(6),
                 response -> responses.add(response.orElseThrow()));
-        simulation.w.sim.run(Duration.ofSeconds(7));
+        simulation.fleet.sim.run(Duration.ofSeconds(7));
         return responses.get(0);
     }
 
     private String statusAndKind(String method, String path, String key, String body) {
-        Response response = send(simulation.w.intakes.get(0), method, path, key, body, Map.of());
+        Response response = send(simulation.fleet.intakes.get(0), method, path, key, body, Map.of());
         return response.status() + " "
                 + FleetSimulation.json(response).path("kind").asText();
     }
 
     private long storedMessages() {
         Response response = send(
-                simulation.w.intakes.get(1),
+                simulation.fleet.intakes.get(1),
                 "GET",
                 "/v1/messages?state=done",
                 TestConfiguration.callerKey(0),
@@ -99,7 +99,7 @@
         String done = "{\"processor\":\"p0\",\"attempt\":1,\"outcome\":\"done\",\"receipt\":\"r\"}";
         assertEquals("404 not_found", statusAndKind("POST", "/v1/messages/m0-99/outcome", key, done));
         Response response = send(
-                simulation.w.intakes.get(0),
+                simulation.fleet.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
                 TestConfiguration.callerKey(0),
@@ -110,7 +110,7 @@
                 "400 bad_request",
                 statusAndKind("POST", "/v1/messages/" + handle + "/outcome", key, done.replace("\"r\"", "\"\"")));
         Response lateOutcome = send(
-                simulation.w.intakes.get(0),
+                simulation.fleet.intakes.get(0),
                 "POST",
                 "/v1/messages/" + handle + "/outcome",
                 key,
@@ -127,9 +127,9 @@
     }
 
     @Test
-    void othersMessagesAreNotShown() {
+    void messagesOfOtherCallersAreHidden() {
         Response response = send(
-                simulation.w.intakes.get(0),
+                simulation.fleet.intakes.get(0),
                 "POST",
                 "/v1/lanes/hold/messages",
                 TestConfiguration.callerKey(0),
@@ -145,8 +145,8 @@
     void exceedingTheRateLimitIsThrottledWithRetryAfter() {
         List<Response> responses = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            simulation.w.request(
-                    simulation.w.intakes.get(i % 2),
+            simulation.fleet.request(
+                    simulation.fleet.intakes.get(i % 2),
                     new Request(
                             "POST",
                             "/v1/lanes/hold/messages",
@@ -155,7 +155,7 @@
                     Duration.ofSeconds(6),
                     response -> responses.add(response.orElseThrow()));
         }
-        simulation.w.sim.run(Duration.ofSeconds(7));
+        simulation.fleet.sim.run(Duration.ofSeconds(7));
         List<Response> refused =
                 responses.stream().filter(response -> response.status() == 429).toList();
         assertTrue(refused.size() > 50, "refused " + refused.size());
@@ -168,7 +168,7 @@
 
     @Test
     void invalidOrStaleLayoutsChangeNothing() {
-        String controlNode = simulation.w.controlNodes.get(1);
+        String controlNode = simulation.fleet.controlNodes.get(1);
         Map<String, String> baseHeaders = Map.of("if-match", "1", "x-request-id", "bad");
         Response response = send(
                 controlNode,
@@ -212,7 +212,7 @@
         Response accepted =
                 send(controlNode, "PUT", "/v1/layout", "", "{}", Map.of("if-match", "1", "x-request-id", "good"));
         Response repeated = send(
-                simulation.w.controlNodes.get(2),
+                simulation.fleet.controlNodes.get(2),
                 "PUT",
                 "/v1/layout",
                 "",
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FoundingKillsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/BootstrapKillsTest.java
@@ -18,7 +18,7 @@
  * Kills processes while a fleet starts for the first time. Guards against a core that is never bootstrapped when the
  * process that should bootstrap it is killed first and restarts with settings for joining (review/3).
  */
-class FoundingKillsTest {
+class BootstrapKillsTest {
     /** Runs with random kill times for each machine or pair; {@code -Dfounding.moments=100} does more than CI. */
     private static final int RUNS = Integer.getInteger("founding.moments", 4);
 
@@ -46,8 +46,8 @@
     /** Starts the processes at different times, as on machines that boot together. */
     private static FleetSimulation starting(long seed) throws ServiceException {
         FleetSimulation fleet = new FleetSimulation(seed, 2, 3, 2);
-        for (String machine : fleet.w.all()) {
-            fleet.w.host(machine).pause(fleet.w.sim.between(0, MAX_START_DELAY_MICROS));
+        for (String machine : fleet.fleet.all()) {
+            fleet.fleet.host(machine).pause(fleet.fleet.sim.between(0, MAX_START_DELAY_MICROS));
         }
         return fleet;
     }
@@ -57,10 +57,10 @@
      * ready.
      */
     private static Duration awaitServing(FleetSimulation fleet, AtomicInteger status, String what) {
-        Duration from = fleet.w.sim.now();
-        boolean serving = fleet.w.sim.runUntil(() -> status.get() == 200 && fleet.w.ready(), SERVING_TIMEOUT);
+        Duration from = fleet.fleet.sim.now();
+        boolean serving = fleet.fleet.sim.runUntil(() -> status.get() == 200 && fleet.fleet.ready(), SERVING_TIMEOUT);
         assertTrue(serving, () -> what + ": configuration answered " + status.get());
-        return fleet.w.sim.now().minus(from);
+        return fleet.fleet.sim.now().minus(from);
     }
 
     private static AtomicInteger sendConfiguration(FleetSimulation fleet) {
@@ -73,12 +73,12 @@
             throws ServiceException {
         AtomicInteger status = sendConfiguration(fleet);
         for (String machine : machines) {
-            fleet.w.sim.run(fleet.w.sim.between(0, KILL_WINDOW_MICROS / machines.size()));
-            loss.action.accept(fleet.w.host(machine));
+            fleet.fleet.sim.run(fleet.fleet.sim.between(0, KILL_WINDOW_MICROS / machines.size()));
+            loss.action.accept(fleet.fleet.host(machine));
         }
-        fleet.w.sim.run(DOWNTIME);
+        fleet.fleet.sim.run(DOWNTIME);
         for (String machine : machines) {
-            fleet.w.restart(machine);
+            fleet.fleet.restart(machine);
         }
         Duration took = awaitServing(fleet, status, what);
         assertEquals(List.of(), fleet.violations());
@@ -104,7 +104,7 @@
         for (int machine = 0; machine < 6; machine++) {
             for (int moment = 0; moment < RUNS; moment++) {
                 FleetSimulation fleet = starting(1000L * machine + moment);
-                String lost = (machine < 3 ? fleet.w.controlNodes : fleet.w.stores).get(machine % 3);
+                String lost = (machine < 3 ? fleet.fleet.controlNodes : fleet.fleet.stores).get(machine % 3);
                 times.add(timeToServeAfter(fleet, List.of(lost), loss, loss + " of " + lost + ", moment " + moment));
             }
         }
@@ -117,8 +117,8 @@
         List<Duration> times = new ArrayList<>();
         for (int moment = 0; moment < RUNS; moment++) {
             FleetSimulation fleet = starting(7000L + moment);
-            List<String> seeds = new ArrayList<>(fleet.w.controlNodes);
-            Collections.shuffle(seeds, fleet.w.sim.random());
+            List<String> seeds = new ArrayList<>(fleet.fleet.controlNodes);
+            Collections.shuffle(seeds, fleet.fleet.sim.random());
             times.add(timeToServeAfter(fleet, seeds.subList(0, 2), Loss.PROCESS, "two seeds, moment " + moment));
         }
         report(Loss.PROCESS, "two seeds", times);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ConfigurationHistory.java
@@ -64,23 +64,23 @@
 
     private void schedule(Runnable step) {
         if (!stopped) {
-            fixture.r.sim.after(OPERATION_INTERVAL, step);
+            fixture.fleet.sim.after(OPERATION_INTERVAL, step);
         }
     }
 
     private String randomMachine(List<String> machines) {
-        return machines.get(fixture.r.sim.random().nextInt(machines.size()));
+        return machines.get(fixture.fleet.sim.random().nextInt(machines.size()));
     }
 
     private void read(String name, List<String> machines) {
         String to = randomMachine(machines);
-        Duration from = fixture.r.sim.now();
+        Duration from = fixture.fleet.sim.now();
         Request get = new Request("GET", "/-/configuration", Map.of(), new byte[0]);
-        fixture.r.request(to, get, REQUEST_TIMEOUT, answer -> {
+        fixture.fleet.request(to, get, REQUEST_TIMEOUT, answer -> {
             long revision = answer.filter(response -> response.status() == HTTP_OK)
                     .map(ConfigurationHistory::revision)
                     .orElse(0L);
-            calls.add(new Call(to, false, 0, revision, status(answer), from, fixture.r.sim.now()));
+            calls.add(new Call(to, false, 0, revision, status(answer), from, fixture.fleet.sim.now()));
             if (revision == 0) {
                 schedule(() -> read(name, machines));
             } else {
@@ -92,11 +92,11 @@
 
     private void change(String name, List<String> machines, long base, long revision) {
         String to = randomMachine(machines);
-        Duration from = fixture.r.sim.now();
+        Duration from = fixture.fleet.sim.now();
         byte[] text = fixture.configurationStub.with(revision).text().getBytes(StandardCharsets.UTF_8);
         Request put = new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(base)), text);
-        fixture.r.request(to, put, REQUEST_TIMEOUT, answer -> {
-            Call call = new Call(to, true, base, revision, status(answer), from, fixture.r.sim.now());
+        fixture.fleet.request(to, put, REQUEST_TIMEOUT, answer -> {
+            Call call = new Call(to, true, base, revision, status(answer), from, fixture.fleet.sim.now());
             calls.add(call);
             schedule(() -> {
                 if (call.isDefinite()) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ControlTest.java
@@ -30,9 +30,9 @@
     }
 
     private Response get(int controlNode) {
-        return fixture.r
-                .ask(
-                        fixture.r.controlNodes.get(controlNode),
+        return fixture.fleet
+                .requestAndWait(
+                        fixture.fleet.controlNodes.get(controlNode),
                         new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                         Duration.ofSeconds(4))
                 .orElseThrow();
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void sameTextAgainIsYesAtAnyLighthouse() {
+    void sameTextIsAcceptedAgainAtAnyControlNode() {
         ConfigurationStub next = withRoutes(9, route("r-new", "/new/"));
         assertEquals(200, fixture.put(next, 3, 0).status());
         assertEquals(
@@ -97,14 +97,14 @@
                                 new ConfigurationStub.Tenant("b", List.of(PlatformFixture.KEY), 9, 9)))
                         .text());
         assertRejected(invalid);
-        fixture.r.controlNodes.forEach(fixture.r::kill);
+        fixture.fleet.controlNodes.forEach(fixture.fleet::kill);
         fixture.run(500);
-        for (String node : fixture.r.controlNodes) {
-            fixture.r.restart(node);
+        for (String node : fixture.fleet.controlNodes) {
+            fixture.fleet.restart(node);
         }
         fixture.run(5000);
         assertRejected(invalid);
-        assertEquals(404, fixture.send("/x/1", "b", Map.of()).status());
+        assertEquals(404, fixture.submit("/x/1", "b", Map.of()).status());
         assertEquals(fixture.configurationStub.text(), new String(get(0).body()));
     }
 
@@ -118,9 +118,9 @@
         }
         assertEquals(
                 400,
-                fixture.r
-                        .ask(
-                                fixture.r.controlNodes.get(0),
+                fixture.fleet
+                        .requestAndWait(
+                                fixture.fleet.controlNodes.get(0),
                                 new Request(
                                         "PUT",
                                         "/-/configuration",
@@ -133,7 +133,7 @@
 
     /** Two operators change the same base concurrently at different control nodes. */
     @Test
-    void ofTwoAtOnceOneWins() {
+    void exactlyOneOfTwoConcurrentChangesIsAccepted() {
         for (int round = 0; round < 5; round++) {
             long base = round == 0 ? 3 : 10L * round;
             List<Integer> statuses = new ArrayList<>();
@@ -143,8 +143,8 @@
                     withRoutes(base + 10 - (round == 0 ? 3 : 0), route("r-b" + round, "/b" + round + "/"))
                             .text());
             for (int i = 0; i < 2; i++) {
-                fixture.r.request(
-                        fixture.r.controlNodes.get((round + i) % 3),
+                fixture.fleet.request(
+                        fixture.fleet.controlNodes.get((round + i) % 3),
                         new Request(
                                 "PUT",
                                 "/-/configuration",
@@ -153,7 +153,7 @@
                         Duration.ofSeconds(5),
                         response -> statuses.add(response.map(Response::status).orElse(0)));
             }
-            fixture.r.sim.runUntil(() -> statuses.size() == 2, Duration.ofSeconds(6));
+            fixture.fleet.sim.runUntil(() -> statuses.size() == 2, Duration.ofSeconds(6));
             assertEquals(Set.of(200, 412), Set.copyOf(statuses));
             assertTrue(texts.contains(new String(get(2).body())));
         }
@@ -168,30 +168,30 @@
                 new ConfigurationStub.Route("r-host", "other.example", "/push/", "desk", 1500, 3, false, 90, true));
         assertEquals(200, fixture.put(next, 3, 0).status());
         fixture.run(3000);
-        fixture.accepted("/push/deep/1", "deep", Map.of());
+        fixture.sendUntilAccepted("/push/deep/1", "deep", Map.of());
         assertEquals("deep", new String(fixture.pull("i", 3000).body()));
-        fixture.accepted("/push/1", "host", Map.of("host", "OTHER.example:80"));
+        fixture.sendUntilAccepted("/push/1", "host", Map.of("host", "OTHER.example:80"));
         Response otherHost = fixture.pull("i", 3000);
         assertEquals("host", new String(otherHost.body()));
-        fixture.accepted("/push/2", "flat", Map.of());
+        fixture.sendUntilAccepted("/push/2", "flat", Map.of());
         assertEquals(204, fixture.pull("i", 1500).status(), "the message is for the other service");
         for (Map<String, String> wrong : List.of(Map.of("host", "nobody.example"), Map.of("host", ""))) {
-            assertEquals(404, fixture.send("/push/1", "b", wrong).status(), wrong.toString());
+            assertEquals(404, fixture.submit("/push/1", "b", wrong).status(), wrong.toString());
         }
-        assertEquals(404, fixture.send("/pus", "b", Map.of()).status());
+        assertEquals(404, fixture.submit("/pus", "b", Map.of()).status());
     }
 
     @Test
-    void keysRuleTheDoor() {
+    void keysAreRequired() {
         assertEquals(
                 401,
-                fixture.send("/push/1", "b", Map.of("authorization", "Token wrong"))
+                fixture.submit("/push/1", "b", Map.of("authorization", "Token wrong"))
                         .status());
         assertEquals(
-                401, fixture.send("/push/1", "b", Map.of("authorization", "")).status());
+                401, fixture.submit("/push/1", "b", Map.of("authorization", "")).status());
         assertEquals(
                 401,
-                fixture.send("/push/1", "b", Map.of("authorization", "Bearer " + PlatformFixture.KEY))
+                fixture.submit("/push/1", "b", Map.of("authorization", "Bearer " + PlatformFixture.KEY))
                         .status());
         assertEquals(
                 200,
@@ -204,25 +204,27 @@
                                 0)
                         .status());
         fixture.run(3000);
-        assertEquals(401, fixture.send("/push/1", "b", Map.of()).status());
+        assertEquals(401, fixture.submit("/push/1", "b", Map.of()).status());
         assertEquals(
                 202,
-                fixture.send("/push/1", "b", Map.of("authorization", "Token fresh"))
+                fixture.submit("/push/1", "b", Map.of("authorization", "Token fresh"))
                         .status());
     }
 
     @Test
     void invalidHeadersAreRejected() {
         assertEquals(
-                400, fixture.send("/push/1", "b", Map.of("x-delay-ms", "-1")).status());
+                400, fixture.submit("/push/1", "b", Map.of("x-delay-ms", "-1")).status());
         assertEquals(
-                400, fixture.send("/push/1", "b", Map.of("x-delay-ms", "soon")).status());
+                400,
+                fixture.submit("/push/1", "b", Map.of("x-delay-ms", "soon")).status());
         assertEquals(
-                400, fixture.send("/push/1", "b", Map.of("x-attempt-id", "")).status());
+                400, fixture.submit("/push/1", "b", Map.of("x-attempt-id", "")).status());
         assertEquals(
-                400, fixture.send("/push/1", "b", Map.of("x-attempt-id", "a b")).status());
-        Optional<Response> unknownPath = fixture.r.ask(
-                fixture.r.controlNodes.get(0),
+                400,
+                fixture.submit("/push/1", "b", Map.of("x-attempt-id", "a b")).status());
+        Optional<Response> unknownPath = fixture.fleet.requestAndWait(
+                fixture.fleet.controlNodes.get(0),
                 new Request("GET", "/-/nothing", Map.of(), new byte[0]),
                 Duration.ofSeconds(4));
         assertEquals(404, unknownPath.orElseThrow().status());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/CoreReplacementTest.java
@@ -31,14 +31,15 @@
     private static final Duration MEMBERSHIP_PROPAGATION = Duration.ofMillis(350);
 
     private static Set<String> members(FleetSimulation simulation, String node) {
-        return new TreeSet<>(simulation.w.controlNode(node).controlNodes());
+        return new TreeSet<>(simulation.fleet.controlNode(node).controlNodes());
     }
 
     private static void assertConfigurationAccepted(FleetSimulation simulation, String id) {
         AtomicInteger status = new AtomicInteger();
         simulation.put(simulation.configuration, simulation.version, id, response -> status.set(response.status()));
         assertTrue(
-                simulation.w.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)), id + ": " + status.get());
+                simulation.fleet.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)),
+                id + ": " + status.get());
     }
 
     /**
@@ -48,18 +49,18 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void permanentlyLostMemberIsReplacedBeforeTheNextLoss(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        simulation.w.lose(simulation.w.controlNodes.get((int) (seed % 3)));
-        simulation.w.sim.run(Duration.ofSeconds(1).plus(PROCESS_START));
-        String successor = simulation.w.newControlNode();
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.losePermanently(simulation.fleet.controlNodes.get((int) (seed % 3)));
+        simulation.fleet.sim.run(Duration.ofSeconds(1).plus(PROCESS_START));
+        String successor = simulation.fleet.newControlNode();
         Duration limit = CATCH_UP.minus(PROCESS_START);
-        simulation.w.sim.run(limit);
+        simulation.fleet.sim.run(limit);
         assertTrue(
-                CoreExchange.votesEverywhere(simulation.w, successor),
+                CoreMemberReplacement.votesEverywhere(simulation.fleet, successor),
                 "not voting everywhere " + limit + " after its announcement");
-        simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
+        simulation.fleet.losePermanently(simulation.fleet.controlNodes.get((int) ((seed + 1) % 3)));
         assertConfigurationAccepted(simulation, "after-the-second-loss");
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         assertEquals(List.of(), simulation.violations());
     }
 
@@ -67,57 +68,57 @@
     @ValueSource(longs = {1, 2, 3})
     void drainingMemberStaysUntilItsSuccessorVotesEverywhere(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
-        String departing = simulation.w.controlNodes.get((int) (seed % 3));
-        String successor = simulation.w.newControlNode();
-        simulation.w.sim.run(Duration.ofSeconds(1));
+        String departing = simulation.fleet.controlNodes.get((int) (seed % 3));
+        String successor = simulation.fleet.newControlNode();
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
         assertTrue(
-                !CoreExchange.votesEverywhere(simulation.w, successor),
+                !CoreMemberReplacement.votesEverywhere(simulation.fleet, successor),
                 "a standby machine must not join while all members are there");
         assertTrue(
-                simulation.w.sim.runUntil(
-                        () -> simulation.w.controlNode(departing).drain(), Duration.ofMillis(2500)),
+                simulation.fleet.sim.runUntil(
+                        () -> simulation.fleet.controlNode(departing).drain(), Duration.ofMillis(2500)),
                 "still waiting for its successor");
-        simulation.w.lose(departing);
-        simulation.w.sim.run(MEMBERSHIP_PROPAGATION);
-        assertTrue(CoreExchange.votesEverywhere(simulation.w, successor));
-        simulation.w.lose(simulation.w.controlNodes.get((int) ((seed + 1) % 3)));
+        simulation.fleet.losePermanently(departing);
+        simulation.fleet.sim.run(MEMBERSHIP_PROPAGATION);
+        assertTrue(CoreMemberReplacement.votesEverywhere(simulation.fleet, successor));
+        simulation.fleet.losePermanently(simulation.fleet.controlNodes.get((int) ((seed + 1) % 3)));
         assertConfigurationAccepted(simulation, "after-the-second-loss");
     }
 
     @Test
     void drainWithoutSuccessorDoesNotWait() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(4, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        String departing = simulation.w.controlNodes.get(0);
-        assertTrue(simulation.w.sim.runUntil(
-                () -> simulation.w.controlNode(departing).drain(), Duration.ofMillis(1000)));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        String departing = simulation.fleet.controlNodes.get(0);
+        assertTrue(simulation.fleet.sim.runUntil(
+                () -> simulation.fleet.controlNode(departing).drain(), Duration.ofMillis(1000)));
     }
 
     @Test
     void restartOfAMemberDoesNotChangeTheMembership() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         List<Set<String>> before = new ArrayList<>();
-        simulation.w.controlNodes.forEach(node -> before.add(members(simulation, node)));
+        simulation.fleet.controlNodes.forEach(node -> before.add(members(simulation, node)));
         long epoch = simulation
-                .w
-                .controlNode(simulation.w.controlNodes.get(1))
+                .fleet
+                .controlNode(simulation.fleet.controlNodes.get(1))
                 .members()
                 .epoch();
-        for (String node : simulation.w.controlNodes) {
-            simulation.w.kill(node);
-            simulation.w.sim.run(Duration.ofSeconds(5));
-            simulation.w.restart(node);
-            simulation.w.sim.run(Duration.ofSeconds(5));
+        for (String node : simulation.fleet.controlNodes) {
+            simulation.fleet.kill(node);
+            simulation.fleet.sim.run(Duration.ofSeconds(5));
+            simulation.fleet.restart(node);
+            simulation.fleet.sim.run(Duration.ofSeconds(5));
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(before.get(i), members(simulation, simulation.w.controlNodes.get(i)));
+            assertEquals(before.get(i), members(simulation, simulation.fleet.controlNodes.get(i)));
         }
         assertEquals(
                 epoch,
                 simulation
-                        .w
-                        .controlNode(simulation.w.controlNodes.get(1))
+                        .fleet
+                        .controlNode(simulation.fleet.controlNodes.get(1))
                         .members()
                         .epoch());
     }
@@ -130,23 +131,23 @@
     @ValueSource(longs = {7, 8, 9})
     void allCoreMembersAreReplacedOneByOne(long seed) throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         for (int i = 0; i < 4; i++) {
-            simulation.w.lose(simulation.w.controlNodes.get(i));
-            simulation.w.sim.run(Duration.ofSeconds(1));
-            String successor = simulation.w.newControlNode();
-            simulation.w.sim.run(CATCH_UP);
-            assertTrue(CoreExchange.votesEverywhere(simulation.w, successor), "replacement " + i);
+            simulation.fleet.losePermanently(simulation.fleet.controlNodes.get(i));
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
+            String successor = simulation.fleet.newControlNode();
+            simulation.fleet.sim.run(CATCH_UP);
+            assertTrue(CoreMemberReplacement.votesEverywhere(simulation.fleet, successor), "replacement " + i);
         }
-        simulation.w.sim.run(Duration.ofSeconds(8));
+        simulation.fleet.sim.run(Duration.ofSeconds(8));
         assertConfigurationAccepted(simulation, "by-a-core-of-others");
         long epoch = simulation
-                .w
-                .controlNode(simulation.w.controlNodes.get(6))
+                .fleet
+                .controlNode(simulation.fleet.controlNodes.get(6))
                 .members()
                 .epoch();
-        for (String node : simulation.w.stores) {
-            assertEquals(epoch, simulation.w.dataPlaneNode(node).core().epoch(), node);
+        for (String node : simulation.fleet.stores) {
+            assertEquals(epoch, simulation.fleet.dataPlaneNode(node).core().epoch(), node);
         }
         assertEquals(List.of(), simulation.violations());
     }
@@ -155,33 +156,36 @@
     @Test
     void removedMemberBecomesAStandby() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(10, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        String removed = simulation.w.controlNodes.get(0);
-        simulation.w.kill(removed);
-        String successor = simulation.w.newControlNode();
-        simulation.w.sim.run(Duration.ofSeconds(6));
-        simulation.w.restart(removed);
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        String removed = simulation.fleet.controlNodes.get(0);
+        simulation.fleet.kill(removed);
+        String successor = simulation.fleet.newControlNode();
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
+        simulation.fleet.restart(removed);
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         assertTrue(
-                !simulation.w.controlNode(removed).members().members().contains(removed),
+                !simulation.fleet.controlNode(removed).members().members().contains(removed),
                 "the removed member still counts itself as a member");
-        assertTrue(simulation.w.controlNode(successor).members().members().contains(successor));
+        assertTrue(simulation.fleet.controlNode(successor).members().members().contains(successor));
         assertTrue(ServiceNames.controlPartitions().stream()
-                .noneMatch(p -> simulation.w.controlNode(removed).replica(p).role() == Role.LEADER));
-        simulation.w.lose(simulation.w.controlNodes.get(1));
-        simulation.w.sim.run(Duration.ofSeconds(4));
+                .noneMatch(p -> simulation.fleet.controlNode(removed).replica(p).role() == Role.LEADER));
+        simulation.fleet.losePermanently(simulation.fleet.controlNodes.get(1));
+        simulation.fleet.sim.run(Duration.ofSeconds(4));
         assertTrue(
-                CoreExchange.votesEverywhere(simulation.w, removed), "the standby must replace the next lost member");
+                CoreMemberReplacement.votesEverywhere(simulation.fleet, removed),
+                "the standby must replace the next lost member");
         assertConfigurationAccepted(simulation, "again");
     }
 
     /** Holds for each kind of departure, with the start of the process included. */
     @ParameterizedTest
-    @EnumSource(CoreExchange.Departure.class)
-    void successorVotesEverywhereWithinHalfOfTheCatchUpTime(CoreExchange.Departure departure) throws ServiceException {
-        Duration worst = CoreExchange.measure(100, Integer.getInteger("woadvale.exchanges", 12), departure).stream()
-                .reduce((first, last) -> last)
-                .orElseThrow();
+    @EnumSource(CoreMemberReplacement.Departure.class)
+    void successorVotesEverywhereWithinHalfOfTheCatchUpTime(CoreMemberReplacement.Departure departure)
+            throws ServiceException {
+        Duration worst =
+                CoreMemberReplacement.measure(100, Integer.getInteger("woadvale.exchanges", 12), departure).stream()
+                        .reduce((first, last) -> last)
+                        .orElseThrow();
         Duration limit = CATCH_UP.dividedBy(2).minus(PROCESS_START);
         assertTrue(worst.compareTo(limit) < 0, departure + ": " + worst);
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/DayTest.java
@@ -17,8 +17,8 @@
     @Test
     void everyChangeIsDecidedWithinSecondsAndRepeatsGetTheFirstAnswer() throws ServiceException {
         Day day = new Day(1).run(Duration.ofMinutes(6), Duration.ofMillis(600), Duration.ofSeconds(40));
-        assertEquals(List.of(), day.wrong(), day::toString);
+        assertEquals(List.of(), day.errors(), day::toString);
         assertTrue(day.changes() > 500 && day.repeats() > 60, day.toString());
-        assertTrue(day.within(1) < 8000, day.toString());
+        assertTrue(day.percentileMillis(1) < 8000, day.toString());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FairnessTest.java
@@ -22,7 +22,7 @@
     @Test
     void slowProcessorsAreSharedFairly() throws ServiceException {
         assertServedWithin(
-                Fairness.run(1, 120, new Backend.Manner(Duration.ofSeconds(2), 0, 0, 0), Duration.ZERO),
+                Fairness.run(1, 120, new Backend.Behavior(Duration.ofSeconds(2), 0, 0, 0), Duration.ZERO),
                 Duration.ofMillis(5000));
     }
 
@@ -33,7 +33,7 @@
                 Fairness.run(
                         1,
                         120,
-                        new Backend.Manner(Duration.ofMillis(300), 0.1, 0.85, 0, 0, TestConfiguration.tenant(0)),
+                        new Backend.Behavior(Duration.ofMillis(300), 0.1, 0.85, 0, 0, TestConfiguration.tenant(0)),
                         Duration.ZERO),
                 Duration.ofMillis(5000));
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FaultStormTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void norAtTheDeploymentsSizes() throws ServiceException {
+    void deploymentSizesViolateNoRule() throws ServiceException {
         for (FaultStorm.Size size : List.of(FaultStorm.Size.LANKAVIDYA, FaultStorm.Size.ROTTERDAM)) {
             FaultStorm storm = new FaultStorm(1, size);
             List<String> violations = storm.run();
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/FetchTest.java
@@ -16,9 +16,9 @@
         FleetSimulation simulation = new FleetSimulation(
                         seed, 2, 3, 0, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
-        simulation.list("f0", false);
-        simulation.list("f1", false);
-        simulation.w.sim.run(Duration.ofSeconds(1));
+        simulation.putProcessor("f0", false);
+        simulation.putProcessor("f1", false);
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
         return simulation;
     }
 
@@ -31,12 +31,12 @@
             FleetSimulation simulation = startWithFetchers(seed);
             List.of("f0", "f1").forEach(fetcher -> simulation.fetcher(fetcher).behave(Duration.ofMillis(20), 0.4));
             simulation.traffic(10);
-            simulation.w.sim.run(Duration.ofSeconds(8));
+            simulation.fleet.sim.run(Duration.ofSeconds(8));
             assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
             assertEquals(List.of(), simulation.violations());
-            assertFalse(simulation.w.seen.shown.stream()
+            assertFalse(simulation.fleet.observations.shown.stream()
                     .anyMatch(shown -> shown.state().equals("failed")));
-            assertTrue(simulation.w.seen.ran.size() > 30);
+            assertTrue(simulation.fleet.observations.ran.size() > 30);
         }
     }
 
@@ -45,12 +45,12 @@
         FleetSimulation simulation = startWithFetchers(3);
         simulation.fetcher("f0").behave(Duration.ofSeconds(2), 0);
         simulation.traffic(10);
-        simulation.w.sim.run(Duration.ofSeconds(4));
+        simulation.fleet.sim.run(Duration.ofSeconds(4));
         simulation.fetcher("f0").crash();
-        simulation.unlist("f0");
+        simulation.removeProcessor("f0");
         assertTrue(simulation.settle(Duration.ofSeconds(200)), "open: " + simulation.firstOpen());
         assertEquals(List.of(), simulation.violations());
-        assertTrue(simulation.w.seen.shown.stream()
+        assertTrue(simulation.fleet.observations.shown.stream()
                 .anyMatch(shown -> shown.proof().equals("unclear: the processor is gone")));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/HttpDeliveryClientTest.java
@@ -26,7 +26,7 @@
 
     private final HttpDeliveryClient client = new HttpDeliveryClient();
 
-    private static DeliveryClient.DeliveryRequest request(Peer peer, String id, Duration timeout) {
+    private static DeliveryClient.DeliveryRequest request(ScriptedHttpServer peer, String id, Duration timeout) {
         return request(peer.address(), id, timeout);
     }
 
@@ -41,7 +41,7 @@
                 Map.of("x-attempt-id", id));
     }
 
-    private String send(Peer peer, String id) {
+    private String send(ScriptedHttpServer peer, String id) {
         return send(peer.address(), id);
     }
 
@@ -53,17 +53,18 @@
                 .block();
     }
 
-    private static Peer.Said keepOpen(String text) {
-        return new Peer.Said(text, false);
+    private static ScriptedHttpServer.ScriptedAnswer keepOpen(String text) {
+        return new ScriptedHttpServer.ScriptedAnswer(text, false);
     }
 
     @Test
     void responseIsReadWithItsHeaders() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(Peer.answer(200, "a" + n, "X-Server-Seal: s\r\n", "ok")))) {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer(
+                (c, n, head) -> keepOpen(ScriptedHttpServer.answer(200, "a" + n, "X-Server-Seal: s\r\n", "ok")))) {
             assertEquals("200 a1 ok", send(peer, "a1"));
             assertEquals("200 a2 ok", send(peer, "a2"));
             assertEquals(1, peer.connections(), "a connection is reused");
-            assertTrue(peer.heads.get(0).startsWith("POST /x?y=1 HTTP/1.1"), peer.heads.get(0));
+            assertTrue(peer.requestHeads.get(0).startsWith("POST /x?y=1 HTTP/1.1"), peer.requestHeads.get(0));
         }
     }
 
@@ -73,7 +74,8 @@
      */
     @Test
     void connectionIsPooledBeforeItsResponseIsPublished() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(Peer.answer(200, "a", "", "ok")))) {
+        try (ScriptedHttpServer peer =
+                new ScriptedHttpServer((c, n, head) -> keepOpen(ScriptedHttpServer.answer(200, "a", "", "ok")))) {
             DeliveryClient.DeliveryResponse second = client.send(request(peer, "a", TIMEOUT))
                     .flatMap(first -> client.send(request(peer, "a", TIMEOUT)))
                     .block();
@@ -88,10 +90,12 @@
      */
     @Test
     void lateSecondAnswerIsNeverAnothersAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> keepOpen(
                 c == 1 && n == 1
-                        ? Peer.answer(200, "a1", "", "one") + Peer.answer(200, "a1", "", "two")
-                        : Peer.answer(200, head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1"), "", "own")))) {
+                        ? ScriptedHttpServer.answer(200, "a1", "", "one")
+                                + ScriptedHttpServer.answer(200, "a1", "", "two")
+                        : ScriptedHttpServer.answer(
+                                200, head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1"), "", "own")))) {
             assertEquals("200 a1 one", send(peer, "a1"));
             for (int i = 2; i < 8; i++) {
                 String id = "a" + i;
@@ -107,10 +111,11 @@
     /** The back end repeats the response to an earlier request in place of the one to this request. */
     @Test
     void responseWithAnotherIdIsUnknownOutcomeAndClosesTheConnection() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> keepOpen(
                 c == 1 && n == 2
-                        ? Peer.answer(200, "a1", "", "again")
-                        : Peer.answer(200, head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1"), "", "own")))) {
+                        ? ScriptedHttpServer.answer(200, "a1", "", "again")
+                        : ScriptedHttpServer.answer(
+                                200, head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1"), "", "own")))) {
             assertEquals("200 a1 own", send(peer, "a1"));
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), send(peer, "a2"));
             assertEquals("200 a3 own", send(peer, "a3"));
@@ -124,9 +129,11 @@
     @Test
     void nothingIsSentTwice() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        try (Peer peer = new Peer((c, n, head) -> {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> {
             requests.incrementAndGet();
-            return n == 1 && c == 2 ? keepOpen(Peer.answer(200, "b", "", "")) : new Peer.Said("", true);
+            return n == 1 && c == 2
+                    ? keepOpen(ScriptedHttpServer.answer(200, "b", "", ""))
+                    : new ScriptedHttpServer.ScriptedAnswer("", true);
         })) {
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), send(peer, "a"));
             assertEquals(1, requests.get());
@@ -138,14 +145,16 @@
 
     @Test
     void halfAnAnswerIsNoAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> new Peer.Said(
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> new ScriptedHttpServer.ScriptedAnswer(
                 "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nX-Server-Seal: s\r\nContent-Length: 10\r\n\r\nhalf", true))) {
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), send(peer, "a"));
         }
-        try (Peer peer = new Peer((c, n, head) -> new Peer.Said("HTTP/1.1 200 OK\r\nX-Att", true))) {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer(
+                (c, n, head) -> new ScriptedHttpServer.ScriptedAnswer("HTTP/1.1 200 OK\r\nX-Att", true))) {
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), send(peer, "a"));
         }
-        try (Peer peer = new Peer((c, n, head) -> new Peer.Said("nonsense\r\n\r\n", true))) {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer(
+                (c, n, head) -> new ScriptedHttpServer.ScriptedAnswer("nonsense\r\n\r\n", true))) {
             assertEquals(ErrorKind.UNKNOWN_OUTCOME.name(), send(peer, "a"));
         }
     }
@@ -154,7 +163,7 @@
     @Test
     @Timeout(60)
     void missingResponseEndsAtTheTimeout() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(""))) {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> keepOpen(""))) {
             CompletableFuture<ErrorKind> longer = kind(request(peer, "a", Duration.ofSeconds(5)));
             CompletableFuture<ErrorKind> shorter = kind(request(peer, "b", Duration.ofMillis(300)));
             boolean longerEnded = shorter.thenApply(kind -> longer.isDone()).get();
@@ -185,7 +194,8 @@
      */
     @Test
     void idleConnectionIsNotReusedAfterTheAnnouncedTime() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> keepOpen(Peer.answer(200, "a", "Keep-Alive: timeout=0\r\n", "")))) {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer(
+                (c, n, head) -> keepOpen(ScriptedHttpServer.answer(200, "a", "Keep-Alive: timeout=0\r\n", "")))) {
             assertEquals("200 a ", send(peer, "a"));
             long deadline = System.nanoTime() + 20_000_000L;
             while (System.nanoTime() < deadline) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/InternalRepeatTest.java
@@ -36,7 +36,7 @@
     @BeforeEach
     void setUp() throws ServiceException {
         fixture = new PlatformFixture(41, 1);
-        caller = fixture.r.intakes.get(0);
+        caller = fixture.fleet.intakes.get(0);
     }
 
     /** Loses the first response that is not an error. */
@@ -66,15 +66,16 @@
     }
 
     private <T> T requestWithLostResponse(String service, RepeatableRequest body, Class<T> type) {
-        RpcClient lossy = new FirstResponseLost(fixture.r.net.rpc(
-                fixture.r.host(caller),
+        RpcClient lossy = new FirstResponseLost(fixture.fleet.net.rpc(
+                fixture.fleet.host(caller),
                 RpcTypeNumbers.codec(RpcTypeNumbers.CONTROL_PLANE, ControlApiMessages.types())));
-        CoreClient core = new CoreClient(lossy, () -> 1L, fixture.r.controlNodes, CoreMembers.unknown(), members -> {});
+        CoreClient core =
+                new CoreClient(lossy, () -> 1L, fixture.fleet.controlNodes, CoreMembers.unknown(), members -> {});
         AtomicReference<T> out = new AtomicReference<>();
         core.ask(ServiceNames.controlPartition(service), body, type).subscribe(out::set, e -> {
             throw new AssertionError(e);
         });
-        assertTrue(fixture.r.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no response");
+        assertTrue(fixture.fleet.sim.runUntil(() -> out.get() != null, Duration.ofSeconds(5)), "no response");
         return out.get();
     }
 
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/IsolatedCoreTest.java
@@ -82,7 +82,7 @@
     void isolatedMachineRejectsRequestsAndTheHistoryIsLinearizable(Cut how, int machine, long seed)
             throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 2);
-        SimulatedPlatformFleet fleet = fixture.r;
+        SimulatedPlatformFleet fleet = fixture.fleet;
         fleet.sim.run(Duration.ofSeconds(2));
         String leader = leader(fleet);
         String isolated = fleet.controlNodes.get((fleet.controlNodes.indexOf(leader) + machine) % 3);
@@ -113,7 +113,8 @@
     }
 
     private static int readiness(SimulatedPlatformFleet fleet, String machine) {
-        return fleet.ask(machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
+        return fleet.requestAndWait(
+                        machine, new Request("GET", "/-/readiness", Map.of(), new byte[0]), Duration.ofSeconds(1))
                 .map(Response::status)
                 .orElse(0);
     }
@@ -126,7 +127,7 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void changeIsAcknowledgedSoonAfterTheLeaderIsLost(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 2);
-        SimulatedPlatformFleet fleet = fixture.r;
+        SimulatedPlatformFleet fleet = fixture.fleet;
         fleet.sim.run(Duration.ofSeconds(2));
         fleet.kill(leader(fleet));
         Duration lost = fleet.sim.now();
@@ -150,7 +151,7 @@
     void responseBuiltBeforeAPauseIsNotSentAfterIt() throws ServiceException {
         for (int i = 0; i < 24; i++) {
             PlatformFixture fixture = new PlatformFixture(70 + i, 2);
-            SimulatedPlatformFleet fleet = fixture.r;
+            SimulatedPlatformFleet fleet = fixture.fleet;
             fleet.sim.run(Duration.ofSeconds(2));
             String paused = leader(fleet);
             int pausedIndex = fleet.controlNodes.indexOf(paused);
@@ -183,7 +184,7 @@
     @ValueSource(ints = {0, 1, 2})
     void nodeThatReachesOnlyTheIsolatedMachineStopsAtTheMaximumAge(int machine) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(90 + machine, 2);
-        SimulatedPlatformFleet fleet = fixture.r;
+        SimulatedPlatformFleet fleet = fixture.fleet;
         fleet.sim.run(Duration.ofSeconds(2));
         String isolated = fleet.controlNodes.get((fleet.controlNodes.indexOf(leader(fleet)) + machine) % 3);
         String intake = fleet.intakes.get(0);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LargeConfigurationsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LargeConfigurationsTest.java
@@ -66,7 +66,7 @@
     }
 
     private static ConfigurationStub withKeys(long revision, int keys) {
-        ConfigurationStub plain = PlatformFixture.plain();
+        ConfigurationStub plain = PlatformFixture.defaultConfiguration();
         List<String> many = IntStream.range(0, keys)
                 .mapToObj(number -> String.format("k%08d-%09d", revision, number))
                 .toList();
@@ -105,22 +105,22 @@
     @Test
     void concurrentLargeChangesStopNoProcess() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(21, 1);
-        long version = PlatformFixture.plain().configRevision();
+        long version = PlatformFixture.defaultConfiguration().configRevision();
         for (int i = 0; i < ROUNDS; i++) {
-            version = runRound(fixture.r, version);
+            version = runRound(fixture.fleet, version);
         }
-        for (String node : fixture.r.controlNodes) {
-            fixture.r.kill(node);
-            fixture.r.restart(node);
+        for (String node : fixture.fleet.controlNodes) {
+            fixture.fleet.kill(node);
+            fixture.fleet.restart(node);
         }
-        fixture.r.sim.run(Duration.ofSeconds(5));
-        runRound(fixture.r, version);
+        fixture.fleet.sim.run(Duration.ofSeconds(5));
+        runRound(fixture.fleet, version);
     }
 
     @Test
     void moreThanAThousandRoutesAreAccepted() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(22, 1);
-        ConfigurationStub plain = PlatformFixture.plain();
+        ConfigurationStub plain = PlatformFixture.defaultConfiguration();
         List<ConfigurationStub.Route> routes = new ArrayList<>(plain.routes());
         IntStream.range(0, MANY_ROUTES)
                 .forEach(number ->
@@ -136,10 +136,10 @@
     @Test
     void changeTooLargeToStoreIsRejectedAndStopsNoProcess() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(23, 1, SMALL_RING_FILE);
-        long version = PlatformFixture.plain().configRevision();
+        long version = PlatformFixture.defaultConfiguration().configRevision();
         assertEquals(400, fixture.put(withKeys(version + 1, KEYS), version, 0).status());
-        fixture.r.sim.run(Duration.ofSeconds(2));
-        assertAllControlNodesAlive(fixture.r);
+        fixture.fleet.sim.run(Duration.ofSeconds(2));
+        assertAllControlNodesAlive(fixture.fleet);
         assertEquals(200, fixture.put(withKeys(version + 1, 500), version, 0).status());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LateFramesTest.java
@@ -21,35 +21,36 @@
     void lateChangeOfAListDoesNotUndoALeavingMark() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(1, 2, 3, 14).startAll();
         simulation.traffic(20);
-        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
         String partition = ServiceNames.controlPartition("service/" + FleetSimulation.service(0));
-        String owner = simulation.w.controlNodes.stream()
+        String owner = simulation.fleet.controlNodes.stream()
                 .filter(node ->
-                        simulation.w.controlNode(node).replica(partition).isActiveLeader())
+                        simulation.fleet.controlNode(node).replica(partition).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         // not the leader of c0: a machine that does not hear from that leader has no contact and rejects requests
         // (docs/design.md, section 6.12)
-        String contacted = simulation.w.controlNodes.stream()
+        String contacted = simulation.fleet.controlNodes.stream()
                 .filter(node -> !node.equals(owner)
-                        && !simulation.w.controlNode(node).replica("c0").isActiveLeader())
+                        && !simulation.fleet.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
         for (int round = 1; round <= 6; round++) {
             String processor = "p" + (2 * round);
-            simulation.w.request(contacted, simulation.listing(processor, true), Duration.ofSeconds(4), response -> {});
-            simulation.w.sim.run(Duration.ofSeconds(1));
-            simulation.w.request(
+            simulation.fleet.request(
+                    contacted, simulation.listing(processor, true), Duration.ofSeconds(4), response -> {});
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
+            simulation.fleet.request(
                     contacted, simulation.listing(processor, false), Duration.ofSeconds(4), response -> {});
-            simulation.w.sim.run(Duration.ofMillis(round));
-            simulation.w.net.stall(contacted, owner);
-            simulation.w.sim.run(Duration.ofSeconds(4));
-            simulation.listAt(owner, processor, true);
-            simulation.w.sim.run(Duration.ofSeconds(1));
-            assertEquals(round, simulation.w.seen.leaving.size());
-            simulation.w.net.heal();
+            simulation.fleet.sim.run(Duration.ofMillis(round));
+            simulation.fleet.net.stall(contacted, owner);
+            simulation.fleet.sim.run(Duration.ofSeconds(4));
+            simulation.putProcessorAt(owner, processor, true);
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
+            assertEquals(round, simulation.fleet.observations.leaving.size());
+            simulation.fleet.net.heal();
         }
-        simulation.w.sim.run(Duration.ofSeconds(6));
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
         assertTrue(simulation.settle(Duration.ofSeconds(120)), "open: " + simulation.firstOpen());
         assertEquals(List.of(), simulation.violations());
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LeasesTest.java
@@ -17,7 +17,7 @@
 
     private static PlatformFixture fixtureWithOneMessage(long seed) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(seed, 1);
-        fixture.accepted("/pull/x?y=1", "bytes", Map.of());
+        fixture.sendUntilAccepted("/pull/x?y=1", "bytes", Map.of());
         return fixture;
     }
 
@@ -38,7 +38,7 @@
         assertTrue(
                 response.headers().values().stream().noneMatch(v -> v.contains(PlatformFixture.KEY)),
                 "no key may be sent to a processor");
-        assertEquals(200, fixture.end(response, 200));
+        assertEquals(200, fixture.reportOutcome(response, 200));
         assertEquals(204, fixture.pull("i-1", 1000).status());
     }
 
@@ -47,9 +47,9 @@
     void silentLeaseIsHandedAgainAndNotSooner() throws ServiceException {
         PlatformFixture fixture = fixtureWithOneMessage(2);
         Response first = fixture.pull("i-1", 1000);
-        Duration fetched = fixture.r.sim.now();
+        Duration fetched = fixture.fleet.sim.now();
         Response second = fixture.pull("i-2", 10_000);
-        long waited = fixture.r.sim.now().minus(fetched).toMillis();
+        long waited = fixture.fleet.sim.now().minus(fetched).toMillis();
         assertEquals(first.headers().get("X-Attempt-Id"), second.headers().get("X-Attempt-Id"));
         assertNotEquals(first.headers().get("X-Lease-Id"), second.headers().get("X-Lease-Id"));
         assertTrue(waited >= LEASE_MS && waited < LEASE_MS + 700, "after " + waited + " ms");
@@ -61,13 +61,13 @@
         Response first = fixture.pull("i-1", 1000);
         for (int i = 0; i < 4; i++) {
             fixture.run(LEASE_MS * 2 / 3);
-            assertEquals(200, fixture.extend(first));
+            assertEquals(200, fixture.extendLease(first));
         }
-        Duration lastExtension = fixture.r.sim.now();
+        Duration lastExtension = fixture.fleet.sim.now();
         assertEquals(200, fixture.pull("i-2", 10_000).status());
         assertTrue(
-                fixture.r.sim.now().minus(lastExtension).toMillis() >= LEASE_MS - 20,
-                "after " + fixture.r.sim.now().minus(lastExtension));
+                fixture.fleet.sim.now().minus(lastExtension).toMillis() >= LEASE_MS - 20,
+                "after " + fixture.fleet.sim.now().minus(lastExtension));
     }
 
     /** Guards against rejecting a repeated outcome with 409 because it is forgotten after many attempts (review/5). */
@@ -77,43 +77,43 @@
         Response fetched = fixture.pull("i-1", 1000);
         Response first = fetched;
         for (int i = 0; i < RETURNS; i++) {
-            assertEquals(200, fixture.end(fetched, 503));
-            assertEquals(200, fixture.end(fetched, 503), "repeated return " + i);
+            assertEquals(200, fixture.reportOutcome(fetched, 503));
+            assertEquals(200, fixture.reportOutcome(fetched, 503), "repeated return " + i);
             fetched = fixture.pull("i-1", 1000);
             assertEquals(200, fetched.status(), "attempt " + i);
         }
-        assertEquals(200, fixture.end(first, 503), "repeat of the first return");
-        assertEquals(200, fixture.end(fetched, 200));
-        assertEquals(200, fixture.end(fetched, 200));
-        String owner = fixture.r.owner(partition(fetched)).orElseThrow();
-        fixture.r.kill(owner);
+        assertEquals(200, fixture.reportOutcome(first, 503), "repeat of the first return");
+        assertEquals(200, fixture.reportOutcome(fetched, 200));
+        assertEquals(200, fixture.reportOutcome(fetched, 200));
+        String owner = fixture.fleet.owner(partition(fetched)).orElseThrow();
+        fixture.fleet.kill(owner);
         fixture.run(6000);
-        fixture.r.restart(owner);
+        fixture.fleet.restart(owner);
         fixture.run(6000);
-        assertEquals(200, fixture.end(fetched, 200), "after a change of the leader and a restart");
-        assertEquals(409, fixture.extend(fetched));
+        assertEquals(200, fixture.reportOutcome(fetched, 200), "after a change of the leader and a restart");
+        assertEquals(409, fixture.extendLease(fetched));
     }
 
     @Test
-    void endIsTakenOnceAndSaidAgainHasTheSameAnswer() throws ServiceException {
+    void repeatedOutcomeGetsTheSameAnswer() throws ServiceException {
         PlatformFixture fixture = fixtureWithOneMessage(4);
         Response response = fixture.pull("i-1", 1000);
-        assertEquals(200, fixture.end(response, 200));
-        assertEquals(200, fixture.end(response, 200));
-        assertEquals(409, fixture.extend(response));
+        assertEquals(200, fixture.reportOutcome(response, 200));
+        assertEquals(200, fixture.reportOutcome(response, 200));
+        assertEquals(409, fixture.extendLease(response));
     }
 
     @Test
-    void olderLeaseIsGoneAfterANewerOne() throws ServiceException {
+    void olderLeaseIsRejectedAfterANewerOne() throws ServiceException {
         PlatformFixture fixture = fixtureWithOneMessage(5);
         Response expired = fixture.pull("i-1", 1000);
         Response current = fixture.pull("i-2", 10_000);
-        assertEquals(409, fixture.extend(expired));
-        assertEquals(409, fixture.end(expired, 200));
-        assertEquals(200, fixture.extend(current));
-        assertEquals(200, fixture.end(current, 200));
-        assertEquals(409, fixture.end(expired, 200));
-        assertEquals(409, fixture.end(expired, 500));
+        assertEquals(409, fixture.extendLease(expired));
+        assertEquals(409, fixture.reportOutcome(expired, 200));
+        assertEquals(200, fixture.extendLease(current));
+        assertEquals(200, fixture.reportOutcome(current, 200));
+        assertEquals(409, fixture.reportOutcome(expired, 200));
+        assertEquals(409, fixture.reportOutcome(expired, 500));
     }
 
     @Test
@@ -121,9 +121,14 @@
         PlatformFixture fixture = fixtureWithOneMessage(6);
         for (String leaseId : new String[] {"m0-99.1", "nonsense", "m7-1.1.1", "m999-1.1"}) {
             Map<String, String> headers = Map.of("x-lease-id", leaseId, "x-job-outcome", "200", "x-server-seal", "s");
-            assertEquals(409, fixture.front("POST", "/-/job-end/x", headers, "").status(), leaseId);
             assertEquals(
-                    409, fixture.front("POST", "/-/job-extend/x", headers, "").status(), leaseId);
+                    409,
+                    fixture.sendToIntake("POST", "/-/job-end/x", headers, "").status(),
+                    leaseId);
+            assertEquals(
+                    409,
+                    fixture.sendToIntake("POST", "/-/job-extend/x", headers, "").status(),
+                    leaseId);
         }
     }
 
@@ -135,27 +140,27 @@
         PlatformFixture fixture = fixtureWithOneMessage(7);
         Response response = fixture.pull("i-1", 1000);
         fixture.run(1500);
-        assertEquals(200, fixture.extend(response));
-        Duration lastExtension = fixture.r.sim.now();
-        String previousOwner = fixture.r.owner(partition(response)).orElseThrow();
-        fixture.r.kill(previousOwner);
+        assertEquals(200, fixture.extendLease(response));
+        Duration lastExtension = fixture.fleet.sim.now();
+        String previousOwner = fixture.fleet.owner(partition(response)).orElseThrow();
+        fixture.fleet.kill(previousOwner);
         assertEquals(200, fixture.pull("i-2", 20_000).status());
-        assertNotEquals(previousOwner, fixture.r.owner(partition(response)).orElseThrow());
+        assertNotEquals(previousOwner, fixture.fleet.owner(partition(response)).orElseThrow());
         assertTrue(
-                fixture.r.sim.now().minus(lastExtension).toMillis() >= LEASE_MS,
-                "after " + fixture.r.sim.now().minus(lastExtension));
-        assertEquals(409, fixture.end(response, 200));
+                fixture.fleet.sim.now().minus(lastExtension).toMillis() >= LEASE_MS,
+                "after " + fixture.fleet.sim.now().minus(lastExtension));
+        assertEquals(409, fixture.reportOutcome(response, 200));
     }
 
     /** A repeated outcome that a failed leader had accepted gets the same response from its successor. */
     @Test
-    void takenEndIsRememberedAcrossOwners() throws ServiceException {
+    void acceptedOutcomeSurvivesLeaderChange() throws ServiceException {
         PlatformFixture fixture = fixtureWithOneMessage(8);
         Response response = fixture.pull("i-1", 1000);
-        assertEquals(200, fixture.end(response, 200));
-        fixture.r.kill(fixture.r.owner(partition(response)).orElseThrow());
+        assertEquals(200, fixture.reportOutcome(response, 200));
+        fixture.fleet.kill(fixture.fleet.owner(partition(response)).orElseThrow());
         fixture.run(6000);
-        assertEquals(200, fixture.end(response, 200));
+        assertEquals(200, fixture.reportOutcome(response, 200));
     }
 
     @Test
@@ -164,40 +169,40 @@
         for (int i = 0; i < 6; i++) {
             Response response = fixture.pull("i-1", 5000);
             assertEquals(200, response.status(), "round " + i);
-            assertEquals(200, fixture.end(response, i % 2 == 0 ? 503 : 429));
+            assertEquals(200, fixture.reportOutcome(response, i % 2 == 0 ? 503 : 429));
         }
         Response last = fixture.pull("i-1", 5000);
-        assertEquals(200, fixture.end(last, 200));
+        assertEquals(200, fixture.reportOutcome(last, 200));
     }
 
     @Test
     void failedAttemptsAreCountedAndThenItIsDead() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(10, 1);
-        String handle = fixture.accepted("/pull/x", "poison", Map.of());
+        String handle = fixture.sendUntilAccepted("/pull/x", "poison", Map.of());
         for (int i = 0; i < 3; i++) {
-            assertEquals("queued", fixture.state(handle).path("state").asText());
+            assertEquals("queued", fixture.messageStatus(handle).path("state").asText());
             Response response = fixture.pull("i-1", 20_000);
             assertEquals(200, response.status(), "attempt " + i);
-            assertEquals(200, fixture.end(response, 500));
+            assertEquals(200, fixture.reportOutcome(response, 500));
         }
-        assertEquals("dead_letter", fixture.state(handle).path("state").asText());
-        assertEquals("poison", new String(fixture.bytes(handle).body()));
+        assertEquals("dead_letter", fixture.messageStatus(handle).path("state").asText());
+        assertEquals("poison", new String(fixture.messageBody(handle).body()));
         assertEquals(204, fixture.pull("i-1", 1000).status());
     }
 
     @Test
     void expiredLeasesCountAsNoAttempt() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(11, 1);
-        String handle = fixture.accepted("/pull/x", "body", Map.of());
+        String handle = fixture.sendUntilAccepted("/pull/x", "body", Map.of());
         for (int i = 0; i < 5; i++) {
             assertEquals(200, fixture.pull("i-" + i, 10_000).status(), "round " + i);
         }
         Response response = fixture.pull("i-9", 10_000);
-        assertEquals(200, fixture.end(response, 200));
-        assertEquals("completed", fixture.state(handle).path("state").asText());
+        assertEquals(200, fixture.reportOutcome(response, 200));
+        assertEquals("completed", fixture.messageStatus(handle).path("state").asText());
         assertEquals(
                 "seal-" + response.headers().get("X-Lease-Id"),
-                fixture.state(handle).path("seal").asText());
+                fixture.messageStatus(handle).path("seal").asText());
     }
 
     /** The next message of an ordering key waits while the first is leased, and also after that lease has expired. */
@@ -205,13 +210,13 @@
     void orderedMessageKeepsItsPlaceWhileItsLeaseLapses() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(12, 1);
         Map<String, String> key = Map.of("x-order-key", "k");
-        fixture.accepted("/turn/x", "first", key);
-        fixture.accepted("/turn/x", "second", key);
+        fixture.sendUntilAccepted("/turn/x", "first", key);
+        fixture.sendUntilAccepted("/turn/x", "second", key);
         assertEquals("first", new String(fixture.pull("i-1", 1000).body()));
         assertEquals(204, fixture.pull("i-2", 1000).status());
         Response again = fixture.pull("i-2", 10_000);
         assertEquals("first", new String(again.body()));
-        assertEquals(200, fixture.end(again, 422));
+        assertEquals(200, fixture.reportOutcome(again, 422));
         assertEquals("second", new String(fixture.pull("i-2", 5000).body()));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/LongHeadsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/LongTargetsTest.java
@@ -22,7 +22,7 @@
  * Messages with long targets are queued while there is no processor. Guards against limits that do not count all stored
  * bytes: the ring of every store filled up, the processes stopped, and no data folder could be opened again (review/1).
  */
-class LongHeadsTest {
+class LongTargetsTest {
     private static final String TARGET = "/push/" + "x".repeat(15_000) + "/";
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(2);
     private static final int MESSAGES = 400;
@@ -39,7 +39,8 @@
                     "authorization", "Token " + PlatformFixture.KEY,
                     "x-attempt-id", "m" + i);
             Request request = new Request("POST", TARGET + i, headers, body.getBytes());
-            Optional<Response> answer = fixture.r.ask(fixture.r.intakes.get(0), request, RESPONSE_TIMEOUT);
+            Optional<Response> answer =
+                    fixture.fleet.requestAndWait(fixture.fleet.intakes.get(0), request, RESPONSE_TIMEOUT);
             statuses.merge(answer.map(Response::status).orElse(0), 1, Integer::sum);
             answer.filter(response -> response.status() == 202)
                     .ifPresent(response -> bodies.put(response.headers().get("X-Message-Ref"), body));
@@ -48,10 +49,11 @@
                             response.headers().keySet().stream().anyMatch("retry-after"::equalsIgnoreCase),
                             "a rejection must have a Retry-After header"));
             if (restarts && i % 100 == 99) {
-                String store = fixture.r.stores.get(fixture.r.sim.random().nextInt(3));
-                fixture.r.kill(store);
+                String store =
+                        fixture.fleet.stores.get(fixture.fleet.sim.random().nextInt(3));
+                fixture.fleet.kill(store);
                 fixture.run(300);
-                fixture.r.restart(store);
+                fixture.fleet.restart(store);
                 fixture.run(3000);
             }
         }
@@ -59,16 +61,16 @@
 
     private static void assertEveryStoreRuns(PlatformFixture fixture) {
         assertEquals(
-                fixture.r.stores,
-                fixture.r.stores.stream()
-                        .filter(store -> fixture.r.host(store).alive())
+                fixture.fleet.stores,
+                fixture.fleet.stores.stream()
+                        .filter(store -> fixture.fleet.host(store).alive())
                         .toList());
     }
 
     private List<String> lostMessages(PlatformFixture fixture) {
         List<String> lost = new ArrayList<>();
         bodies.forEach((handle, body) -> {
-            Response answer = fixture.bytes(handle);
+            Response answer = fixture.messageBody(handle);
             if (answer.status() != 200 || !new String(answer.body()).equals(body)) {
                 lost.add(handle + " " + answer.status());
             }
@@ -99,11 +101,11 @@
         PlatformFixture fixture = new PlatformFixture(seed, 1, SimulatedFleet.SMALL_RING);
         send(fixture, MESSAGES, true);
         assertEveryStoreRuns(fixture);
-        for (String store : fixture.r.stores) {
-            fixture.r.kill(store);
+        for (String store : fixture.fleet.stores) {
+            fixture.fleet.kill(store);
         }
-        for (String store : fixture.r.stores) {
-            fixture.r.restart(store);
+        for (String store : fixture.fleet.stores) {
+            fixture.fleet.restart(store);
         }
         fixture.run(6000);
         assertEveryStoreRuns(fixture);
@@ -115,14 +117,15 @@
     private static void startProcessors(PlatformFixture fixture) {
         for (int i = 1; i <= 3; i++) {
             fixture.processor(
-                    "i-" + i, "book", "10.9.0." + i + ":80", request -> Mono.just(PlatformFixture.done(request)));
+                    "i-" + i, "book", "10.9.0." + i + ":80", request -> Mono.just(PlatformFixture.success(request)));
         }
         fixture.run(30_000);
     }
 
     private List<String> incomplete(PlatformFixture fixture) {
         return bodies.keySet().stream()
-                .filter(handle -> !fixture.state(handle).path("state").asText().equals("completed"))
+                .filter(handle ->
+                        !fixture.messageStatus(handle).path("state").asText().equals("completed"))
                 .toList();
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ManyChangesTest.java
@@ -40,7 +40,7 @@
     void setUp() throws ServiceException {
         fixture = new PlatformFixture(51, 2);
         version = fixture.configurationStub.configRevision();
-        fixture.r.net.onFrame((from, to, frame, bytes) -> {
+        fixture.fleet.net.onFrame((from, to, frame, bytes) -> {
             if (!from.equals(to)) {
                 bytesByType.merge(frame.body().getClass().getSimpleName(), (long) bytes, Long::sum);
             }
@@ -65,10 +65,11 @@
                 "/-/configuration",
                 Map.of("if-match", Long.toString(version)),
                 text(version + 1, routeCount).getBytes(StandardCharsets.UTF_8));
-        Duration sent = fixture.r.sim.now();
+        Duration sent = fixture.fleet.sim.now();
         AtomicReference<Duration> acknowledged = new AtomicReference<>();
         send(request, node, acknowledged);
-        assertTrue(fixture.r.sim.runUntil(() -> acknowledged.get() != null, DECISION_TIMEOUT), "no definite response");
+        assertTrue(
+                fixture.fleet.sim.runUntil(() -> acknowledged.get() != null, DECISION_TIMEOUT), "no definite response");
         version++;
         return acknowledged.get().minus(sent);
     }
@@ -77,35 +78,35 @@
      * Like the platform's operator, goes on to another node after a second without a response or after an unclear one.
      */
     private void send(Request request, int node, AtomicReference<Duration> acknowledged) {
-        fixture.r.request(fixture.r.controlNodes.get(node % 3), request, REQUEST_TIMEOUT, response -> {
+        fixture.fleet.request(fixture.fleet.controlNodes.get(node % 3), request, REQUEST_TIMEOUT, response -> {
             int status = response.map(Response::status).orElse(0);
             assertTrue(status < 400 || status >= 500, "rejected with " + status);
             if (status == 200) {
-                acknowledged.compareAndSet(null, fixture.r.sim.now());
+                acknowledged.compareAndSet(null, fixture.fleet.sim.now());
             } else {
-                fixture.r.sim.after(RETRY_DELAY, () -> send(request, node + 1, acknowledged));
+                fixture.fleet.sim.after(RETRY_DELAY, () -> send(request, node + 1, acknowledged));
             }
         });
     }
 
     private String leader() {
-        return fixture.r.controlNodes.stream()
-                .filter(node -> fixture.r.host(node).alive()
-                        && fixture.r.controlNode(node).replica("c0").isActiveLeader())
+        return fixture.fleet.controlNodes.stream()
+                .filter(node -> fixture.fleet.host(node).alive()
+                        && fixture.fleet.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
 
     private int snapshotBytes(String node) {
-        return fixture.r
+        return fixture.fleet
                 .controlNode(node)
                 .replica("c0")
-                .inspect(i -> fixture.r.controlNode(node).stateMachine("c0").snapshot().length);
+                .inspect(i -> fixture.fleet.controlNode(node).stateMachine("c0").snapshot().length);
     }
 
     private void restartAfter(String node, long ms) throws ServiceException {
         fixture.run(ms);
-        fixture.r.restart(node);
+        fixture.fleet.restart(node);
     }
 
     @Test
@@ -119,8 +120,8 @@
         List<Duration> leaderLostTimes = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             String leader = leader();
-            fixture.r.kill(leader);
-            leaderLostTimes.add(change(LARGE_ROUTES, (fixture.r.controlNodes.indexOf(leader) + 1) % 3));
+            fixture.fleet.kill(leader);
+            leaderLostTimes.add(change(LARGE_ROUTES, (fixture.fleet.controlNodes.indexOf(leader) + 1) % 3));
             restartAfter(leader, 500);
             fixture.run(3000);
         }
@@ -145,17 +146,17 @@
         long base = version;
         for (int i = 0; i < changes; i++) {
             int member = i / 60 % 3;
-            String node = fixture.r.controlNodes.get(member);
+            String node = fixture.fleet.controlNodes.get(member);
             int fault = i / 180;
             if (i % 60 == 10 && fault < 2) {
-                fixture.r.kill(node);
+                fixture.fleet.kill(node);
                 if (fault == 1) {
-                    fixture.r.host(node).disk.wipe();
+                    fixture.fleet.host(node).disk.wipe();
                 }
             } else if (i % 60 == 10) {
-                fixture.r.host(node).pause(Duration.ofSeconds(4));
+                fixture.fleet.host(node).pause(Duration.ofSeconds(4));
             } else if (i % 60 == 40 && fault < 2) {
-                fixture.r.restart(node);
+                fixture.fleet.restart(node);
                 fixture.run(4000);
             }
             change(routeCount, member + 1);
@@ -163,19 +164,19 @@
         fixture.run(6000);
         for (int node = 0; node < 3; node++) {
             assertEquals(200, fixture.put(first, base, node).status(), "the first change, at " + node);
-            String read = fixture.r
-                    .ask(
-                            fixture.r.controlNodes.get(node),
+            String read = fixture.fleet
+                    .requestAndWait(
+                            fixture.fleet.controlNodes.get(node),
                             new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                             READ_TIMEOUT)
                     .map(response -> new String(response.body(), StandardCharsets.UTF_8))
                     .orElseThrow();
             assertEquals(text(version, routeCount), read);
-            String name = fixture.r.controlNodes.get(node);
-            long applied = fixture.r
+            String name = fixture.fleet.controlNodes.get(node);
+            long applied = fixture.fleet
                     .controlNode(name)
                     .replica("c0")
-                    .inspect(i -> fixture.r
+                    .inspect(i -> fixture.fleet
                             .controlNode(name)
                             .stateMachine("c0")
                             .configurations()
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PairsTest.java
@@ -20,16 +20,17 @@
     @MethodSource("pairs")
     void ruleHoldsAndIsViolatedWithoutItsMechanism(Pairs.Pair pair) throws ServiceException {
         for (long seed = 1; seed <= 2; seed++) {
-            assertEquals(List.of(), pair.shipped(seed), pair.failure);
+            assertEquals(List.of(), pair.violations(seed), pair.failure);
         }
-        List<String> violated = pair.brokenWithout(1);
+        List<String> violated = pair.violatedWithoutMechanism(1);
         assertTrue(
-                violated.contains(pair.line),
-                () -> pair.failure + " without " + pair.leftOut + " violated only " + violated);
+                violated.contains(pair.invariant),
+                () -> pair.failure + " without " + pair.disabledMechanism + " violated only " + violated);
     }
 
     @Test
     void everyRuleHasItsPair() {
-        assertEquals(12, Pairs.all().stream().map(pair -> pair.line).distinct().count());
+        assertEquals(
+                12, Pairs.all().stream().map(pair -> pair.invariant).distinct().count());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformFixture.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformFixture.java
@@ -25,12 +25,12 @@
     static final Duration LIST_READ_TIME = Duration.ofSeconds(3);
 
     /** A request that a scripted processor received, and when. */
-    record Got(Request q, Duration at) {}
+    record ReceivedRequest(Request request, Duration receivedAt) {}
 
-    final SimulatedPlatformFleet r;
+    final SimulatedPlatformFleet fleet;
     final ProcessorList processorList;
-    final List<Got> got = new ArrayList<>();
-    ConfigurationStub configurationStub = PlatformFixture.plain();
+    final List<ReceivedRequest> received = new ArrayList<>();
+    ConfigurationStub configurationStub = PlatformFixture.defaultConfiguration();
     private int submissions;
 
     PlatformFixture(long seed, int intakes) throws ServiceException {
@@ -39,14 +39,14 @@
 
     /** A fleet whose ring files have the given size in bytes. */
     PlatformFixture(long seed, int intakes, int ringBytes) throws ServiceException {
-        r = new SimulatedPlatformFleet(seed, intakes, 3, ringBytes, FleetOverrides.none());
-        processorList = new ProcessorList(r.sim, Duration.ofMillis(800), 44);
-        r.list(processorList::page);
+        fleet = new SimulatedPlatformFleet(seed, intakes, 3, ringBytes, FleetOverrides.none());
+        processorList = new ProcessorList(fleet.sim, Duration.ofMillis(800), 44);
+        fleet.setProcessorListSource(processorList::page);
         assertEquals(200, put(configurationStub, 0, 0).status());
-        assertTrue(r.sim.runUntil(r::ready, Duration.ofSeconds(40)), "the fleet did not become ready");
+        assertTrue(fleet.sim.runUntil(fleet::ready, Duration.ofSeconds(40)), "the fleet did not become ready");
     }
 
-    static ConfigurationStub plain() {
+    static ConfigurationStub defaultConfiguration() {
         List<ConfigurationStub.Route> routes = List.of(
                 route("r-pull", "/pull/", "desk", false),
                 route("r-push", "/push/", "book", false),
@@ -83,8 +83,8 @@
 
     Response put(String text, long base, int firstControlNode) {
         for (int i = 0; i < 20; i++) {
-            Optional<Response> response = r.ask(
-                    r.controlNodes.get((firstControlNode + i) % 3),
+            Optional<Response> response = fleet.requestAndWait(
+                    fleet.controlNodes.get((firstControlNode + i) % 3),
                     new Request(
                             "PUT",
                             "/-/configuration",
@@ -100,15 +100,15 @@
 
     /** Adds a processor to the list whose answers come from the script, and waits until the fleet has read the list. */
     void processor(String id, String service, String address, Function<Request, Mono<Response>> script) {
-        r.processorSimulation.place(address, request -> {
-            got.add(new Got(request, r.sim.now()));
+        fleet.processorNetwork.place(address, request -> {
+            received.add(new ReceivedRequest(request, fleet.sim.now()));
             return script.apply(request);
         });
         processorList.put(id, service, address, 4, "ready");
-        r.sim.run(LIST_READ_TIME);
+        fleet.sim.run(LIST_READ_TIME);
     }
 
-    static Response done(Request request) {
+    static Response success(Request request) {
         return new Response(
                 200,
                 Map.of(
@@ -124,39 +124,39 @@
                 status, Map.of("X-Attempt-Id", request.headers().getOrDefault("x-attempt-id", "")), new byte[0]);
     }
 
-    Response send(String path, String body, Map<String, String> more) {
+    Response submit(String path, String body, Map<String, String> more) {
         Map<String, String> headers = new LinkedHashMap<>(Map.of("host", HOST, "authorization", "Token " + KEY));
         headers.put("x-attempt-id", "a" + submissions++);
         headers.putAll(more);
-        return front("POST", path, headers, body);
+        return sendToIntake("POST", path, headers, body);
     }
 
     /** Submits a message until it is accepted and returns its handle; temporary rejections are retried. */
-    String accepted(String path, String body, Map<String, String> more) {
-        Response response = send(path, body, more);
+    String sendUntilAccepted(String path, String body, Map<String, String> more) {
+        Response response = submit(path, body, more);
         for (int i = 0; i < 20 && (response.status() == 503 || response.status() == 429); i++) {
             run(100);
-            response = send(path, body, more);
+            response = submit(path, body, more);
         }
         assertEquals("202 ", response.status() + " " + new String(response.body()));
         return response.headers().get("X-Message-Ref");
     }
 
-    Response front(String method, String path, Map<String, String> headers, String body) {
-        return r.ask(
-                        r.intakes.get(0),
+    Response sendToIntake(String method, String path, Map<String, String> headers, String body) {
+        return fleet.requestAndWait(
+                        fleet.intakes.get(0),
                         new Request(method, path, headers, body.getBytes(StandardCharsets.UTF_8)),
                         Duration.ofSeconds(25))
                 .orElseThrow();
     }
 
     Response pull(String instance, long waitMs) {
-        return front(
+        return sendToIntake(
                 "POST", "/-/pull/desk", Map.of("x-instance-id", instance, "x-poll-wait-ms", Long.toString(waitMs)), "");
     }
 
-    int extend(Response pulled) {
-        return front(
+    int extendLease(Response pulled) {
+        return sendToIntake(
                         "POST",
                         "/-/job-extend/" + pulled.headers().get("X-Attempt-Id"),
                         Map.of("x-lease-id", pulled.headers().get("X-Lease-Id")),
@@ -164,28 +164,29 @@
                 .status();
     }
 
-    int end(Response pulled, int outcome) {
+    int reportOutcome(Response pulled, int outcome) {
         Map<String, String> headers = new LinkedHashMap<>(
                 Map.of("x-lease-id", pulled.headers().get("X-Lease-Id"), "x-job-outcome", Integer.toString(outcome)));
         if (outcome == 200) {
             headers.put("x-server-seal", "seal-" + pulled.headers().get("X-Lease-Id"));
         }
-        return front("POST", "/-/job-end/" + pulled.headers().get("X-Attempt-Id"), headers, "")
+        return sendToIntake("POST", "/-/job-end/" + pulled.headers().get("X-Attempt-Id"), headers, "")
                 .status();
     }
 
-    JsonNode state(String handle) {
+    JsonNode messageStatus(String handle) {
         Response response =
-                front("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
+                sendToIntake("GET", "/-/message/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
         assertEquals(200, response.status());
         return Callers.json(response);
     }
 
-    Response bytes(String handle) {
-        return front("GET", "/-/message-body/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
+    Response messageBody(String handle) {
+        return sendToIntake(
+                "GET", "/-/message-body/" + handle, Map.of("host", HOST, "authorization", "Token " + KEY), "");
     }
 
     void run(long ms) {
-        r.sim.run(Duration.ofMillis(ms));
+        fleet.sim.run(Duration.ofMillis(ms));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformScenariosTest.java
@@ -22,11 +22,11 @@
     void ruleHoldsAndIsViolatedWithoutItsMechanism(RuleScenario ruleScenario) throws ServiceException {
         List<String> violated = List.of();
         for (long seed = 1; seed <= MAX_SEEDS && !violated.contains(ruleScenario.rule); seed++) {
-            assertEquals(List.of(), ruleScenario.shipped(seed), ruleScenario.failure + ", seed " + seed);
-            violated = ruleScenario.brokenWithout(seed);
+            assertEquals(List.of(), ruleScenario.violations(seed), ruleScenario.failure + ", seed " + seed);
+            violated = ruleScenario.violatedWithoutMechanism(seed);
         }
         assertTrue(
                 violated.contains(ruleScenario.rule),
-                ruleScenario.failure + " without " + ruleScenario.leftOut + ": " + violated);
+                ruleScenario.failure + " without " + ruleScenario.disabledMechanism + ": " + violated);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/PlatformSimulationTest.java
@@ -25,7 +25,7 @@
         assertEquals(List.of(), simulation.end(Duration.ofSeconds(10)));
         long accepted = simulation.answers().get(202);
         assertTrue(accepted > 400, simulation.answers().toString());
-        long completed = simulation.seen.shown.stream()
+        long completed = simulation.observations.shown.stream()
                 .filter(shown -> shown.state().equals("completed"))
                 .count();
         assertTrue(completed > accepted * 0.9, completed + " of " + accepted);
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorAnswersTest.java
@@ -22,7 +22,7 @@
     private static final String UNKNOWN = ErrorKind.UNKNOWN_OUTCOME.name();
     private final HttpDeliveryClient client = new HttpDeliveryClient();
 
-    private String resultOf(Peer peer, String id, Duration limit) {
+    private String resultOf(ScriptedHttpServer peer, String id, Duration limit) {
         DeliveryClient.DeliveryRequest call = new DeliveryClient.DeliveryRequest(
                 "POST",
                 peer.address() + "/x",
@@ -41,8 +41,9 @@
         return head.replaceAll("(?is).*x-attempt-id: *(\\S+).*", "$1");
     }
 
-    private static Peer.Said ownAnswer(String head) {
-        return new Peer.Said(Peer.answer(200, id(head), "", "own " + id(head)), false);
+    private static ScriptedHttpServer.ScriptedAnswer ownAnswer(String head) {
+        return new ScriptedHttpServer.ScriptedAnswer(
+                ScriptedHttpServer.answer(200, id(head), "", "own " + id(head)), false);
     }
 
     /**
@@ -51,15 +52,15 @@
      */
     @Test
     void beginningOfASecondAnswerIsNoPartOfTheNext() throws Exception {
-        String second = Peer.answer(200, "a1", "", "spare");
-        try (Peer peer = new Peer((c, n, head) -> {
+        String second = ScriptedHttpServer.answer(200, "a1", "", "spare");
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> {
             if (c != 1) {
                 return ownAnswer(head);
             }
             String rest = second.substring(0, second.length() - 3);
             return n == 1
-                    ? new Peer.Said(ownAnswer(head).text() + rest, false)
-                    : new Peer.Said(
+                    ? new ScriptedHttpServer.ScriptedAnswer(ownAnswer(head).text() + rest, false)
+                    : new ScriptedHttpServer.ScriptedAnswer(
                             second.substring(second.length() - 3)
                                     + ownAnswer(head).text(),
                             false);
@@ -76,8 +77,9 @@
 
     @Test
     void answerWithTwoIdsIsNobodysAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> c == 1
-                ? new Peer.Said(Peer.answer(200, "other", "X-Attempt-Id: " + id(head) + "\r\n", "mixed"), false)
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> c == 1
+                ? new ScriptedHttpServer.ScriptedAnswer(
+                        ScriptedHttpServer.answer(200, "other", "X-Attempt-Id: " + id(head) + "\r\n", "mixed"), false)
                 : ownAnswer(head))) {
             assertEquals(UNKNOWN, resultOf(peer, "a1", LONG));
             assertEquals("200 own a2", resultOf(peer, "a2", LONG));
@@ -87,8 +89,9 @@
 
     @Test
     void answerWithoutAnIdIsNobodysAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> c == 1
-                ? new Peer.Said("HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false)
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> c == 1
+                ? new ScriptedHttpServer.ScriptedAnswer(
+                        "HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false)
                 : ownAnswer(head))) {
             assertEquals(UNKNOWN, resultOf(peer, "a1", LONG));
             assertEquals("200 own a2", resultOf(peer, "a2", LONG));
@@ -100,7 +103,7 @@
     @Test
     void connectionIsNotUsedAgainAfterATimeOut() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        try (Peer peer = new Peer((c, n, head) -> {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> {
             if (c == 1) {
                 await(second);
                 return ownAnswer(head);
@@ -111,7 +114,7 @@
             assertEquals(UNKNOWN, resultOf(peer, "a1", Duration.ofMillis(300)));
             assertEquals("200 own a2", resultOf(peer, "a2", LONG));
             assertEquals(2, peer.connections());
-            assertEquals(2, peer.heads.size());
+            assertEquals(2, peer.requestHeads.size());
         }
     }
 
@@ -127,9 +130,9 @@
     @Test
     void keepAliveThatDiesAsItIsUsedSendsNothingTwice() throws Exception {
         AtomicInteger requests = new AtomicInteger();
-        try (Peer peer = new Peer((c, n, head) -> {
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> {
             requests.incrementAndGet();
-            return n == 1 ? ownAnswer(head) : new Peer.Said("", true);
+            return n == 1 ? ownAnswer(head) : new ScriptedHttpServer.ScriptedAnswer("", true);
         })) {
             assertEquals("200 own a1", resultOf(peer, "a1", LONG));
             assertEquals(UNKNOWN, resultOf(peer, "a2", LONG));
@@ -140,11 +143,12 @@
 
     @Test
     void closeWithinTheHeadOrTheBodyOfAnAnswerIsUnknown() throws Exception {
-        String whole = Peer.answer(200, "a", "X-Server-Seal: s\r\n", "body");
+        String whole = ScriptedHttpServer.answer(200, "a", "X-Server-Seal: s\r\n", "body");
         for (int cut : List.of(1, 12, 20, whole.indexOf("\r\n\r\n") + 3, whole.length() - 1)) {
-            try (Peer peer = new Peer((c, n, head) -> new Peer.Said(whole.substring(0, cut), true))) {
+            try (ScriptedHttpServer peer = new ScriptedHttpServer(
+                    (c, n, head) -> new ScriptedHttpServer.ScriptedAnswer(whole.substring(0, cut), true))) {
                 assertEquals(UNKNOWN, resultOf(peer, "a", LONG), "cut at " + cut);
-                assertEquals(1, peer.heads.size());
+                assertEquals(1, peer.requestHeads.size());
             }
         }
     }
@@ -152,7 +156,7 @@
     /** A chunked body that ends with the connection instead of the last chunk. */
     @Test
     void chunksWithoutTheirEndAreUnknown() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> new Peer.Said(
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> new ScriptedHttpServer.ScriptedAnswer(
                 "HTTP/1.1 200 X\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n", true))) {
             assertEquals(UNKNOWN, resultOf(peer, "a", LONG));
         }
@@ -161,8 +165,9 @@
     /** An interim response carries no attempt ID and is not the answer; the final one is then out of sync. */
     @Test
     void interimAnswerIsNotTheAnswer() throws Exception {
-        try (Peer peer = new Peer((c, n, head) -> c == 1
-                ? new Peer.Said("HTTP/1.1 103 Early\r\n\r\n" + ownAnswer(head).text(), false)
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> c == 1
+                ? new ScriptedHttpServer.ScriptedAnswer(
+                        "HTTP/1.1 103 Early\r\n\r\n" + ownAnswer(head).text(), false)
                 : ownAnswer(head))) {
             String first = resultOf(peer, "a1", LONG);
             assertTrue(first.equals(UNKNOWN) || first.equals("200 own a1"), first);
@@ -174,8 +179,8 @@
     @Test
     void endlessAnswerIsGivenUp() throws Exception {
         String megabyte = "x".repeat(1 << 20);
-        try (Peer peer = new Peer((c, n, head) -> c == 1
-                ? new Peer.Said(
+        try (ScriptedHttpServer peer = new ScriptedHttpServer((c, n, head) -> c == 1
+                ? new ScriptedHttpServer.ScriptedAnswer(
                         "HTTP/1.1 200 X\r\nX-Attempt-Id: a1\r\nContent-Length: " + (64L << 20) + "\r\n\r\n" + megabyte,
                         false)
                 : ownAnswer(head))) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ProcessorRegistryTest.java
@@ -18,16 +18,16 @@
 
     private static ServiceView view(PlatformFixture fixture) {
         String partition = ServiceNames.controlPartition(KEY);
-        String owner = fixture.r.controlNodes.stream()
-                .filter(node -> fixture.r.host(node).alive()
-                        && fixture.r.controlNode(node).replica(partition).isActiveLeader())
+        String owner = fixture.fleet.controlNodes.stream()
+                .filter(node -> fixture.fleet.host(node).alive()
+                        && fixture.fleet.controlNode(node).replica(partition).isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        return fixture.r
+        return fixture.fleet
                 .controlNode(owner)
                 .replica(partition)
                 .inspect(state ->
-                        fixture.r.controlNode(owner).stateMachine(partition).service(KEY));
+                        fixture.fleet.controlNode(owner).stateMachine(partition).service(KEY));
     }
 
     @Test
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void fleetAsksNoOftenerThanOneReaderDoes() throws ServiceException {
+    void fleetPollsNoMoreOftenThanASingleReader() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(2, 2);
         fixture.run(2000);
         int before = fixture.processorList.calls();
@@ -69,61 +69,61 @@
     @Test
     void unavailableListChangesNothing() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(3, 1);
-        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
-        fixture.processorList.down(true);
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
+        fixture.processorList.setUnavailable(true);
         fixture.run(8000);
         assertEquals(1, view(fixture).processors().size());
-        fixture.accepted("/push/x", "b", Map.of());
+        fixture.sendUntilAccepted("/push/x", "b", Map.of());
         fixture.run(2000);
-        assertEquals(1, fixture.got.size());
+        assertEquals(1, fixture.received.size());
     }
 
     @Test
-    void nextOwnerOfTheLayoutsPartReadsOn() throws ServiceException {
+    void nextConfigurationLeaderContinuesPolling() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(4, 1);
-        String owner = fixture.r.controlNodes.stream()
-                .filter(node -> fixture.r.controlNode(node).replica("c0").isActiveLeader())
+        String owner = fixture.fleet.controlNodes.stream()
+                .filter(node -> fixture.fleet.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
-        fixture.r.kill(owner);
+        fixture.fleet.kill(owner);
         fixture.run(4000);
-        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
         assertEquals(1, view(fixture).processors().size());
     }
 
     @Test
-    void drainingProcessorGetsNothingMore() throws ServiceException {
+    void drainingProcessorReceivesNoMoreMessages() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(5, 1);
-        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
-        fixture.accepted("/push/x", "b", Map.of());
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
+        fixture.sendUntilAccepted("/push/x", "b", Map.of());
         fixture.run(1500);
-        assertEquals(1, fixture.got.size());
+        assertEquals(1, fixture.received.size());
         Duration shown = fixture.processorList.put("i-1", "book", ADDRESS, 4, "draining");
         for (int i = 0; i < 40; i++) {
-            fixture.accepted("/push/x", "b", Map.of());
+            fixture.sendUntilAccepted("/push/x", "b", Map.of());
             fixture.run(150);
         }
-        Duration last = fixture.got.get(fixture.got.size() - 1).at();
+        Duration last = fixture.received.get(fixture.received.size() - 1).receivedAt();
         assertTrue(
                 last.minus(shown).toMillis() < 2500,
                 "received work until " + last.minus(shown) + " after the list showed it");
-        fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(PlatformFixture.done(request)));
+        fixture.processor("i-2", "book", "10.9.0.2:8080", request -> Mono.just(PlatformFixture.success(request)));
         fixture.run(3000);
-        assertEquals(41, fixture.got.size());
+        assertEquals(41, fixture.received.size());
     }
 
     /** A removed processor's address may be reused by another service; its instance ID is then not the expected one. */
     @Test
-    void reusedAddressIsToldWhoIsExpected() throws ServiceException {
+    void reusedAddressReceivesTheExpectedInstanceId() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(6, 1);
-        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
-        fixture.accepted("/push/x", "b", Map.of());
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
+        fixture.sendUntilAccepted("/push/x", "b", Map.of());
         fixture.run(1500);
-        assertEquals("i-1", fixture.got.get(0).q().headers().get("x-expect-instance"));
+        assertEquals("i-1", fixture.received.get(0).request().headers().get("x-expect-instance"));
         fixture.processorList.drop("i-1");
-        fixture.processor("i-7", "same", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
-        fixture.accepted("/push/x", "b", Map.of());
+        fixture.processor("i-7", "same", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
+        fixture.sendUntilAccepted("/push/x", "b", Map.of());
         fixture.run(3000);
-        assertEquals(1, fixture.got.size(), "no processor serves the first service any more");
+        assertEquals(1, fixture.received.size(), "no processor serves the first service any more");
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RateTest.java
@@ -23,17 +23,17 @@
                         seed, 3, 3, 2, new TestConfiguration(3, 1, 60, 60, 26), SimulatedFleet.LARGE_RING)
                 .startAll();
         for (int ms = 0; ms < 12000; ms += 20) {
-            simulation.w.sim.after(Duration.ofMillis(ms), () -> simulation.check(0));
+            simulation.fleet.sim.after(Duration.ofMillis(ms), () -> simulation.submitToEndpoint(0));
         }
-        simulation.w.sim.after(Duration.ofSeconds(5), () -> change.accept(simulation));
-        simulation.w.sim.run(Duration.ofSeconds(13));
+        simulation.fleet.sim.after(Duration.ofSeconds(5), () -> change.accept(simulation));
+        simulation.fleet.sim.run(Duration.ofSeconds(13));
         assertTrue(simulation.settle(Duration.ofSeconds(200)), "open: " + simulation.firstOpen());
         return simulation.violations();
     }
 
     private static String holder(FleetSimulation simulation) {
-        return simulation.w.intakes.stream()
-                .filter(intake -> simulation.w.dataPlaneNode(intake).ownedBuckets().stream()
+        return simulation.fleet.intakes.stream()
+                .filter(intake -> simulation.fleet.dataPlaneNode(intake).ownedBuckets().stream()
                         .anyMatch(bucket -> bucket.startsWith("endpoint/")))
                 .findFirst()
                 .orElseThrow();
@@ -42,14 +42,14 @@
     /** Cuts the bucket holder and one store off from every node that has newer views, but not from each other. */
     private static void isolateHolderWithOneStore(FleetSimulation simulation) {
         String holder = holder(simulation);
-        String store = simulation.w.stores.get(0);
-        simulation.w.net.cutOff(holder);
-        simulation.w.net.join(holder, store);
-        simulation.w.controlNodes.forEach(node -> simulation.w.net.cut(node, store));
-        simulation.w.intakes.stream()
+        String store = simulation.fleet.stores.get(0);
+        simulation.fleet.net.cutOff(holder);
+        simulation.fleet.net.join(holder, store);
+        simulation.fleet.controlNodes.forEach(node -> simulation.fleet.net.cut(node, store));
+        simulation.fleet.intakes.stream()
                 .filter(intake -> !intake.equals(holder))
-                .forEach(intake -> simulation.w.net.cut(intake, store));
-        simulation.w.sim.after(Duration.ofSeconds(3), simulation.w.net::heal);
+                .forEach(intake -> simulation.fleet.net.cut(intake, store));
+        simulation.fleet.sim.after(Duration.ofSeconds(3), simulation.fleet.net::heal);
     }
 
     /** Guards against buckets keyed by service name: after a rename, two of them granted tokens for up to 2 s. */
@@ -72,13 +72,13 @@
     @Test
     void loweredRateHoldsAfterThreeSeconds() throws ServiceException {
         assertEquals(List.of(), violationsUnderLoad(1, simulation -> {
-            Duration sent = simulation.w.sim.now();
+            Duration sent = simulation.fleet.sim.now();
             simulation.put(
                     Edit.services(simulation.configuration, m -> m.put(ENDPOINT, Edit.rate(m.get(ENDPOINT), 8))),
                     simulation.version,
                     "lower",
-                    response -> simulation.w.seen.paced(
-                            ENDPOINT, new Observations.Limit(8, 0, sent, simulation.w.sim.now())));
+                    response -> simulation.fleet.observations.endpointLimit(
+                            ENDPOINT, new Observations.Limit(8, 0, sent, simulation.fleet.sim.now())));
         }));
     }
 
@@ -87,8 +87,8 @@
         for (long seed = 1; seed <= 1; seed++) {
             assertEquals(List.of(), violationsUnderLoad(seed, simulation -> {
                 String holder = holder(simulation);
-                simulation.w.kill(holder);
-                simulation.w.sim.after(Duration.ofSeconds(3), () -> simulation.w.begin(holder));
+                simulation.fleet.kill(holder);
+                simulation.fleet.sim.after(Duration.ofSeconds(3), () -> simulation.fleet.begin(holder));
             }));
         }
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RefusedTokensTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RefusedTokensTest.java
@@ -50,20 +50,22 @@
         FleetSimulation simulation = new FleetSimulation(
                         3, 1, 3, 2, new TestConfiguration(1, 2, RATE, BURST, 26), SimulatedFleet.LARGE_RING, overrides)
                 .startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        String intake = simulation.w.intakes.get(0);
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        String intake = simulation.fleet.intakes.get(0);
         for (int ms = 0; ms < LOAD_TIME.toMillis(); ms += INTERVAL_MS) {
-            simulation.w.sim.after(Duration.ofMillis(ms), () -> {
-                simulation.plainAt(0, List.of(intake));
-                simulation.plainAt(0, List.of(intake));
+            simulation.fleet.sim.after(Duration.ofMillis(ms), () -> {
+                simulation.submitUnorderedAt(0, List.of(intake));
+                simulation.submitUnorderedAt(0, List.of(intake));
             });
         }
-        simulation.w.sim.run(LOAD_TIME.plusSeconds(1));
-        long accepted = simulation.kinds().getOrDefault("accepted", 0L);
-        assertTrue(simulation.kinds().getOrDefault("queue_full", 0L) > RATE, "too few submissions were rejected");
+        simulation.fleet.sim.run(LOAD_TIME.plusSeconds(1));
+        long accepted = simulation.countsByOutcome().getOrDefault("accepted", 0L);
+        assertTrue(
+                simulation.countsByOutcome().getOrDefault("queue_full", 0L) > RATE,
+                "too few submissions were rejected");
         long allowance = BURST + RATE * (LOAD_TIME.toSeconds() + 1);
         assertTrue(accepted <= allowance, accepted + " accepted, but the limit allows " + allowance);
-        simulation.followWhatRan();
+        simulation.followExecuted();
         assertTrue(
                 simulation.settle(Duration.ofSeconds(60)), "some accepted messages have not reached a terminal state");
         assertEquals(List.of(), simulation.violations());
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepairTest.java
@@ -25,9 +25,9 @@
     }
 
     private static boolean everyGroupContains(FleetSimulation simulation, String store, boolean expected) {
-        return simulation.w.stores.stream()
-                .filter(s -> simulation.w.host(s).alive())
-                .allMatch(s -> simulation.w.dataPlaneNode(s).partitionGroups().values().stream()
+        return simulation.fleet.stores.stream()
+                .filter(s -> simulation.fleet.host(s).alive())
+                .allMatch(s -> simulation.fleet.dataPlaneNode(s).partitionGroups().values().stream()
                         .allMatch(g -> g.contains(store) == expected));
     }
 
@@ -35,14 +35,14 @@
     void fourthStoreReplacesALostOne() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(3, 3, 3, 4).startAll();
         simulation.traffic(20);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        String lost = simulation.w.stores.get(0);
-        simulation.w.kill(lost);
-        String spare = simulation.w.newStore();
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        String lost = simulation.fleet.stores.get(0);
+        simulation.fleet.kill(lost);
+        String spare = simulation.fleet.newStore();
         assertTrue(
-                simulation.w.sim.runUntil(
+                simulation.fleet.sim.runUntil(
                         () -> simulation
-                                                .w
+                                                .fleet
                                                 .dataPlaneNode(spare)
                                                 .partitionGroups()
                                                 .size()
@@ -50,11 +50,13 @@
                                 && everyGroupContains(simulation, lost, false),
                         Duration.ofSeconds(60)),
                 "the spare is not a member of every partition");
-        simulation.w.kill(simulation.w.stores.get(1));
-        simulation.w.sim.run(Duration.ofSeconds(8));
-        long before = simulation.kinds().getOrDefault("accepted", 0L);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        assertTrue(simulation.kinds().get("accepted") > before + 50, "too few messages accepted after the second loss");
+        simulation.fleet.kill(simulation.fleet.stores.get(1));
+        simulation.fleet.sim.run(Duration.ofSeconds(8));
+        long before = simulation.countsByOutcome().getOrDefault("accepted", 0L);
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        assertTrue(
+                simulation.countsByOutcome().get("accepted") > before + 50,
+                "too few messages accepted after the second loss");
         assertSettled(simulation);
     }
 
@@ -66,38 +68,42 @@
     void joiningStoreGetsItsShareAndThenNothingMoves() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(9, 3, 3, 4).startAll();
         simulation.traffic(20);
-        simulation.w.sim.run(Duration.ofSeconds(5));
-        String joined = simulation.w.newStore();
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
+        String joined = simulation.fleet.newStore();
         assertTrue(
-                simulation.w.sim.runUntil(
+                simulation.fleet.sim.runUntil(
                         () -> simulation
-                                                .w
+                                                .fleet
                                                 .dataPlaneNode(joined)
                                                 .partitionGroups()
                                                 .size()
                                         == 4
-                                && simulation.w.dataPlaneNode(joined).ledPartitionCount() == 2,
+                                && simulation.fleet.dataPlaneNode(joined).ledPartitionCount() == 2,
                         Duration.ofSeconds(120)),
                 "member of "
-                        + simulation.w.dataPlaneNode(joined).partitionGroups().keySet() + ", leads "
-                        + simulation.w.dataPlaneNode(joined).ledPartitionCount());
-        simulation.w.sim.run(Duration.ofSeconds(20));
+                        + simulation
+                                .fleet
+                                .dataPlaneNode(joined)
+                                .partitionGroups()
+                                .keySet() + ", leads "
+                        + simulation.fleet.dataPlaneNode(joined).ledPartitionCount());
+        simulation.fleet.sim.run(Duration.ofSeconds(20));
         long totalTerms = totalTerms(simulation);
-        simulation.w.sim.run(Duration.ofSeconds(60));
+        simulation.fleet.sim.run(Duration.ofSeconds(60));
         assertEquals(totalTerms, totalTerms(simulation), "partitions still change leaders");
-        for (String s : simulation.w.stores) {
-            assertEquals(2, simulation.w.dataPlaneNode(s).ledPartitionCount(), s);
+        for (String s : simulation.fleet.stores) {
+            assertEquals(2, simulation.fleet.dataPlaneNode(s).ledPartitionCount(), s);
         }
         assertFalse(
-                simulation.kinds().containsKey("unavailable"),
-                simulation.kinds().toString());
+                simulation.countsByOutcome().containsKey("unavailable"),
+                simulation.countsByOutcome().toString());
         assertSettled(simulation);
     }
 
     private static long totalTerms(FleetSimulation simulation) {
         return ServiceNames.messagePartitions().stream()
-                .mapToLong(p -> simulation.w.stores.stream()
-                        .mapToLong(s -> simulation.w.dataPlaneNode(s).term(p))
+                .mapToLong(p -> simulation.fleet.stores.stream()
+                        .mapToLong(s -> simulation.fleet.dataPlaneNode(s).term(p))
                         .max()
                         .orElse(0))
                 .sum();
@@ -107,43 +113,45 @@
     void shortAbsenceOfAStoreMovesNothing() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(4, 3, 4, 4).startAll();
         simulation.traffic(20);
-        simulation.w.sim.run(Duration.ofSeconds(5));
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
         Map<String, ?> before =
-                simulation.w.dataPlaneNode(simulation.w.stores.get(1)).partitionGroups();
-        simulation.w.kill(simulation.w.stores.get(0));
-        simulation.w.sim.run(Duration.ofSeconds(6));
-        simulation.w.restart(simulation.w.stores.get(0));
-        simulation.w.sim.run(Duration.ofSeconds(10));
+                simulation.fleet.dataPlaneNode(simulation.fleet.stores.get(1)).partitionGroups();
+        simulation.fleet.kill(simulation.fleet.stores.get(0));
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
+        simulation.fleet.restart(simulation.fleet.stores.get(0));
+        simulation.fleet.sim.run(Duration.ofSeconds(10));
         assertEquals(
-                before, simulation.w.dataPlaneNode(simulation.w.stores.get(1)).partitionGroups());
+                before,
+                simulation.fleet.dataPlaneNode(simulation.fleet.stores.get(1)).partitionGroups());
         assertSettled(simulation);
     }
 
     @Test
-    void lostLighthouseIsReplacedByAnother() throws ServiceException {
+    void lostControlNodeIsReplacedByAnother() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(5, 3, 3, 4).startAll();
         simulation.traffic(20);
-        simulation.w.kill(simulation.w.controlNodes.get(0));
-        String spare = simulation.w.newControlNodeFirstSettings();
-        List<String> wanted = List.of(simulation.w.controlNodes.get(1), simulation.w.controlNodes.get(2), spare);
+        simulation.fleet.kill(simulation.fleet.controlNodes.get(0));
+        String spare = simulation.fleet.newControlNodeWithInitialSettings();
+        List<String> wanted =
+                List.of(simulation.fleet.controlNodes.get(1), simulation.fleet.controlNodes.get(2), spare);
         AtomicInteger status = new AtomicInteger();
         simulation.operate(
                 new Request("PUT", "/v1/core", Map.of(), Configurations.write(Map.of("lighthouses", wanted))),
                 response -> status.set(response.status()));
         assertTrue(
-                simulation.w.sim.runUntil(
+                simulation.fleet.sim.runUntil(
                         () -> status.get() == 200
-                                && CoreExchange.votesEverywhere(simulation.w, spare)
+                                && CoreMemberReplacement.votesEverywhere(simulation.fleet, spare)
                                 && simulation
-                                        .w
+                                        .fleet
                                         .controlNode(spare)
                                         .controlNodes()
                                         .equals(wanted.stream().sorted().toList()),
                         Duration.ofSeconds(60)),
                 "the replacement is not a voting member: "
-                        + simulation.w.controlNode(spare).controlNodes());
-        simulation.w.kill(simulation.w.controlNodes.get(1));
-        simulation.w.sim.run(Duration.ofSeconds(8));
+                        + simulation.fleet.controlNode(spare).controlNodes());
+        simulation.fleet.kill(simulation.fleet.controlNodes.get(1));
+        simulation.fleet.sim.run(Duration.ofSeconds(8));
         AtomicInteger configurationStatus = new AtomicInteger();
         simulation.put(
                 simulation.configuration,
@@ -151,7 +159,7 @@
                 "after",
                 response -> configurationStatus.set(response.status()));
         assertTrue(
-                simulation.w.sim.runUntil(() -> configurationStatus.get() == 200, Duration.ofSeconds(20)),
+                simulation.fleet.sim.runUntil(() -> configurationStatus.get() == 200, Duration.ofSeconds(20)),
                 "answer " + configurationStatus.get());
         assertSettled(simulation);
     }
@@ -161,13 +169,13 @@
      * Each answer must come within 1 s, and the operator's retries must succeed within 2.5 s of the loss.
      */
     @Test
-    void layoutPutRightAfterTheLossOfItsOwnerGetsAClearYes() throws ServiceException {
+    void configurationPutRightAfterTheLossOfItsLeaderIsAccepted() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).startAll();
-        Duration lost = simulation.w.sim.now();
-        simulation.w.kill(simulation.w.controlNodes.get(0));
+        Duration lost = simulation.fleet.sim.now();
+        simulation.fleet.kill(simulation.fleet.controlNodes.get(0));
         List<Integer> answers = new ArrayList<>();
         putUntilAccepted(simulation, answers, lost.plusMillis(2500));
-        simulation.w.sim.run(Duration.ofSeconds(6));
+        simulation.fleet.sim.run(Duration.ofSeconds(6));
         assertEquals(200, answers.get(answers.size() - 1), answers.toString());
         assertTrue(answers.stream().limit(answers.size() - 1).allMatch(a -> a >= 503), answers.toString());
     }
@@ -175,15 +183,15 @@
     private static void putUntilAccepted(FleetSimulation simulation, List<Integer> answers, Duration until) {
         byte[] json = Configurations.write(simulation.configuration);
         Request put = new Request("PUT", "/v1/layout", Map.of("if-match", "1", "x-request-id", "now"), json);
-        Duration sent = simulation.w.sim.now();
-        simulation.w.request(simulation.w.controlNodes.get(1), put, Duration.ofSeconds(5), optional -> {
+        Duration sent = simulation.fleet.sim.now();
+        simulation.fleet.request(simulation.fleet.controlNodes.get(1), put, Duration.ofSeconds(5), optional -> {
             assertTrue(
-                    simulation.w.sim.now().minus(sent).compareTo(Duration.ofSeconds(1)) < 0,
+                    simulation.fleet.sim.now().minus(sent).compareTo(Duration.ofSeconds(1)) < 0,
                     "no answer within one second");
-            assertTrue(simulation.w.sim.now().compareTo(until) < 0, "no success yet: " + answers);
+            assertTrue(simulation.fleet.sim.now().compareTo(until) < 0, "no success yet: " + answers);
             answers.add(optional.map(response -> response.status()).orElse(0));
             if (answers.get(answers.size() - 1) != 200) {
-                simulation.w.sim.after(Duration.ofMillis(200), () -> putUntilAccepted(simulation, answers, until));
+                simulation.fleet.sim.after(Duration.ofMillis(200), () -> putUntilAccepted(simulation, answers, until));
             }
         });
     }
@@ -200,19 +208,19 @@
      * groups of its partitions then differ.
      */
     @Test
-    void lighthouseIsNamedWhileTheCoreExchangesItByItself() throws ServiceException {
+    void controlNodeMayBeNamedWhileTheCoreReplacesItByItself() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(8, 3, 3, 4).startAll();
-        simulation.w.sim.run(Duration.ofSeconds(3));
-        List<String> staying = List.copyOf(simulation.w.controlNodes.subList(0, 2));
-        simulation.w.lose(simulation.w.controlNodes.get(2));
-        simulation.w.sim.run(Duration.ofSeconds(2));
-        String spare = simulation.w.newControlNode();
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
+        List<String> staying = List.copyOf(simulation.fleet.controlNodes.subList(0, 2));
+        simulation.fleet.losePermanently(simulation.fleet.controlNodes.get(2));
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
+        String spare = simulation.fleet.newControlNode();
         Optional<String> asked = Optional.empty();
         for (int step = 0; step < 10_000 && asked.isEmpty(); step++) {
-            simulation.w.sim.run(Duration.ofMillis(1));
+            simulation.fleet.sim.run(Duration.ofMillis(1));
             asked = staying.stream()
                     .filter(node ->
-                            simulation.w.controlNode(node).controlNodes().size() == 4)
+                            simulation.fleet.controlNode(node).controlNodes().size() == 4)
                     .findFirst();
         }
         assertTrue(asked.isPresent(), "no exchange was observed in progress");
@@ -220,13 +228,13 @@
         byte[] body = Configurations.write(Map.of("lighthouses", wanted));
         List<Integer> answers = new ArrayList<>();
         Request put = new Request("PUT", "/v1/core", Map.of(), body);
-        simulation.w.request(
+        simulation.fleet.request(
                 asked.orElseThrow(),
                 put,
                 Duration.ofSeconds(5),
                 optional ->
                         answers.add(optional.map(response -> response.status()).orElse(0)));
-        simulation.w.sim.run(Duration.ofSeconds(5));
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
         assertEquals(List.of(200), answers);
     }
 
@@ -240,9 +248,10 @@
                         "/v1/core",
                         Map.of(),
                         Configurations.write(Map.of(
-                                "lighthouses", List.of(simulation.w.controlNodes.get(0), "10.9.9.1:1", "10.9.9.2:1")))),
+                                "lighthouses",
+                                List.of(simulation.fleet.controlNodes.get(0), "10.9.9.1:1", "10.9.9.2:1")))),
                 response -> status.set(response.status()));
-        simulation.w.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
         assertEquals(409, status.get());
     }
 
@@ -250,22 +259,22 @@
     void ownersSpreadAgainAfterARollingRestart() throws ServiceException {
         FleetSimulation simulation = new FleetSimulation(7, 3, 3, 4).startAll();
         simulation.traffic(20);
-        for (String s : simulation.w.stores) {
-            simulation.w.dataPlaneNode(s).drain();
-            simulation.w.sim.run(Duration.ofSeconds(1));
-            assertTrue(simulation.w.dataPlaneNode(s).drain(), "not drained within a second");
-            simulation.w.kill(s);
-            simulation.w.sim.run(Duration.ofSeconds(2));
-            simulation.w.restart(s);
-            simulation.w.sim.run(Duration.ofSeconds(6));
+        for (String s : simulation.fleet.stores) {
+            simulation.fleet.dataPlaneNode(s).drain();
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
+            assertTrue(simulation.fleet.dataPlaneNode(s).drain(), "not drained within a second");
+            simulation.fleet.kill(s);
+            simulation.fleet.sim.run(Duration.ofSeconds(2));
+            simulation.fleet.restart(s);
+            simulation.fleet.sim.run(Duration.ofSeconds(6));
         }
-        for (String s : simulation.w.stores) {
-            long led = simulation.w.dataPlaneNode(s).ledPartitionCount();
+        for (String s : simulation.fleet.stores) {
+            long led = simulation.fleet.dataPlaneNode(s).ledPartitionCount();
             assertTrue(led >= 2 && led <= 3, s + " leads " + led + " of 8 partitions");
         }
         assertFalse(
-                simulation.kinds().containsKey("unavailable"),
-                simulation.kinds().toString());
+                simulation.countsByOutcome().containsKey("unavailable"),
+                simulation.countsByOutcome().toString());
         assertSettled(simulation);
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderRepeatTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/RepeatedUpdatesTest.java
@@ -19,7 +19,7 @@
 import org.woadvale.testkit.stub.ConfigurationStub;
 
 /** The repeat of an accepted configuration change is never rejected, and a rejected change never takes effect. */
-class OrderRepeatTest {
+class RepeatedUpdatesTest {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
     private static final int LATER_CHANGES = 300;
     private static final int CONCURRENT_CHANGES = 8;
@@ -63,17 +63,17 @@
     }
 
     private String leader() {
-        return fixture.r.controlNodes.stream()
-                .filter(node -> fixture.r.host(node).alive()
-                        && fixture.r.controlNode(node).replica("c0").isActiveLeader())
+        return fixture.fleet.controlNodes.stream()
+                .filter(node -> fixture.fleet.host(node).alive()
+                        && fixture.fleet.controlNode(node).replica("c0").isActiveLeader())
                 .findFirst()
                 .orElseThrow();
     }
 
     private String readBack(int node) {
-        return fixture.r
-                .ask(
-                        fixture.r.controlNodes.get(node),
+        return fixture.fleet
+                .requestAndWait(
+                        fixture.fleet.controlNodes.get(node),
                         new Request("GET", "/-/configuration", Map.of(), new byte[0]),
                         REQUEST_TIMEOUT)
                 .map(response -> new String(response.body(), StandardCharsets.UTF_8))
@@ -92,19 +92,19 @@
         version += 2;
         change(LATER_CHANGES);
         assertStatusAtEveryNode(200, first, base);
-        for (String node : fixture.r.controlNodes) {
-            fixture.r.kill(node);
-            fixture.r.host(node).disk.wipe();
+        for (String node : fixture.fleet.controlNodes) {
+            fixture.fleet.kill(node);
+            fixture.fleet.host(node).disk.wipe();
             fixture.run(2500);
             assertEquals(200, fixture.put(first, base, 0).status(), "while " + node + " is away");
-            fixture.r.restart(node);
+            fixture.fleet.restart(node);
             fixture.run(6000);
             assertStatusAtEveryNode(200, first, base);
         }
-        fixture.r.controlNodes.forEach(fixture.r::kill);
+        fixture.fleet.controlNodes.forEach(fixture.fleet::kill);
         fixture.run(500);
-        for (String node : fixture.r.controlNodes) {
-            fixture.r.restart(node);
+        for (String node : fixture.fleet.controlNodes) {
+            fixture.fleet.restart(node);
         }
         fixture.run(4000);
         assertStatusAtEveryNode(200, first, base);
@@ -118,21 +118,21 @@
             String text = text(version + 2, "r-round" + round);
             String leader = leader();
             List<Integer> statuses = new ArrayList<>();
-            for (String node : fixture.r.controlNodes) {
-                fixture.r.request(
+            for (String node : fixture.fleet.controlNodes) {
+                fixture.fleet.request(
                         node,
                         request(text, version),
                         REQUEST_TIMEOUT,
                         response -> statuses.add(response.map(Response::status).orElse(0)));
             }
             fixture.run(1 + round);
-            fixture.r.kill(leader);
-            fixture.r.sim.runUntil(() -> statuses.size() == 3, Duration.ofSeconds(6));
+            fixture.fleet.kill(leader);
+            fixture.fleet.sim.runUntil(() -> statuses.size() == 3, Duration.ofSeconds(6));
             assertEquals(
                     List.of(),
                     statuses.stream().filter(s -> s / 100 == 4).toList(),
                     "no copy may be rejected, round " + round);
-            fixture.r.restart(leader);
+            fixture.fleet.restart(leader);
             fixture.run(3000);
             assertStatusAtEveryNode(200, text, version);
             version += 2;
@@ -150,8 +150,8 @@
         for (int i = 0; i < CONCURRENT_CHANGES; i++) {
             String text = text(version + 2, "r-operator" + i);
             texts.add(text);
-            for (String node : fixture.r.controlNodes) {
-                fixture.r.request(
+            for (String node : fixture.fleet.controlNodes) {
+                fixture.fleet.request(
                         node,
                         request(text, version),
                         REQUEST_TIMEOUT,
@@ -195,8 +195,8 @@
     void undecodableBytesAreRejectedAndChangeNothing() {
         byte[] bytes = text(version + 2, "r-odd").getBytes(StandardCharsets.UTF_8);
         bytes[bytes.length / 2] = (byte) 0xff;
-        Optional<Response> answer = fixture.r.ask(
-                fixture.r.controlNodes.get(0),
+        Optional<Response> answer = fixture.fleet.requestAndWait(
+                fixture.fleet.controlNodes.get(0),
                 new Request("PUT", "/-/configuration", Map.of("if-match", Long.toString(version)), bytes),
                 REQUEST_TIMEOUT);
         assertEquals(400, answer.orElseThrow().status());
@@ -211,8 +211,8 @@
                     "PUT", "/-/configuration", Map.of("if-match", ifMatch), valid.getBytes(StandardCharsets.UTF_8));
             assertEquals(
                     400,
-                    fixture.r
-                            .ask(fixture.r.controlNodes.get(0), broken, REQUEST_TIMEOUT)
+                    fixture.fleet
+                            .requestAndWait(fixture.fleet.controlNodes.get(0), broken, REQUEST_TIMEOUT)
                             .orElseThrow()
                             .status(),
                     "If-Match: " + ifMatch);
