--- a/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ResendTest.java
@@ -18,25 +18,28 @@
     private static final String ADDRESS = "10.9.0.1:8080";
 
     private static Duration intervalAfter(PlatformFixture fixture, int from) {
-        return fixture.got.get(from + 1).at().minus(fixture.got.get(from).at());
+        return fixture.received
+                .get(from + 1)
+                .receivedAt()
+                .minus(fixture.received.get(from).receivedAt());
     }
 
     private static Mono<Response> noAnswerBefore(PlatformFixture fixture, int n, Request request) {
-        return fixture.got.size() < n ? Mono.never() : Mono.just(PlatformFixture.done(request));
+        return fixture.received.size() < n ? Mono.never() : Mono.just(PlatformFixture.success(request));
     }
 
     @Test
     void unclearAttemptIsResentOnlyAfterItsDeadline() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(1, 1);
         fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 2, request));
-        String handle = fixture.accepted("/push/x", "b", Map.of());
+        String handle = fixture.sendUntilAccepted("/push/x", "b", Map.of());
         fixture.run(6000);
-        assertEquals(2, fixture.got.size());
+        assertEquals(2, fixture.received.size());
         assertTrue(
                 intervalAfter(fixture, 0).toMillis() >= TIMEOUT_MS
                         && intervalAfter(fixture, 0).toMillis() < TIMEOUT_MS + 900,
                 "after " + intervalAfter(fixture, 0));
-        assertEquals("completed", fixture.state(handle).path("state").asText());
+        assertEquals("completed", fixture.messageStatus(handle).path("state").asText());
     }
 
     /** The back end answers a duplicate with its first success, so the resend does not wait for the deadline. */
@@ -48,10 +51,12 @@
                 "same",
                 ADDRESS,
                 request -> Mono.just(
-                        fixture.got.size() < 3 ? PlatformFixture.answer(request, 502) : PlatformFixture.done(request)));
-        fixture.accepted("/dedup/x", "b", Map.of());
+                        fixture.received.size() < 3
+                                ? PlatformFixture.answer(request, 502)
+                                : PlatformFixture.success(request)));
+        fixture.sendUntilAccepted("/dedup/x", "b", Map.of());
         fixture.run(3000);
-        assertEquals(3, fixture.got.size());
+        assertEquals(3, fixture.received.size());
         assertTrue(intervalAfter(fixture, 0).toMillis() < 500, "after " + intervalAfter(fixture, 0));
     }
 
@@ -59,42 +64,46 @@
     void unclearAndUnexecutedAttemptsDoNotCount() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(3, 1);
         fixture.processor("i-1", "same", ADDRESS, request -> {
-            int n = fixture.got.size();
+            int n = fixture.received.size();
             Response notRun = PlatformFixture.answer(request, 503).withHeader("X-Not-Executed", "1");
             return Mono.just(
                     n <= 5
                             ? PlatformFixture.answer(request, 502)
                             : n <= 9
                                     ? notRun
-                                    : n <= 10 ? PlatformFixture.answer(request, 421) : PlatformFixture.done(request));
+                                    : n <= 10
+                                            ? PlatformFixture.answer(request, 421)
+                                            : PlatformFixture.success(request));
         });
-        String handle = fixture.accepted("/dedup/x", "b", Map.of());
+        String handle = fixture.sendUntilAccepted("/dedup/x", "b", Map.of());
         fixture.run(20_000);
-        assertEquals(11, fixture.got.size());
-        assertEquals("completed", fixture.state(handle).path("state").asText());
+        assertEquals(11, fixture.received.size());
+        assertEquals("completed", fixture.messageStatus(handle).path("state").asText());
     }
 
     @Test
     void thirdAnswer500EndsTheMessage() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(4, 1);
         fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.answer(request, 500)));
-        String handle = fixture.accepted("/push/x", "poison", Map.of());
+        String handle = fixture.sendUntilAccepted("/push/x", "poison", Map.of());
         fixture.run(12_000);
-        assertEquals(3, fixture.got.size());
-        assertEquals("dead_letter", fixture.state(handle).path("state").asText());
+        assertEquals(3, fixture.received.size());
+        assertEquals("dead_letter", fixture.messageStatus(handle).path("state").asText());
     }
 
     @Test
-    void nextOfTheKeyWaitsWhileTheFirstIsUnclear() throws ServiceException {
+    void nextMessageOfTheKeyWaitsWhileTheOutcomeOfTheFirstIsUnknown() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(5, 1);
         fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 3, request));
         Map<String, String> key = Map.of("x-order-key", "k");
-        fixture.accepted("/order/x", "first", key);
-        fixture.accepted("/order/x", "second", key);
+        fixture.sendUntilAccepted("/order/x", "first", key);
+        fixture.sendUntilAccepted("/order/x", "second", key);
         fixture.run(9000);
         assertEquals(
                 List.of("first", "first", "first", "second"),
-                fixture.got.stream().map(got -> new String(got.q().body())).toList());
+                fixture.received.stream()
+                        .map(got -> new String(got.request().body()))
+                        .toList());
     }
 
     /** The new owner also waits for the attempt's deadline; then the message is run again, once. */
@@ -102,13 +111,13 @@
     void newOwnerResendsAttemptsOfItsPredecessor() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(6, 1);
         fixture.processor("i-1", "book", ADDRESS, request -> noAnswerBefore(fixture, 2, request));
-        String handle = fixture.accepted("/push/x", "b", Map.of());
-        fixture.r.sim.runUntil(() -> !fixture.got.isEmpty(), Duration.ofSeconds(5));
-        fixture.r.kill(fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow());
+        String handle = fixture.sendUntilAccepted("/push/x", "b", Map.of());
+        fixture.fleet.sim.runUntil(() -> !fixture.received.isEmpty(), Duration.ofSeconds(5));
+        fixture.fleet.kill(fixture.fleet.owner(handle.replaceAll("-.*", "")).orElseThrow());
         fixture.run(9000);
-        assertEquals(2, fixture.got.size());
+        assertEquals(2, fixture.received.size());
         assertTrue(intervalAfter(fixture, 0).toMillis() >= TIMEOUT_MS, "after " + intervalAfter(fixture, 0));
-        assertEquals("completed", fixture.state(handle).path("state").asText());
+        assertEquals("completed", fixture.messageStatus(handle).path("state").asText());
     }
 
     /**
@@ -122,28 +131,28 @@
                 "i-1",
                 "book",
                 ADDRESS,
-                request -> Mono.create(sink -> fixture.r.sim.after(
-                        Duration.ofMillis(1000), () -> sink.success(PlatformFixture.done(request)))));
-        String handle = fixture.accepted("/push/x", "b", Map.of());
-        fixture.r.sim.runUntil(() -> !fixture.got.isEmpty(), Duration.ofSeconds(5));
-        String before = fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow();
-        fixture.r.dataPlaneNode(before).drain();
+                request -> Mono.create(sink -> fixture.fleet.sim.after(
+                        Duration.ofMillis(1000), () -> sink.success(PlatformFixture.success(request)))));
+        String handle = fixture.sendUntilAccepted("/push/x", "b", Map.of());
+        fixture.fleet.sim.runUntil(() -> !fixture.received.isEmpty(), Duration.ofSeconds(5));
+        String before = fixture.fleet.owner(handle.replaceAll("-.*", "")).orElseThrow();
+        fixture.fleet.dataPlaneNode(before).drain();
         fixture.run(6000);
         assertTrue(
-                !fixture.r.owner(handle.replaceAll("-.*", "")).orElseThrow().equals(before),
+                !fixture.fleet.owner(handle.replaceAll("-.*", "")).orElseThrow().equals(before),
                 "leadership was not transferred");
-        assertEquals(1, fixture.got.size());
-        assertEquals("completed", fixture.state(handle).path("state").asText());
+        assertEquals(1, fixture.received.size());
+        assertEquals("completed", fixture.messageStatus(handle).path("state").asText());
     }
 
     @Test
     void deliveryIsTheRequestAsItArrived() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(8, 1);
-        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.done(request)));
-        fixture.accepted(
+        fixture.processor("i-1", "book", ADDRESS, request -> Mono.just(PlatformFixture.success(request)));
+        fixture.sendUntilAccepted(
                 "/order/x?y=%20z", "bytes", Map.of("x-order-key", "k", "x-attempt-id", "mine", "content-type", "a/b"));
         fixture.run(1500);
-        Request request = fixture.got.get(0).q();
+        Request request = fixture.received.get(0).request();
         assertEquals(
                 "POST /order/x?y=%20z bytes",
                 request.method() + " " + request.path() + " " + new String(request.body()));
@@ -173,31 +182,34 @@
                 request -> Mono.just(
                         new String(request.body()).equals("bad")
                                 ? PlatformFixture.answer(request, 422)
-                                : PlatformFixture.done(request)));
-        String bad = fixture.accepted("/push/x", "bad", Map.of());
-        String good = fixture.accepted("/push/x", "good", Map.of());
-        String later = fixture.accepted("/push/x", "later", Map.of("x-delay-ms", "60000"));
+                                : PlatformFixture.success(request)));
+        String bad = fixture.sendUntilAccepted("/push/x", "bad", Map.of());
+        String good = fixture.sendUntilAccepted("/push/x", "good", Map.of());
+        String later = fixture.sendUntilAccepted("/push/x", "later", Map.of("x-delay-ms", "60000"));
         fixture.run(2000);
         assertEquals(
                 "200 bad",
-                fixture.bytes(bad).status() + " "
-                        + new String(fixture.bytes(bad).body()));
+                fixture.messageBody(bad).status() + " "
+                        + new String(fixture.messageBody(bad).body()));
         assertEquals(
                 "200 later",
-                fixture.bytes(later).status() + " "
-                        + new String(fixture.bytes(later).body()));
-        assertEquals(404, fixture.bytes(good).status());
+                fixture.messageBody(later).status() + " "
+                        + new String(fixture.messageBody(later).body()));
+        assertEquals(404, fixture.messageBody(good).status());
         assertEquals(
                 List.of("dead_letter", "completed", "queued"),
                 List.of(bad, good, later).stream()
-                        .map(handle -> fixture.state(handle).path("state").asText())
+                        .map(handle ->
+                                fixture.messageStatus(handle).path("state").asText())
                         .toList());
         for (String unknown : List.of("m0-999", "m999-1", "nonsense", "m1-1x")) {
-            assertEquals(404, fixture.bytes(unknown).status(), unknown);
+            assertEquals(404, fixture.messageBody(unknown).status(), unknown);
         }
         Map<String, String> other = Map.of("host", PlatformFixture.HOST, "authorization", "Token key-of-b");
-        assertEquals(404, fixture.front("GET", "/-/message/" + bad, other, "").status());
         assertEquals(
-                404, fixture.front("GET", "/-/message-body/" + bad, other, "").status());
+                404, fixture.sendToIntake("GET", "/-/message/" + bad, other, "").status());
+        assertEquals(
+                404,
+                fixture.sendToIntake("GET", "/-/message-body/" + bad, other, "").status());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/Peer.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/ScriptedHttpServer.java
@@ -11,21 +11,21 @@
 import java.util.List;
 
 /** A back end on the loopback interface that writes exactly the bytes that its script returns. */
-final class Peer implements AutoCloseable {
+final class ScriptedHttpServer implements AutoCloseable {
     /** Decides what to write after a complete request has been read; an empty text writes nothing. */
     interface Script {
-        Said say(int connection, int request, String head);
+        ScriptedAnswer respond(int connection, int request, String head);
     }
 
     /** The bytes to write, and whether the connection is closed afterwards. */
-    record Said(String text, boolean close) {}
+    record ScriptedAnswer(String text, boolean close) {}
 
     private final ServerSocket server;
     private final Script script;
-    final List<String> heads = Collections.synchronizedList(new ArrayList<>());
+    final List<String> requestHeads = Collections.synchronizedList(new ArrayList<>());
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
-    Peer(Script script) throws IOException {
+    ScriptedHttpServer(Script script) throws IOException {
         this.script = script;
         this.server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         Thread thread = new Thread(this::acceptConnections, "peer");
@@ -71,8 +71,8 @@
                     return;
                 }
                 in.readNBytes(Integer.parseInt(head.replaceAll("(?is).*content-length: *([0-9]+).*", "$1")));
-                heads.add(head);
-                Said said = script.say(connection, request, head);
+                requestHeads.add(head);
+                ScriptedAnswer said = script.respond(connection, request, head);
                 socket.getOutputStream().write(said.text().getBytes(StandardCharsets.ISO_8859_1));
                 socket.getOutputStream().flush();
                 if (said.close()) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SecondLossTest.java
@@ -36,7 +36,7 @@
     private Optional<FleetSimulation> running = Optional.empty();
 
     private SimulatedConnections connections(boolean detectSilence) {
-        return new SimulatedConnections(address -> running.map(fleet -> fleet.w.hosts.get(address)), detectSilence);
+        return new SimulatedConnections(address -> running.map(fleet -> fleet.fleet.hosts.get(address)), detectSilence);
     }
 
     private FleetSimulation fleet(long seed, SimulatedConnections connections) throws ServiceException {
@@ -51,23 +51,23 @@
         running = Optional.of(fleet);
         fleet.startAll();
         fleet.traffic(MESSAGES_PER_SECOND);
-        fleet.w.sim.run(Duration.ofSeconds(6).plus(fleet.w.sim.between(0, 2_000_000)));
+        fleet.fleet.sim.run(Duration.ofSeconds(6).plus(fleet.fleet.sim.between(0, 2_000_000)));
         return fleet;
     }
 
     private static void loseDisk(FleetSimulation fleet, SimulatedConnections connections, String store)
             throws ServiceException {
         connections.powerOff(store);
-        fleet.w.kill(store);
-        fleet.w.host(store).disk.wipe();
-        fleet.w.sim.run(POWER_OFF_TIME);
+        fleet.fleet.kill(store);
+        fleet.fleet.host(store).disk.wipe();
+        fleet.fleet.sim.run(POWER_OFF_TIME);
         connections.powerOn(store);
-        fleet.w.restart(store);
+        fleet.fleet.restart(store);
     }
 
     private static boolean everyReplicaVotes(FleetSimulation fleet) {
-        return fleet.w.presentStores().stream()
-                .map(fleet.w::dataPlaneNode)
+        return fleet.fleet.presentStores().stream()
+                .map(fleet.fleet::dataPlaneNode)
                 .allMatch(store ->
                         !store.partitionGroups().isEmpty() && store.notVotingCount() == 0 && store.votingEverywhere());
     }
@@ -77,13 +77,13 @@
     void storesLosingTheirDisksInTurnLoseNoMessage(long seed) throws ServiceException {
         SimulatedConnections connections = connections(true);
         FleetSimulation fleet = fleet(seed, connections);
-        loseDisk(fleet, connections, fleet.w.stores.get(0));
+        loseDisk(fleet, connections, fleet.fleet.stores.get(0));
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
+                fleet.fleet.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
                 "not all replicas vote after " + CATCH_UP);
-        loseDisk(fleet, connections, fleet.w.stores.get(1));
-        fleet.w.sim.run(Duration.ofSeconds(5));
-        fleet.followWhatRan();
+        loseDisk(fleet, connections, fleet.fleet.stores.get(1));
+        fleet.fleet.sim.run(Duration.ofSeconds(5));
+        fleet.followExecuted();
         assertTrue(
                 fleet.settle(SERVICE_LIMIT),
                 () -> "an accepted message has not reached a terminal state: " + fleet.firstOpen());
@@ -96,7 +96,7 @@
     void withoutSilenceDetectionTheStoreIsNotBackInTime(long seed) throws ServiceException {
         SimulatedConnections connections = connections(false);
         FleetSimulation fleet = fleet(seed, connections);
-        loseDisk(fleet, connections, fleet.w.stores.get(0));
-        assertFalse(fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP));
+        loseDisk(fleet, connections, fleet.fleet.stores.get(0));
+        assertFalse(fleet.fleet.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SeedsTest.java
@@ -36,34 +36,34 @@
         FleetSimulation simulation = new FleetSimulation(seed, 3, 3, 4).startAll();
         simulation.traffic(20);
         for (int i = 0; i < 3; i++) {
-            simulation.w.lose(simulation.w.controlNodes.get(i));
-            String replacement = simulation.w.newControlNodeFirstSettings();
-            List<String> wanted = simulation.w.presentControlNodes();
+            simulation.fleet.losePermanently(simulation.fleet.controlNodes.get(i));
+            String replacement = simulation.fleet.newControlNodeWithInitialSettings();
+            List<String> wanted = simulation.fleet.presentControlNodes();
             AtomicInteger status = new AtomicInteger();
             simulation.operate(
                     new Request("PUT", "/v1/core", Map.of(), Configurations.write(Map.of("lighthouses", wanted))),
                     response -> status.set(response.status()));
             assertTrue(
-                    simulation.w.sim.runUntil(
+                    simulation.fleet.sim.runUntil(
                             () -> status.get() == 200
-                                    && CoreExchange.votesEverywhere(simulation.w, replacement)
+                                    && CoreMemberReplacement.votesEverywhere(simulation.fleet, replacement)
                                     && simulation
-                                            .w
+                                            .fleet
                                             .controlNode(replacement)
                                             .controlNodes()
                                             .equals(wanted.stream().sorted().toList()),
                             Duration.ofSeconds(60)),
                     "the replacement is not a voting member: "
-                            + simulation.w.controlNode(replacement).controlNodes());
-            simulation.w.sim.run(Duration.ofSeconds(10));
+                            + simulation.fleet.controlNode(replacement).controlNodes());
+            simulation.fleet.sim.run(Duration.ofSeconds(10));
         }
-        new ConfigurationOperator(simulation).changeAt(simulation.w.presentControlNodes());
-        simulation.w.sim.run(Duration.ofSeconds(5));
+        new ConfigurationOperator(simulation).changeAt(simulation.fleet.presentControlNodes());
+        simulation.fleet.sim.run(Duration.ofSeconds(5));
         assertEquals(2, simulation.version, "the new core did not change the layout");
-        simulation.w.seenVersions();
+        simulation.fleet.recordConfigurationVersions();
         assertEquals(
                 6,
-                simulation.w.seen.versions.stream()
+                simulation.fleet.observations.versions.stream()
                         .filter(nodeVersion -> nodeVersion.version() == 2)
                         .count(),
                 "not in force on every data node");
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/SimulatedConnections.java
@@ -116,7 +116,7 @@
                     connections.remove(to);
                 }
             });
-            Connection connection = new Connection(host(to).life(), silence);
+            Connection connection = new Connection(host(to).incarnation(), silence);
             connections.put(to, connection);
             return connection;
         }
@@ -133,7 +133,7 @@
         }
 
         private boolean isStale(String to, Connection connection) {
-            return poweredOff.contains(to) || host(to).life() != connection.peerLife;
+            return poweredOff.contains(to) || host(to).incarnation() != connection.peerLife;
         }
 
         private void noteLost(Connection connection) {
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/StoreReplacementTest.java
@@ -25,8 +25,8 @@
             StoreReplacement.Outcome outcome = StoreReplacement.play(seed, departure);
             assertEquals(List.of(), outcome.violations().stream().limit(3).toList(), departure + " with seed " + seed);
             assertTrue(
-                    outcome.startToCountedEverywhere().compareTo(LIMIT) < 0,
-                    departure + " with seed " + seed + " took " + outcome.startToCountedEverywhere());
+                    outcome.startToVotingEverywhere().compareTo(LIMIT) < 0,
+                    departure + " with seed " + seed + " took " + outcome.startToVotingEverywhere());
         }
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TenantNameTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TenantNameTest.java
@@ -33,15 +33,15 @@
 
     private static Optional<String> tenantOfAPulledJob(String name) throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(31, 1);
-        ConfigurationStub original = PlatformFixture.plain();
+        ConfigurationStub original = PlatformFixture.defaultConfiguration();
         ConfigurationStub renamed = new ConfigurationStub(
                 original.configRevision() + 1,
                 original.routes(),
                 original.services(),
                 List.of(new ConfigurationStub.Tenant(name, List.of(PlatformFixture.KEY), 200, 200)));
         assertEquals(200, fixture.put(renamed, original.configRevision(), 0).status());
-        fixture.r.sim.run(Duration.ofSeconds(2));
-        fixture.accepted("/pull/1", "body", Map.of());
+        fixture.fleet.sim.run(Duration.ofSeconds(2));
+        fixture.sendUntilAccepted("/pull/1", "body", Map.of());
         return Optional.ofNullable(
                 fixture.pull("i-1", LONGEST_WAIT_MS).headers().get("X-Tenant"));
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/TwoLossesTest.java
@@ -45,15 +45,15 @@
     }
 
     private static boolean storeGroupsHave(FleetSimulation fleet, int members) {
-        return fleet.w.presentStores().stream()
-                .map(store -> fleet.w.dataPlaneNode(store).partitionGroups())
+        return fleet.fleet.presentStores().stream()
+                .map(store -> fleet.fleet.dataPlaneNode(store).partitionGroups())
                 .allMatch(groups -> groups.values().stream().allMatch(group -> group.size() == members));
     }
 
     private static boolean everyReplicaVotes(FleetSimulation fleet) {
         return storeGroupsHave(fleet, GROUP_SIZE)
-                && fleet.w.presentStores().stream()
-                        .map(fleet.w::dataPlaneNode)
+                && fleet.fleet.presentStores().stream()
+                        .map(fleet.fleet::dataPlaneNode)
                         .allMatch(store -> store.partitionGroups().size() == ServiceNames.MESSAGE_PARTITIONS
                                 && store.notVotingCount() == 0
                                 && store.votingEverywhere());
@@ -61,24 +61,24 @@
 
     private static void loseDisks(FleetSimulation fleet, List<String> machines) throws ServiceException {
         for (String machine : machines) {
-            fleet.w.kill(machine);
-            fleet.w.host(machine).disk.wipe();
+            fleet.fleet.kill(machine);
+            fleet.fleet.host(machine).disk.wipe();
         }
-        fleet.w.sim.run(DOWNTIME);
+        fleet.fleet.sim.run(DOWNTIME);
         for (String machine : machines) {
-            fleet.w.restart(machine);
+            fleet.fleet.restart(machine);
         }
     }
 
     private static List<String> pickTwo(FleetSimulation fleet, List<String> machines) {
         List<String> shuffled = new ArrayList<>(machines);
-        Collections.shuffle(shuffled, fleet.w.sim.random());
+        Collections.shuffle(shuffled, fleet.fleet.sim.random());
         return shuffled.subList(0, 2);
     }
 
     private static void assertNothingLost(FleetSimulation fleet) {
-        fleet.w.sim.run(Duration.ofSeconds(5));
-        fleet.followWhatRan();
+        fleet.fleet.sim.run(Duration.ofSeconds(5));
+        fleet.followExecuted();
         assertTrue(
                 fleet.settle(SERVICE_LIMIT),
                 () -> "an accepted message has not reached a terminal state: " + fleet.firstOpen());
@@ -90,14 +90,14 @@
     @ValueSource(longs = {1, 2, 3, 4})
     void twoStoresLosingTheirDisksLoseNoMessage(long seed) throws ServiceException {
         FleetSimulation fleet = fleet(seed, GROUP_SIZE);
-        assertTrue(fleet.w.sim.runUntil(() -> storeGroupsHave(fleet, GROUP_SIZE), Duration.ofSeconds(20)));
+        assertTrue(fleet.fleet.sim.runUntil(() -> storeGroupsHave(fleet, GROUP_SIZE), Duration.ofSeconds(20)));
         fleet.traffic(MESSAGES_PER_SECOND);
-        fleet.w.sim.run(Duration.ofSeconds(6).plus(fleet.w.sim.between(0, 2_000_000)));
-        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
+        fleet.fleet.sim.run(Duration.ofSeconds(6).plus(fleet.fleet.sim.between(0, 2_000_000)));
+        loseDisks(fleet, pickTwo(fleet, fleet.fleet.stores));
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
+                fleet.fleet.sim.runUntil(() -> everyReplicaVotes(fleet), CATCH_UP),
                 "not all replicas vote after " + CATCH_UP);
-        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
+        loseDisks(fleet, pickTwo(fleet, fleet.fleet.stores));
         assertNothingLost(fleet);
     }
 
@@ -107,14 +107,14 @@
     void lossDuringAReplacementLosesNoMessage(long seed) throws ServiceException {
         FleetSimulation fleet = fleet(seed, GROUP_SIZE);
         fleet.traffic(MESSAGES_PER_SECOND);
-        fleet.w.sim.run(Duration.ofSeconds(6));
-        List<String> pair = pickTwo(fleet, fleet.w.stores);
-        fleet.w.lose(pair.get(0));
-        fleet.w.newStore();
-        fleet.w.sim.run(Duration.ofMillis(200).plus(fleet.w.sim.between(0, 1_500_000)));
+        fleet.fleet.sim.run(Duration.ofSeconds(6));
+        List<String> pair = pickTwo(fleet, fleet.fleet.stores);
+        fleet.fleet.losePermanently(pair.get(0));
+        fleet.fleet.newStore();
+        fleet.fleet.sim.run(Duration.ofMillis(200).plus(fleet.fleet.sim.between(0, 1_500_000)));
         loseDisks(fleet, List.of(pair.get(1)));
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
+                fleet.fleet.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
                 "not all replicas vote with seed " + seed);
         assertNothingLost(fleet);
     }
@@ -125,16 +125,16 @@
         FleetSimulation fleet = fleet(7, FaultTolerance.SMALLEST_GROUP);
         assertTrue(storeGroupsHave(fleet, FaultTolerance.SMALLEST_GROUP));
         fleet.traffic(MESSAGES_PER_SECOND);
-        fleet.w.newStore();
-        fleet.w.sim.run(Duration.ofSeconds(10));
+        fleet.fleet.newStore();
+        fleet.fleet.sim.run(Duration.ofSeconds(10));
         assertTrue(
                 storeGroupsHave(fleet, FaultTolerance.SMALLEST_GROUP),
                 "the groups grew, although a fourth replica tolerates no more losses");
-        fleet.w.newStore();
+        fleet.fleet.newStore();
         assertTrue(
-                fleet.w.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
+                fleet.fleet.sim.runUntil(() -> everyReplicaVotes(fleet), Duration.ofSeconds(20)),
                 "the groups did not grow");
-        loseDisks(fleet, pickTwo(fleet, fleet.w.stores));
+        loseDisks(fleet, pickTwo(fleet, fleet.fleet.stores));
         assertNothingLost(fleet);
     }
 
@@ -149,16 +149,16 @@
                 new TestConfiguration(3, 2, 20, 30, 26),
                 SimulatedFleet.SMALL_RING,
                 FleetOverrides.none().withFaultTolerance(TWO_MACHINES));
-        assertTrue(fleet.w.sim.runUntil(
-                () -> !fleet.w
-                        .dataPlaneNode(fleet.w.stores.get(1))
+        assertTrue(fleet.fleet.sim.runUntil(
+                () -> !fleet.fleet
+                        .dataPlaneNode(fleet.fleet.stores.get(1))
                         .partitionGroups()
                         .isEmpty(),
                 Duration.ofSeconds(20)));
-        fleet.w.lose(fleet.w.stores.get(2));
+        fleet.fleet.losePermanently(fleet.fleet.stores.get(2));
         fleet.startAll();
         fleet.traffic(MESSAGES_PER_SECOND);
-        fleet.w.sim.run(Duration.ofSeconds(5));
+        fleet.fleet.sim.run(Duration.ofSeconds(5));
         assertNothingLost(fleet);
     }
 
@@ -167,16 +167,17 @@
     @ValueSource(longs = {21, 22, 23, 24})
     void twoControlNodesLosingTheirDisksLoseNoConfiguration(long seed) throws ServiceException {
         FleetSimulation fleet = fleet(seed, GROUP_SIZE);
-        fleet.w.newControlNodeFirstSettings();
-        fleet.w.newControlNodeFirstSettings();
-        assertTrue(fleet.w.sim.runUntil(() -> coreIsComplete(fleet), Duration.ofSeconds(8)), "the core did not grow");
+        fleet.fleet.newControlNodeWithInitialSettings();
+        fleet.fleet.newControlNodeWithInitialSettings();
+        assertTrue(
+                fleet.fleet.sim.runUntil(() -> coreIsComplete(fleet), Duration.ofSeconds(8)), "the core did not grow");
         assertConfigurationAccepted(fleet, "before");
-        loseDisks(fleet, pickTwo(fleet, fleet.w.controlNodes));
+        loseDisks(fleet, pickTwo(fleet, fleet.fleet.controlNodes));
         assertConfigurationAccepted(fleet, "after");
         assertTrue(
-                fleet.w.sim.runUntil(() -> coreIsComplete(fleet), CATCH_UP),
+                fleet.fleet.sim.runUntil(() -> coreIsComplete(fleet), CATCH_UP),
                 "the core is not complete after " + CATCH_UP);
-        loseDisks(fleet, pickTwo(fleet, fleet.w.controlNodes));
+        loseDisks(fleet, pickTwo(fleet, fleet.fleet.controlNodes));
         fleet.read();
         assertConfigurationAccepted(fleet, "after-the-second-loss");
         assertEquals(List.of(), fleet.violations());
@@ -186,19 +187,21 @@
     @Test
     void fourthControlNodeStaysOnStandby() throws ServiceException {
         FleetSimulation fleet = fleet(25, GROUP_SIZE);
-        String fourth = fleet.w.newControlNodeFirstSettings();
-        fleet.w.sim.run(Duration.ofSeconds(8));
-        Set<String> members = new TreeSet<>(
-                fleet.w.controlNode(fleet.w.controlNodes.get(0)).members().members());
+        String fourth = fleet.fleet.newControlNodeWithInitialSettings();
+        fleet.fleet.sim.run(Duration.ofSeconds(8));
+        Set<String> members = new TreeSet<>(fleet.fleet
+                .controlNode(fleet.fleet.controlNodes.get(0))
+                .members()
+                .members());
         assertEquals(FaultTolerance.SMALLEST_GROUP, members.size());
         assertTrue(!members.contains(fourth));
     }
 
     private static boolean coreIsComplete(FleetSimulation fleet) {
-        return fleet.w.presentControlNodes().stream()
-                .allMatch(node -> CoreExchange.votesEverywhere(fleet.w, node)
+        return fleet.fleet.presentControlNodes().stream()
+                .allMatch(node -> CoreMemberReplacement.votesEverywhere(fleet.fleet, node)
                         && ServiceNames.controlPartitions().stream()
-                                .allMatch(partition -> fleet.w
+                                .allMatch(partition -> fleet.fleet
                                                 .controlNode(node)
                                                 .replica(partition)
                                                 .members()
@@ -209,6 +212,7 @@
     private static void assertConfigurationAccepted(FleetSimulation fleet, String id) {
         AtomicInteger status = new AtomicInteger();
         fleet.put(fleet.configuration, fleet.version, id, response -> status.set(response.status()));
-        assertTrue(fleet.w.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)), id + ": " + status.get());
+        assertTrue(
+                fleet.fleet.sim.runUntil(() -> status.get() == 200, Duration.ofSeconds(8)), id + ": " + status.get());
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UnclearTest.java
@@ -16,7 +16,7 @@
 
 /** Work that may have run is not run again, however its answer was lost. */
 class UnclearTest {
-    private static final Backend.Manner LOSES_ANSWERS = new Backend.Manner(Duration.ofMillis(5), 0, 0, 1);
+    private static final Backend.Behavior LOSES_ANSWERS = new Backend.Behavior(Duration.ofMillis(5), 0, 0, 1);
 
     private static FleetSimulation fleet(long seed) throws ServiceException {
         return new FleetSimulation(seed, 2, 3, 2, new TestConfiguration(2, 1, 20, 30, 26), SimulatedFleet.LARGE_RING)
@@ -32,13 +32,13 @@
     private static FleetSimulation replaceProcessorsInTurn(long seed) throws ServiceException {
         FleetSimulation simulation = fleet(seed);
         simulation.traffic(10);
-        simulation.w.sim.run(Duration.ofSeconds(3));
+        simulation.fleet.sim.run(Duration.ofSeconds(3));
         for (String processor : List.of("p0", "p1")) {
-            simulation.w.backends.get(processor).behave(LOSES_ANSWERS);
-            simulation.w.sim.run(Duration.ofSeconds(1));
-            simulation.w.replaceBackend(processor);
-            simulation.list(processor, false);
-            simulation.w.sim.run(Duration.ofSeconds(5));
+            simulation.fleet.backends.get(processor).setBehavior(LOSES_ANSWERS);
+            simulation.fleet.sim.run(Duration.ofSeconds(1));
+            simulation.fleet.replaceBackend(processor);
+            simulation.putProcessor(processor, false);
+            simulation.fleet.sim.run(Duration.ofSeconds(5));
         }
         return settled(simulation);
     }
@@ -48,7 +48,7 @@
         for (long seed = 1; seed <= 3; seed++) {
             FleetSimulation simulation = replaceProcessorsInTurn(seed);
             assertEquals(List.of(), simulation.violations());
-            assertTrue(simulation.w.seen.shown.stream()
+            assertTrue(simulation.fleet.observations.shown.stream()
                     .anyMatch(shown -> shown.proof().equals("unclear: the processor is gone")));
         }
     }
@@ -77,16 +77,19 @@
                 simulation.version,
                 "rerun",
                 response -> {});
-        simulation.w.sim.run(Duration.ofSeconds(2));
-        simulation.w.backends.get("p0").behave(LOSES_ANSWERS);
-        simulation.plain(0);
-        simulation.w.sim.run(Duration.ofSeconds(1));
-        simulation.w.replaceBackend("p0");
-        simulation.list("p0", false);
+        simulation.fleet.sim.run(Duration.ofSeconds(2));
+        simulation.fleet.backends.get("p0").setBehavior(LOSES_ANSWERS);
+        simulation.submitUnordered(0);
+        simulation.fleet.sim.run(Duration.ofSeconds(1));
+        simulation.fleet.replaceBackend("p0");
+        simulation.putProcessor("p0", false);
         settled(simulation);
-        assertEquals(2, simulation.w.seen.ran.size());
-        assertEquals(List.of("02"), new NeverList(simulation.w.seen).broken(), "it must run twice, as the lane allows");
-        assertTrue(
-                simulation.w.seen.shown.stream().anyMatch(shown -> shown.state().equals("done")));
+        assertEquals(2, simulation.fleet.observations.ran.size());
+        assertEquals(
+                List.of("02"),
+                new NeverList(simulation.fleet.observations).broken(),
+                "it must run twice, as the lane allows");
+        assertTrue(simulation.fleet.observations.shown.stream()
+                .anyMatch(shown -> shown.state().equals("done")));
     }
 }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/OrderHistoryTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/UpdateHistoryTest.java
@@ -15,7 +15,7 @@
  * The history of configuration changes in seeded simulations violates no ordering rule, and does if a rule of
  * docs/design.md, section 6.11 is left out.
  */
-class OrderHistoryTest {
+class UpdateHistoryTest {
     private static final Duration DURATION = Duration.ofSeconds(40);
 
     private static List<String> orderViolations(long seed, FleetOverrides overrides) {
@@ -39,7 +39,8 @@
     void changesWithoutRequestIdentityAreDetected() {
         assertTrue(
                 LongStream.rangeClosed(201, 204)
-                        .mapToObj(seed -> orderViolations(seed, NaiveOrders.withoutIdentity()))
+                        .mapToObj(
+                                seed -> orderViolations(seed, DisabledConfigurationMechanisms.withoutRequestIdentity()))
                         .anyMatch(v -> v.toString().contains("decided twice")),
                 "the checks did not find a change that was decided twice");
     }
@@ -48,7 +49,7 @@
     void readsWithoutTheLeaderAreDetected() {
         assertTrue(
                 LongStream.rangeClosed(201, 204)
-                        .mapToObj(seed -> orderViolations(seed, NaiveOrders.readsWithoutLeader()))
+                        .mapToObj(seed -> orderViolations(seed, DisabledConfigurationMechanisms.readsWithoutLeader()))
                         .anyMatch(v -> v.toString().contains("stale reads")),
                 "the checks did not find a stale read");
     }
--- a/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/simulation/WaitingPullsTest.java
@@ -26,8 +26,8 @@
     private static List<Response> startPulls(PlatformFixture fixture, int n, long waitMs) {
         List<Response> responses = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            fixture.r.request(
-                    fixture.r.intakes.get(i % fixture.r.intakes.size()),
+            fixture.fleet.request(
+                    fixture.fleet.intakes.get(i % fixture.fleet.intakes.size()),
                     pull("i-" + i, waitMs),
                     Duration.ofSeconds(30),
                     response -> response.ifPresent(responses::add));
@@ -38,16 +38,16 @@
     @Test
     void fetchWithoutWorkIsEmptyAfterItsWaitTime() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(1, 2);
-        Duration asked = fixture.r.sim.now();
+        Duration asked = fixture.fleet.sim.now();
         assertEquals(204, fixture.pull("i-1", 1000).status());
-        long took = fixture.r.sim.now().minus(asked).toMillis();
+        long took = fixture.fleet.sim.now().minus(asked).toMillis();
         assertTrue(took >= 900 && took < 2000, "took " + took + " ms");
-        Response none =
-                fixture.front("POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
+        Response none = fixture.sendToIntake(
+                "POST", "/-/pull/nobody", Map.of("x-instance-id", "i-1", "x-poll-wait-ms", "300"), "");
         assertEquals("204 ", none.status() + " " + new String(none.body()));
         assertEquals(
                 400,
-                fixture.front("POST", "/-/pull/desk", Map.of("x-poll-wait-ms", "300"), "")
+                fixture.sendToIntake("POST", "/-/pull/desk", Map.of("x-poll-wait-ms", "300"), "")
                         .status());
     }
 
@@ -57,14 +57,14 @@
         PlatformFixture fixture = new PlatformFixture(2, 3);
         List<Response> responses = startPulls(fixture, 6, 10_000);
         fixture.run(1000);
-        Duration sent = fixture.r.sim.now();
-        fixture.accepted("/pull/x", "b", Map.of());
+        Duration sent = fixture.fleet.sim.now();
+        fixture.sendUntilAccepted("/pull/x", "b", Map.of());
         assertTrue(
-                fixture.r.sim.runUntil(() -> !responses.isEmpty(), Duration.ofSeconds(2)),
+                fixture.fleet.sim.runUntil(() -> !responses.isEmpty(), Duration.ofSeconds(2)),
                 "no waiting fetch received the message");
         assertTrue(
-                fixture.r.sim.now().minus(sent).toMillis() < 700,
-                "after " + fixture.r.sim.now().minus(sent));
+                fixture.fleet.sim.now().minus(sent).toMillis() < 700,
+                "after " + fixture.fleet.sim.now().minus(sent));
     }
 
     @Test
@@ -73,7 +73,7 @@
             PlatformFixture fixture = new PlatformFixture(seed, 3);
             List<Response> responses = startPulls(fixture, 30, 2500);
             for (int i = 0; i < 12; i++) {
-                fixture.accepted("/pull/" + i, "b" + i, Map.of());
+                fixture.sendUntilAccepted("/pull/" + i, "b" + i, Map.of());
             }
             fixture.run(2600);
             HashSet<String> ids = new HashSet<>();
@@ -89,10 +89,10 @@
     @Test
     void delayIsKept() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(6, 1);
-        Duration sent = fixture.r.sim.now();
-        fixture.accepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
+        Duration sent = fixture.fleet.sim.now();
+        fixture.sendUntilAccepted("/pull/x", "late", Map.of("x-delay-ms", "1500"));
         Response response = fixture.pull("i-1", 8000);
-        long after = fixture.r.sim.now().minus(sent).toMillis();
+        long after = fixture.fleet.sim.now().minus(sent).toMillis();
         assertEquals("late", new String(response.body()));
         assertTrue(after >= 1400 && after < 2600, "after " + after + " ms");
     }
@@ -102,14 +102,14 @@
     void fetchOfADeadIntakeLosesNothing() throws ServiceException {
         PlatformFixture fixture = new PlatformFixture(7, 2);
         List<Response> responses = new ArrayList<>();
-        fixture.accepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
-        fixture.r.request(
-                fixture.r.intakes.get(1),
+        fixture.sendUntilAccepted("/pull/x", "kept", Map.of("x-delay-ms", "600"));
+        fixture.fleet.request(
+                fixture.fleet.intakes.get(1),
                 pull("i-1", 8000),
                 Duration.ofSeconds(30),
                 response -> response.ifPresent(responses::add));
         fixture.run(400);
-        fixture.r.kill(fixture.r.intakes.get(1));
+        fixture.fleet.kill(fixture.fleet.intakes.get(1));
         assertEquals("kept", new String(fixture.pull("i-2", 15_000).body()));
         assertTrue(responses.isEmpty());
     }
--- a/testkit/src/test/java/org/woadvale/testkit/stub/ConfigurationRulesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ConfigurationRulesTest.java
@@ -19,7 +19,7 @@
                 true,
                 200,
                 20);
-        log.troubles.add(new ObservationLog.Trouble("cut", s(20), s(40)));
+        log.troubles.add(new ObservationLog.Disruption("cut", s(20), s(40)));
         completed("1", "a", "", 24.9);
         assertBroken();
         completed("2", "a", "", 25.1);
@@ -61,7 +61,7 @@
     void invalidOrConflictingConfigurationAcknowledged() {
         configurationSubmitted(configurationStub(2, "a", "order"), 1, false, 200, 20);
         assertBroken("CONFIG taken");
-        log.configurationStub.remove(1);
+        log.configurations.remove(1);
         configurationSubmitted(configurationStub(2, "a", "order"), 1, true, 200, 20);
         configurationSubmitted(configurationStub(3, "a", "order"), 1, true, 200, 20);
         log.readBack.set(
--- a/testkit/src/test/java/org/woadvale/testkit/stub/ObservationLogBuilder.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/ObservationLogBuilder.java
@@ -28,7 +28,8 @@
     }
 
     void configurationSubmitted(ConfigurationStub stub, long base, boolean valid, int status, double at) {
-        log.configurationStub.add(new ObservationLog.Paper(stub, stub.text(), base, valid, s(at), status, s(at)));
+        log.configurations.add(
+                new ObservationLog.ConfigurationSubmission(stub, stub.text(), base, valid, s(at), status, s(at)));
     }
 
     @BeforeEach
@@ -41,7 +42,7 @@
     }
 
     void answered(String id, int status, double at) {
-        log.said.add(new ObservationLog.Said(id, status, "ref", s(at)));
+        log.submissionAnswers.add(new ObservationLog.SubmissionAnswer(id, status, "ref", s(at)));
     }
 
     void accepted(String id, String route, String order, double at) {
@@ -71,7 +72,7 @@
     void assertBroken(String... rules) {
         log.readBack.add(new ObservationLog.ReadBack(
                 200,
-                log.configurationStub.stream()
+                log.configurations.stream()
                         .filter(submitted -> submitted.status() == 200 && submitted.valid())
                         .reduce((a, submitted) -> submitted)
                         .orElseThrow()
--- a/testkit/src/test/java/org/woadvale/testkit/stub/RulesTest.java
+++ b/testkit/src/test/java/org/woadvale/testkit/stub/RulesTest.java
@@ -44,17 +44,17 @@
         log.read.add(new ObservationLog.Read("1", s(10.4)));
         began("1", "a", "", 12);
         assertBroken("TWICE read");
-        log.troubles.add(new ObservationLog.Trouble("kill", s(11), s(11)));
+        log.troubles.add(new ObservationLog.Disruption("kill", s(11), s(11)));
         assertEquals(List.of(), new Rules(log).broken());
     }
 
     @Test
     void endsOfTwoLeases() {
         completed("1", "a", "", 10);
-        log.endsTaken.add(new ObservationLog.EndTaken("1", "l1", 200, s(11)));
-        log.endsTaken.add(new ObservationLog.EndTaken("1", "l1", 200, s(11.2)));
+        log.endsTaken.add(new ObservationLog.LeaseEndAccepted("1", "l1", 200, s(11)));
+        log.endsTaken.add(new ObservationLog.LeaseEndAccepted("1", "l1", 200, s(11.2)));
         assertBroken();
-        log.endsTaken.add(new ObservationLog.EndTaken("1", "l2", 200, s(12)));
+        log.endsTaken.add(new ObservationLog.LeaseEndAccepted("1", "l2", 200, s(12)));
         assertEquals(List.of("TWICE leases"), new Rules(log).broken());
     }
 
