--- a/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
+++ b/testkit/src/main/java/org/woadvale/testkit/simulation/Spread.java
@@ -92,43 +92,35 @@
     }
 
     private static void row(FleetSimulation simulation, String name, String when) {
+        SimulatedFleet fleet = simulation.fleet;
         List<Long> stores = new ArrayList<>();
         List<Long> controlNodes = new ArrayList<>();
         List<Integer> buckets = new ArrayList<>();
         long terms = 0;
-        for (String store : simulation.fleet.stores) {
-            stores.add(
-                    simulation.fleet.host(store).alive()
-                            ? simulation.fleet.dataPlaneNode(store).ledPartitionCount()
-                            : 0);
+        for (String store : fleet.stores) {
+            stores.add(fleet.host(store).alive() ? fleet.dataPlaneNode(store).ledPartitionCount() : 0);
         }
-        for (String node : simulation.fleet.controlNodes) {
+        for (String node : fleet.controlNodes) {
             controlNodes.add(
-                    simulation.fleet.host(node).alive()
+                    fleet.host(node).alive()
                             ? ServiceNames.controlPartitions().stream()
-                                    .filter(partition -> simulation
-                                                    .fleet
-                                                    .controlNode(node)
+                                    .filter(partition -> fleet.controlNode(node)
                                                     .replica(partition)
                                                     .role()
                                             == Role.LEADER)
                                     .count()
                             : 0);
         }
-        for (String intake : simulation.fleet.intakes) {
+        for (String intake : fleet.intakes) {
             buckets.add(
-                    simulation.fleet.host(intake).alive()
-                            ? simulation
-                                    .fleet
-                                    .dataPlaneNode(intake)
-                                    .ownedBuckets()
-                                    .size()
+                    fleet.host(intake).alive()
+                            ? fleet.dataPlaneNode(intake).ownedBuckets().size()
                             : 0);
         }
         for (String partition : ServiceNames.messagePartitions()) {
-            terms += simulation.fleet.stores.stream()
-                    .filter(s -> simulation.fleet.host(s).alive())
-                    .mapToLong(s -> simulation.fleet.dataPlaneNode(s).term(partition))
+            terms += fleet.stores.stream()
+                    .filter(s -> fleet.host(s).alive())
+                    .mapToLong(s -> fleet.dataPlaneNode(s).term(partition))
                     .max()
                     .orElse(0);
         }
--- a/testkit/src/main/java/org/woadvale/testkit/stub/MessageChecks.java
+++ b/testkit/src/main/java/org/woadvale/testkit/stub/MessageChecks.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.stream.Collectors;
+import org.woadvale.testkit.stub.Observations.SubmissionOutcome;
 
 /** Finds messages that were lost, run after success, run though refused, run out of order, or done without proof. */
 final class MessageChecks {
@@ -29,8 +30,8 @@
                 .filter(Observations.StatusRead::isTerminal)
                 .forEach(shown -> ended.merge(shown.handle(), shown.at(), (a, b) -> a.compareTo(b) < 0 ? a : b));
         List<String> out = new ArrayList<>(observations.copy(observations.submitted).stream()
-                .filter(submitted -> submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED
-                        && !ended.containsKey(submitted.handle()))
+                .filter(submitted ->
+                        submitted.outcome() == SubmissionOutcome.ACCEPTED && !ended.containsKey(submitted.handle()))
                 .map(submitted -> submitted.handle() + " was never shown as ended")
                 .distinct()
                 .toList());
@@ -66,7 +67,7 @@
         return observations.copy(observations.ran).stream()
                 .map(ran -> ran.tenant() + "/" + ran.lane() + "/" + ran.callerId())
                 .distinct()
-                .filter(k -> outcomes.getOrDefault(k, Set.of()).equals(Set.of(Observations.SubmissionOutcome.REFUSED)))
+                .filter(k -> outcomes.getOrDefault(k, Set.of()).equals(Set.of(SubmissionOutcome.REFUSED)))
                 .map(k -> k + " ran although every submission was refused")
                 .toList();
     }
@@ -95,11 +96,10 @@
         observations.copy(observations.died).forEach(died -> live.remove(died.handle()));
         Map<String, Set<String>> byKey = new HashMap<>();
         observations.copy(observations.submitted).stream()
-                .filter(submitted -> !submitted.orderKey().isEmpty()
-                        && submitted.outcome() == Observations.SubmissionOutcome.ACCEPTED)
-                .forEach(submitted -> byKey.computeIfAbsent(
-                                group(submitted.tenant(), submitted.lane(), submitted.orderKey()), k -> new HashSet<>())
-                        .add(submitted.handle()));
+                .filter(message -> !message.orderKey().isEmpty() && message.outcome() == SubmissionOutcome.ACCEPTED)
+                .forEach(message -> byKey.computeIfAbsent(
+                                group(message.tenant(), message.lane(), message.orderKey()), k -> new HashSet<>())
+                        .add(message.handle()));
         Map<String, List<Observations.RunStarted>> runs = observations.copy(observations.ran).stream()
                 .filter(r -> !r.orderKey().isEmpty())
                 .collect(Collectors.groupingBy(r -> group(r.tenant(), r.lane(), r.orderKey())));
